--- a/apiary/stands.py
+++ b/apiary/stands.py
@@ -1,6 +1,7 @@
 """A stand-in platform and stand-in servers: the published protocol, as much of it as doors use.
 
-`python -m apiary.stands ID SERVICE ADDRESS ZONE FILE` is one server as a process, which notes what it runs."""
+`python -m apiary.stands
+ID SERVICE ADDRESS ZONE FILE` is one server as a process, which notes what it runs."""
 
 from __future__ import annotations
 
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -23,7 +23,8 @@
 from bench.scale.program import SYNC, TICK, Effects, Hollow, Listing, listing
 
 NEAR, FAR = 0.001, 0.020  # seconds one way inside a region and between regions
-MOST_DATAGRAM = 1200  # bytes; what is larger takes a connection of its own, as hive.mesh has it
+# bytes; what is larger takes a connection of its own, as hive.mesh has it
+MOST_DATAGRAM = 1200
 LONG = ("s", "e")  # parts of an echo that are the same for many: the roster, and what changed in it
 LARGE = (
     2000  # doors from which on a door with no requests does not work out with each roster whom it would tell
--- a/comb/change.py
+++ b/comb/change.py
@@ -118,7 +118,8 @@
 
 
 def take(packed: bytes, held: Held | None = None) -> Held:
-    """Read a packed configuration that `comb.check` has let pass: by what differs from the one that is held where
+    """Read a packed configuration that `comb.check`
+    has let pass: by what differs from the one that is held where
     that can be, else block by block, else whole."""
     if held is not None:
         try:
--- a/comb/delta.py
+++ b/comb/delta.py
@@ -1,6 +1,7 @@
 """The difference between two packed configurations, as bytes: runs of the old body's bytes, and new ones between.
 
-Exact whatever the bodies are; small where resources begin as `comb.blocks.MARK` says, else as large as the body.
+Exact whatever the bodies are; small where resources begin as
+`comb.blocks.MARK` says, else as large as the body.
 """
 
 from __future__ import annotations
--- a/comb/register.py
+++ b/comb/register.py
@@ -70,7 +70,8 @@
         self.fence = max(self.fence, lineage(version))
 
     def fenced(self) -> bool:
-        """Whether the core was rescued (comb/rescue.py), and the state that goes on has yet to come here.  Until then
+        """Whether the core was rescued (comb/rescue.py),
+        and the state that goes on has yet to come here.  Until then
         this door says, confirms and votes on nothing by what it holds."""
         return self.fence > lineage(self.version)
 
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -1,6 +1,7 @@
 """Every schedule of a few doors' part in the control state, within bounds: the program's own steps, no time, no copy.
 
-A door is `queenless.control.Control` over `Register` and `Orders` as they stand.  What has been sent stays: each
+A door is `queenless.control.Control`
+over `Register` and `Orders` as they stand.  What has been sent stays: each
 message may come at any time, again, late or never.  A door's step depends on its own state and the message alone, so
 each is run once and remembered, and a state of all is a row of small numbers.
 
