--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from comb.blocks import pack, unpack
-from comb.change import Checked, Held, take
-from comb.check import check, check_change
-from comb.delta import difference, follow
-from comb.word import digest, read
 from forage.fleet import Fleet
+from hazelspring.configuration.blocks import pack, unpack
+from hazelspring.configuration.delta import difference, follow
+from hazelspring.configuration.incremental import Checked, Held, take
+from hazelspring.configuration.model import digest, read
+from hazelspring.configuration.validation import check, check_change
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.list_duty import LIST
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node, server_tag
--- a/comb/offline.py
+++ b/comb/offline.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from comb.store import FORMAT, TABLES, StoreError, row_sum
-from comb.word import Stamp
+from hazelspring.configuration.model import Stamp
 
 FIRST_SHARED, SHARED = 0x40000002, 510  # the bytes of a file that SQLite locks, whoever reads it
 ENDS = ("", "-wal", "-journal")
--- a/comb/register.py
+++ b/comb/register.py
@@ -8,8 +8,8 @@
 
 import cbor2
 
-from comb.delta import MOST_STEPS, DeltaError, difference, follow
 from comb.state import LINEAGE, NO_BALLOT, NO_WORD, Ballot, State, ballot_of, lineage, state_of
+from hazelspring.configuration.delta import MOST_STEPS, DeltaError, difference, follow
 
 WORD = "word "  # begins the record of a configuration's bytes, by its digest
 
--- a/comb/rescue.py
+++ b/comb/rescue.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from comb.check import Invalid, check
 from comb.register import Register
 from comb.state import LINEAGE, NO_WORD, Member, State, lineage
-from comb.word import Stamp, digest
+from hazelspring.configuration.model import Stamp, digest
+from hazelspring.configuration.validation import Invalid, check
 
 WORD, ZONE = "word", "zone/"  # keys of the items that format 1 kept
 Items = Mapping[str, tuple[Stamp, bytes]]  # by key: the stamp, and the body; a configuration's is packed
--- a/forage/gate.py
+++ b/forage/gate.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from comb.word import Route, Tenant, Word
 from forage.allowance import Allowance
 from forage.fleet import Fleet, Server
+from hazelspring.configuration.model import Route, Tenant, Word
 from hazelspring.registry.tables import ServerEntry
 from nectar.bounds import QuotaRule
 from nectar.credits import Call, Credits, Granted, Lapsed
--- a/comb/delta.py
+++ b/hazelspring/configuration/delta.py
@@ -1,7 +1,7 @@
 """The difference between two packed configurations, as bytes: runs of the old body's bytes, and new ones between.
 
 Exact whatever the bodies are; small where resources begin as
-`comb.blocks.MARK` says, else as large as the body.
+`hazelspring.configuration.blocks.MARK` says, else as large as the body.
 """
 
 from __future__ import annotations
@@ -12,7 +12,16 @@
 from collections.abc import Iterator, Sequence
 from itertools import accumulate
 
-from comb.blocks import LEAST, MARK, MOST_BODY, Block, PackedError, blocks_of, cut, sealed
+from hazelspring.configuration.blocks import (
+    LEAST,
+    MARK,
+    MOST_BODY,
+    Block,
+    PackedError,
+    blocks_of,
+    cut,
+    sealed,
+)
 
 MOST_RUNS = (
     4096  # of one difference: what has more goes whole, and what unpacks a block for each ends in a second
--- a/comb/change.py
+++ b/hazelspring/configuration/incremental.py
@@ -7,8 +7,8 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from comb.blocks import Block, PackedError, blocks_of, unpack
-from comb.word import (
+from hazelspring.configuration.blocks import Block, PackedError, blocks_of, unpack
+from hazelspring.configuration.model import (
     Limits,
     Route,
     Word,
@@ -118,7 +118,7 @@
 
 
 def take(packed: bytes, held: Held | None = None) -> Held:
-    """Read a packed configuration that `comb.check`
+    """Read a packed configuration that `hazelspring.configuration.validation`
     has let pass: by what differs from the one that is held where
     that can be, else block by block, else whole."""
     if held is not None:
--- a/comb/word.py
+++ b/hazelspring/configuration/model.py
@@ -157,7 +157,7 @@
 
 
 def read(body: bytes) -> Word:
-    """The tables of a configuration that `comb.check` has let pass."""
+    """The tables of a configuration that `hazelspring.configuration.validation` has let pass."""
     document = json.loads(body)
     return tables(number_of(document["versionNumber"]), document["resourceList"])
 
--- a/comb/check.py
+++ b/hazelspring/configuration/validation.py
@@ -9,10 +9,10 @@
 
 from marshmallow import Schema, ValidationError, fields, validate
 
-from comb.blocks import PackedError, pack
-from comb.change import Checked, Held, Irregular, change_of, changed
-from comb.schema import Lenient, problems
-from comb.word import number_of
+from hazelspring.configuration.blocks import PackedError, pack
+from hazelspring.configuration.incremental import Checked, Held, Irregular, change_of, changed
+from hazelspring.configuration.model import number_of
+from hazelspring.configuration.schema import Lenient, problems
 
 KINDS = ("read_only", "mutating", "upload")
 AIM_OVER = 60_000  # ms by which a target must stay below its route's timeout and a minute more
--- a/hive/desk.py
+++ b/hive/desk.py
@@ -9,8 +9,8 @@
 
 import httptools
 
-from comb.blocks import unpack
-from comb.check import Invalid
+from hazelspring.configuration.blocks import unpack
+from hazelspring.configuration.validation import Invalid
 from hive.front import Final, encode
 from hive.log import log
 from hive.operator_calls import OperatorCalls, Settled
--- a/hive/door.py
+++ b/hive/door.py
@@ -11,10 +11,10 @@
 
 import cbor2
 
-from comb.change import Held, take
-from comb.word import Word
 from forage.fleet import Fleet
 from forage.gate import Forager, Tick
+from hazelspring.configuration.incremental import Held, take
+from hazelspring.configuration.model import Word
 from hazelspring.registry.list_duty import ListTiming
 from hive.desk import Desk
 from hive.disk_worker import DiskWorker
--- a/hive/operator_calls.py
+++ b/hive/operator_calls.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from comb.change import Held
-from comb.check import check_change
+from hazelspring.configuration.incremental import Held
+from hazelspring.configuration.validation import check_change
 from hive.log import log
 from queenless.core import Core
 from queenless.deeds import Deed
@@ -47,7 +47,7 @@
         self.replies: dict[int, Reply] = {}
 
     def put(self, body: bytes, done: Reply) -> None:
-        """A new configuration.  Raises comb.check.Invalid, and nothing is ordered then."""
+        """A new configuration.  Raises hazelspring.configuration.validation.Invalid, and nothing is ordered then."""
         checked = check_change(body, self.held())
         self._begin(lambda token: self.core().put(self.clock(), token, body, checked), done)
 
--- a/hive/settings.py
+++ b/hive/settings.py
@@ -8,8 +8,8 @@
 
 from marshmallow import ValidationError, fields, post_load, pre_load, validate
 
-from comb.schema import Lenient, problems
 from forage.gate import Rule
+from hazelspring.configuration.schema import Lenient, problems
 from ivymux.config import Address, ConfigError, parse_address
 from nectar.bounds import QuotaRule
 from queenless.invariants import InvariantBounds
--- a/keeper/__main__.py
+++ b/keeper/__main__.py
@@ -75,7 +75,7 @@
     doors = chosen.door or [d for d in os.environ.get("HAZELSPRING_DOORS", "").split(",") if d]
     try:
         if chosen.call == "check":
-            from comb.check import Invalid, check
+            from hazelspring.configuration.validation import Invalid, check
 
             try:
                 print(f"{chosen.file}: would be taken as r{check(read(chosen.file))}")
--- a/queenless/core.py
+++ b/queenless/core.py
@@ -9,10 +9,10 @@
 
 import cbor2
 
-from comb.blocks import pack
-from comb.change import Checked
 from comb.state import Member, lineage
-from comb.word import digest, number_of
+from hazelspring.configuration.blocks import pack
+from hazelspring.configuration.incremental import Checked
+from hazelspring.configuration.model import digest, number_of
 from hazelspring.registry.list_duty import LIST, ListDuty, ListTiming
 from hazelspring.registry.list_freshness import ListFreshness
 from hazelspring.registry.tables import ServerEntry
@@ -89,7 +89,7 @@
         return self.control.fresh_at(now)
 
     def put(self, now: float, token: int, body: bytes, checked: Checked | None = None) -> list[Deed]:
-        """An operator's configuration that `comb.check` has let pass."""
+        """An operator's configuration that `hazelspring.configuration.validation` has let pass."""
         if checked is None:
             number = number_of(json.loads(body)["versionNumber"])
             checked = Checked(number, pack(body, self.control.register.word()))
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -17,9 +17,9 @@
 
 import cbor2
 
-from comb.word import read
 from forage.fleet import Fleet
 from forage.gate import Asked, Deny, Forager, Lease, Leave, Rule, Tick
+from hazelspring.configuration.model import read
 from hazelspring.registry.tables import ServerEntry, server_tag
 from nectar.credits import Call as CounterCall
 from nectar.credits import Granted, Lapsed
--- a/tests/chaos_rules.py
+++ b/tests/chaos_rules.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from comb.state import NO_WORD
-from comb.word import digest
+from hazelspring.configuration.model import digest
 from queenless.core import Core, Start
 from queenless.deeds import Message
 from queenless.order import Done
--- a/tests/golden/recording.py
+++ b/tests/golden/recording.py
@@ -16,13 +16,13 @@
 
 import cbor2
 
-from comb.blocks import MARK, pack
-from comb.delta import difference
 from comb.register import Register
 from comb.rescue import Items
 from comb.state import Member, State
 from comb.store import Store
-from comb.word import digest
+from hazelspring.configuration.blocks import MARK, pack
+from hazelspring.configuration.delta import difference
+from hazelspring.configuration.model import digest
 from hazelspring.registry.tables import ServerEntry
 from queenless.core import Core
 from queenless.deeds import Deed, Message, Save, Send
--- a/tests/test_bringing.py
+++ b/tests/test_bringing.py
@@ -13,9 +13,9 @@
 
 import comb.register
 from bench.scale.words import configuration
-from comb.blocks import pack, unpack
 from comb.register import MOST_KEPT, Register
-from comb.word import digest
+from hazelspring.configuration.blocks import pack, unpack
+from hazelspring.configuration.model import digest
 from queenless.core import Core
 from queenless.deeds import Message, Send
 
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -13,14 +13,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-import comb.blocks
-import comb.delta
+import hazelspring.configuration.blocks
+import hazelspring.configuration.delta
 from bench.scale.words import configuration
-from comb.blocks import pack, unpack
-from comb.change import Held, take
-from comb.check import Invalid, check, check_change, sound
-from comb.delta import DeltaError, difference, follow
-from comb.word import Word, digest, read
+from hazelspring.configuration.blocks import pack, unpack
+from hazelspring.configuration.delta import DeltaError, difference, follow
+from hazelspring.configuration.incremental import Held, take
+from hazelspring.configuration.model import Word, digest, read
+from hazelspring.configuration.validation import Invalid, check, check_change, sound
 
 Entry = dict[str, Any]
 QUIET = settings(max_examples=300, deadline=None, derandomize=True)
@@ -31,8 +31,8 @@
     """Blocks of a few resources, so that small configurations have many."""
     with pytest.MonkeyPatch.context() as patch:
         for name, value in (("LEAST", 300), ("MOST", 2000), ("CHANCE", 3)):
-            patch.setattr(comb.blocks, name, value)
-        patch.setattr(comb.delta, "LEAST", 300)
+            patch.setattr(hazelspring.configuration.blocks, name, value)
+        patch.setattr(hazelspring.configuration.delta, "LEAST", 300)
         yield
 
 
@@ -199,8 +199,8 @@
         packed = pack(changed, held.packed)
         assert sound(held, packed) == 8
         with monkeypatch.context() as patch:
-            patch.setattr("comb.change.read", None)
-            patch.setattr("comb.change.tables", None)
+            patch.setattr("hazelspring.configuration.incremental.read", None)
+            patch.setattr("hazelspring.configuration.incremental.tables", None)
             assert take(packed, held).word == read(changed)
 
 
@@ -225,7 +225,10 @@
     one, two = text(found), text(edited(found, [("set", 12, 0, "priority", 5)]), "r8")
     packed = pack(one)
     assert unpack(packed) == one and zlib.decompress(packed) == one
-    blocks = [{block.packed for block in comb.blocks.blocks_of(each)} for each in (packed, pack(two, packed))]
+    blocks = [
+        {block.packed for block in hazelspring.configuration.blocks.blocks_of(each)}
+        for each in (packed, pack(two, packed))
+    ]
     assert len(blocks[0]) > 6 and len(blocks[1] - blocks[0]) <= 3
     old = zlib.compress(one, 6)  # as it was packed before
     assert follow(old, [difference(old, pack(two))], digest(two)) == follow(
@@ -258,9 +261,16 @@
         draw, bent = random.Random(seed), bytearray(plain)
         bent[draw.randrange(len(bent))] ^= 1 << draw.randrange(8)
         wrong.append(zlib.compress(bytes(bent)))
-    wrong.append(zlib.compress(comb.delta.HEAD.pack(1 << 30, 1) + comb.delta.RUN.pack(0, 1 << 30, 0)))
-    wrong.append(zlib.compress(bytes(comb.delta.MOST_NEW + 1)))
-    twice = comb.delta.HEAD.pack(3 * len(one), 3) + 3 * comb.delta.RUN.pack(0, len(one), 0)
+    wrong.append(
+        zlib.compress(
+            hazelspring.configuration.delta.HEAD.pack(1 << 30, 1)
+            + hazelspring.configuration.delta.RUN.pack(0, 1 << 30, 0)
+        )
+    )
+    wrong.append(zlib.compress(bytes(hazelspring.configuration.delta.MOST_NEW + 1)))
+    twice = hazelspring.configuration.delta.HEAD.pack(
+        3 * len(one), 3
+    ) + 3 * hazelspring.configuration.delta.RUN.pack(0, len(one), 0)
     wrong.append(zlib.compress(twice))
     raised = 0
     for delta in wrong:
@@ -276,7 +286,7 @@
         with pytest.raises(DeltaError):
             follow(base, [right], digest(two))
     with pytest.raises(DeltaError, match="too many"):
-        follow(packed, [right] * (comb.delta.MOST_STEPS + 1), digest(two))
+        follow(packed, [right] * (hazelspring.configuration.delta.MOST_STEPS + 1), digest(two))
 
 
 def fault(what: str) -> tuple[list[Any], list[Any]]:
--- a/tests/test_forage.py
+++ b/tests/test_forage.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from comb.check import Invalid, check
-from comb.word import read
 from forage.fleet import HEARSAY, Fleet, Usual
 from forage.gate import Asked, Deny, Forager, Lease, Leave, Rule, Tick
+from hazelspring.configuration.model import read
+from hazelspring.configuration.validation import Invalid, check
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.tables import ServerEntry, server_tag
 from nectar.bounds import QuotaRule
--- a/tests/test_front_stress.py
+++ b/tests/test_front_stress.py
@@ -14,9 +14,9 @@
 import pytest
 import uvloop
 
-from comb.word import read
 from forage.fleet import Fleet
 from forage.gate import Forager, Rule, Tick
+from hazelspring.configuration.model import read
 from hazelspring.registry.tables import ServerEntry
 from hive import front
 from hive.front import Carrier, Front, Visitor
--- a/tests/test_golden_control.py
+++ b/tests/test_golden_control.py
@@ -9,13 +9,13 @@
 import cbor2
 import pytest
 
-from comb.blocks import blocks_of, pack, unpack
-from comb.delta import difference, follow
 from comb.offline import item_sum, look
 from comb.register import load
 from comb.state import NO_BALLOT
 from comb.store import Store, row_sum
-from comb.word import digest
+from hazelspring.configuration.blocks import blocks_of, pack, unpack
+from hazelspring.configuration.delta import difference, follow
+from hazelspring.configuration.model import digest
 
 from .golden import recording
 from .golden.recording import FIRST, FOLDER, ITEMS, MARKS, SECOND, STORE_RECORDS, configuration, read
--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -23,9 +23,9 @@
 
 import pytest
 
-from comb.blocks import pack
-from comb.check import Invalid, check
-from comb.word import Route, read
+from hazelspring.configuration.blocks import pack
+from hazelspring.configuration.model import Route, read
+from hazelspring.configuration.validation import Invalid, check
 from hazelspring.registry.tables import ServerEntry, ServiceTable
 from hive.desk import Caller, Desk
 from hive.door import Door
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -12,7 +12,7 @@
 from comb.register import Register, load
 from comb.rescue import Items, Source, Unfit, newest, of_items, of_register, rescued
 from comb.state import LINEAGE, Member, State, lineage
-from comb.word import digest
+from hazelspring.configuration.model import digest
 from queenless.control import Control
 from queenless.deeds import Message, Send
 from swarm.peers import About, Peers
--- a/tests/test_rescue_command.py
+++ b/tests/test_rescue_command.py
@@ -14,7 +14,7 @@
 from comb.rescue import Items
 from comb.state import Member, State
 from comb.store import Store, StoreError
-from comb.word import digest
+from hazelspring.configuration.model import digest
 from hive.__main__ import main
 
 from .test_rescue import BODY, SEATS, WORD, held
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from comb.word import read
 from forage.fleet import Fleet
 from forage.gate import Forager, Rule
+from hazelspring.configuration.model import read
 from hive.front import Carrier, Front, Visitor
 from hive.servers import Line, Servers
 from ivymux.config import Address
--- a/tests/world.py
+++ b/tests/world.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from comb.state import State, lineage
-from comb.word import digest
+from hazelspring.configuration.model import digest
 from hazelspring.registry.list_duty import LIST
 from hazelspring.registry.tables import ServerEntry
 from nectar.bounds import QuotaRule
