--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -14,6 +14,7 @@
 from hazelspring.configuration.incremental import Checked, Held, take
 from hazelspring.configuration.model import digest, read
 from hazelspring.configuration.validation import check, check_change
+from hazelspring.consensus.proposal import Done
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.list_duty import LIST
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node, server_tag
@@ -22,7 +23,6 @@
 from nectar.credits import Credits
 from queenless.core import SHARDS, Core, Start
 from queenless.deeds import Danced, Deed, Message, Poll, Save, Send
-from queenless.order import Done
 from queenless.teller import LEASE
 from swarm.peers import About
 
--- /dev/null
+++ b/hazelspring/consensus/__init__.py
@@ -0,0 +1,1 @@
+"""Agreement on the control state: ballots, acceptor, proposer, and recovery after a majority was lost."""
--- a/comb/register.py
+++ b/hazelspring/consensus/acceptor.py
@@ -8,8 +8,17 @@
 
 import cbor2
 
-from comb.state import LINEAGE, NO_BALLOT, NO_WORD, Ballot, State, ballot_of, lineage, state_of
 from hazelspring.configuration.delta import MOST_STEPS, DeltaError, difference, follow
+from hazelspring.consensus.control_state import (
+    LINEAGE,
+    NO_BALLOT,
+    NO_WORD,
+    Ballot,
+    State,
+    ballot_of,
+    lineage,
+    state_of,
+)
 
 WORD = "word "  # begins the record of a configuration's bytes, by its digest
 
@@ -70,7 +79,7 @@
         self.fence = max(self.fence, lineage(version))
 
     def fenced(self) -> bool:
-        """Whether the core was rescued (comb/rescue.py),
+        """Whether the core was rescued (hazelspring/consensus/disaster_recovery.py),
         and the state that goes on has yet to come here.  Until then
         this door says, confirms and votes on nothing by what it holds."""
         return self.fence > lineage(self.version)
--- a/comb/state.py
+++ b/hazelspring/consensus/control_state.py
@@ -76,7 +76,7 @@
 
 def lineage(version: int) -> int:
     """Which line of versions one belongs to: 0 from the founding on, a higher one from each rescue by hand on
-    (comb/rescue.py).
+    (hazelspring/consensus/disaster_recovery.py).
      It is the version's high part, so wherever versions are compared the higher lineage is newer."""
     return max(0, version) // LINEAGE
 
--- a/comb/rescue.py
+++ b/hazelspring/consensus/disaster_recovery.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from comb.register import Register
-from comb.state import LINEAGE, NO_WORD, Member, State, lineage
 from hazelspring.configuration.model import Stamp, digest
 from hazelspring.configuration.validation import Invalid, check
+from hazelspring.consensus.acceptor import Register
+from hazelspring.consensus.control_state import LINEAGE, NO_WORD, Member, State, lineage
 
 WORD, ZONE = "word", "zone/"  # keys of the items that format 1 kept
 Items = Mapping[str, tuple[Stamp, bytes]]  # by key: the stamp, and the body; a configuration's is packed
--- a/queenless/carrying.py
+++ b/hazelspring/consensus/forwarding.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from comb.state import State
-from queenless.order import Order
+from hazelspring.consensus.control_state import State
+from hazelspring.consensus.proposal import Order
 
 KEPT = 1.0  # seconds for which a door keeps an order that it was handed
 SPAN = 2  # versions in a row that an order may be applied to: that in force where it was handed, and the next
--- a/queenless/order.py
+++ b/hazelspring/consensus/proposal.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from comb.state import NO_WORD, Member, State
+from hazelspring.consensus.control_state import NO_WORD, Member, State
 
 
 @dataclass(slots=True)
--- a/queenless/orders.py
+++ b/hazelspring/consensus/proposer.py
@@ -7,10 +7,19 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from comb.register import Register
-from comb.state import NO_BALLOT, NO_WORD, Ballot, Member, State, majority, missing, voices_needed
-from queenless.carrying import Carried, Hands, carriable
-from queenless.order import Done, Order
+from hazelspring.consensus.acceptor import Register
+from hazelspring.consensus.control_state import (
+    NO_BALLOT,
+    NO_WORD,
+    Ballot,
+    Member,
+    State,
+    majority,
+    missing,
+    voices_needed,
+)
+from hazelspring.consensus.forwarding import Carried, Hands, carriable
+from hazelspring.consensus.proposal import Done, Order
 
 AGAIN = 0.25  # seconds between sendings to a member that has not answered
 WIDTH = 100e6  # bytes a second of a door's link, of a gigabit: all copies of a configuration share it
--- a/hive/door.py
+++ b/hive/door.py
@@ -15,6 +15,7 @@
 from forage.gate import Forager, Tick
 from hazelspring.configuration.incremental import Held, take
 from hazelspring.configuration.model import Word
+from hazelspring.consensus.proposal import Done
 from hazelspring.registry.list_duty import ListTiming
 from hive.desk import Desk
 from hive.disk_worker import DiskWorker
@@ -36,7 +37,6 @@
 from queenless.core import Core, Start
 from queenless.deeds import Changed, Danced, Deed, Poll, Save, Send, Violated
 from queenless.invariants import LIST_KNOWN
-from queenless.order import Done
 from swarm.peers import About
 
 LEAST_CONNECTIONS = 4  # to one server, however many doors share it
--- a/hive/operator_calls.py
+++ b/hive/operator_calls.py
@@ -7,10 +7,10 @@
 
 from hazelspring.configuration.incremental import Held
 from hazelspring.configuration.validation import check_change
+from hazelspring.consensus.proposal import Done
 from hive.log import log
 from queenless.core import Core
 from queenless.deeds import Deed
-from queenless.order import Done
 
 
 @dataclass(slots=True, frozen=True)
--- a/hive/rescue.py
+++ b/hive/rescue.py
@@ -12,10 +12,19 @@
 import cbor2
 
 from comb.offline import Found, look, replace_all
-from comb.register import Register, load
-from comb.rescue import ZONE, Source, Unfit, newest, of_items, of_register, rescued, usable
-from comb.state import LINEAGE, NO_WORD, Ballot, Member, State, lineage
 from comb.store import StoreError
+from hazelspring.consensus.acceptor import Register, load
+from hazelspring.consensus.control_state import LINEAGE, NO_WORD, Ballot, Member, State, lineage
+from hazelspring.consensus.disaster_recovery import (
+    ZONE,
+    Source,
+    Unfit,
+    newest,
+    of_items,
+    of_register,
+    rescued,
+    usable,
+)
 from hive.settings import SettingsError
 from hive.settings import load as load_settings
 
--- a/queenless/control.py
+++ b/queenless/control.py
@@ -5,8 +5,8 @@
 import random
 from collections.abc import Mapping
 
-from comb.register import Lacking, Register, load
-from comb.state import (
+from hazelspring.consensus.acceptor import Lacking, Register, load
+from hazelspring.consensus.control_state import (
     LINEAGE,
     NO_BALLOT,
     NO_WORD,
@@ -19,10 +19,10 @@
     state_of,
     voices_needed,
 )
+from hazelspring.consensus.proposal import Order
+from hazelspring.consensus.proposer import Orders
 from queenless.deeds import Changed, Deed, Message, Save, Send
 from queenless.membership import Membership
-from queenless.order import Order
-from queenless.orders import Orders
 from swarm.peers import Peers
 from swarm.rendezvous import owner
 
--- a/queenless/core.py
+++ b/queenless/core.py
@@ -9,10 +9,11 @@
 
 import cbor2
 
-from comb.state import Member, lineage
 from hazelspring.configuration.blocks import pack
 from hazelspring.configuration.incremental import Checked
 from hazelspring.configuration.model import digest, number_of
+from hazelspring.consensus.control_state import Member, lineage
+from hazelspring.consensus.proposal import Order
 from hazelspring.registry.list_duty import LIST, ListDuty, ListTiming
 from hazelspring.registry.list_freshness import ListFreshness
 from hazelspring.registry.tables import ServerEntry
@@ -24,7 +25,6 @@
 from queenless.dissemination import Disseminator
 from queenless.invariants import InvariantBounds, Invariants
 from queenless.messages import DutiesDeclined, DutiesFreed, TableNews, TableRequest
-from queenless.order import Order
 from queenless.teller import LEASE
 from swarm.duties import Duties, Who
 from swarm.peers import TERM, About, Peers
--- a/queenless/deeds.py
+++ b/queenless/deeds.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from hazelspring.consensus.proposal import Done
 from nectar.credits import Granted, Lapsed
-from queenless.order import Done
 
 Message = dict[str, Any]
 # kinds of messages that the agreement takes
--- a/queenless/membership.py
+++ b/queenless/membership.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from comb.register import Register
-from comb.state import Member, State, lineage
-from queenless.order import Founding, Order
-from queenless.orders import Orders
+from hazelspring.consensus.acceptor import Register
+from hazelspring.consensus.control_state import Member, State, lineage
+from hazelspring.consensus.proposal import Founding, Order
+from hazelspring.consensus.proposer import Orders
 from swarm.peers import Peer, Peers
 
 QUIET = 1.5  # seconds without a new door with a disk, at the first start, before the founding is proposed,
--- a/swarm/duties.py
+++ b/swarm/duties.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from comb.state import majority
+from hazelspring.consensus.control_state import majority
 from swarm.peers import TERM, Peers
 from swarm.rendezvous import owner
 
--- a/swarm/peers.py
+++ b/swarm/peers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from comb.state import Member
+from hazelspring.consensus.control_state import Member
 from swarm.roster import Roster
 
 TERM = 2.0  # seconds of a grant of a duty: five beats of the core
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -20,6 +20,7 @@
 from forage.fleet import Fleet
 from forage.gate import Asked, Deny, Forager, Lease, Leave, Rule, Tick
 from hazelspring.configuration.model import read
+from hazelspring.consensus.proposal import Done
 from hazelspring.registry.tables import ServerEntry, server_tag
 from nectar.credits import Call as CounterCall
 from nectar.credits import Granted, Lapsed
@@ -29,7 +30,6 @@
 from orchidhill.wire import parse_settings
 from queenless.core import Core
 from queenless.deeds import Changed, Danced, Deed, Message, Poll, Save, Violated
-from queenless.order import Done
 
 from . import chaos, helpers
 from .chaos_days import draw
--- a/tests/chaos.py
+++ b/tests/chaos.py
@@ -9,7 +9,7 @@
 
 import cbor2
 
-from comb.state import State
+from hazelspring.consensus.control_state import State
 
 from .chaos_days import Act, Day
 from .chaos_rules import DUTIES, Watched
--- a/tests/chaos_rules.py
+++ b/tests/chaos_rules.py
@@ -8,11 +8,11 @@
 from bisect import bisect
 from typing import Any
 
-from comb.state import NO_WORD
 from hazelspring.configuration.model import digest
+from hazelspring.consensus.control_state import NO_WORD
+from hazelspring.consensus.proposal import Done
 from queenless.core import Core, Start
 from queenless.deeds import Message
-from queenless.order import Done
 from swarm.peers import About
 
 from .chaos_days import Day
--- a/tests/control_door.py
+++ b/tests/control_door.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from comb.state import NO_BALLOT, Ballot, State, ballot_of
-from queenless.carrying import SPAN, Carried, Hands, row_of
+from hazelspring.consensus.control_state import NO_BALLOT, Ballot, State, ballot_of
+from hazelspring.consensus.forwarding import SPAN, Carried, Hands, row_of
+from hazelspring.consensus.proposal import Order
 from queenless.control import Control
 from queenless.deeds import Message
 from queenless.membership import Membership
-from queenless.order import Order
 from swarm.peers import About, Peers
 
 NEVER = float("inf")
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -18,10 +18,10 @@
 
 import cbor2
 
-from comb.register import load
-from comb.state import NO_BALLOT, State
+from hazelspring.consensus.acceptor import load
+from hazelspring.consensus.control_state import NO_BALLOT, State
+from hazelspring.consensus.proposal import Done, Order
 from queenless.deeds import Deed, Message, Save, Send
-from queenless.order import Done, Order
 from swarm.peers import About, Peers
 
 from .control_door import NEVER, Door, Event, once, spent_at
--- a/tests/control_rules.py
+++ b/tests/control_rules.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Collection
 
-from comb.state import State
-from queenless.order import Done, Order
+from hazelspring.consensus.control_state import State
+from hazelspring.consensus.proposal import Done, Order
 
 Disk = tuple[int, bool, tuple[State, ...]]  # its number, whether it may found, and the states on it
 
--- a/tests/cut_history.py
+++ b/tests/cut_history.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from comb.state import State
-from queenless.order import Done, Order
+from hazelspring.consensus.control_state import State
+from hazelspring.consensus.proposal import Done, Order
 
 from .control_rules import unread
 
--- a/tests/golden/recording.py
+++ b/tests/golden/recording.py
@@ -16,17 +16,17 @@
 
 import cbor2
 
-from comb.register import Register
-from comb.rescue import Items
-from comb.state import Member, State
 from comb.store import Store
 from hazelspring.configuration.blocks import MARK, pack
 from hazelspring.configuration.delta import difference
 from hazelspring.configuration.model import digest
+from hazelspring.consensus.acceptor import Register
+from hazelspring.consensus.control_state import Member, State
+from hazelspring.consensus.disaster_recovery import Items
+from hazelspring.consensus.proposal import Done
 from hazelspring.registry.tables import ServerEntry
 from queenless.core import Core
 from queenless.deeds import Deed, Message, Save, Send
-from queenless.order import Done
 from tests.world import Call, World
 
 FOLDER = Path(__file__).parent
--- a/tests/test_bringing.py
+++ b/tests/test_bringing.py
@@ -11,11 +11,11 @@
 import cbor2
 import pytest
 
-import comb.register
+import hazelspring.consensus.acceptor
 from bench.scale.words import configuration
-from comb.register import MOST_KEPT, Register
 from hazelspring.configuration.blocks import pack, unpack
 from hazelspring.configuration.model import digest
+from hazelspring.consensus.acceptor import MOST_KEPT, Register
 from queenless.core import Core
 from queenless.deeds import Message, Send
 
@@ -168,7 +168,7 @@
 def test_what_was_acknowledged_outlives_losses_also_where_all_goes_by_differences(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(comb.register, "SMALL", 0)
+    monkeypatch.setattr(hazelspring.consensus.acceptor, "SMALL", 0)
     draw = random.Random(seed)
     deeds = [(draw.choice(KINDS), draw.randrange(8)) for _ in range(16)]
     assert play(3 + seed, 1 + (seed > 1), seed, deeds, odd=0.05 * (seed % 2)).breaches == []
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from comb.state import Member, State
-from queenless.carrying import KEPT, SPAN, Carried, HandedOrder, Hands
+from hazelspring.consensus.control_state import Member, State
+from hazelspring.consensus.forwarding import KEPT, SPAN, Carried, HandedOrder, Hands
+from hazelspring.consensus.proposal import Order
 from queenless.deeds import Message
-from queenless.order import Order
 
 from .test_control import settled_world
 from .world import World
@@ -81,7 +81,7 @@
 ) -> None:
     """The bound bites: were a handed order good for any version, the zone would be closed again."""
     if not bound:
-        monkeypatch.setattr("queenless.carrying.SPAN", 1000)
+        monkeypatch.setattr("hazelspring.consensus.forwarding.SPAN", 1000)
     again = 0
     for seed in range(6):
         world = settled_world(seed=seed)
@@ -170,7 +170,7 @@
 ) -> None:
     """Two members of four stop as a change is brought to them: small bytes go again each 0.25 s; what takes a slow
     link 0.4 s for all four goes again after 0.5 s, and until then the members are asked without it."""
-    monkeypatch.setattr("queenless.orders.WIDTH", 1e6)
+    monkeypatch.setattr("hazelspring.consensus.proposer.WIDTH", 1e6)
     world = settled_world()
     accepts = noted(world, "accept")
     token = world.put("d1", 6, world.random.randbytes(size).hex())
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-import queenless.orders
+import hazelspring.consensus.proposer
 from queenless.control import Control
 
 from .chaos import play
@@ -17,7 +17,7 @@
 
 
 def test_a_majority_of_one_less_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(queenless.orders, "majority", lambda members: max(1, members // 2))
+    monkeypatch.setattr(hazelspring.consensus.proposer, "majority", lambda members: max(1, members // 2))
     assert any(play(draw(seed)).breaches for seed in range(4))
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-import comb.state
+import hazelspring.consensus.control_state
 from hazelspring.registry.list_duty import LIST
 from queenless.deeds import Message, Send
 
@@ -306,7 +306,7 @@
 
 def test_a_disk_taken_for_the_one_before_it_would_lose_a_change(monkeypatch: pytest.MonkeyPatch) -> None:
     """The fence bites: where any disk at an address may speak for its seat, an emptied one undoes an agreement."""
-    monkeypatch.setattr(comb.state, "takes", lambda member, voter: True)
+    monkeypatch.setattr(hazelspring.consensus.control_state, "takes", lambda member, voter: True)
     breaches = 0
     for seed in range(16):
         world = settled_world(3, 1, seed=seed)
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -14,14 +14,14 @@
 
 import pytest
 
-import comb.register
-import comb.state
-from comb.register import Register
-from comb.state import NO_BALLOT, Member, State
-from queenless.carrying import SPAN
+import hazelspring.consensus.acceptor
+import hazelspring.consensus.control_state
+from hazelspring.consensus.acceptor import Register
+from hazelspring.consensus.control_state import NO_BALLOT, Member, State
+from hazelspring.consensus.forwarding import SPAN
+from hazelspring.consensus.proposal import Founding, Order
+from hazelspring.consensus.proposer import Ask, Orders
 from queenless.control import Control
-from queenless.order import Founding, Order
-from queenless.orders import Ask, Orders
 from swarm.peers import About
 
 from .control_door import Door, Event
@@ -207,16 +207,16 @@
 
 
 def copies_one_less(patch: Patch) -> None:
-    patch.setattr("queenless.orders.majority", lambda members: max(1, members // 2))
+    patch.setattr("hazelspring.consensus.proposer.majority", lambda members: max(1, members // 2))
 
 
 def voices_one_less(patch: Patch) -> None:
-    needed = comb.state.voices_needed
-    patch.setattr("queenless.orders.voices_needed", lambda members: needed(members) - 1)
+    needed = hazelspring.consensus.control_state.voices_needed
+    patch.setattr("hazelspring.consensus.proposer.voices_needed", lambda members: needed(members) - 1)
 
 
 def any_disk(patch: Patch) -> None:
-    patch.setattr(comb.state, "takes", lambda member, voter: True)
+    patch.setattr(hazelspring.consensus.control_state, "takes", lambda member, voter: True)
 
 
 def new_set_only(patch: Patch) -> None:
@@ -231,7 +231,7 @@
 
 def promise_forgotten(patch: Patch) -> None:
     def forgetful(*args: Any) -> Register:
-        found = comb.register.load(*args)
+        found = hazelspring.consensus.acceptor.load(*args)
         found.promised = NO_BALLOT
         return found
 
@@ -288,7 +288,7 @@
 
 
 def spans(patch: Patch, versions: int) -> None:
-    patch.setattr("queenless.carrying.SPAN", versions)
+    patch.setattr("hazelspring.consensus.forwarding.SPAN", versions)
     patch.setattr("tests.control_door.SPAN", versions)
 
 
--- a/tests/test_golden_control.py
+++ b/tests/test_golden_control.py
@@ -10,12 +10,12 @@
 import pytest
 
 from comb.offline import item_sum, look
-from comb.register import load
-from comb.state import NO_BALLOT
 from comb.store import Store, row_sum
 from hazelspring.configuration.blocks import blocks_of, pack, unpack
 from hazelspring.configuration.delta import difference, follow
 from hazelspring.configuration.model import digest
+from hazelspring.consensus.acceptor import load
+from hazelspring.consensus.control_state import NO_BALLOT
 
 from .golden import recording
 from .golden.recording import FIRST, FOLDER, ITEMS, MARKS, SECOND, STORE_RECORDS, configuration, read
--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -26,6 +26,7 @@
 from hazelspring.configuration.blocks import pack
 from hazelspring.configuration.model import Route, read
 from hazelspring.configuration.validation import Invalid, check
+from hazelspring.consensus.proposal import Done
 from hazelspring.registry.tables import ServerEntry, ServiceTable
 from hive.desk import Caller, Desk
 from hive.door import Door
@@ -42,7 +43,6 @@
 from ivymux.host import Answer
 from ivymux.metrics import Counts
 from orchidhill.interface import Attached, Detached, Processes
-from queenless.order import Done
 
 from .test_uploads import Held, feed
 
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -8,9 +8,9 @@
 import cbor2
 import pytest
 
-from comb.register import Lacking, Register, load
-from comb.state import NO_BALLOT, NO_WORD, Ballot, Member, State, founding
-from queenless.order import Founding, Order
+from hazelspring.consensus.acceptor import Lacking, Register, load
+from hazelspring.consensus.control_state import NO_BALLOT, NO_WORD, Ballot, Member, State, founding
+from hazelspring.consensus.proposal import Founding, Order
 
 SEATS = tuple(Member(f"d{n}", f"z{n}", "east", n) for n in (1, 2, 3))
 FIRST = State(1, SEATS, SEATS, 3)
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -9,10 +9,18 @@
 import pytest
 
 from apiary.yard import configuration
-from comb.register import Register, load
-from comb.rescue import Items, Source, Unfit, newest, of_items, of_register, rescued
-from comb.state import LINEAGE, Member, State, lineage
 from hazelspring.configuration.model import digest
+from hazelspring.consensus.acceptor import Register, load
+from hazelspring.consensus.control_state import LINEAGE, Member, State, lineage
+from hazelspring.consensus.disaster_recovery import (
+    Items,
+    Source,
+    Unfit,
+    newest,
+    of_items,
+    of_register,
+    rescued,
+)
 from queenless.control import Control
 from queenless.deeds import Message, Send
 from swarm.peers import About, Peers
--- a/tests/test_rescue_command.py
+++ b/tests/test_rescue_command.py
@@ -10,11 +10,11 @@
 import pytest
 
 from comb.offline import item_sum, look
-from comb.register import Register, load
-from comb.rescue import Items
-from comb.state import Member, State
 from comb.store import Store, StoreError
 from hazelspring.configuration.model import digest
+from hazelspring.consensus.acceptor import Register, load
+from hazelspring.consensus.control_state import Member, State
+from hazelspring.consensus.disaster_recovery import Items
 from hive.__main__ import main
 
 from .test_rescue import BODY, SEATS, WORD, held
--- a/tests/test_rescue_processes.py
+++ b/tests/test_rescue_processes.py
@@ -15,7 +15,7 @@
 from apiary.stands import Stands
 from apiary.yard import ROOT, Yard, configuration
 from comb.offline import look
-from comb.register import load
+from hazelspring.consensus.acceptor import load
 from keeper.calls import order
 
 from .callers import number_in, put, read, told
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -14,6 +14,7 @@
 from apiary.stands import Stands
 from apiary.yard import Yard, configuration
 from comb.store import Store
+from hazelspring.consensus.proposal import Done
 from hive.__main__ import Watched
 from hive.door import Door
 from hive.settings import Settings, load
@@ -27,7 +28,6 @@
 from ivymux.upstream import Upstream
 from orchidhill.interface import Count, Outcome
 from queenless.deeds import Changed
-from queenless.order import Done
 
 from .sockets import Backend, Tally, listening, run, until
 
--- a/tests/test_word_property.py
+++ b/tests/test_word_property.py
@@ -6,7 +6,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-import queenless.orders
+import hazelspring.consensus.proposer
 
 from .world import World
 
@@ -125,5 +125,5 @@
     ]
     deeds += [("freeze", 1), ("zone", 1), ("put", 4), ("wait", 2)]
     assert not play(3, 1, 51, deeds).breaches
-    monkeypatch.setattr(queenless.orders, "majority", lambda members: members // 2)
+    monkeypatch.setattr(hazelspring.consensus.proposer, "majority", lambda members: members // 2)
     assert any("knows" in breach for breach in play(3, 1, 51, deeds).breaches)
