--- a/comb/offline.py
+++ b/hazelspring/storage/offline.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from comb.store import FORMAT, TABLES, StoreError, row_sum
 from hazelspring.configuration.model import Stamp
+from hazelspring.storage.replica_store import FORMAT, TABLES, StoreError, row_sum
 
 FIRST_SHARED, SHARED = 0x40000002, 510  # the bytes of a file that SQLite locks, whoever reads it
 ENDS = ("", "-wal", "-journal")
--- a/hive/disk_worker.py
+++ b/hive/disk_worker.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from concurrent.futures import ThreadPoolExecutor
 
-from comb.store import Store, StoreError
+from hazelspring.storage.replica_store import Store, StoreError
 from hive.log import log
 from hive.supervisor import Supervisor
 
--- a/hive/rescue.py
+++ b/hive/rescue.py
@@ -11,8 +11,6 @@
 
 import cbor2
 
-from comb.offline import Found, look, replace_all
-from comb.store import StoreError
 from hazelspring.consensus.acceptor import Register, load
 from hazelspring.consensus.control_state import LINEAGE, NO_WORD, Ballot, Member, State, lineage
 from hazelspring.consensus.disaster_recovery import (
@@ -25,6 +23,8 @@
     rescued,
     usable,
 )
+from hazelspring.storage.offline import Found, look, replace_all
+from hazelspring.storage.replica_store import StoreError
 from hive.settings import SettingsError
 from hive.settings import load as load_settings
 
--- a/tests/disk.py
+++ b/tests/disk.py
@@ -75,7 +75,7 @@
 
 
 class Base(apsw.Connection):
-    """An open file with what `comb.store` asks of one from sqlite3."""
+    """An open file with what `hazelspring.storage.replica_store` asks of one from sqlite3."""
 
     def executescript(self, text: str) -> None:
         list(self.execute(text))
--- a/tests/golden/recording.py
+++ b/tests/golden/recording.py
@@ -16,7 +16,6 @@
 
 import cbor2
 
-from comb.store import Store
 from hazelspring.configuration.blocks import MARK, pack
 from hazelspring.configuration.delta import difference
 from hazelspring.configuration.model import digest
@@ -25,6 +24,7 @@
 from hazelspring.consensus.disaster_recovery import Items
 from hazelspring.consensus.proposal import Done
 from hazelspring.registry.tables import ServerEntry
+from hazelspring.storage.replica_store import Store
 from queenless.core import Core
 from queenless.deeds import Deed, Message, Save, Send
 from tests.world import Call, World
--- a/tests/test_comb_crash.py
+++ b/tests/test_comb_crash.py
@@ -8,7 +8,7 @@
 
 import apsw
 
-from comb.store import Store, StoreError
+from hazelspring.storage.replica_store import Store, StoreError
 
 from .disk import Disk
 
--- a/tests/test_comb_store.py
+++ b/tests/test_comb_store.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from comb.store import Store, StoreError
+from hazelspring.storage.replica_store import Store, StoreError
 
 ROOT = Path(__file__).parent.parent
 WRITER = """
 import sys
-from comb.store import Store
+from hazelspring.storage.replica_store import Store
 store = Store(sys.argv[1])
 for number in range(1, 10**6):
     store.save({"word": b"%d" % number * 50, "vote": b"%d" % number})
--- a/tests/test_control_cut.py
+++ b/tests/test_control_cut.py
@@ -19,8 +19,8 @@
 from apiary.__main__ import Background
 from apiary.stands import Stands
 from apiary.yard import KEY, Yard, configuration
-from comb.store import Store
 from hazelspring.consensus.acceptor import load
+from hazelspring.storage.replica_store import Store
 
 from .control_rules import Disk, chain, copies
 from .cut_history import CLOSE, KEYED, OPEN, PUT, READ, STATUS, Call, History
--- a/tests/test_golden_control.py
+++ b/tests/test_golden_control.py
@@ -9,13 +9,13 @@
 import cbor2
 import pytest
 
-from comb.offline import item_sum, look
-from comb.store import Store, row_sum
 from hazelspring.configuration.blocks import blocks_of, pack, unpack
 from hazelspring.configuration.delta import difference, follow
 from hazelspring.configuration.model import digest
 from hazelspring.consensus.acceptor import load
 from hazelspring.consensus.control_state import NO_BALLOT
+from hazelspring.storage.offline import item_sum, look
+from hazelspring.storage.replica_store import Store, row_sum
 
 from .golden import recording
 from .golden.recording import FIRST, FOLDER, ITEMS, MARKS, SECOND, STORE_RECORDS, configuration, read
--- a/tests/test_rescue_processes.py
+++ b/tests/test_rescue_processes.py
@@ -14,8 +14,8 @@
 from apiary.__main__ import Background
 from apiary.stands import Stands
 from apiary.yard import ROOT, Yard, configuration
-from comb.offline import look
 from hazelspring.consensus.acceptor import load
+from hazelspring.storage.offline import look
 from keeper.calls import order
 
 from .callers import number_in, put, read, told
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -13,8 +13,8 @@
 
 from apiary.stands import Stands
 from apiary.yard import Yard, configuration
-from comb.store import Store
 from hazelspring.consensus.proposal import Done
+from hazelspring.storage.replica_store import Store
 from hive.__main__ import Watched
 from hive.door import Door
 from hive.settings import Settings, load
