--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -15,6 +15,7 @@
 from hazelspring.configuration.model import digest, read
 from hazelspring.configuration.validation import check, check_change
 from hazelspring.consensus.proposal import Done
+from hazelspring.membership.peer_table import About
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.list_duty import LIST
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node, server_tag
@@ -24,7 +25,6 @@
 from queenless.core import SHARDS, Core, Start
 from queenless.deeds import Danced, Deed, Message, Poll, Save, Send
 from queenless.teller import LEASE
-from swarm.peers import About
 
 TICK = 0.05  # seconds between two ticks of a door, as hive.door has it,
 CALM = 0.1  # and of one that is ready and has no disk
--- /dev/null
+++ b/hazelspring/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Which nodes there are: peers and their incarnations, the roster, rendezvous hashing."""
--- a/swarm/peers.py
+++ b/hazelspring/membership/peer_table.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from hazelspring.consensus.control_state import Member
-from swarm.roster import Roster
+from hazelspring.membership.roster import Roster
 
 TERM = 2.0  # seconds of a grant of a duty: five beats of the core
 SILENT = 1.3  # seconds without an answer after which a door counts as away: three beats lost and a round trip
--- a/hazelspring/registry/tables.py
+++ b/hazelspring/registry/tables.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from swarm.rendezvous import owner
+from hazelspring.membership.rendezvous import owner
 
 NODE_BITS = 20  # low bits of a version, by the node that made it; above them stand milliseconds
 WARMER = 0.5  # seconds by which a server must become cold for longer to be told anew
--- a/hive/door.py
+++ b/hive/door.py
@@ -16,6 +16,7 @@
 from hazelspring.configuration.incremental import Held, take
 from hazelspring.configuration.model import Word
 from hazelspring.consensus.proposal import Done
+from hazelspring.membership.peer_table import About
 from hazelspring.registry.list_duty import ListTiming
 from hive.desk import Desk
 from hive.disk_worker import DiskWorker
@@ -37,7 +38,6 @@
 from queenless.core import Core, Start
 from queenless.deeds import Changed, Danced, Deed, Poll, Save, Send, Violated
 from queenless.invariants import LIST_KNOWN
-from swarm.peers import About
 
 LEAST_CONNECTIONS = 4  # to one server, however many doors share it
 TICK = 0.05  # seconds: an eighth of a beat, and well under the time for a lease's call
--- a/queenless/core.py
+++ b/queenless/core.py
@@ -14,6 +14,8 @@
 from hazelspring.configuration.model import digest, number_of
 from hazelspring.consensus.control_state import Member, lineage
 from hazelspring.consensus.proposal import Order
+from hazelspring.membership.peer_table import TERM, About, Peers
+from hazelspring.membership.rendezvous import shard
 from hazelspring.registry.list_duty import LIST, ListDuty, ListTiming
 from hazelspring.registry.list_freshness import ListFreshness
 from hazelspring.registry.tables import ServerEntry
@@ -27,8 +29,6 @@
 from queenless.messages import DutiesDeclined, DutiesFreed, TableNews, TableRequest
 from queenless.teller import LEASE
 from swarm.duties import Duties, Who
-from swarm.peers import TERM, About, Peers
-from swarm.rendezvous import shard
 
 SHARDS = 8  # of tenants; fixed, as two doors that differ in it would both own a tenant
 BARE = 0.15  # seconds without any table, as none else has one, after which a core door asks for itself
--- a/queenless/dissemination.py
+++ b/queenless/dissemination.py
@@ -5,11 +5,11 @@
 import math
 from collections.abc import Mapping
 
+from hazelspring.membership.peer_table import Peers
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node
 from queenless.deeds import Changed, Deed, Message, Send
 from queenless.messages import TableNews, TableRequest
 from queenless.teller import Outs, Teller, budget
-from swarm.peers import Peers
 
 
 class Disseminator:
--- a/queenless/invariants.py
+++ b/queenless/invariants.py
@@ -13,11 +13,11 @@
 from collections import Counter
 from dataclasses import dataclass
 
+from hazelspring.membership.peer_table import Peers
 from hazelspring.registry.list_duty import LIST, ListDuty
 from hazelspring.registry.list_freshness import ListFreshness
 from queenless.beats import NEAR_BEAT, Beats
 from queenless.deeds import Violated
-from swarm.peers import Peers
 
 LIST_READ = "list_read"
 LIST_KNOWN = "list_known"
--- a/queenless/membership.py
+++ b/queenless/membership.py
@@ -6,7 +6,7 @@
 from hazelspring.consensus.control_state import Member, State, lineage
 from hazelspring.consensus.proposal import Founding, Order
 from hazelspring.consensus.proposer import Orders
-from swarm.peers import Peer, Peers
+from hazelspring.membership.peer_table import Peer, Peers
 
 QUIET = 1.5  # seconds without a new door with a disk, at the first start, before the founding is proposed,
 TURN = 0.3  # and seconds more for each seed before this one, so that they don't outbid each other
--- a/queenless/messages.py
+++ b/queenless/messages.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any, ClassVar, Self
 
+from hazelspring.membership.peer_table import About
 from queenless.deeds import Message
-from swarm.peers import About
 
 
 @dataclass(slots=True, frozen=True)
--- a/queenless/teller.py
+++ b/queenless/teller.py
@@ -5,9 +5,9 @@
 from collections.abc import Mapping
 from typing import Any
 
+from hazelspring.membership.peer_table import Peers
+from hazelspring.membership.rendezvous import owner, weight
 from queenless.deeds import Deed, Message, Send
-from swarm.peers import Peers
-from swarm.rendezvous import owner, weight
 
 ZONE_LEAST = 0.04  # seconds between two tellings in the zone: a tick of a door, whose time varies a little,
 REGION_LEAST = 0.2  # and in the region, a part of a request's time
--- a/swarm/duties.py
+++ b/swarm/duties.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from hazelspring.consensus.control_state import majority
-from swarm.peers import TERM, Peers
-from swarm.rendezvous import owner
+from hazelspring.membership.peer_table import TERM, Peers
+from hazelspring.membership.rendezvous import owner
 
 SHORT = 0.9  # part of it that a holder relies on, as steady clocks may differ in speed,
 # seconds for which a node leaves a duty that it could not do to others: some ten times what a try takes
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -21,8 +21,8 @@
 from hazelspring.consensus.acceptor import load
 from hazelspring.consensus.control_state import NO_BALLOT, State
 from hazelspring.consensus.proposal import Done, Order
+from hazelspring.membership.peer_table import About, Peers
 from queenless.deeds import Deed, Message, Save, Send
-from swarm.peers import About, Peers
 
 from .control_door import NEVER, Door, Event, once, spent_at
 from .control_rules import Disk, chain, copies, kept, undone, unread
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -21,8 +21,8 @@
 from hazelspring.consensus.forwarding import SPAN
 from hazelspring.consensus.proposal import Founding, Order
 from hazelspring.consensus.proposer import Ask, Orders
+from hazelspring.membership.peer_table import About
 from queenless.control import Control
-from swarm.peers import About
 
 from .control_door import Door, Event
 from .control_model import Case, Explorer, Found
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -6,12 +6,12 @@
 from dataclasses import replace
 
 from forage.fleet import Fleet
+from hazelspring.membership.peer_table import About, Peers
 from hazelspring.registry.tables import ServerEntry
 from queenless.deeds import Deed, Send
 from queenless.dissemination import Disseminator
 from queenless.messages import TableNews
 from queenless.teller import MOST_NAMES, Outs
-from swarm.peers import About, Peers
 
 ABOUTS = [About(f"d{n}", f"z{n % 3}", "south" if n % 3 == 2 else "north", False, n) for n in range(12)]
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from hazelspring.membership.peer_table import TERM, About, Peers
 from swarm.duties import Duties, Granter
-from swarm.peers import TERM, About, Peers
 
 from .world import TICK, World
 
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -21,9 +21,9 @@
     of_register,
     rescued,
 )
+from hazelspring.membership.peer_table import About, Peers
 from queenless.control import Control
 from queenless.deeds import Message, Send
-from swarm.peers import About, Peers
 
 from .world import World
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -7,10 +7,10 @@
 
 import pytest
 
+from hazelspring.membership.peer_table import FAR_GONE, GONE, About, Peers
+from hazelspring.membership.roster import KEPT, Roster, Row, sum_of
 from queenless.core import Core, Start
 from queenless.deeds import Deed, Save, Send
-from swarm.peers import FAR_GONE, GONE, About, Peers
-from swarm.roster import KEPT, Roster, Row, sum_of
 
 MEMBER, DOOR = "10.0.0.1", "10.0.0.2"
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -10,10 +10,10 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
+from hazelspring.membership.rendezvous import shard
 from hazelspring.registry.list_duty import LIST
 from nectar.credits import Granted
 from queenless.core import SHARDS
-from swarm.rendezvous import shard
 
 from .world import Call, Disk, World
 
--- a/tests/test_teller.py
+++ b/tests/test_teller.py
@@ -9,6 +9,8 @@
 import pytest
 
 from forage.fleet import HEARSAY, Fleet
+from hazelspring.membership.peer_table import About, Peers
+from hazelspring.membership.rendezvous import owner
 from hazelspring.registry.tables import server_tag
 from hive.settings import Limits
 from queenless.deeds import Deed, Send
@@ -27,8 +29,6 @@
     budget,
     hearers,
 )
-from swarm.peers import About, Peers
-from swarm.rendezvous import owner
 
 TICK = 0.05
 CALLS = 142  # a second of a door to counters at the peak,
--- a/tests/world.py
+++ b/tests/world.py
@@ -18,13 +18,13 @@
 from hazelspring.configuration.model import digest
 from hazelspring.consensus.control_state import State, lineage
 from hazelspring.consensus.proposal import Done
+from hazelspring.membership.peer_table import About
 from hazelspring.registry.list_duty import LIST
 from hazelspring.registry.tables import ServerEntry
 from nectar.bounds import QuotaRule
 from nectar.credits import Granted, Lapsed
 from queenless.core import Core, Start
 from queenless.deeds import Changed, Danced, Deed, Message, Poll, Save, Send, Violated
-from swarm.peers import About
 
 TICK, SYNC, REVOCATION = 0.05, 0.002, 5.0
 STALE = 0.9  # as hive.door has it
