--- /dev/null
+++ b/hazelspring/leases/__init__.py
@@ -0,0 +1,1 @@
+"""Leases on singleton roles: work that one node does for all."""
--- a/hazelspring/registry/list_duty.py
+++ b/hazelspring/registry/list_duty.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from swarm.duties import Duties
+from hazelspring.leases.singleton_roles import Duties
 
 LIST = 0  # the number of this duty
 # seconds between two reads at most: rarer ones make news late, and the platform's list itself lags by more than this
--- a/queenless/core.py
+++ b/queenless/core.py
@@ -14,6 +14,7 @@
 from hazelspring.configuration.model import digest, number_of
 from hazelspring.consensus.control_state import Member, lineage
 from hazelspring.consensus.proposal import Order
+from hazelspring.leases.singleton_roles import Duties, Who
 from hazelspring.membership.peer_table import TERM, About, Peers
 from hazelspring.membership.rendezvous import shard
 from hazelspring.registry.list_duty import LIST, ListDuty, ListTiming
@@ -28,7 +29,6 @@
 from queenless.invariants import InvariantBounds, Invariants
 from queenless.messages import DutiesDeclined, DutiesFreed, TableNews, TableRequest
 from queenless.teller import LEASE
-from swarm.duties import Duties, Who
 
 SHARDS = 8  # of tenants; fixed, as two doors that differ in it would both own a tenant
 BARE = 0.15  # seconds without any table, as none else has one, after which a core door asks for itself
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from hazelspring.leases.singleton_roles import Duties, Granter
 from hazelspring.membership.peer_table import TERM, About, Peers
-from swarm.duties import Duties, Granter
 
 from .world import TICK, World
 
