--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -17,7 +17,7 @@
 from hazelspring.consensus.proposal import Done
 from hazelspring.membership.peer_table import About
 from hazelspring.registry.instance_list import parse_instance_list
-from hazelspring.registry.list_duty import LIST
+from hazelspring.registry.list_reader_role import LIST
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node, server_tag
 from nectar.bounds import QuotaRule
 from nectar.counter import Counter
--- a/hive/door.py
+++ b/hive/door.py
@@ -17,7 +17,7 @@
 from hazelspring.configuration.model import Word
 from hazelspring.consensus.proposal import Done
 from hazelspring.membership.peer_table import About
-from hazelspring.registry.list_duty import ListTiming
+from hazelspring.registry.list_reader_role import ListTiming
 from hive.desk import Desk
 from hive.disk_worker import DiskWorker
 from hive.front import Carrier, Front
--- a/queenless/core.py
+++ b/queenless/core.py
@@ -17,8 +17,8 @@
 from hazelspring.leases.singleton_roles import Duties, Who
 from hazelspring.membership.peer_table import TERM, About, Peers
 from hazelspring.membership.rendezvous import shard
-from hazelspring.registry.list_duty import LIST, ListDuty, ListTiming
 from hazelspring.registry.list_freshness import ListFreshness
+from hazelspring.registry.list_reader_role import LIST, ListDuty, ListTiming
 from hazelspring.registry.tables import ServerEntry
 from nectar.counter import Counter
 from nectar.credits import Granted, Lapsed
--- a/queenless/invariants.py
+++ b/queenless/invariants.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 
 from hazelspring.membership.peer_table import Peers
-from hazelspring.registry.list_duty import LIST, ListDuty
 from hazelspring.registry.list_freshness import ListFreshness
+from hazelspring.registry.list_reader_role import LIST, ListDuty
 from queenless.beats import NEAR_BEAT, Beats
 from queenless.deeds import Violated
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,7 +5,7 @@
 import pytest
 
 import hazelspring.consensus.control_state
-from hazelspring.registry.list_duty import LIST
+from hazelspring.registry.list_reader_role import LIST
 from queenless.deeds import Message, Send
 
 from .world import World
--- a/tests/test_list_duty.py
+++ b/tests/test_list_duty.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hazelspring.registry.list_duty import LIST, MAX_TIMEOUT, ListDuty, ListTiming
+from hazelspring.registry.list_reader_role import LIST, MAX_TIMEOUT, ListDuty, ListTiming
 from queenless.core import Core, Start
 from queenless.deeds import Deed, Poll
 from queenless.invariants import LIST_KNOWN, LIST_READ
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -11,7 +11,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from hazelspring.membership.rendezvous import shard
-from hazelspring.registry.list_duty import LIST
+from hazelspring.registry.list_reader_role import LIST
 from nectar.credits import Granted
 from queenless.core import SHARDS
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -19,7 +19,7 @@
 from hazelspring.consensus.control_state import State, lineage
 from hazelspring.consensus.proposal import Done
 from hazelspring.membership.peer_table import About
-from hazelspring.registry.list_duty import LIST
+from hazelspring.registry.list_reader_role import LIST
 from hazelspring.registry.tables import ServerEntry
 from nectar.bounds import QuotaRule
 from nectar.credits import Granted, Lapsed
