--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -16,12 +16,12 @@
 from hazelspring.configuration.validation import check, check_change
 from hazelspring.consensus.proposal import Done
 from hazelspring.membership.peer_table import About
+from hazelspring.quota.counter import Counter
+from hazelspring.quota.credits import Credits
+from hazelspring.quota.limits import QuotaRule
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.list_reader_role import LIST
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node, server_tag
-from nectar.bounds import QuotaRule
-from nectar.counter import Counter
-from nectar.credits import Credits
 from queenless.core import SHARDS, Core, Start
 from queenless.deeds import Danced, Deed, Message, Poll, Save, Send
 from queenless.teller import LEASE
--- a/forage/gate.py
+++ b/forage/gate.py
@@ -11,9 +11,9 @@
 from forage.allowance import Allowance
 from forage.fleet import Fleet, Server
 from hazelspring.configuration.model import Route, Tenant, Word
+from hazelspring.quota.credits import Call, Credits, Granted, Lapsed
+from hazelspring.quota.limits import QuotaRule
 from hazelspring.registry.tables import ServerEntry
-from nectar.bounds import QuotaRule
-from nectar.credits import Call, Credits, Granted, Lapsed
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
 
--- a/nectar/credits.py
+++ b/hazelspring/quota/credits.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from nectar.bounds import QuotaRule
+from hazelspring.quota.limits import QuotaRule
 from orchidhill.policy.sizing import step
 
 PRICE = (
--- a/hive/door.py
+++ b/hive/door.py
@@ -17,6 +17,7 @@
 from hazelspring.configuration.model import Word
 from hazelspring.consensus.proposal import Done
 from hazelspring.membership.peer_table import About
+from hazelspring.quota.credits import Call, Granted, Lapsed
 from hazelspring.registry.list_reader_role import ListTiming
 from hive.desk import Desk
 from hive.disk_worker import DiskWorker
@@ -33,7 +34,6 @@
 from ivymux.metrics import Counts
 from ivymux.periodic import Periodic
 from ivymux.pool import PER_BACKEND
-from nectar.credits import Call, Granted, Lapsed
 from queenless.control import MEMBERS, WORD, ZONES
 from queenless.core import Core, Start
 from queenless.deeds import Changed, Danced, Deed, Poll, Save, Send, Violated
--- a/hive/front.py
+++ b/hive/front.py
@@ -11,13 +11,13 @@
 
 from forage.gate import Asked, Deny, Forager, Lease, Leave
 from hazelspring.configuration.model import Route, Tenant, Word
+from hazelspring.quota.credits import Call
 from hive.servers import ID, PROMISES, Reply, Servers, Stream, Try, promise_kept, status_line
 from ivymux.caller import HOP_BY_HOP, LEAST_ADVICE, MOST_HELD, BadRequest, Client, Exchange, Listener
 from ivymux.config import Address
 from ivymux.host import Answer, Host, Open
 from ivymux.link import Attempt, Flow, Result, Sink
 from ivymux.metrics import Counts
-from nectar.credits import Call
 from orchidhill import interface as i
 
 LEFT = b"x-hazelspring-remaining-milliseconds"
--- a/hive/settings.py
+++ b/hive/settings.py
@@ -10,8 +10,8 @@
 
 from forage.gate import Rule
 from hazelspring.configuration.schema import Lenient, problems
+from hazelspring.quota.limits import QuotaRule
 from ivymux.config import Address, ConfigError, parse_address
-from nectar.bounds import QuotaRule
 from queenless.invariants import InvariantBounds
 
 
--- a/queenless/core.py
+++ b/queenless/core.py
@@ -17,11 +17,11 @@
 from hazelspring.leases.singleton_roles import Duties, Who
 from hazelspring.membership.peer_table import TERM, About, Peers
 from hazelspring.membership.rendezvous import shard
+from hazelspring.quota.counter import Counter
+from hazelspring.quota.credits import Granted, Lapsed
 from hazelspring.registry.list_freshness import ListFreshness
 from hazelspring.registry.list_reader_role import LIST, ListDuty, ListTiming
 from hazelspring.registry.tables import ServerEntry
-from nectar.counter import Counter
-from nectar.credits import Granted, Lapsed
 from queenless.beats import FAR_BEAT, NEAR_BEAT, Beats
 from queenless.control import ASK_AGAIN, Control
 from queenless.deeds import AGREEMENT, Danced, Deed, Message, Poll, Send
--- a/queenless/deeds.py
+++ b/queenless/deeds.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from hazelspring.consensus.proposal import Done
-from nectar.credits import Granted, Lapsed
+from hazelspring.quota.credits import Granted, Lapsed
 
 Message = dict[str, Any]
 # kinds of messages that the agreement takes
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -21,9 +21,9 @@
 from forage.gate import Asked, Deny, Forager, Lease, Leave, Rule, Tick
 from hazelspring.configuration.model import read
 from hazelspring.consensus.proposal import Done
+from hazelspring.quota.credits import Call as CounterCall
+from hazelspring.quota.credits import Granted, Lapsed
 from hazelspring.registry.tables import ServerEntry, server_tag
-from nectar.credits import Call as CounterCall
-from nectar.credits import Granted, Lapsed
 from orchidhill import interface as i
 from orchidhill.gateway import Gateway
 from orchidhill.interface import Outcome
--- a/tests/test_forage.py
+++ b/tests/test_forage.py
@@ -12,11 +12,11 @@
 from forage.gate import Asked, Deny, Forager, Lease, Leave, Rule, Tick
 from hazelspring.configuration.model import read
 from hazelspring.configuration.validation import Invalid, check
+from hazelspring.quota.counter import Counter
+from hazelspring.quota.credits import Call, Credits, Granted, Lapsed
+from hazelspring.quota.limits import QuotaRule
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.tables import ServerEntry, server_tag
-from nectar.bounds import QuotaRule
-from nectar.counter import Counter
-from nectar.credits import Call, Credits, Granted, Lapsed
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
 
--- a/tests/test_front_stress.py
+++ b/tests/test_front_stress.py
@@ -17,6 +17,7 @@
 from forage.fleet import Fleet
 from forage.gate import Forager, Rule, Tick
 from hazelspring.configuration.model import read
+from hazelspring.quota.credits import Call, Granted, Lapsed
 from hazelspring.registry.tables import ServerEntry
 from hive import front
 from hive.front import Carrier, Front, Visitor
@@ -25,7 +26,6 @@
 from ivymux.config import Address, parse_address
 from ivymux.link import Link
 from ivymux.metrics import Counts
-from nectar.credits import Call, Granted, Lapsed
 from orchidhill.interface import Outcome
 
 from .hostile_clients import KEY, TENANT, Crowd
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -11,8 +11,8 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from hazelspring.membership.rendezvous import shard
+from hazelspring.quota.credits import Granted
 from hazelspring.registry.list_reader_role import LIST
-from nectar.credits import Granted
 from queenless.core import SHARDS
 
 from .world import Call, Disk, World
--- a/tests/world.py
+++ b/tests/world.py
@@ -19,10 +19,10 @@
 from hazelspring.consensus.control_state import State, lineage
 from hazelspring.consensus.proposal import Done
 from hazelspring.membership.peer_table import About
+from hazelspring.quota.credits import Granted, Lapsed
+from hazelspring.quota.limits import QuotaRule
 from hazelspring.registry.list_reader_role import LIST
 from hazelspring.registry.tables import ServerEntry
-from nectar.bounds import QuotaRule
-from nectar.credits import Granted, Lapsed
 from queenless.core import Core, Start
 from queenless.deeds import Changed, Danced, Deed, Message, Poll, Save, Send, Violated
 
