--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from forage.fleet import Fleet
 from hazelspring.configuration.blocks import pack, unpack
 from hazelspring.configuration.delta import difference, follow
 from hazelspring.configuration.incremental import Checked, Held, take
@@ -22,6 +21,7 @@
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.list_reader_role import LIST
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node, server_tag
+from hazelspring.routing.endpoints import Fleet
 from queenless.core import SHARDS, Core, Start
 from queenless.deeds import Danced, Deed, Message, Poll, Save, Send
 from queenless.teller import LEASE
--- a/forage/gate.py
+++ b/hazelspring/routing/request_router.py
@@ -8,12 +8,12 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from forage.allowance import Allowance
-from forage.fleet import Fleet, Server
 from hazelspring.configuration.model import Route, Tenant, Word
 from hazelspring.quota.credits import Call, Credits, Granted, Lapsed
 from hazelspring.quota.limits import QuotaRule
 from hazelspring.registry.tables import ServerEntry
+from hazelspring.routing.endpoints import Fleet, Server
+from hazelspring.routing.retry_budget import Allowance
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
 
--- a/hive/door.py
+++ b/hive/door.py
@@ -11,14 +11,14 @@
 
 import cbor2
 
-from forage.fleet import Fleet
-from forage.gate import Forager, Tick
 from hazelspring.configuration.incremental import Held, take
 from hazelspring.configuration.model import Word
 from hazelspring.consensus.proposal import Done
 from hazelspring.membership.peer_table import About
 from hazelspring.quota.credits import Call, Granted, Lapsed
 from hazelspring.registry.list_reader_role import ListTiming
+from hazelspring.routing.endpoints import Fleet
+from hazelspring.routing.request_router import Forager, Tick
 from hive.desk import Desk
 from hive.disk_worker import DiskWorker
 from hive.front import Carrier, Front
--- a/hive/settings.py
+++ b/hive/settings.py
@@ -8,9 +8,9 @@
 
 from marshmallow import ValidationError, fields, post_load, pre_load, validate
 
-from forage.gate import Rule
 from hazelspring.configuration.schema import Lenient, problems
 from hazelspring.quota.limits import QuotaRule
+from hazelspring.routing.request_router import Rule
 from ivymux.config import Address, ConfigError, parse_address
 from queenless.invariants import InvariantBounds
 
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -17,13 +17,13 @@
 
 import cbor2
 
-from forage.fleet import Fleet
-from forage.gate import Asked, Deny, Forager, Lease, Leave, Rule, Tick
 from hazelspring.configuration.model import read
 from hazelspring.consensus.proposal import Done
 from hazelspring.quota.credits import Call as CounterCall
 from hazelspring.quota.credits import Granted, Lapsed
 from hazelspring.registry.tables import ServerEntry, server_tag
+from hazelspring.routing.endpoints import Fleet
+from hazelspring.routing.request_router import Asked, Deny, Forager, Lease, Leave, Rule, Tick
 from orchidhill import interface as i
 from orchidhill.gateway import Gateway
 from orchidhill.interface import Outcome
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -5,9 +5,9 @@
 import random
 from dataclasses import replace
 
-from forage.fleet import Fleet
 from hazelspring.membership.peer_table import About, Peers
 from hazelspring.registry.tables import ServerEntry
+from hazelspring.routing.endpoints import Fleet
 from queenless.deeds import Deed, Send
 from queenless.dissemination import Disseminator
 from queenless.messages import TableNews
--- a/tests/test_forage.py
+++ b/tests/test_forage.py
@@ -8,8 +8,6 @@
 
 import pytest
 
-from forage.fleet import HEARSAY, Fleet, Usual
-from forage.gate import Asked, Deny, Forager, Lease, Leave, Rule, Tick
 from hazelspring.configuration.model import read
 from hazelspring.configuration.validation import Invalid, check
 from hazelspring.quota.counter import Counter
@@ -17,6 +15,8 @@
 from hazelspring.quota.limits import QuotaRule
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.tables import ServerEntry, server_tag
+from hazelspring.routing.endpoints import HEARSAY, Fleet, Usual
+from hazelspring.routing.request_router import Asked, Deny, Forager, Lease, Leave, Rule, Tick
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
 
--- a/tests/test_front_stress.py
+++ b/tests/test_front_stress.py
@@ -14,11 +14,11 @@
 import pytest
 import uvloop
 
-from forage.fleet import Fleet
-from forage.gate import Forager, Rule, Tick
 from hazelspring.configuration.model import read
 from hazelspring.quota.credits import Call, Granted, Lapsed
 from hazelspring.registry.tables import ServerEntry
+from hazelspring.routing.endpoints import Fleet
+from hazelspring.routing.request_router import Forager, Rule, Tick
 from hive import front
 from hive.front import Carrier, Front, Visitor
 from hive.servers import Line, Servers
--- a/tests/test_ill_servers.py
+++ b/tests/test_ill_servers.py
@@ -17,9 +17,9 @@
 import pytest
 
 from apiary.stands import Server, serve
-from forage.fleet import Fleet
-from forage.gate import Asked, Forager, Leave, Rule, Tick
 from hazelspring.registry.tables import server_tag
+from hazelspring.routing.endpoints import Fleet
+from hazelspring.routing.request_router import Asked, Forager, Leave, Rule, Tick
 from hive.front import Carrier
 from hive.servers import Servers
 from ivymux.config import parse_address
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from forage.gate import Asked, Forager, Told
 from hazelspring.configuration.model import Route, read
+from hazelspring.routing.request_router import Asked, Forager, Told
 from hive.front import Carrier, Front, Visitor, encode, flow_head
 from hive.servers import Line, Reply, Servers, Try, promise_kept
 from ivymux.caller import BadRequest, Exchange
--- a/tests/test_teller.py
+++ b/tests/test_teller.py
@@ -8,10 +8,10 @@
 import cbor2
 import pytest
 
-from forage.fleet import HEARSAY, Fleet
 from hazelspring.membership.peer_table import About, Peers
 from hazelspring.membership.rendezvous import owner
 from hazelspring.registry.tables import server_tag
+from hazelspring.routing.endpoints import HEARSAY, Fleet
 from hive.settings import Limits
 from queenless.deeds import Deed, Send
 from queenless.teller import (
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from forage.fleet import Fleet
-from forage.gate import Forager, Rule
 from hazelspring.configuration.model import read
+from hazelspring.routing.endpoints import Fleet
+from hazelspring.routing.request_router import Forager, Rule
 from hive.front import Carrier, Front, Visitor
 from hive.servers import Line, Servers
 from ivymux.config import Address
