--- a/bench/control.py
+++ b/bench/control.py
@@ -13,7 +13,7 @@
 
 import cbor2
 
-from queenless.deeds import Message
+from hazelspring.node.actions import Message
 from tests.world import World
 
 AWAY = 0.5  # seconds between a loss and its successor's start
--- a/bench/scale/model.py
+++ b/bench/scale/model.py
@@ -20,7 +20,7 @@
 NEWS = 3  # of each server that is replaced: it drains, it is gone, its successor has come
 DAY, COUNTERS, CORE = 86_400, 8, 15
 LINK = 125_000.0  # KB a second of a core member's link, 1 Gbit/s as on the sites
-LOOK = 0.5  # seconds between looks at the platform's list, as queenless.core has it
+LOOK = 0.5  # seconds between looks at the platform's list, as hazelspring.node.node has it
 FORGET = 30  # seconds for which a door keeps a tenant's lease, as hazelspring.quota.credits has it
 ROLES = {
     "door": "door without a disk", "home": "home of a service", "core": "core member",
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -15,6 +15,9 @@
 from hazelspring.configuration.validation import check, check_change
 from hazelspring.consensus.proposal import Done
 from hazelspring.membership.peer_table import About
+from hazelspring.node.actions import Danced, Deed, Message, Poll, Save, Send
+from hazelspring.node.load_reporter import LEASE
+from hazelspring.node.node import SHARDS, Core, Start
 from hazelspring.quota.counter import Counter
 from hazelspring.quota.credits import Credits
 from hazelspring.quota.limits import QuotaRule
@@ -22,9 +25,6 @@
 from hazelspring.registry.list_reader_role import LIST
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node, server_tag
 from hazelspring.routing.endpoints import Fleet
-from queenless.core import SHARDS, Core, Start
-from queenless.deeds import Danced, Deed, Message, Poll, Save, Send
-from queenless.teller import LEASE
 
 TICK = 0.05  # seconds between two ticks of a door, as hive.door has it,
 CALM = 0.1  # and of one that is ready and has no disk
--- a/queenless/deeds.py
+++ b/hazelspring/node/actions.py
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Violated:
-    """An invariant has ceased to hold; by its name in `queenless.invariants`."""
+    """An invariant has ceased to hold; by its name in `hazelspring.node.invariants`."""
 
     name: str
 
--- a/queenless/control.py
+++ b/hazelspring/node/control_replica.py
@@ -23,8 +23,8 @@
 from hazelspring.consensus.proposer import Orders
 from hazelspring.membership.peer_table import Peers
 from hazelspring.membership.rendezvous import owner
-from queenless.deeds import Changed, Deed, Message, Save, Send
-from queenless.membership import Membership
+from hazelspring.node.actions import Changed, Deed, Message, Save, Send
+from hazelspring.node.reconfiguration import Membership
 
 WORD, ZONES, MEMBERS = "word", "zones", "members"  # what may be seen anew; the core's members
 HOLD = 1.0  # seconds for which a round that was let in may go first: syncs of a slow disk and round trips
--- a/queenless/dissemination.py
+++ b/hazelspring/node/dissemination.py
@@ -6,10 +6,10 @@
 from collections.abc import Mapping
 
 from hazelspring.membership.peer_table import Peers
+from hazelspring.node.actions import Changed, Deed, Message, Send
+from hazelspring.node.load_reporter import Outs, Teller, budget
+from hazelspring.node.messages import TableNews, TableRequest
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node
-from queenless.deeds import Changed, Deed, Message, Send
-from queenless.messages import TableNews, TableRequest
-from queenless.teller import Outs, Teller, budget
 
 
 class Disseminator:
--- a/queenless/beats.py
+++ b/hazelspring/node/heartbeats.py
@@ -7,10 +7,10 @@
 
 from hazelspring.leases.singleton_roles import Duties
 from hazelspring.membership.peer_table import About, Peer, Peers
+from hazelspring.node.actions import Message
+from hazelspring.node.control_replica import Control
 from hazelspring.registry.list_freshness import UNIT, ListFreshness
 from hazelspring.registry.tables import ServerRegistry
-from queenless.control import Control
-from queenless.deeds import Message
 
 NEAR_BEAT = 0.4  # seconds between beats inside a region, and between core doors, whose leases live on them
 FAR_BEAT = 2.0  # between regions, where bytes are dear, while the near part of the core answers
--- a/queenless/invariants.py
+++ b/hazelspring/node/invariants.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass
 
 from hazelspring.membership.peer_table import Peers
+from hazelspring.node.actions import Violated
+from hazelspring.node.heartbeats import NEAR_BEAT, Beats
 from hazelspring.registry.list_freshness import ListFreshness
 from hazelspring.registry.list_reader_role import LIST, ListDuty
-from queenless.beats import NEAR_BEAT, Beats
-from queenless.deeds import Violated
 
 LIST_READ = "list_read"
 LIST_KNOWN = "list_known"
--- a/queenless/teller.py
+++ b/hazelspring/node/load_reporter.py
@@ -7,7 +7,7 @@
 
 from hazelspring.membership.peer_table import Peers
 from hazelspring.membership.rendezvous import owner, weight
-from queenless.deeds import Deed, Message, Send
+from hazelspring.node.actions import Deed, Message, Send
 
 ZONE_LEAST = 0.04  # seconds between two tellings in the zone: a tick of a door, whose time varies a little,
 REGION_LEAST = 0.2  # and in the region, a part of a request's time
--- a/queenless/messages.py
+++ b/hazelspring/node/messages.py
@@ -11,7 +11,7 @@
 from typing import Any, ClassVar, Self
 
 from hazelspring.membership.peer_table import About
-from queenless.deeds import Message
+from hazelspring.node.actions import Message
 
 
 @dataclass(slots=True, frozen=True)
--- a/queenless/core.py
+++ b/hazelspring/node/node.py
@@ -17,18 +17,18 @@
 from hazelspring.leases.singleton_roles import Duties, Who
 from hazelspring.membership.peer_table import TERM, About, Peers
 from hazelspring.membership.rendezvous import shard
+from hazelspring.node.actions import AGREEMENT, Danced, Deed, Message, Poll, Send
+from hazelspring.node.control_replica import ASK_AGAIN, Control
+from hazelspring.node.dissemination import Disseminator
+from hazelspring.node.heartbeats import FAR_BEAT, NEAR_BEAT, Beats
+from hazelspring.node.invariants import InvariantBounds, Invariants
+from hazelspring.node.load_reporter import LEASE
+from hazelspring.node.messages import DutiesDeclined, DutiesFreed, TableNews, TableRequest
 from hazelspring.quota.counter import Counter
 from hazelspring.quota.credits import Granted, Lapsed
 from hazelspring.registry.list_freshness import ListFreshness
 from hazelspring.registry.list_reader_role import LIST, ListDuty, ListTiming
 from hazelspring.registry.tables import ServerEntry
-from queenless.beats import FAR_BEAT, NEAR_BEAT, Beats
-from queenless.control import ASK_AGAIN, Control
-from queenless.deeds import AGREEMENT, Danced, Deed, Message, Poll, Send
-from queenless.dissemination import Disseminator
-from queenless.invariants import InvariantBounds, Invariants
-from queenless.messages import DutiesDeclined, DutiesFreed, TableNews, TableRequest
-from queenless.teller import LEASE
 
 SHARDS = 8  # of tenants; fixed, as two doors that differ in it would both own a tenant
 BARE = 0.15  # seconds without any table, as none else has one, after which a core door asks for itself
--- a/hive/door.py
+++ b/hive/door.py
@@ -15,6 +15,10 @@
 from hazelspring.configuration.model import Word
 from hazelspring.consensus.proposal import Done
 from hazelspring.membership.peer_table import About
+from hazelspring.node.actions import Changed, Danced, Deed, Poll, Save, Send, Violated
+from hazelspring.node.control_replica import MEMBERS, WORD, ZONES
+from hazelspring.node.invariants import LIST_KNOWN
+from hazelspring.node.node import Core, Start
 from hazelspring.quota.credits import Call, Granted, Lapsed
 from hazelspring.registry.list_reader_role import ListTiming
 from hazelspring.routing.endpoints import Fleet
@@ -34,10 +38,6 @@
 from ivymux.metrics import Counts
 from ivymux.periodic import Periodic
 from ivymux.pool import PER_BACKEND
-from queenless.control import MEMBERS, WORD, ZONES
-from queenless.core import Core, Start
-from queenless.deeds import Changed, Danced, Deed, Poll, Save, Send, Violated
-from queenless.invariants import LIST_KNOWN
 
 LEAST_CONNECTIONS = 4  # to one server, however many doors share it
 TICK = 0.05  # seconds: an eighth of a beat, and well under the time for a lease's call
--- a/hive/node_metrics.py
+++ b/hive/node_metrics.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from queenless.invariants import LIST_KNOWN, LIST_READ
+from hazelspring.node.invariants import LIST_KNOWN, LIST_READ
 
 if TYPE_CHECKING:
     from hive.door import Door
--- a/hive/settings.py
+++ b/hive/settings.py
@@ -9,10 +9,10 @@
 from marshmallow import ValidationError, fields, post_load, pre_load, validate
 
 from hazelspring.configuration.schema import Lenient, problems
+from hazelspring.node.invariants import InvariantBounds
 from hazelspring.quota.limits import QuotaRule
 from hazelspring.routing.request_router import Rule
 from ivymux.config import Address, ConfigError, parse_address
-from queenless.invariants import InvariantBounds
 
 
 class SettingsError(ValueError):
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -19,6 +19,8 @@
 
 from hazelspring.configuration.model import read
 from hazelspring.consensus.proposal import Done
+from hazelspring.node.actions import Changed, Danced, Deed, Message, Poll, Save, Violated
+from hazelspring.node.node import Core
 from hazelspring.quota.credits import Call as CounterCall
 from hazelspring.quota.credits import Granted, Lapsed
 from hazelspring.registry.tables import ServerEntry, server_tag
@@ -28,8 +30,6 @@
 from orchidhill.gateway import Gateway
 from orchidhill.interface import Outcome
 from orchidhill.wire import parse_settings
-from queenless.core import Core
-from queenless.deeds import Changed, Danced, Deed, Message, Poll, Save, Violated
 
 from . import chaos, helpers
 from .chaos_days import draw
--- a/tests/chaos_rules.py
+++ b/tests/chaos_rules.py
@@ -12,8 +12,8 @@
 from hazelspring.consensus.control_state import NO_WORD
 from hazelspring.consensus.proposal import Done
 from hazelspring.membership.peer_table import About
-from queenless.core import Core, Start
-from queenless.deeds import Message
+from hazelspring.node.actions import Message
+from hazelspring.node.node import Core, Start
 
 from .chaos_days import Day
 from .world import Call, Door, World
--- a/tests/control_door.py
+++ b/tests/control_door.py
@@ -11,9 +11,9 @@
 from hazelspring.consensus.forwarding import SPAN, Carried, Hands, row_of
 from hazelspring.consensus.proposal import Order
 from hazelspring.membership.peer_table import About, Peers
-from queenless.control import Control
-from queenless.deeds import Message
-from queenless.membership import Membership
+from hazelspring.node.actions import Message
+from hazelspring.node.control_replica import Control
+from hazelspring.node.reconfiguration import Membership
 
 NEVER = float("inf")
 LOOKED = 0.5  # seconds after an order: long enough that it takes a round, too short to end for want of one
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -1,6 +1,6 @@
 """Every schedule of a few doors' part in the control state, within bounds: the program's own steps, no time, no copy.
 
-A door is `queenless.control.Control`
+A door is `hazelspring.node.control_replica.Control`
 over `Register` and `Orders` as they stand.  What has been sent stays: each
 message may come at any time, again, late or never.  A door's step depends on its own state and the message alone, so
 each is run once and remembered, and a state of all is a row of small numbers.
@@ -22,7 +22,7 @@
 from hazelspring.consensus.control_state import NO_BALLOT, State
 from hazelspring.consensus.proposal import Done, Order
 from hazelspring.membership.peer_table import About, Peers
-from queenless.deeds import Deed, Message, Save, Send
+from hazelspring.node.actions import Deed, Message, Save, Send
 
 from .control_door import NEVER, Door, Event, once, spent_at
 from .control_rules import Disk, chain, copies, kept, undone, unread
--- a/tests/cut_door.py
+++ b/tests/cut_door.py
@@ -14,10 +14,10 @@
 
 import hive.door
 import hive.list_reader
+from hazelspring.node.control_replica import Control
 from hive.__main__ import main
 from hive.instance_list import InstanceListClient
 from hive.mesh import Mesh
-from queenless.control import Control
 
 FILE = Path(os.environ["HAZELSPRING_SETTINGS"]).with_suffix(".cut")
 PLATFORM = FILE.with_suffix(".platform")
--- a/tests/golden/recording.py
+++ b/tests/golden/recording.py
@@ -23,10 +23,10 @@
 from hazelspring.consensus.control_state import Member, State
 from hazelspring.consensus.disaster_recovery import Items
 from hazelspring.consensus.proposal import Done
+from hazelspring.node.actions import Deed, Message, Save, Send
+from hazelspring.node.node import Core
 from hazelspring.registry.tables import ServerEntry
 from hazelspring.storage.replica_store import Store
-from queenless.core import Core
-from queenless.deeds import Deed, Message, Save, Send
 from tests.world import Call, World
 
 FOLDER = Path(__file__).parent
--- a/tests/test_bringing.py
+++ b/tests/test_bringing.py
@@ -16,8 +16,8 @@
 from hazelspring.configuration.blocks import pack, unpack
 from hazelspring.configuration.model import digest
 from hazelspring.consensus.acceptor import MOST_KEPT, Register
-from queenless.core import Core
-from queenless.deeds import Message, Send
+from hazelspring.node.actions import Message, Send
+from hazelspring.node.node import Core
 
 from .test_word_property import KINDS, play
 from .world import Call, World
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -7,7 +7,7 @@
 from hazelspring.consensus.control_state import Member, State
 from hazelspring.consensus.forwarding import KEPT, SPAN, Carried, HandedOrder, Hands
 from hazelspring.consensus.proposal import Order
-from queenless.deeds import Message
+from hazelspring.node.actions import Message
 
 from .test_control import settled_world
 from .world import World
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -5,7 +5,7 @@
 import pytest
 
 import hazelspring.consensus.proposer
-from queenless.control import Control
+from hazelspring.node.control_replica import Control
 
 from .chaos import play
 from .chaos_days import Act, draw, shrink
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,8 +5,8 @@
 import pytest
 
 import hazelspring.consensus.control_state
+from hazelspring.node.actions import Message, Send
 from hazelspring.registry.list_reader_role import LIST
-from queenless.deeds import Message, Send
 
 from .world import World
 
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -22,7 +22,7 @@
 from hazelspring.consensus.proposal import Founding, Order
 from hazelspring.consensus.proposer import Ask, Orders
 from hazelspring.membership.peer_table import About
-from queenless.control import Control
+from hazelspring.node.control_replica import Control
 
 from .control_door import Door, Event
 from .control_model import Case, Explorer, Found
@@ -235,7 +235,7 @@
         found.promised = NO_BALLOT
         return found
 
-    patch.setattr("queenless.control.load", forgetful)
+    patch.setattr("hazelspring.node.control_replica.load", forgetful)
 
 
 def promise_unkept(patch: Patch) -> None:
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -6,12 +6,12 @@
 from dataclasses import replace
 
 from hazelspring.membership.peer_table import About, Peers
+from hazelspring.node.actions import Deed, Send
+from hazelspring.node.dissemination import Disseminator
+from hazelspring.node.load_reporter import MOST_NAMES, Outs
+from hazelspring.node.messages import TableNews
 from hazelspring.registry.tables import ServerEntry
 from hazelspring.routing.endpoints import Fleet
-from queenless.deeds import Deed, Send
-from queenless.dissemination import Disseminator
-from queenless.messages import TableNews
-from queenless.teller import MOST_NAMES, Outs
 
 ABOUTS = [About(f"d{n}", f"z{n % 3}", "south" if n % 3 == 2 else "north", False, n) for n in range(12)]
 
--- a/tests/test_list_duty.py
+++ b/tests/test_list_duty.py
@@ -7,10 +7,10 @@
 
 import pytest
 
+from hazelspring.node.actions import Deed, Poll
+from hazelspring.node.invariants import LIST_KNOWN, LIST_READ
+from hazelspring.node.node import Core, Start
 from hazelspring.registry.list_reader_role import LIST, MAX_TIMEOUT, ListDuty, ListTiming
-from queenless.core import Core, Start
-from queenless.deeds import Deed, Poll
-from queenless.invariants import LIST_KNOWN, LIST_READ
 
 from .world import World
 
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -22,8 +22,8 @@
     rescued,
 )
 from hazelspring.membership.peer_table import About, Peers
-from queenless.control import Control
-from queenless.deeds import Message, Send
+from hazelspring.node.actions import Message, Send
+from hazelspring.node.control_replica import Control
 
 from .world import World
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -9,8 +9,8 @@
 
 from hazelspring.membership.peer_table import FAR_GONE, GONE, About, Peers
 from hazelspring.membership.roster import KEPT, Roster, Row, sum_of
-from queenless.core import Core, Start
-from queenless.deeds import Deed, Save, Send
+from hazelspring.node.actions import Deed, Save, Send
+from hazelspring.node.node import Core, Start
 
 MEMBER, DOOR = "10.0.0.1", "10.0.0.2"
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -11,9 +11,9 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from hazelspring.membership.rendezvous import shard
+from hazelspring.node.node import SHARDS
 from hazelspring.quota.credits import Granted
 from hazelspring.registry.list_reader_role import LIST
-from queenless.core import SHARDS
 
 from .world import Call, Disk, World
 
--- a/tests/test_teller.py
+++ b/tests/test_teller.py
@@ -10,11 +10,8 @@
 
 from hazelspring.membership.peer_table import About, Peers
 from hazelspring.membership.rendezvous import owner
-from hazelspring.registry.tables import server_tag
-from hazelspring.routing.endpoints import HEARSAY, Fleet
-from hive.settings import Limits
-from queenless.deeds import Deed, Send
-from queenless.teller import (
+from hazelspring.node.actions import Deed, Send
+from hazelspring.node.load_reporter import (
     CONTROL,
     LASTS,
     LEASE,
@@ -29,6 +26,9 @@
     budget,
     hearers,
 )
+from hazelspring.registry.tables import server_tag
+from hazelspring.routing.endpoints import HEARSAY, Fleet
+from hive.settings import Limits
 
 TICK = 0.05
 CALLS = 142  # a second of a door to counters at the peak,
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -14,6 +14,7 @@
 from apiary.stands import Stands
 from apiary.yard import Yard, configuration
 from hazelspring.consensus.proposal import Done
+from hazelspring.node.actions import Changed
 from hazelspring.storage.replica_store import Store
 from hive.__main__ import Watched
 from hive.door import Door
@@ -27,7 +28,6 @@
 from ivymux.periodic import Periodic
 from ivymux.upstream import Upstream
 from orchidhill.interface import Count, Outcome
-from queenless.deeds import Changed
 
 from .sockets import Backend, Tally, listening, run, until
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -19,12 +19,12 @@
 from hazelspring.consensus.control_state import State, lineage
 from hazelspring.consensus.proposal import Done
 from hazelspring.membership.peer_table import About
+from hazelspring.node.actions import Changed, Danced, Deed, Message, Poll, Save, Send, Violated
+from hazelspring.node.node import Core, Start
 from hazelspring.quota.credits import Granted, Lapsed
 from hazelspring.quota.limits import QuotaRule
 from hazelspring.registry.list_reader_role import LIST
 from hazelspring.registry.tables import ServerEntry
-from queenless.core import Core, Start
-from queenless.deeds import Changed, Danced, Deed, Message, Poll, Save, Send, Violated
 
 TICK, SYNC, REVOCATION = 0.05, 0.002, 5.0
 STALE = 0.9  # as hive.door has it
