--- a/apiary/yard.py
+++ b/apiary/yard.py
@@ -66,7 +66,7 @@
         core: int = 4,
         others: int = 2,
         servers: int = 4,
-        program: tuple[str, ...] = ("-m", "hive", "door"),
+        program: tuple[str, ...] = ("-m", "hazelspring.daemon", "door"),
         settings: dict[str, str] | None = None,
         apart: bool = False,
         nth: int = 0,
--- a/bench/scale/cli.py
+++ b/bench/scale/cli.py
@@ -28,7 +28,7 @@
 SERVERS = (400, 1300, 4000, 13_000, 40_000)
 PER_SERVICE = 17.4  # servers: 40,000 of 2,300
 
-PLAIN = ["queenless", "comb", "swarm", "hazelspring", "forage", "nectar", "hive"]  # what the figures are of
+PLAIN = ["hazelspring"]  # what the figures are of
 
 
 def revision() -> str:
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -26,11 +26,13 @@
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node, server_tag
 from hazelspring.routing.endpoints import Fleet
 
-TICK = 0.05  # seconds between two ticks of a door, as hive.door has it,
+TICK = 0.05  # seconds between two ticks of a door, as hazelspring.daemon.node_process has it,
 CALM = 0.1  # and of one that is ready and has no disk
 SYNC = 0.002  # seconds of a write to disk
 REVOCATION = 5.0  # seconds, as the sites have it
-FRESH = 0.9 * REVOCATION  # without fresh word after which keyed requests stop, as hive.door has it,
+FRESH = (
+    0.9 * REVOCATION
+)  # without fresh word after which keyed requests stop, as hazelspring.daemon.node_process has it,
 READY = 0.5 * REVOCATION  # and clients are sent elsewhere
 ROUNDS = {
     "prepare",
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -23,7 +23,7 @@
 from bench.scale.program import SYNC, TICK, Effects, Hollow, Listing, listing
 
 NEAR, FAR = 0.001, 0.020  # seconds one way inside a region and between regions
-# bytes; what is larger takes a connection of its own, as hive.mesh has it
+# bytes; what is larger takes a connection of its own, as hazelspring.daemon.message_transport has it
 MOST_DATAGRAM = 1200
 LONG = ("s", "e")  # parts of an echo that are the same for many: the roster, and what changed in it
 LARGE = (
--- /dev/null
+++ b/hazelspring/daemon/__init__.py
@@ -0,0 +1,1 @@
+"""The node as a process: sockets, files, threads, settings, logs and metrics around the state machine."""
--- a/hive/__main__.py
+++ b/hazelspring/daemon/__main__.py
@@ -12,9 +12,10 @@
 
 import uvloop
 
-from hive import log, rescue
-from hive.door import Door
-from hive.settings import Settings, SettingsError, UnreadableSettingsError, load
+from hazelspring.daemon import recovery_command as rescue
+from hazelspring.daemon import structured_log as log
+from hazelspring.daemon.node_process import Door
+from hazelspring.daemon.settings import Settings, SettingsError, UnreadableSettingsError, load
 from ivymux.periodic import Periodic
 
 MOST_PORT = 65_535
--- a/hive/front.py
+++ b/hazelspring/daemon/client_listener.py
@@ -10,9 +10,18 @@
 import httptools
 
 from hazelspring.configuration.model import Route, Tenant, Word
+from hazelspring.daemon.upstream_servers import (
+    ID,
+    PROMISES,
+    Reply,
+    Servers,
+    Stream,
+    Try,
+    promise_kept,
+    status_line,
+)
 from hazelspring.quota.credits import Call
 from hazelspring.routing.request_router import Asked, Deny, Forager, Lease, Leave
-from hive.servers import ID, PROMISES, Reply, Servers, Stream, Try, promise_kept, status_line
 from ivymux.caller import HOP_BY_HOP, LEAST_ADVICE, MOST_HELD, BadRequest, Client, Exchange, Listener
 from ivymux.config import Address
 from ivymux.host import Answer, Host, Open
--- a/hive/disk_worker.py
+++ b/hazelspring/daemon/disk_worker.py
@@ -6,9 +6,9 @@
 from collections.abc import Mapping
 from concurrent.futures import ThreadPoolExecutor
 
+from hazelspring.daemon.structured_log import log
+from hazelspring.daemon.supervisor import Supervisor
 from hazelspring.storage.replica_store import Store, StoreError
-from hive.log import log
-from hive.supervisor import Supervisor
 
 
 class DiskWorker:
--- a/hive/desk.py
+++ b/hazelspring/daemon/http_api.py
@@ -11,9 +11,9 @@
 
 from hazelspring.configuration.blocks import unpack
 from hazelspring.configuration.validation import Invalid
-from hive.front import Final, encode
-from hive.log import log
-from hive.operator_calls import OperatorCalls, Settled
+from hazelspring.daemon.client_listener import Final, encode
+from hazelspring.daemon.operator_calls import OperatorCalls, Settled
+from hazelspring.daemon.structured_log import log
 from ivymux.caller import BadRequest, Client, Exchange, Listener
 from ivymux.config import Address
 from ivymux.host import Answer, Open
--- a/hive/list_reader.py
+++ b/hazelspring/daemon/list_reader.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
+from hazelspring.daemon.instance_list_client import InstanceListClient, InstanceListError
+from hazelspring.daemon.structured_log import log
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.tables import ServerEntry
-from hive.instance_list import InstanceListClient, InstanceListError
-from hive.log import log
 from ivymux.config import Address
 
 MAX_NAMES = 5  # ids in one line of the log
--- a/hive/mesh.py
+++ b/hazelspring/daemon/message_transport.py
@@ -9,8 +9,8 @@
 
 import cbor2
 
-from hive.log import log
-from hive.supervisor import Supervisor
+from hazelspring.daemon.structured_log import log
+from hazelspring.daemon.supervisor import Supervisor
 
 MOST_DATAGRAM = 1200  # bytes: fits a packet on any link
 MOST_MESSAGE = 8 << 20
--- a/hive/node_metrics.py
+++ b/hazelspring/daemon/node_metrics.py
@@ -9,7 +9,7 @@
 from hazelspring.node.invariants import LIST_KNOWN, LIST_READ
 
 if TYPE_CHECKING:
-    from hive.door import Door
+    from hazelspring.daemon.node_process import Door
 
 PREFIX = "hazelspring_"
 
--- a/hive/door.py
+++ b/hazelspring/daemon/node_process.py
@@ -14,6 +14,17 @@
 from hazelspring.configuration.incremental import Held, take
 from hazelspring.configuration.model import Word
 from hazelspring.consensus.proposal import Done
+from hazelspring.daemon.client_listener import Carrier, Front
+from hazelspring.daemon.disk_worker import DiskWorker
+from hazelspring.daemon.http_api import Desk
+from hazelspring.daemon.list_reader import ListReader
+from hazelspring.daemon.message_transport import Mesh
+from hazelspring.daemon.node_metrics import collect, render
+from hazelspring.daemon.operator_calls import OperatorCalls
+from hazelspring.daemon.settings import Settings
+from hazelspring.daemon.structured_log import log
+from hazelspring.daemon.supervisor import Supervisor
+from hazelspring.daemon.upstream_servers import Servers
 from hazelspring.membership.peer_table import About
 from hazelspring.node.actions import Changed, Danced, Deed, Poll, Save, Send, Violated
 from hazelspring.node.control_replica import MEMBERS, WORD, ZONES
@@ -23,17 +34,6 @@
 from hazelspring.registry.list_reader_role import ListTiming
 from hazelspring.routing.endpoints import Fleet
 from hazelspring.routing.request_router import Forager, Tick
-from hive.desk import Desk
-from hive.disk_worker import DiskWorker
-from hive.front import Carrier, Front
-from hive.list_reader import ListReader
-from hive.log import log
-from hive.mesh import Mesh
-from hive.node_metrics import collect, render
-from hive.operator_calls import OperatorCalls
-from hive.servers import Servers
-from hive.settings import Settings
-from hive.supervisor import Supervisor
 from ivymux.config import Address, parse_address
 from ivymux.metrics import Counts
 from ivymux.periodic import Periodic
--- a/hive/operator_calls.py
+++ b/hazelspring/daemon/operator_calls.py
@@ -8,9 +8,9 @@
 from hazelspring.configuration.incremental import Held
 from hazelspring.configuration.validation import check_change
 from hazelspring.consensus.proposal import Done
+from hazelspring.daemon.structured_log import log
 from hazelspring.node.actions import Deed
 from hazelspring.node.node import Core
-from hive.log import log
 
 
 @dataclass(slots=True, frozen=True)
--- a/hive/rescue.py
+++ b/hazelspring/daemon/recovery_command.py
@@ -23,10 +23,10 @@
     rescued,
     usable,
 )
+from hazelspring.daemon.settings import SettingsError
+from hazelspring.daemon.settings import load as load_settings
 from hazelspring.storage.offline import Found, look, replace_all
 from hazelspring.storage.replica_store import StoreError
-from hive.settings import SettingsError
-from hive.settings import load as load_settings
 
 FILE, ASIDE = "comb.sqlite", "comb.sqlite.aside"
 USAGE = 2
--- a/hive/supervisor.py
+++ b/hazelspring/daemon/supervisor.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from hive.log import log
+from hazelspring.daemon.structured_log import log
 
 CALLBACK = "callback"  # the name under which errors of the event loop's own callbacks are counted
 
--- a/tests/cut_door.py
+++ b/tests/cut_door.py
@@ -12,12 +12,12 @@
 import sys
 from pathlib import Path
 
-import hive.door
-import hive.list_reader
+import hazelspring.daemon.list_reader
+import hazelspring.daemon.node_process
+from hazelspring.daemon.__main__ import main
+from hazelspring.daemon.instance_list_client import InstanceListClient
+from hazelspring.daemon.message_transport import Mesh
 from hazelspring.node.control_replica import Control
-from hive.__main__ import main
-from hive.instance_list import InstanceListClient
-from hive.mesh import Mesh
 
 FILE = Path(os.environ["HAZELSPRING_SETTINGS"]).with_suffix(".cut")
 PLATFORM = FILE.with_suffix(".platform")
@@ -54,8 +54,8 @@
 
 
 if __name__ == "__main__":
-    hive.door.Mesh = Cut  # type: ignore[attr-defined]
-    hive.list_reader.InstanceListClient = Platform  # type: ignore[attr-defined]
+    hazelspring.daemon.node_process.Mesh = Cut  # type: ignore[attr-defined]
+    hazelspring.daemon.list_reader.InstanceListClient = Platform  # type: ignore[attr-defined]
     words = sys.argv[1:]
     if "--credulous" in words:
         words.remove("--credulous")
--- a/tests/test_front_stress.py
+++ b/tests/test_front_stress.py
@@ -15,13 +15,13 @@
 import uvloop
 
 from hazelspring.configuration.model import read
+from hazelspring.daemon import client_listener as front
+from hazelspring.daemon.client_listener import Carrier, Front, Visitor
+from hazelspring.daemon.upstream_servers import Line, Servers
 from hazelspring.quota.credits import Call, Granted, Lapsed
 from hazelspring.registry.tables import ServerEntry
 from hazelspring.routing.endpoints import Fleet
 from hazelspring.routing.request_router import Forager, Rule, Tick
-from hive import front
-from hive.front import Carrier, Front, Visitor
-from hive.servers import Line, Servers
 from ivymux.caller import Client, Exchange
 from ivymux.config import Address, parse_address
 from ivymux.link import Link
--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -27,14 +27,14 @@
 from hazelspring.configuration.model import Route, read
 from hazelspring.configuration.validation import Invalid, check
 from hazelspring.consensus.proposal import Done
+from hazelspring.daemon.client_listener import Final, Front, Visitor, encode, flow_head
+from hazelspring.daemon.http_api import Caller, Desk
+from hazelspring.daemon.instance_list_client import InstanceListClient
+from hazelspring.daemon.node_process import Door
+from hazelspring.daemon.operator_calls import OperatorCalls
+from hazelspring.daemon.settings import Settings, SettingsError, load, parse
+from hazelspring.daemon.upstream_servers import Stream
 from hazelspring.registry.tables import ServerEntry, ServiceTable
-from hive.desk import Caller, Desk
-from hive.door import Door
-from hive.front import Final, Front, Visitor, encode, flow_head
-from hive.instance_list import InstanceListClient
-from hive.operator_calls import OperatorCalls
-from hive.servers import Stream
-from hive.settings import Settings, SettingsError, load, parse
 from ivymux.caller import Client
 from ivymux.config import Address
 from ivymux.config import parse as parse_front_door
--- a/tests/test_ill_servers.py
+++ b/tests/test_ill_servers.py
@@ -17,11 +17,11 @@
 import pytest
 
 from apiary.stands import Server, serve
+from hazelspring.daemon.client_listener import Carrier
+from hazelspring.daemon.upstream_servers import Servers
 from hazelspring.registry.tables import server_tag
 from hazelspring.routing.endpoints import Fleet
 from hazelspring.routing.request_router import Asked, Forager, Leave, Rule, Tick
-from hive.front import Carrier
-from hive.servers import Servers
 from ivymux.config import parse_address
 from ivymux.host import Answer
 from ivymux.metrics import Counts
--- a/tests/test_instance_list.py
+++ b/tests/test_instance_list.py
@@ -9,9 +9,9 @@
 import pytest
 
 from apiary.stands import reset_connection
+from hazelspring.daemon.instance_list_client import PAUSE_PART, InstanceListClient, InstanceListError
+from hazelspring.daemon.list_reader import ListReader
 from hazelspring.registry.instance_list import parse_instance_list
-from hive.instance_list import PAUSE_PART, InstanceListClient, InstanceListError
-from hive.list_reader import ListReader
 from ivymux.config import parse_address
 
 from .sockets import listening, run, until
--- a/tests/test_node_metrics.py
+++ b/tests/test_node_metrics.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hive.node_metrics import Sample
+from hazelspring.daemon.node_metrics import Sample
 
 
 @pytest.mark.parametrize(
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -86,7 +86,7 @@
     tmp_path: Path,
 ) -> None:
     (wanted,) = free_ports(1)
-    program = ("-m", "hive", "door", "--metrics-port", str(wanted))
+    program = ("-m", "hazelspring.daemon", "door", "--metrics-port", str(wanted))
     yard = Yard(tmp_path, core=1, others=1, servers=1, program=program, nth=5)
     background = Background(Stands(yard.platform, yard.servers))
     with socket.socket() as taken:
--- a/tests/test_rescue_command.py
+++ b/tests/test_rescue_command.py
@@ -13,9 +13,9 @@
 from hazelspring.consensus.acceptor import Register, load
 from hazelspring.consensus.control_state import Member, State
 from hazelspring.consensus.disaster_recovery import Items
+from hazelspring.daemon.__main__ import main
 from hazelspring.storage.offline import item_sum, look
 from hazelspring.storage.replica_store import Store, StoreError
-from hive.__main__ import main
 
 from .test_rescue import BODY, SEATS, WORD, held
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -218,7 +218,7 @@
     parsers.parse("every door leaves in order and is back {down:f} seconds later, one each {gap:f} seconds")
 )
 def roll(stage: Stage, down: float, gap: float) -> None:
-    """As hive.door
+    """As hazelspring.daemon.node_process
     drains: duties are given up at once, the process ends once clients know; then the next."""
     world = stage.world
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -10,9 +10,9 @@
 import pytest
 
 from hazelspring.configuration.model import Route, read
+from hazelspring.daemon.client_listener import Carrier, Front, Visitor, encode, flow_head
+from hazelspring.daemon.upstream_servers import Line, Reply, Servers, Try, promise_kept
 from hazelspring.routing.request_router import Asked, Forager, Told
-from hive.front import Carrier, Front, Visitor, encode, flow_head
-from hive.servers import Line, Reply, Servers, Try, promise_kept
 from ivymux.caller import BadRequest, Exchange
 from ivymux.config import Address
 from ivymux.host import Answer
--- a/tests/test_teller.py
+++ b/tests/test_teller.py
@@ -8,6 +8,7 @@
 import cbor2
 import pytest
 
+from hazelspring.daemon.settings import Limits
 from hazelspring.membership.peer_table import About, Peers
 from hazelspring.membership.rendezvous import owner
 from hazelspring.node.actions import Deed, Send
@@ -28,7 +29,6 @@
 )
 from hazelspring.registry.tables import server_tag
 from hazelspring.routing.endpoints import HEARSAY, Fleet
-from hive.settings import Limits
 
 TICK = 0.05
 CALLS = 142  # a second of a door to counters at the peak,
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -14,11 +14,11 @@
 from apiary.stands import Stands
 from apiary.yard import Yard, configuration
 from hazelspring.consensus.proposal import Done
+from hazelspring.daemon.__main__ import Watched
+from hazelspring.daemon.node_process import Door
+from hazelspring.daemon.settings import Settings, load
 from hazelspring.node.actions import Changed
 from hazelspring.storage.replica_store import Store
-from hive.__main__ import Watched
-from hive.door import Door
-from hive.settings import Settings, load
 from ivymux.caller import Client, Listener
 from ivymux.config import parse_address
 from ivymux.counter import LINES, Counter
@@ -328,7 +328,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play(door: Door) -> None:
-        monkeypatch.setattr("hive.door.LINGER", 0.01)
+        monkeypatch.setattr("hazelspring.daemon.node_process.LINGER", 0.01)
         monkeypatch.setattr(door.core, "drain", fail)
         await door.drain()
         assert door.front.stopping and door.supervisor.failures["give duties up"] == 1
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -10,10 +10,10 @@
 import pytest
 
 from hazelspring.configuration.model import read
+from hazelspring.daemon.client_listener import Carrier, Front, Visitor
+from hazelspring.daemon.upstream_servers import Line, Servers
 from hazelspring.routing.endpoints import Fleet
 from hazelspring.routing.request_router import Forager, Rule
-from hive.front import Carrier, Front, Visitor
-from hive.servers import Line, Servers
 from ivymux.config import Address
 from ivymux.link import READ, SMALL
 from ivymux.metrics import Counts
--- a/tests/world.py
+++ b/tests/world.py
@@ -27,7 +27,7 @@
 from hazelspring.registry.tables import ServerEntry
 
 TICK, SYNC, REVOCATION = 0.05, 0.002, 5.0
-STALE = 0.9  # as hive.door has it
+STALE = 0.9  # as hazelspring.daemon.node_process has it
 LATE = 1.5  # seconds at most that a late message takes
 
 
