--- a/apiary/__main__.py
+++ b/apiary/__main__.py
@@ -13,8 +13,8 @@
 
 from apiary.stands import Stands
 from apiary.yard import KEY, Yard, configuration
-from keeper.__main__ import statuses
-from keeper.calls import order
+from hazelspring.cli.__main__ import statuses
+from hazelspring.cli.control_client import order
 
 
 class Background:
--- a/bench/scale/carry.py
+++ b/bench/scale/carry.py
@@ -20,7 +20,7 @@
 from apiary.stands import Stands
 from apiary.yard import KEY, Yard, configuration
 from bench.scale.figures import peak
-from keeper.calls import order
+from hazelspring.cli.control_client import order
 
 SERVERS, CONNECTIONS = 8, 32
 MOST = 60_000  # requests of one measurement
--- /dev/null
+++ b/hazelspring/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The operator's command line client, `hazelspringctl`."""
--- a/keeper/__main__.py
+++ b/hazelspring/cli/__main__.py
@@ -1,4 +1,4 @@
-"""The operator's command line: python3 -m keeper --door HOST:PORT CALL."""
+"""The operator's command line: python3 -m hazelspring.cli --door HOST:PORT CALL."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from keeper.calls import Answer, OrderError, once, order
+from hazelspring.cli.control_client import Answer, OrderError, once, order
 
 
 def parser() -> argparse.ArgumentParser:
--- a/keeper/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""keeper: the operator's client."""
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from apiary.yard import KEY, Yard, configuration
-from keeper.calls import OrderError, order, problem
+from hazelspring.cli.control_client import OrderError, order, problem
 
 UNCLEAR = (0, 503)  # no answer, or none that says how an order ended
 numbers = itertools.count(10)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -24,7 +24,7 @@
 from apiary.__main__ import Background
 from apiary.stands import Stands
 from apiary.yard import Yard, configuration
-from keeper.calls import once, order
+from hazelspring.cli.control_client import once, order
 
 from .callers import Clients, Operators, is_write, links, told
 from .ledger import PROMISES
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -14,7 +14,7 @@
 from apiary.__main__ import Background
 from apiary.stands import Stands
 from apiary.yard import ZONES, Yard, configuration
-from keeper.calls import order
+from hazelspring.cli.control_client import order
 
 from .callers import (
     UNCLEAR,
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -17,8 +17,8 @@
 from apiary.__main__ import Background
 from apiary.stands import Stands
 from apiary.yard import KEY, Yard, configuration, free_ports
-from keeper.__main__ import main as keeper
-from keeper.calls import OrderError, once, order
+from hazelspring.cli.__main__ import main as keeper
+from hazelspring.cli.control_client import OrderError, once, order
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_rescue_processes.py
+++ b/tests/test_rescue_processes.py
@@ -14,9 +14,9 @@
 from apiary.__main__ import Background
 from apiary.stands import Stands
 from apiary.yard import ROOT, Yard, configuration
+from hazelspring.cli.control_client import order
 from hazelspring.consensus.acceptor import load
 from hazelspring.storage.offline import look
-from keeper.calls import order
 
 from .callers import number_in, put, read, told
 from .test_rescue_command import format_1
