--- a/apiary/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""apiary: doors, a stand-in platform and stand-in servers on loopback addresses, to try the system and to break it."""
--- a/bench/scale/carry.py
+++ b/bench/scale/carry.py
@@ -17,10 +17,10 @@
 
 import uvloop
 
-from apiary.stands import Stands
-from apiary.yard import KEY, Yard, configuration
 from bench.scale.figures import peak
 from hazelspring.cli.control_client import order
+from hazelspring.localfleet.fleet import KEY, Yard, configuration
+from hazelspring.localfleet.stand_ins import Stands
 
 SERVERS, CONNECTIONS = 8, 32
 MOST = 60_000  # requests of one measurement
--- a/apiary/__main__.py
+++ b/hazelspring/localfleet/__main__.py
@@ -11,10 +11,10 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from apiary.stands import Stands
-from apiary.yard import KEY, Yard, configuration
 from hazelspring.cli.__main__ import statuses
 from hazelspring.cli.control_client import order
+from hazelspring.localfleet.fleet import KEY, Yard, configuration
+from hazelspring.localfleet.stand_ins import Stands
 
 
 class Background:
--- a/apiary/yard.py
+++ b/hazelspring/localfleet/fleet.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any
 
-from apiary.stands import Server
+from hazelspring.localfleet.stand_ins import Server
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 ZONES = {"north-1": "north", "north-2": "north", "south-1": "south", "south-2": "south"}
 KEY = "key-of-green"
 
@@ -157,7 +157,9 @@
         """Start a server as a process; what it runs it adds to a file."""
         server = self.servers[n]
         words = [server.id, server.service, server.address, server.zone, str(self.ran_file(n))]
-        self.lives[n] = subprocess.Popen([sys.executable, "-m", "apiary.stands", *words], cwd=ROOT)
+        self.lives[n] = subprocess.Popen(
+            [sys.executable, "-m", "hazelspring.localfleet.stand_ins", *words], cwd=ROOT
+        )
 
     def ran_file(self, n: int) -> Path:
         return self.folder / f"server-{n}.ran"
--- a/apiary/stands.py
+++ b/hazelspring/localfleet/stand_ins.py
@@ -1,6 +1,6 @@
 """A stand-in platform and stand-in servers: the published protocol, as much of it as doors use.
 
-`python -m apiary.stands
+`python -m hazelspring.localfleet.stand_ins
 ID SERVICE ADDRESS ZONE FILE` is one server as a process, which notes what it runs."""
 
 from __future__ import annotations
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from apiary.yard import KEY, Yard, configuration
 from hazelspring.cli.control_client import OrderError, order, problem
+from hazelspring.localfleet.fleet import KEY, Yard, configuration
 
 UNCLEAR = (0, 503)  # no answer, or none that says how an order ended
 numbers = itertools.count(10)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -21,10 +21,10 @@
 from functools import partial
 from pathlib import Path
 
-from apiary.__main__ import Background
-from apiary.stands import Stands
-from apiary.yard import Yard, configuration
 from hazelspring.cli.control_client import once, order
+from hazelspring.localfleet.__main__ import Background
+from hazelspring.localfleet.fleet import Yard, configuration
+from hazelspring.localfleet.stand_ins import Stands
 
 from .callers import Clients, Operators, is_write, links, told
 from .ledger import PROMISES
--- a/tests/test_control_cut.py
+++ b/tests/test_control_cut.py
@@ -16,10 +16,10 @@
 
 import pytest
 
-from apiary.__main__ import Background
-from apiary.stands import Stands
-from apiary.yard import KEY, Yard, configuration
 from hazelspring.consensus.acceptor import load
+from hazelspring.localfleet.__main__ import Background
+from hazelspring.localfleet.fleet import KEY, Yard, configuration
+from hazelspring.localfleet.stand_ins import Stands
 from hazelspring.storage.replica_store import Store
 
 from .control_rules import Disk, chain, copies
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from apiary.__main__ import Background
-from apiary.stands import Stands
-from apiary.yard import ZONES, Yard, configuration
 from hazelspring.cli.control_client import order
+from hazelspring.localfleet.__main__ import Background
+from hazelspring.localfleet.fleet import ZONES, Yard, configuration
+from hazelspring.localfleet.stand_ins import Stands
 
 from .callers import (
     UNCLEAR,
--- a/tests/test_ill_servers.py
+++ b/tests/test_ill_servers.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from apiary.stands import Server, serve
 from hazelspring.daemon.client_listener import Carrier
 from hazelspring.daemon.upstream_servers import Servers
+from hazelspring.localfleet.stand_ins import Server, serve
 from hazelspring.registry.tables import server_tag
 from hazelspring.routing.endpoints import Fleet
 from hazelspring.routing.request_router import Asked, Forager, Leave, Rule, Tick
--- a/tests/test_instance_list.py
+++ b/tests/test_instance_list.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from apiary.stands import reset_connection
 from hazelspring.daemon.instance_list_client import PAUSE_PART, InstanceListClient, InstanceListError
 from hazelspring.daemon.list_reader import ListReader
+from hazelspring.localfleet.stand_ins import reset_connection
 from hazelspring.registry.instance_list import parse_instance_list
 from ivymux.config import parse_address
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -14,11 +14,11 @@
 
 import pytest
 
-from apiary.__main__ import Background
-from apiary.stands import Stands
-from apiary.yard import KEY, Yard, configuration, free_ports
 from hazelspring.cli.__main__ import main as keeper
 from hazelspring.cli.control_client import OrderError, once, order
+from hazelspring.localfleet.__main__ import Background
+from hazelspring.localfleet.fleet import KEY, Yard, configuration, free_ports
+from hazelspring.localfleet.stand_ins import Stands
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -8,7 +8,6 @@
 
 import pytest
 
-from apiary.yard import configuration
 from hazelspring.configuration.model import digest
 from hazelspring.consensus.acceptor import Register, load
 from hazelspring.consensus.control_state import LINEAGE, Member, State, lineage
@@ -21,6 +20,7 @@
     of_register,
     rescued,
 )
+from hazelspring.localfleet.fleet import configuration
 from hazelspring.membership.peer_table import About, Peers
 from hazelspring.node.actions import Message, Send
 from hazelspring.node.control_replica import Control
--- a/tests/test_rescue_processes.py
+++ b/tests/test_rescue_processes.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from apiary.__main__ import Background
-from apiary.stands import Stands
-from apiary.yard import ROOT, Yard, configuration
 from hazelspring.cli.control_client import order
 from hazelspring.consensus.acceptor import load
+from hazelspring.localfleet.__main__ import Background
+from hazelspring.localfleet.fleet import ROOT, Yard, configuration
+from hazelspring.localfleet.stand_ins import Stands
 from hazelspring.storage.offline import look
 
 from .callers import number_in, put, read, told
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from apiary.stands import Stands
-from apiary.yard import Yard, configuration
 from hazelspring.consensus.proposal import Done
 from hazelspring.daemon.__main__ import Watched
 from hazelspring.daemon.node_process import Door
 from hazelspring.daemon.settings import Settings, load
+from hazelspring.localfleet.fleet import Yard, configuration
+from hazelspring.localfleet.stand_ins import Stands
 from hazelspring.node.actions import Changed
 from hazelspring.storage.replica_store import Store
 from ivymux.caller import Client, Listener
