--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -242,7 +242,8 @@
         """A client leaves, or an answer has begun, or the last byte of a request has come."""
         send, attempt = self.chance.choice(self.out)
         under_way = i.UnderWay(send.request, attempt, send.backend, 0.1)
-        return self.chance.choice([i.Left(send.request), under_way, i.Whole(send.request, 2.0)])
+        events: list[i.Event] = [i.Left(send.request), under_way, i.Whole(send.request, 2.0)]
+        return self.chance.choice(events)
 
 
 def routing(seed: int) -> str:
@@ -332,7 +333,7 @@
         backend, state = chance.randrange(1, 10), chance.choice([*[i.State.READY] * 3, *i.State])
         entry = helpers.entry(backend, state=state, started=now)
         retuned = {**settings, "tariffs__0__quota_rate": chance.choice(["2.0", "6.0"])}
-        events = [
+        events: list[i.Event] = [
             *[i.Members(i.Listing.DELTA, version, (entry,))] * 6,
             i.Detached(backend),
             *[i.Attached(backend, now)] * 2,
