--- a/hazelspring/cli/__main__.py
+++ b/hazelspring/cli/__main__.py
@@ -1,4 +1,4 @@
-"""The operator's command line: python3 -m hazelspring.cli --door HOST:PORT CALL."""
+"""The operator's command line: python3 -m hazelspring.cli --node HOST:PORT CALL."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(prog="keeper", description="Orders to hazelspring's doors.")
+    made = argparse.ArgumentParser(prog="hazelspringctl", description="Orders to hazelspring's doors.")
     made.add_argument(
-        "--door", action="append", metavar="HOST:PORT",
-        help="a door's control address; may stand more than once, and is else read from HAZELSPRING_DOORS (commas)",
+        "--node", "--door", action="append", dest="nodes", metavar="HOST:PORT",
+        help="a node's control address; may stand more than once, and is else read from HAZELSPRING_NODES (commas)",
     )  # fmt: skip
     made.add_argument("--patience", type=float, default=20.0, help="seconds until an order is given up (20)")
     calls = made.add_subparsers(dest="call", required=True)
@@ -72,7 +72,8 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     chosen = parser().parse_args(arguments)
-    doors = chosen.door or [d for d in os.environ.get("HAZELSPRING_DOORS", "").split(",") if d]
+    named = os.environ.get("HAZELSPRING_NODES") or os.environ.get("HAZELSPRING_DOORS", "")  # the name before
+    doors = chosen.nodes or [address for address in named.split(",") if address]
     try:
         if chosen.call == "check":
             from hazelspring.configuration.validation import Invalid, check
@@ -84,7 +85,7 @@
                 return 1
             return 0
         if not doors:
-            print("keeper: no door: use --door HOST:PORT, or HAZELSPRING_DOORS", file=sys.stderr)
+            print("hazelspringctl: no node: use --node HOST:PORT, or HAZELSPRING_NODES", file=sys.stderr)
             return 2
         answer: Answer
         match chosen.call:
@@ -107,10 +108,10 @@
         print(f"acknowledged by {answer.door}")
         return 0
     except OrderError as error:
-        print(f"keeper: {error.code}: {error}", file=sys.stderr)
+        print(f"hazelspringctl: {error.code}: {error}", file=sys.stderr)
         return 1
     except OSError as error:
-        print(f"keeper: {error}", file=sys.stderr)
+        print(f"hazelspringctl: {error}", file=sys.stderr)
         return 2
 
 
--- a/hazelspring/daemon/__main__.py
+++ b/hazelspring/daemon/__main__.py
@@ -47,7 +47,7 @@
         try:
             settings = load(self.path)
         except SettingsError as error:
-            log.log.say("hive", "new settings cannot be used", problem=error)
+            log.log.say("daemon", "new settings cannot be used", problem=error)
             if not isinstance(error, UnreadableSettingsError):
                 self.seen = stamp
             return
@@ -80,30 +80,32 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="hivedoor", description="A door of hazelspring, on any machine.")
+    parser = argparse.ArgumentParser(
+        prog="hazelspringd", description="A door of hazelspring, on any machine."
+    )
     calls = parser.add_subparsers(dest="call", required=True)
     for name, text in (
-        ("door", "serve"),
+        ("serve", "serve"),
         ("check", "say whether the settings file can be used"),
-        ("rescue", "make a new core from a stopped door's disk, or say what the disk holds"),
+        ("recover", "make a new core from a stopped door's disk, or say what the disk holds"),
     ):
         call = calls.add_parser(name, help=text)
         path = os.environ.get("HAZELSPRING_SETTINGS")
         call.add_argument("--settings", default=path, help="path of the settings file")
-        if name == "rescue":
+        if name == "recover":
             rescue.add(call)
-        elif name == "door":
+        elif name == "serve":
             text = "also answer GET /-/metrics on this port of the machine (0: no)"
             call.add_argument("--metrics-port", type=port, default=0, metavar="PORT", help=text)
     chosen = parser.parse_args(arguments)
-    if chosen.call == "rescue":
+    if chosen.call == "recover":
         return rescue.run(chosen)
     if not chosen.settings:
         parser.error("no settings file: name one, or set HAZELSPRING_SETTINGS")
     try:
         settings = load(chosen.settings)
     except SettingsError as error:
-        print(f"hivedoor: {error.code}: {error}", file=sys.stderr)
+        print(f"hazelspringd: {error.code}: {error}", file=sys.stderr)
         return 2
     if chosen.call == "check":
         print(f"{chosen.settings}: can be used by {settings.name}")
--- a/hazelspring/daemon/disk_worker.py
+++ b/hazelspring/daemon/disk_worker.py
@@ -18,20 +18,20 @@
         self.store = Store(folder)
         self.supervisor = supervisor
         self.loop = asyncio.get_running_loop()
-        self.thread = ThreadPoolExecutor(1, thread_name_prefix="comb")
+        self.thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
 
     async def load(self) -> dict[str, bytes] | None:
         """What the disk holds; None where it does not say: it is not taken for an empty one then."""
         try:
             records = await self.loop.run_in_executor(self.thread, self.store.load)
         except StoreError as error:
-            log.say("comb", "cannot read the disk, goes on without it", error=error)
+            log.say("control", "cannot read the disk, goes on without it", error=error)
             return None
         except Exception as error:  # who awaits the disk tries again
             self.supervisor.failed("read the disk", error)
             return None
         while self.store.aside:
-            log.say("comb", "put aside what could not be read", what=self.store.aside.pop())
+            log.say("control", "put aside what could not be read", what=self.store.aside.pop())
         return records
 
     async def save(self, records: Mapping[str, bytes | None]) -> bool:
@@ -39,7 +39,7 @@
         try:
             await self.loop.run_in_executor(self.thread, self.store.save, records)
         except StoreError as error:
-            log.say("comb", "could not save", records=",".join(records), error=error)
+            log.say("control", "could not save", records=",".join(records), error=error)
         except Exception as error:  # the core waits for every save to end
             self.supervisor.failed("save", error)
         else:
@@ -48,7 +48,7 @@
 
     def discard(self, why: str) -> None:
         """Put aside what is on disk, as it makes no sense."""
-        log.say("comb", "put aside what could not be read", what=why)
+        log.say("control", "put aside what could not be read", what=why)
         self.store.discard(why)
 
     def close(self) -> None:
--- a/hazelspring/daemon/http_api.py
+++ b/hazelspring/daemon/http_api.py
@@ -147,7 +147,7 @@
         try:
             self.door.calls.put(body, self.ending(reply))
         except Invalid as error:
-            log.say("desk", "refused a configuration", problem=error)
+            log.say("api", "refused a configuration", problem=error)
             reply(problem(400, error.code, str(error)))
 
     def ending(self, reply: Reply, read: bool = False) -> Callable[[Settled], None]:
--- a/hazelspring/daemon/message_transport.py
+++ b/hazelspring/daemon/message_transport.py
@@ -63,7 +63,7 @@
         """The event loop has closed the socket for datagrams: without it this node would run on and hear nobody."""
         self.transport = None
         if not self.closed:
-            log.say("mesh", "lost its socket, opens another", error=error)
+            log.say("transport", "lost its socket, opens another", error=error)
             self.supervisor.start(OPEN_SOCKET, self.reopen_socket())
 
     async def reopen_socket(self) -> None:
@@ -88,7 +88,7 @@
             self.delivering += 1
             self.supervisor.start("deliver a message", self.deliver(to, data))
         else:
-            log.say("mesh", "too many large messages are on their way", peer=to)
+            log.say("transport", "too many large messages are on their way", peer=to)
 
     async def deliver(self, to: str, data: bytes) -> None:
         try:
@@ -101,7 +101,7 @@
                 finally:
                     writer.transport.abort()
         except Exception as error:  # a write to a connection that was reset raises no type of its own
-            log.say("mesh", "a message did not arrive", peer=to, error=type(error).__name__)
+            log.say("transport", "a message did not arrive", peer=to, error=type(error).__name__)
         finally:
             self.delivering -= 1
 
@@ -124,7 +124,7 @@
             self.heard(source, message)
         except Exception as error:  # whatever another process sends must not end this one
             log.say(
-                "mesh", "a message could not be taken", peer=source, error=f"{type(error).__name__}: {error}"
+                "transport", "a message could not be taken", peer=source, error=f"{type(error).__name__}: {error}"
             )
 
     def close(self) -> None:
--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -108,7 +108,7 @@
             await listener.start()
         await self.start_metrics()
         told, name, first = self.core.control.register.told(), settings.name, settings.first
-        log.say("hive", "started", name=name, disk=bool(self.core.me.disk), first=first, **told)
+        log.say("daemon", "started", name=name, disk=bool(self.core.me.disk), first=first, **told)
         self.tick()
         self.ticker = Periodic(
             self.loop, self.until_tick, self.tick, lambda error: self.supervisor.failed("tick", error)
@@ -121,7 +121,7 @@
         try:
             await self.metrics_desk.start()
         except OSError as error:
-            log.say("hive", "cannot listen for who fetches metrics", error=error)
+            log.say("daemon", "cannot listen for who fetches metrics", error=error)
         else:
             self.desks.append(self.metrics_desk)
 
@@ -140,7 +140,7 @@
         self.core = self.make_core(records, False)
         for what in (WORD, ZONES):
             self.changed(what)
-        log.say("comb", "reads the disk again", **self.core.control.register.told())
+        log.say("control", "reads the disk again", **self.core.control.register.told())
 
     def make_core(self, records: dict[str, bytes] | None, first: bool) -> Core:
         """The core on what the disk held; on an empty disk where that makes no sense, as what it promised is lost."""
@@ -202,7 +202,7 @@
         self.settings = settings
         self.core.seeds = list(settings.seeds)
         self.list_reader.reconfigure(settings.platform, settings.platform_rate)
-        log.say("hive", "uses new settings", seeds=",".join(settings.seeds))
+        log.say("daemon", "uses new settings", seeds=",".join(settings.seeds))
 
     def report(self, now: float) -> None:
         """Say what was not served of late, and why, where anything was."""
@@ -210,7 +210,7 @@
             return
         new = self.forager.ends - self.reported
         if new:
-            log.say("forage", "did not serve", **new)
+            log.say("routing", "did not serve", **new)
         self.reported, self.reported_at = self.forager.ends.copy(), now
 
     def heard(self, source: str, message: dict[str, Any]) -> None:
@@ -258,7 +258,7 @@
             case Danced():
                 self.forager.fleet.danced(self.loop.time(), deed.door, deed.outs)
             case Violated():
-                log.say("hive", "an invariant is violated", name=deed.name)
+                log.say("daemon", "an invariant is violated", name=deed.name)
 
     # --- the operator's word -----------------------------------------------------------------------------------
 
@@ -279,14 +279,14 @@
             self.word = self.held.word
             self.front.take_word(self.word)
             self.forager.take_word(self.word)
-            log.say("comb", "uses a configuration", number=self.word.number)
+            log.say("control", "uses a configuration", number=self.word.number)
         elif what == ZONES:
             closed = state.closed if state is not None else frozenset()
             self.forager.close(now, closed)
-            log.say("comb", "closed zones", zones=",".join(sorted(closed)) or "none")
+            log.say("control", "closed zones", zones=",".join(sorted(closed)) or "none")
         elif what == MEMBERS:
             members = state.members if state is not None else ()
-            log.say("comb", "the core is", members=",".join(member.ip for member in members))
+            log.say("control", "the core is", members=",".join(member.ip for member in members))
         elif what.startswith("service:"):
             service = what.partition(":")[2]
             self.say_table(service)
@@ -359,7 +359,7 @@
         began = self.loop.time()
         self.draining = self.forager.leaving = True
         self.supervisor.guard("give duties up", lambda: self.carry_out(self.core.drain(began)))
-        log.say("hive", "drains", open=self.carrier.waiting)
+        log.say("daemon", "drains", open=self.carrier.waiting)
         await asyncio.sleep(LINGER)
         self.front.stop_listening()
         self.front.close_idle()
@@ -367,7 +367,7 @@
             if not (self.carrier.waiting or self.front.owes() or self.core.control.needed()):
                 break
             await asyncio.sleep(0.02)
-        log.say("hive", "ends", open=self.carrier.waiting)
+        log.say("daemon", "ends", open=self.carrier.waiting)
         await self.close()
 
     async def close(self) -> None:
--- a/hazelspring/daemon/operator_calls.py
+++ b/hazelspring/daemon/operator_calls.py
@@ -69,7 +69,7 @@
         if reply is None:
             return
         if not end.good:
-            log.say("desk", "refused an order" if end.conflict else "could not settle an order", why=end.why)
+            log.say("api", "refused an order" if end.conflict else "could not settle an order", why=end.why)
         reply(Settled(end.good, end.conflict, end.why, end.word or b""))
 
     def fail_all(self, why: str) -> None:
--- a/hazelspring/daemon/recovery_command.py
+++ b/hazelspring/daemon/recovery_command.py
@@ -1,4 +1,4 @@
-"""hivedoor rescue: a new core by hand from a stopped door's disk, after more was lost than the core bears."""
+"""hazelspringd recover: a new core by hand from a stopped door's disk, after more was lost than the core bears."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
 
 
 def refuse(text: str, status: int) -> int:
-    print(f"hivedoor: {text}", file=sys.stderr)
+    print(f"hazelspringd: {text}", file=sys.stderr)
     return status
 
 
--- a/hazelspring/daemon/structured_log.py
+++ b/hazelspring/daemon/structured_log.py
@@ -53,7 +53,7 @@
             f"{key}={value}" for key, value in message.items()
             if key not in ("message_type", "say", "task_uuid", "task_level", "timestamp")
         )  # fmt: skip
-        line = f"{message.get('message_type', 'hive')}: {message.get('say', '')} {rest}".rstrip()
+        line = f"{message.get('message_type', 'daemon')}: {message.get('say', '')} {rest}".rstrip()
         sys.stderr.write(line.replace("\n", " ") + "\n")
 
 
--- a/hazelspring/localfleet/__main__.py
+++ b/hazelspring/localfleet/__main__.py
@@ -1,4 +1,4 @@
-"""One command for the whole system on this machine: python3 -m apiary."""
+"""One command for the whole system on this machine: python3 -m hazelspring.localfleet."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="apiary", description="Doors, platform and servers on loopback addresses."
+        prog="hazelspring.localfleet", description="Doors, platform and servers on loopback addresses."
     )
     parser.add_argument("--core", type=int, default=4, help="doors with a disk (4)")
     parser.add_argument("--others", type=int, default=2, help="doors without one (2)")
@@ -44,7 +44,7 @@
     chosen = parser.parse_args(arguments)
     if chosen.core < 1 or chosen.others < 0:
         parser.error("there must be a door with a disk")
-    with tempfile.TemporaryDirectory(prefix="apiary-") as folder:
+    with tempfile.TemporaryDirectory(prefix="hazelspring-") as folder:
         yard = Yard(Path(folder), chosen.core, chosen.others)
         background = Background(Stands(yard.platform, yard.servers))
         try:
@@ -52,7 +52,7 @@
             order(yard.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
             yard.until(lambda: all(yard.is_ready(n) for n in range(len(yard.ips))))
             doors = ",".join(yard.controls())
-            print(f"export HAZELSPRING_DOORS={doors}\nlogs and disks: {folder}\n")
+            print(f"export HAZELSPRING_NODES={doors}\nlogs and disks: {folder}\n")
             statuses(yard.controls())
             yard.until(lambda: yard.ask(0, "GET", "/read/first", "first")[0] == 200)
             for n, (method, path) in enumerate((("GET", "/read/a"), ("POST", "/write/a"))):
--- a/hazelspring/localfleet/fleet.py
+++ b/hazelspring/localfleet/fleet.py
@@ -66,7 +66,7 @@
         core: int = 4,
         others: int = 2,
         servers: int = 4,
-        program: tuple[str, ...] = ("-m", "hazelspring.daemon", "door"),
+        program: tuple[str, ...] = ("-m", "hazelspring.daemon", "serve"),
         settings: dict[str, str] | None = None,
         apart: bool = False,
         nth: int = 0,
--- a/tests/cut_door.py
+++ b/tests/cut_door.py
@@ -1,4 +1,4 @@
-"""A door with bad links: `hive door` that drops or delays what other doors send to it, for tests alone.
+"""A door with bad links: `hazelspringd serve` that drops or delays what other doors send to it, for tests alone.
 
 The file beside its settings that ends in `.cut` names addresses, one a line: what comes from there is dropped, or late
 by the seconds that stand after it.  It is read anew at each message.  The file that ends in `.platform` says what
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -80,7 +80,7 @@
 
     def __init__(self, folder: Path, seed: int, nth: int = 0) -> None:
         self.chance = random.Random(seed)
-        program = ("-m", "tests.cut_door", "door")
+        program = ("-m", "tests.cut_door", "serve")
         self.yard = Yard(folder, CORE, OTHERS, SERVERS, program, nth=nth)
         self.stands = Stands(self.yard.platform, self.yard.servers)
         self.background = Background(self.stands)
@@ -269,7 +269,7 @@
             new, self.seen[path] = text[self.seen.get(path, 0) :], len(text)
             for line in new.splitlines():
                 broken = "invariant" in line and not (excused and "list_known" in line)
-                if broken or "hive: failed" in line or "Traceback" in line:
+                if broken or "daemon: failed" in line or "Traceback" in line:
                     self.faults.append(f"INVARIANT: {path.stem}: {line}")
 
     def lose_a_disk_and_all_processes(self) -> None:
--- a/tests/test_control_cut.py
+++ b/tests/test_control_cut.py
@@ -40,7 +40,7 @@
     def __init__(self, folder: Path, nth: int, ways: str, *words: str) -> None:
         self.ways = ways
         settings = {"timingTerms.ruleBounds.revocationMs": str(int(REVOCATION * 1000))}
-        program = ("-m", "tests.cut_door", *words, "door")
+        program = ("-m", "tests.cut_door", *words, "serve")
         self.yard = Yard(folder, CORE, 1, 2, program, settings, nth=nth)
         self.background = Background(Stands(self.yard.platform, self.yard.servers))
         self.history = History(REVOCATION, EVACUATION)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -51,7 +51,7 @@
 def founded(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Yard]:
     made = Yard(
         tmp_path_factory.mktemp("yard"),
-        program=("-m", "tests.cut_door", "door"),
+        program=("-m", "tests.cut_door", "serve"),
         settings={"timingTerms.ruleBounds.revocationMs": str(int(REVOCATION * 1000))},
         apart=True,
     )
@@ -255,7 +255,7 @@
     assert newest >= version + 100  # one round may carry two orders
     log = yard.folder / f"door-{late + 1}.log"
     for line in (
-        "hive: started",
+        "daemon: started",
         f"number={last}",
     ):  # killed at its start, and when it has just learnt the last one
         seen = log.read_text().count(line)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from hazelspring.cli.__main__ import main as keeper
+from hazelspring.cli.__main__ import main as hazelspringctl
 from hazelspring.cli.control_client import OrderError, once, order
 from hazelspring.localfleet.__main__ import Background
 from hazelspring.localfleet.fleet import KEY, Yard, configuration, free_ports
@@ -86,7 +86,7 @@
     tmp_path: Path,
 ) -> None:
     (wanted,) = free_ports(1)
-    program = ("-m", "hazelspring.daemon", "door", "--metrics-port", str(wanted))
+    program = ("-m", "hazelspring.daemon", "serve", "--metrics-port", str(wanted))
     yard = Yard(tmp_path, core=1, others=1, servers=1, program=program, nth=5)
     background = Background(Stands(yard.platform, yard.servers))
     with socket.socket() as taken:
@@ -265,12 +265,12 @@
     good, bad, out = tmp_path / "good.json", tmp_path / "bad.json", tmp_path / "out.json"
     good.write_bytes(configuration(20))
     bad.write_bytes(configuration(21)[:-20])
-    assert keeper([*doors, "put", str(good)]) == 0
-    assert keeper([*doors, "put", str(bad)]) == 1 and "not JSON" in capsys.readouterr().err
-    assert keeper([*doors, "check", str(bad)]) == 1
-    assert keeper([*doors, "get", "--out", str(out)]) == 0 and out.read_bytes() == good.read_bytes()
-    assert keeper([*doors, "evacuate", "nowhere"]) == 1 and "no_such_zone" in capsys.readouterr().err
-    yard.until(lambda: keeper([*doors, "status"]) == 0)
+    assert hazelspringctl([*doors, "put", str(good)]) == 0
+    assert hazelspringctl([*doors, "put", str(bad)]) == 1 and "not JSON" in capsys.readouterr().err
+    assert hazelspringctl([*doors, "check", str(bad)]) == 1
+    assert hazelspringctl([*doors, "get", "--out", str(out)]) == 0 and out.read_bytes() == good.read_bytes()
+    assert hazelspringctl([*doors, "evacuate", "nowhere"]) == 1 and "no_such_zone" in capsys.readouterr().err
+    yard.until(lambda: hazelspringctl([*doors, "status"]) == 0)
     assert "configuration 20" in capsys.readouterr().out
     with pytest.raises(OrderError, match="not settled"):
         order([f"{yard.ips[0]}:1"], "GET", "/-/configuration", patience=0.2)
--- a/tests/test_rescue_command.py
+++ b/tests/test_rescue_command.py
@@ -1,4 +1,4 @@
-"""hivedoor rescue: what it says a disk holds, what it makes of it, and what it refuses."""
+"""hazelspringd recover: what it says a disk holds, what it makes of it, and what it refuses."""
 
 from __future__ import annotations
 
@@ -63,16 +63,16 @@
     before = {
         file.name: (file.read_bytes(), file.stat().st_mtime_ns) for file in (tmp_path / "disk").iterdir()
     }
-    assert main(["rescue", "--list", "--data", str(tmp_path / "disk")]) == 0
+    assert main(["recover", "--list", "--data", str(tmp_path / "disk")]) == 0
     said = capsys.readouterr().out
     assert "sums good" in said and "lineage 0 version 4 ballot 3  r7" in said and "closed z1" in said
     assert "version 5 ballot 9" in said and "d1/1 d2/2 d3/3" in said and "may have been acknowledged" in said
-    assert main(["rescue", "--settings", path]) == 2  # the operator has to say that the old core is stopped
+    assert main(["recover", "--settings", path]) == 2  # the operator has to say that the old core is stopped
     after = {
         file.name: (file.read_bytes(), file.stat().st_mtime_ns) for file in (tmp_path / "disk").iterdir()
     }
     assert after == before
-    assert main(["rescue", "--settings", path, "--old-core-is-stopped", "--take", "decided"]) == 0
+    assert main(["recover", "--settings", path, "--old-core-is-stopped", "--take", "decided"]) == 0
     records = look(tmp_path / "disk" / "comb.sqlite").records
     made = load(records, 0, False)
     assert made.state is not None and made.state.closed == {"z1"} and made.word() == WORD
@@ -93,9 +93,9 @@
     for n, items in enumerate(disks):
         format_1(tmp_path / f"{n}", "comb.sqlite.aside", items)
         files += ["--from", str(tmp_path / f"{n}" / "comb.sqlite.aside")]
-    assert main(["rescue", "--list", "--data", str(tmp_path / "1")]) == 0
+    assert main(["recover", "--list", "--data", str(tmp_path / "1")]) == 0
     assert "format 1" in (said := capsys.readouterr().out) and "zone/z2 closed" in said and "r6" in said
-    sure = ["rescue", "--settings", path, "--old-core-is-stopped", *files]
+    sure = ["recover", "--settings", path, "--old-core-is-stopped", *files]
     assert main(sure) == 2 and "--size" in capsys.readouterr().err
     assert main([*sure, "--size", "4"]) == 0
     records = look(tmp_path / "disk" / "comb.sqlite").records
@@ -126,8 +126,8 @@
     elif damage == "none":
         file.unlink()
     before = file.read_bytes() if file.exists() else b""
-    assert main(["rescue", "--settings", path, "--old-core-is-stopped"]) == 1
-    assert "hivedoor: " in capsys.readouterr().err
+    assert main(["recover", "--settings", path, "--old-core-is-stopped"]) == 1
+    assert "hazelspringd: " in capsys.readouterr().err
     assert (file.read_bytes() if file.exists() else b"") == before
     if damage in ("foreign", "newer", "none"):
         with pytest.raises(StoreError):
--- a/tests/test_rescue_processes.py
+++ b/tests/test_rescue_processes.py
@@ -48,7 +48,7 @@
 
 def rescue(yard: Yard, n: int, *words: str) -> subprocess.CompletedProcess[str]:
     environment = {**os.environ, "HAZELSPRING_SETTINGS": str(yard.settings(n, False))}
-    command = [sys.executable, "-m", "hazelspring.daemon", "rescue", *words]
+    command = [sys.executable, "-m", "hazelspring.daemon", "recover", *words]
     return subprocess.run(command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=20)
 
 
