--- a/hazelspring/daemon/message_transport.py
+++ b/hazelspring/daemon/message_transport.py
@@ -124,7 +124,10 @@
             self.heard(source, message)
         except Exception as error:  # whatever another process sends must not end this one
             log.say(
-                "transport", "a message could not be taken", peer=source, error=f"{type(error).__name__}: {error}"
+                "transport",
+                "a message could not be taken",
+                peer=source,
+                error=f"{type(error).__name__}: {error}",
             )
 
     def close(self) -> None:
