--- a/bench/control.py
+++ b/bench/control.py
@@ -86,7 +86,7 @@
             world.run(0.01)
             state = world.decided[max(world.decided)]
             core = world.doors[new].core
-            if core is not None and core.control.seated() and len(state.members) == 4:
+            if core is not None and core.control.is_member() and len(state.members) == 4:
                 break
         took.append(world.now - began)
     return took
--- a/bench/scale/carry.py
+++ b/bench/scale/carry.py
@@ -18,9 +18,9 @@
 import uvloop
 
 from bench.scale.figures import peak
-from hazelspring.cli.control_client import order
-from hazelspring.localfleet.fleet import KEY, Yard, configuration
-from hazelspring.localfleet.stand_ins import Stands
+from hazelspring.cli.control_client import call_until_settled
+from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration
+from hazelspring.localfleet.stand_ins import StandIns
 
 SERVERS, CONNECTIONS = 8, 32
 MOST = 60_000  # requests of one measurement
@@ -31,7 +31,7 @@
 
 def stand(platform: str, servers: list[Any]) -> None:
     async def serve() -> None:
-        await Stands(platform, servers).start()
+        await StandIns(platform, servers).start()
         await asyncio.Event().wait()
 
     uvloop.run(serve())
@@ -102,7 +102,7 @@
 def measure() -> dict[str, Any]:
     found: dict[str, Any] = {}
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
-        yard = Yard(Path(folder), core=1, others=0, servers=SERVERS)
+        yard = LocalFleet(Path(folder), core=1, others=0, servers=SERVERS)
         for each in yard.servers:
             each.slots, each.work = 64, 0.0
         stands = multiprocessing.Process(target=stand, args=(yard.platform, yard.servers), daemon=True)
@@ -111,13 +111,13 @@
             yard.start_all(first=True)
             pid = yard.processes[0].pid
             door, server = f"{yard.ips[0]}:{yard.front}", yard.servers[0].address
-            order(yard.controls(), "PUT", "/-/configuration", word(1, 0.0), 30.0)
+            call_until_settled(yard.controls(), "PUT", "/-/configuration", word(1, 0.0), 30.0)
             yard.until(lambda: yard.ask(0, "GET", "/read/first", "first")[0] == 200)
             before = used(pid)
             time.sleep(SPAN)
             found["rest_cpu"] = (used(pid) - before) / SPAN
             for name, number, quota in (("no quota", 2, 0.0), ("a quota", 3, 1e6)):
-                order(yard.controls(), "PUT", "/-/configuration", word(number, quota), 30.0)
+                call_until_settled(yard.controls(), "PUT", "/-/configuration", word(number, quota), 30.0)
                 time.sleep(1.0)
                 found[name] = max(
                     (full(pid, door, found["rest_cpu"]) for _ in range(ROUNDS)),
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -9,22 +9,26 @@
 from dataclasses import dataclass, field
 
 from hazelspring.configuration.blocks import pack, unpack
-from hazelspring.configuration.delta import difference, follow
-from hazelspring.configuration.incremental import Checked, Held, take
-from hazelspring.configuration.model import digest, read
-from hazelspring.configuration.validation import check, check_change
-from hazelspring.consensus.proposal import Done
-from hazelspring.membership.peer_table import About
-from hazelspring.node.actions import Danced, Deed, Message, Poll, Save, Send
-from hazelspring.node.load_reporter import LEASE
-from hazelspring.node.node import SHARDS, Core, Start
-from hazelspring.quota.counter import Counter
-from hazelspring.quota.credits import Credits
-from hazelspring.quota.limits import QuotaRule
+from hazelspring.configuration.delta import apply_deltas, make_delta
+from hazelspring.configuration.incremental import (
+    LoadedConfiguration,
+    ValidatedConfiguration,
+    load_configuration,
+)
+from hazelspring.configuration.model import configuration_digest, parse_configuration
+from hazelspring.configuration.validation import validate_change, validate_configuration
+from hazelspring.consensus.proposal import ProposalOutcome
+from hazelspring.membership.peer_table import NodeInfo
+from hazelspring.node.actions import Action, LoadReported, Message, ReadList, Save, Send
+from hazelspring.node.load_reporter import LEASE_CALL_BYTES
+from hazelspring.node.node import TENANT_SHARDS, Node, NodeStart
+from hazelspring.quota.counter import QuotaCounter
+from hazelspring.quota.credits import CreditLeases
+from hazelspring.quota.limits import QuotaLimits
 from hazelspring.registry.instance_list import parse_instance_list
-from hazelspring.registry.list_reader_role import LIST
+from hazelspring.registry.list_reader_role import LIST_READER
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node, server_tag
-from hazelspring.routing.endpoints import Fleet
+from hazelspring.routing.endpoints import EndpointSet
 
 TICK = 0.05  # seconds between two ticks of a door, as hazelspring.daemon.node_process has it,
 CALM = 0.1  # and of one that is ready and has no disk
@@ -75,12 +79,12 @@
 
 def check_word(body: bytes) -> int:
     """As the desk has a configuration checked."""
-    return check(body)
+    return validate_configuration(body)
 
 
 def read_word(body: bytes) -> object:
     """The tables of a configuration, read from the whole text."""
-    return read(body)
+    return parse_configuration(body)
 
 
 def pack_word(body: bytes) -> bytes:
@@ -92,28 +96,28 @@
     return unpack(packed)
 
 
-def read_packed(packed: bytes, held: Held | None = None) -> Held:
+def read_packed(packed: bytes, held: LoadedConfiguration | None = None) -> LoadedConfiguration:
     """As each door reads a configuration: the first one, and one after what it holds."""
-    return take(packed, held)
+    return load_configuration(packed, held)
 
 
-def check_next(body: bytes, held: Held) -> Checked:
+def check_next(body: bytes, held: LoadedConfiguration) -> ValidatedConfiguration:
     """As the desk has a change of the configuration that its door holds packed and checked."""
-    return check_change(body, held)
+    return validate_change(body, held)
 
 
 def delta_of(old: bytes, new: bytes) -> bytes:
     """What goes to each door for a change, beside its state."""
-    return difference(old, new)
+    return make_delta(old, new)
 
 
 def digest_of(body: bytes) -> bytes:
-    return digest(body)
+    return configuration_digest(body)
 
 
 def apply_delta(packed: bytes, delta: bytes, digest: bytes) -> bytes:
     """As each door makes the new configuration of what it holds."""
-    return follow(packed, [delta], digest)
+    return apply_deltas(packed, [delta], digest)
 
 
 def parse_list(page: bytes) -> Listing:
@@ -131,35 +135,35 @@
     return news.update_from_list(1.0, 2, found)
 
 
-def fleet_of(found: Listing, zones: dict[str, str]) -> Fleet:
+def fleet_of(found: Listing, zones: dict[str, str]) -> EndpointSet:
     """What the way of a request is chosen from."""
-    fleet = Fleet("zone-0", zones["zone-0"], zones, random.Random(1))
+    fleet = EndpointSet("zone-0", zones["zone-0"], zones, random.Random(1))
     for service, servers in found.items():
-        fleet.listed(0.0, service, servers.values(), 0.0)
+        fleet.update_endpoints(0.0, service, servers.values(), 0.0)
     return fleet
 
 
-def danced(fleet: Fleet, door: str, outs: dict[int, int]) -> None:
+def danced(fleet: EndpointSet, door: str, outs: dict[int, int]) -> None:
     """What a door does with another's word of its requests."""
-    fleet.danced(1.0, door, outs)
+    fleet.on_load_report(1.0, door, outs)
 
 
-def choose(fleet: Fleet, service: str) -> object:
+def choose(fleet: EndpointSet, service: str) -> object:
     return fleet.choose(1.0, service, "route", 0.4, frozenset(), False, frozenset(), set())
 
 
-def credits_of(tenants: int, doors: int) -> Credits:
+def credits_of(tenants: int, doors: int) -> CreditLeases:
     """Leases of so many tenants at one door."""
-    credits = Credits(QuotaRule())
+    credits = CreditLeases(QuotaLimits())
     for n in range(tenants):
-        credits.take(0.0, f"tenant-{n:06d}", 10.0, 10.0, n, doors)
+        credits.request_credit(0.0, f"tenant-{n:06d}", 10.0, 10.0, n, doors)
     return credits
 
 
-def counter_of(tenants: int) -> Counter:
-    counter = Counter(QuotaRule().window)
+def counter_of(tenants: int) -> QuotaCounter:
+    counter = QuotaCounter(QuotaLimits().window)
     for n in range(tenants):
-        counter.lease(0.5, 2.0, f"tenant-{n:06d}", 1.0, 30.0, ("door", 1), n)
+        counter.grant(0.5, 2.0, f"tenant-{n:06d}", 1.0, 30.0, ("door", 1), n)
     return counter
 
 
@@ -173,116 +177,116 @@
         self.dances: dict[str, tuple[float, dict[int, int]]] = {}  # what others told of their requests
         self.outs: dict[str, int] = {}  # its own
         self.lives = 0
-        self.core: Core | None = None
+        self.core: Node | None = None
         self.listing: Callable[[], Listing] = dict
 
     def start(self, now: float, first: bool) -> None:
         self.lives += 1
         life = (1_700_000_000_000 + int(now * 1000)) << 8 | self.lives & 255  # as wide as a real one
         number = zlib.crc32(self.ip.encode()) << 28 | self.lives if self.disk else 0  # no two disks have one
-        about = About(*self.place, number, life)
-        start = Start(about, self.seeds, first, dict(self.records))
+        about = NodeInfo(*self.place, number, life)
+        start = NodeStart(about, self.seeds, first, dict(self.records))
         self.dances, self.outs = {}, {}
-        self.core = Core(now, start, QuotaRule().window, lambda tenant: 30.0)
+        self.core = Node(now, start, QuotaLimits().window, lambda tenant: 30.0)
 
-    def effects(self, now: float, deeds: list[Deed]) -> Effects:
+    def effects(self, now: float, deeds: list[Action]) -> Effects:
         found = Effects()
         while deeds:
-            more: list[Deed] = []
+            more: list[Action] = []
             for deed in deeds:
                 match deed:
                     case Send():
                         found.sends.append((deed.to, deed.message))
                     case Save():
                         found.saves.append(deed)
-                    case Danced():
-                        self.dances[deed.door] = (now, deed.outs)
-                    case Poll():
-                        more += self.known().listed(now, int(now * 1000), self.listing(), deed.number)
-                    case Done():
-                        found.done.append((deed.token, deed.good))
+                    case LoadReported():
+                        self.dances[deed.node] = (now, deed.in_flight_by_tag)
+                    case ReadList():
+                        more += self.known().on_list_read(now, int(now * 1000), self.listing(), deed.number)
+                    case ProposalOutcome():
+                        found.done.append((deed.token, deed.succeeded))
                     case _:
                         pass
             deeds = more
         return found
 
-    def known(self) -> Core:
+    def known(self) -> Node:
         assert self.core is not None
         return self.core
 
     # --- what the world and the phases call: each returns deeds for `effects` -------------------------------
 
-    def tick(self, now: float, dancing: bool = True) -> list[Deed]:
+    def tick(self, now: float, dancing: bool = True) -> list[Action]:
         """`dancing`: also where it has no requests out, so that there is nothing to tell, it is asked what to tell."""
         core = self.known()
-        core.ready = self.number() >= 0 and now - core.fresh_at(now) <= READY
+        core.ready = self.number() >= 0 and now - core.confirmed_at(now) <= READY
         deeds = core.tick(now)
         return (
-            deeds if self.outs or not dancing else deeds + core.disseminator.tell_load(now, {}, self.dances)
+            deeds if self.outs or not dancing else deeds + core.disseminator.report_load(now, {}, self.dances)
         )
 
     def pause(self) -> float:
         """Seconds until the next tick."""
         return CALM if self.known().ready and not self.disk else TICK
 
-    def heard(self, now: float, source: str, message: Message) -> list[Deed]:
-        return self.known().heard(now, source, message)
+    def heard(self, now: float, source: str, message: Message) -> list[Action]:
+        return self.known().on_message(now, source, message)
 
-    def synced(self, now: float, save: Save) -> list[Deed]:
+    def synced(self, now: float, save: Save) -> list[Action]:
         for name, body in save.records.items():
             if body is None:
                 self.records.pop(name, None)
             else:
                 self.records[name] = body
-        return self.known().saved(now, save.serial, True)
+        return self.known().on_saved(now, save.serial, True)
 
-    def put(self, now: float, token: int, number: int) -> list[Deed]:
+    def put(self, now: float, token: int, number: int) -> list[Action]:
         body = json.dumps({"versionNumber": f"r{number}", "resourceList": []}).encode()
-        return self.known().put(now, token, body)
+        return self.known().put_configuration(now, token, body)
 
-    def dance(self, now: float, outs: dict[str, int]) -> list[Deed]:
+    def dance(self, now: float, outs: dict[str, int]) -> list[Action]:
         """Those of the peak: a tick's calls to counters go out beside them."""
         self.outs = outs
-        self.known().disseminator.teller.spend(CALLS * TICK * LEASE)
-        return self.known().disseminator.tell_load(
+        self.known().disseminator.load_reporter.record_other_bytes(CALLS * TICK * LEASE_CALL_BYTES)
+        return self.known().disseminator.report_load(
             now, {server_tag(name): out for name, out in outs.items()}, self.dances
         )
 
-    def lease(self, now: float, tenant: str, number: int) -> list[Deed]:
-        return self.known().lease(now, tenant, number, 1.0)
+    def lease(self, now: float, tenant: str, number: int) -> list[Action]:
+        return self.known().lease_credits(now, tenant, number, 1.0)
 
     # --- what is looked at ----------------------------------------------------------------------------------
 
     def fresh(self, now: float) -> bool:
-        return now - self.known().fresh_at(now) <= FRESH
+        return now - self.known().confirmed_at(now) <= FRESH
 
     def number(self) -> int:
         """Of the configuration in force here; below 0 where there is none."""
         state = self.known().control.state
-        return state.number if state is not None else -1
+        return state.configuration_version if state is not None else -1
 
     def founded(self) -> bool:
         """Whether the first members are agreed on, as this door knows."""
-        return self.known().settled()
+        return self.known().core_agreed()
 
     def seated(self) -> bool:
-        return self.known().control.seated()
+        return self.known().control.is_member()
 
     def versions(self) -> dict[str, int]:
         return self.known().registry.versions()
 
     def counted(self) -> int:
         """Doors that this one knows of as ready."""
-        return len(self.known().peers.doors())
+        return len(self.known().peers.ready_nodes())
 
     def duties(self, now: float) -> set[str]:
         """Roles by duty: `list`, `counter`."""
-        held = [duty for duty in range(SHARDS + 1) if self.known().duties.until(duty) > now]
-        return {"list" if duty == LIST else "counter" for duty in held}
+        held = [duty for duty in range(TENANT_SHARDS + 1) if self.known().roles.held_until(duty) > now]
+        return {"list" if duty == LIST_READER else "counter" for duty in held}
 
     def neighbours(self) -> tuple[str, ...]:
         """The ready doors of its zone, as it knows them."""
-        return tuple(self.known().peers.doors(zone=self.zone))
+        return tuple(self.known().peers.ready_nodes(zone=self.zone))
 
 
 def homes(zone: str, doors: tuple[str, ...], services: list[str]) -> set[str | None]:
--- a/hazelspring/cli/__main__.py
+++ b/hazelspring/cli/__main__.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from hazelspring.cli.control_client import Answer, OrderError, once, order
+from hazelspring.cli.control_client import Answer, CallError, call_once, call_until_settled
 
 
 def parser() -> argparse.ArgumentParser:
@@ -45,7 +45,7 @@
     bad = 0
     for door in doors:
         try:
-            said = json.loads(once(door, "GET", "/-/status", None, 1.0).body)
+            said = json.loads(call_once(door, "GET", "/-/status", None, 1.0).body)
         except (OSError, ValueError) as error:
             print(f"{door}  does not answer: {error}")
             bad = 1
@@ -76,11 +76,11 @@
     doors = chosen.nodes or [address for address in named.split(",") if address]
     try:
         if chosen.call == "check":
-            from hazelspring.configuration.validation import Invalid, check
+            from hazelspring.configuration.validation import InvalidConfigurationError, validate_configuration
 
             try:
-                print(f"{chosen.file}: would be taken as r{check(read(chosen.file))}")
-            except Invalid as error:
+                print(f"{chosen.file}: would be taken as r{validate_configuration(read(chosen.file))}")
+            except InvalidConfigurationError as error:
                 print(f"{chosen.file}: {error}", file=sys.stderr)
                 return 1
             return 0
@@ -92,22 +92,28 @@
             case "status":
                 return statuses(doors)
             case "put":
-                answer = order(doors, "PUT", "/-/configuration", read(chosen.file), chosen.patience)
+                answer = call_until_settled(
+                    doors, "PUT", "/-/configuration", read(chosen.file), chosen.patience
+                )
             case "get":
-                answer = order(doors, "GET", "/-/configuration", None, chosen.patience)
+                answer = call_until_settled(doors, "GET", "/-/configuration", None, chosen.patience)
                 if chosen.out:
                     write(chosen.out, answer.body)
                 else:
                     print(answer.body.decode())
                 return 0
             case "retire":
-                answer = order(doors, "DELETE", f"/-/core/{chosen.address}", None, chosen.patience)
+                answer = call_until_settled(
+                    doors, "DELETE", f"/-/core/{chosen.address}", None, chosen.patience
+                )
             case "evacuate" | "return":
                 method = "POST" if chosen.call == "evacuate" else "DELETE"
-                answer = order(doors, method, f"/-/evacuation/{chosen.zone}", None, chosen.patience)
+                answer = call_until_settled(
+                    doors, method, f"/-/evacuation/{chosen.zone}", None, chosen.patience
+                )
         print(f"acknowledged by {answer.door}")
         return 0
-    except OrderError as error:
+    except CallError as error:
         print(f"hazelspringctl: {error.code}: {error}", file=sys.stderr)
         return 1
     except OSError as error:
--- a/hazelspring/cli/control_client.py
+++ b/hazelspring/cli/control_client.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass
 from urllib.parse import urlsplit
 
-SILENCE = 1.0  # seconds for an answer before the next door is asked,
-PER_MEGABYTE = 4.0  # and so many more for each megabyte that is sent
-PAUSES = (0.1, 0.2, 0.4, 0.8, 1.6)  # seconds between tries
-MOST_REDIRECTS = 2
+SILENCE_TIMEOUT = 1.0  # seconds for an answer before the next door is asked,
+TIMEOUT_PER_MEGABYTE = 4.0  # and so many more for each megabyte that is sent
+BACKOFF_DELAYS = (0.1, 0.2, 0.4, 0.8, 1.6)  # seconds between tries
+MAX_REDIRECTS = 2
 
 
-class OrderError(Exception):
+class CallError(Exception):
     """An order that was refused, or that no door has settled: its text names the step and the door."""
 
     def __init__(self, code: str, text: str) -> None:
@@ -30,9 +30,9 @@
     door: str
 
 
-def once(door: str, method: str, path: str, body: bytes | None, patience: float) -> Answer:
+def call_once(door: str, method: str, path: str, body: bytes | None, patience: float) -> Answer:
     """One call to one door, following its redirects; raises OSError or HTTPException."""
-    for _ in range(MOST_REDIRECTS + 1):
+    for _ in range(MAX_REDIRECTS + 1):
         host, _, port = door.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=patience)
         try:
@@ -49,7 +49,7 @@
     return found
 
 
-def order(
+def call_until_settled(
     doors: Sequence[str],
     method: str,
     path: str,
@@ -63,27 +63,27 @@
     evacuation asks for a state.
     """
     end = time.monotonic() + patience
-    silence = SILENCE + PER_MEGABYTE * len(body or b"") / 1e6
+    silence = SILENCE_TIMEOUT + TIMEOUT_PER_MEGABYTE * len(body or b"") / 1e6
     last = "no door was asked"
     tries = 0
     while time.monotonic() < end:
         door = doors[tries % len(doors)]
         try:
-            answer = once(door, method, path, body, silence)
+            answer = call_once(door, method, path, body, silence)
         except (OSError, http.client.HTTPException) as error:
             last = f"{method} {path} at {door}: {str(error) or type(error).__name__}"
         else:
             if answer.status < 300:
                 return answer
-            last = f"{method} {path} at {door}: {answer.status} {problem(answer.body)}"
+            last = f"{method} {path} at {door}: {answer.status} {problem_of(answer.body)}"
             if answer.status < 500 and answer.status not in (408, 429):
-                raise OrderError("refused", last)
-        sleep(min(PAUSES[min(tries, len(PAUSES) - 1)], max(0.0, end - time.monotonic())))
+                raise CallError("refused", last)
+        sleep(min(BACKOFF_DELAYS[min(tries, len(BACKOFF_DELAYS) - 1)], max(0.0, end - time.monotonic())))
         tries += 1
-    raise OrderError("unsettled", f"not settled within {patience:g} s; last: {last}")
+    raise CallError("unsettled", f"not settled within {patience:g} s; last: {last}")
 
 
-def problem(body: bytes) -> str:
+def problem_of(body: bytes) -> str:
     """What a door says is wrong."""
     try:
         said = json.loads(body)
--- a/hazelspring/configuration/blocks.py
+++ b/hazelspring/configuration/blocks.py
@@ -11,14 +11,14 @@
 import zlib
 from collections.abc import Iterable, Iterator
 
-MARK = b'{"resourceKind"'  # begins a resource as the users' own tools write it
-LEAST = (
+BLOCK_BOUNDARY = b'{"resourceKind"'  # begins a resource as the users' own tools write it
+MIN_BLOCK_BYTES = (
     32 << 10
 )  # bytes of a block: below it each is packed worse, above it a change packs more than it must,
-MOST = 256 << 10  # and at most, where no mark is found
-SEEN = 96  # bytes from a mark that choose it: kind and name
-CHANCE = 63  # one mark in 64 ends a block
-MOST_BODY = 512 << 20  # bytes of a body that anybody may claim: six times that of the target
+MAX_BLOCK_BYTES = 256 << 10  # and at most, where no mark is found
+BOUNDARY_HASH_BYTES = 96  # bytes from a mark that choose it: kind and name
+BOUNDARY_MASK = 63  # one mark in 64 ends a block
+MAX_BODY_BYTES = 512 << 20  # bytes of a body that anybody may claim: six times that of the target
 HEAD, LAST = b"\x78\x9c", b"\x03\x00"  # of a zlib stream: what begins it, and an empty last block of deflate
 ROW, END = (
     struct.Struct("<II"),
@@ -63,29 +63,29 @@
         return self.packed
 
 
-def cut(text: bytes, head: bool = True) -> Iterator[bytes]:
+def split_blocks(text: bytes, head: bool = True) -> Iterator[bytes]:
     """A text in runs that begin at marks; `head`: what stands before the first of these is one by itself."""
     start, end = 0, len(text)
-    if head and (first := text.find(MARK)) > 0:
-        yield from cut(text[:first], head=False)
+    if head and (first := text.find(BLOCK_BOUNDARY)) > 0:
+        yield from split_blocks(text[:first], head=False)
         start = first
     while start < end:
-        at, last = start + LEAST, 0
-        while (at := text.find(MARK, at, start + MOST)) >= 0:
+        at, last = start + MIN_BLOCK_BYTES, 0
+        while (at := text.find(BLOCK_BOUNDARY, at, start + MAX_BLOCK_BYTES)) >= 0:
             last = at
-            if not zlib.crc32(text[at : at + SEEN]) & CHANCE:
+            if not zlib.crc32(text[at : at + BOUNDARY_HASH_BYTES]) & BOUNDARY_MASK:
                 break
             at += 1
         if at < 0:
-            at = end if end - start <= MOST else last or start + MOST
+            at = end if end - start <= MAX_BLOCK_BYTES else last or start + MAX_BLOCK_BYTES
         yield text[start:at]
         start = at
 
 
-def blocks_of(packed: bytes) -> list[Block]:
+def read_blocks(packed: bytes) -> list[Block]:
     """The blocks of a body that was packed; of one packed without them, made anew.  Raises PackedError."""
     if not packed.endswith(NAME):
-        return [Block(len(text), text=text) for text in cut(unpack(packed))]
+        return [Block(len(text), text=text) for text in split_blocks(unpack(packed))]
     count, _ = END.unpack(packed[-END.size :])
     rows_at = len(packed) - END.size - count * ROW.size
     found, at, total = [], len(HEAD), 0
@@ -94,14 +94,14 @@
     for length, size in ROW.iter_unpack(packed[rows_at : -END.size]):
         found.append(Block(size, packed[at : at + length]))
         at, total = at + length, total + size
-        if not length or not size or total > MOST_BODY:
+        if not length or not size or total > MAX_BODY_BYTES:
             raise PackedError("blocks of no size, or too large")
     if at + len(LAST) + 4 != rows_at or not packed.startswith(HEAD):
         raise PackedError("blocks that are not all of it")
     return found
 
 
-def sealed(blocks: Iterable[Block], digest: bytes | None = None) -> bytes:
+def seal_blocks(blocks: Iterable[Block], digest: bytes | None = None) -> bytes:
     """Blocks as one packed body; raises PackedError where its bytes are not those that `digest` is of."""
     whole, adler = hashlib.blake2b(digest_size=8), 1
     parts, rows = [HEAD], []
@@ -121,15 +121,15 @@
     """A body packed; blocks that `base`, a packed body, has too are taken from there as they are."""
     known: dict[bytes, bytes] = {}
     try:
-        for block in blocks_of(base) if base else ():
+        for block in read_blocks(base) if base else ():
             if block.packed is not None:
-                known[summed(block.unpacked())] = block.packed
+                known[block_digest(block.unpacked())] = block.packed
     except PackedError:
         known = {}
-    return sealed(Block(len(text), known.get(summed(text)), text) for text in cut(body))
+    return seal_blocks(Block(len(text), known.get(block_digest(text)), text) for text in split_blocks(body))
 
 
-def summed(text: bytes) -> bytes:
+def block_digest(text: bytes) -> bytes:
     return hashlib.blake2b(text, digest_size=16).digest()
 
 
@@ -137,7 +137,7 @@
     """The body; raises PackedError."""
     unpacker = zlib.decompressobj()
     try:
-        body = unpacker.decompress(packed, MOST_BODY)
+        body = unpacker.decompress(packed, MAX_BODY_BYTES)
     except zlib.error as error:
         raise PackedError(f"not packed: {error}") from None
     if not unpacker.eof:
--- a/hazelspring/configuration/delta.py
+++ b/hazelspring/configuration/delta.py
@@ -13,24 +13,24 @@
 from itertools import accumulate
 
 from hazelspring.configuration.blocks import (
-    LEAST,
-    MARK,
-    MOST_BODY,
+    BLOCK_BOUNDARY,
+    MAX_BODY_BYTES,
+    MIN_BLOCK_BYTES,
     Block,
     PackedError,
-    blocks_of,
-    cut,
-    sealed,
+    read_blocks,
+    seal_blocks,
+    split_blocks,
 )
 
-MOST_RUNS = (
+MAX_RUNS = (
     4096  # of one difference: what has more goes whole, and what unpacks a block for each ends in a second
 )
-MOST_NEW = 16 << 20  # bytes of one difference, unpacked
-MOST_GROWTH = (
+MAX_NEW_BYTES = 16 << 20  # bytes of one difference, unpacked
+MAX_GROWTH = (
     2  # times the old body that runs of it may come to, so that a small difference makes no large body
 )
-MOST_STEPS = 256  # differences one after another
+MAX_STEPS = 256  # differences one after another
 HEAD, RUN = (
     struct.Struct("<QI"),
     struct.Struct("<QII"),
@@ -45,20 +45,20 @@
     code = "delta"
 
 
-def difference(old: bytes, new: bytes) -> bytes:
+def make_delta(old: bytes, new: bytes) -> bytes:
     """What makes one packed body of another; raises DeltaError where it would be too large, or one is not packed."""
     try:
-        before, after = blocks_of(old), blocks_of(new)
+        before, after = read_blocks(old), read_blocks(new)
         runs = joined(told(before, after))
     except PackedError as error:
         raise DeltaError(str(error)) from None
-    if sum(run[1] for run in runs) > MOST_GROWTH * sum(block.size for block in before):
+    if sum(run[1] for run in runs) > MAX_GROWTH * sum(block.size for block in before):
         raise DeltaError("too much is told twice")
     rows = [RUN.pack(offset, length, len(fresh)) for offset, length, fresh in runs]
     body = b"".join(
         [HEAD.pack(sum(b.size for b in after), len(runs)), *rows, *(fresh for _, _, fresh in runs)]
     )
-    if len(body) > MOST_NEW:
+    if len(body) > MAX_NEW_BYTES:
         raise DeltaError("too much is new")
     return zlib.compress(body, 6)
 
@@ -96,7 +96,7 @@
     """A text in pieces that begin at marks."""
     start = 0
     while start < len(text):
-        at = text.find(MARK, start + 1)
+        at = text.find(BLOCK_BOUNDARY, start + 1)
         yield text[start : at if at > 0 else len(text)]
         start = at if at > 0 else len(text)
 
@@ -113,25 +113,25 @@
             runs[-1] = (runs[-1][0], runs[-1][1] + length, [])
         else:
             runs.append((offset, length, []))
-        if len(runs) > MOST_RUNS:
+        if len(runs) > MAX_RUNS:
             raise DeltaError("too many runs")
     return [(offset, length, b"".join(fresh)) for offset, length, fresh in runs]
 
 
-def follow(packed: bytes, deltas: Sequence[bytes], digest: bytes) -> bytes:
+def apply_deltas(packed: bytes, deltas: Sequence[bytes], digest: bytes) -> bytes:
     """The packed body of that digest to which differences lead, one after another; raises DeltaError."""
-    if len(deltas) > MOST_STEPS:
+    if len(deltas) > MAX_STEPS:
         raise DeltaError("too many differences")
     try:
-        blocks = blocks_of(packed)
-        most, left = MOST_GROWTH * sum(block.size for block in blocks), 2 * MOST_RUNS
+        blocks = read_blocks(packed)
+        most, left = MAX_GROWTH * sum(block.size for block in blocks), 2 * MAX_RUNS
         for delta in deltas:
             runs = read(delta)
             left -= len(runs)
             if left < 0 or sum(run[1] for run in runs) > most:
                 raise DeltaError("too large")
             blocks = patched(blocks, runs)
-        return sealed(blocks, digest)
+        return seal_blocks(blocks, digest)
     except PackedError as error:
         raise DeltaError(str(error)) from None
 
@@ -140,14 +140,14 @@
     """The runs of the new body, in its order; raises DeltaError."""
     unpacker = zlib.decompressobj()
     try:
-        body = unpacker.decompress(delta, MOST_NEW)
+        body = unpacker.decompress(delta, MAX_NEW_BYTES)
     except (zlib.error, TypeError) as error:
         raise DeltaError(f"not packed: {error}") from None
     if not unpacker.eof or len(body) < HEAD.size:
         raise DeltaError("it has no end")
     size, count = HEAD.unpack_from(body)
     at = HEAD.size + count * RUN.size
-    if size > MOST_BODY or count > MOST_RUNS or at > len(body):
+    if size > MAX_BODY_BYTES or count > MAX_RUNS or at > len(body):
         raise DeltaError("too large")
     runs = []
     for offset, length, fresh in RUN.iter_unpack(body[HEAD.size : at]):
@@ -166,8 +166,8 @@
     held: tuple[int, bytes] = (-1, b"")  # the block that was unpacked last
 
     def settle() -> None:
-        texts = list(cut(bytes(loose), head=not made))
-        if len(texts) > 2 and len(texts[-1]) < LEAST // 2:
+        texts = list(split_blocks(bytes(loose), head=not made))
+        if len(texts) > 2 and len(texts[-1]) < MIN_BLOCK_BYTES // 2:
             texts[-2:] = [texts[-2] + texts[-1]]
         made.extend(Block(len(text), text=text) for text in texts)
         loose.clear()
@@ -180,7 +180,7 @@
             n = bisect_right(starts, at) - 1
             upto = min(end, starts[n + 1])
             # what is loose ends before a block that stays, unless it is too little for one: but the head is alone
-            enough = not loose or len(loose) >= LEAST or (not made and MARK not in loose)
+            enough = not loose or len(loose) >= MIN_BLOCK_BYTES or (not made and BLOCK_BOUNDARY not in loose)
             if at == starts[n] and upto == starts[n + 1] and enough:
                 settle()
                 made.append(blocks[n])
--- a/hazelspring/configuration/model.py
+++ b/hazelspring/configuration/model.py
@@ -17,37 +17,37 @@
 
     name: str
     host: str
-    prefix: str
+    path_prefix: str
     kind: str
     timeout: float
-    aim: float
+    latency_target: float
     priority: int
-    split: tuple[tuple[str, float], ...]
-    attempts: int
-    open: bool
-    homes: frozenset[str]
-    idle: tuple[str, ...] = ()  # services that it names with a weight of 0
+    weighted_services: tuple[tuple[str, float], ...]
+    max_attempts: int
+    open_access: bool
+    home_regions: frozenset[str]
+    zero_weight_services: tuple[str, ...] = ()  # services that it names with a weight of 0
 
     @property
-    def repeatable(self) -> bool:
+    def idempotent(self) -> bool:
         return self.kind == "read_only"
 
-    def service(self, chance: float) -> str:
+    def pick_service(self, chance: float) -> str:
         """The service for a request, by a number from 0 up to 1 that is drawn for it."""
-        most = self.split[-1][1]
-        for name, upto in self.split:
+        most = self.weighted_services[-1][1]
+        for name, upto in self.weighted_services:
             if chance * most < upto:
                 return name
-        return self.split[-1][0]
+        return self.weighted_services[-1][0]
 
 
 @dataclass(slots=True, frozen=True)
 class Service:
     name: str
-    health: str
-    connections: int
-    cold_time: float  # seconds after a start
-    cold_rate: float  # requests a second meanwhile, over all doors
+    health_path: str
+    connection_limit: int
+    slow_start_time: float  # seconds after a start
+    slow_start_rate: float  # requests a second meanwhile, over all doors
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,48 +56,48 @@
     rate: float  # requests a second over all doors; 0 is no limit
     burst: float
     priority: int | None
-    homes: frozenset[str]
+    home_regions: frozenset[str]
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
     """What a client may send, in bytes, and how long it may take or stand idle, in seconds."""
 
-    head: int = 16 * 1024
-    body: int = 64 << 20
-    head_time: float = 3.0
-    idle: float = 15.0
+    max_head_bytes: int = 16 * 1024
+    max_body_bytes: int = 64 << 20
+    head_timeout: float = 3.0
+    idle_timeout: float = 15.0
 
 
 @dataclass(slots=True)
-class Word:
+class Configuration:
     """One configuration, as the doors use it."""
 
-    number: int
+    version: int
     routes: dict[str, list[Route]] = field(default_factory=dict)  # by host, the longest prefix first
     services: dict[str, Service] = field(default_factory=dict)
     tenants: dict[str, Tenant] = field(default_factory=dict)
     keys: dict[str, Tenant] = field(default_factory=dict)
     limits: Limits = field(default_factory=Limits)
-    bounds: int = 0  # entries that say limits: the last one counts
+    limits_entries: int = 0  # entries that say limits: the last one counts
 
     def route(self, host: str, path: str) -> Route | None:
         for route in self.routes.get(host, ()):
-            if path.startswith(route.prefix):
+            if path.startswith(route.path_prefix):
                 return route
         return None
 
 
-def number_of(version: str) -> int:
+def parse_version(version: str) -> int:
     """The number of a version such as r12."""
     return int(version[1:])
 
 
-def digest(body: bytes) -> bytes:
+def configuration_digest(body: bytes) -> bytes:
     return hashlib.blake2b(body, digest_size=8).digest()
 
 
-def tenant_of(name: str, spec: dict[str, Any]) -> Tenant:
+def parse_tenant(name: str, spec: dict[str, Any]) -> Tenant:
     return Tenant(
         name,
         float(spec.get("requestsPerS") or 0),
@@ -107,7 +107,7 @@
     )
 
 
-def route_of(name: str, spec: dict[str, Any]) -> Route:
+def parse_route(name: str, spec: dict[str, Any]) -> Route:
     parts = spec.get("weightedSplit") or [{"service": spec["service"], "shareWeight": 1}]
     upto, split = 0.0, []
     for part in parts:
@@ -131,7 +131,7 @@
     )
 
 
-def service_of(name: str, spec: dict[str, Any]) -> Service:
+def parse_service(name: str, spec: dict[str, Any]) -> Service:
     return Service(
         name,
         spec.get("healthPath") or "/health",
@@ -141,44 +141,44 @@
     )
 
 
-def limits_of(spec: dict[str, Any]) -> Limits:
+def parse_limits(spec: dict[str, Any]) -> Limits:
     usual = Limits()
     return Limits(
-        int(spec.get("headerBytes") or usual.head),
-        int(spec.get("bodyBytes") or usual.body),
-        (spec.get("headerTimeoutMs") or 1000 * usual.head_time) / 1000,
-        (spec.get("idleTimeoutMs") or 1000 * usual.idle) / 1000,
+        int(spec.get("headerBytes") or usual.max_head_bytes),
+        int(spec.get("bodyBytes") or usual.max_body_bytes),
+        (spec.get("headerTimeoutMs") or 1000 * usual.head_timeout) / 1000,
+        (spec.get("idleTimeoutMs") or 1000 * usual.idle_timeout) / 1000,
     )
 
 
-def order(route: Route) -> tuple[int, str]:
+def route_order(route: Route) -> tuple[int, str]:
     """Of the routes of one host: the longest prefix first; of one length no two match one path."""
-    return -len(route.prefix), route.prefix
+    return -len(route.path_prefix), route.path_prefix
 
 
-def read(body: bytes) -> Word:
+def parse_configuration(body: bytes) -> Configuration:
     """The tables of a configuration that `hazelspring.configuration.validation` has let pass."""
     document = json.loads(body)
-    return tables(number_of(document["versionNumber"]), document["resourceList"])
+    return build_configuration(parse_version(document["versionNumber"]), document["resourceList"])
 
 
-def tables(number: int, entries: Iterable[dict[str, Any]]) -> Word:
+def build_configuration(number: int, entries: Iterable[dict[str, Any]]) -> Configuration:
     """The tables of so many entries, which are asked for one after the other."""
-    word = Word(number)
+    word = Configuration(number)
     for entry in entries:
         kind, name, spec = entry["resourceKind"], entry["metadata"].get("name", ""), entry["specification"]
         if kind == "routeTable":
-            route = route_of(name, spec)
+            route = parse_route(name, spec)
             word.routes.setdefault(route.host, []).append(route)
         elif kind == "serviceTable":
-            word.services[name] = service_of(name, spec)
+            word.services[name] = parse_service(name, spec)
         elif kind == "tenantTable":
-            tenant = word.tenants[name] = tenant_of(name, spec)
+            tenant = word.tenants[name] = parse_tenant(name, spec)
             for key in spec.get("accessKeys") or ():
                 word.keys[key] = tenant
         elif kind == "limits":
-            word.limits = limits_of(spec)
-            word.bounds += 1
+            word.limits = parse_limits(spec)
+            word.limits_entries += 1
     for routes in word.routes.values():
-        routes.sort(key=order)
+        routes.sort(key=route_order)
     return word
--- a/hazelspring/consensus/acceptor.py
+++ b/hazelspring/consensus/acceptor.py
@@ -8,52 +8,56 @@
 
 import cbor2
 
-from hazelspring.configuration.delta import MOST_STEPS, DeltaError, difference, follow
+from hazelspring.configuration.delta import MAX_STEPS, DeltaError, apply_deltas, make_delta
 from hazelspring.consensus.control_state import (
-    LINEAGE,
     NO_BALLOT,
-    NO_WORD,
+    NO_CONFIGURATION,
+    VERSIONS_PER_LINEAGE,
     Ballot,
-    State,
-    ballot_of,
+    ControlState,
+    decode_ballot,
+    decode_state,
     lineage,
-    state_of,
 )
 
-WORD = "word "  # begins the record of a configuration's bytes, by its digest
+CONFIGURATION_RECORD_PREFIX = "word "  # begins the record of a configuration's bytes, by its digest
 
 
 # Bytes of differences that are kept: what one costs who lacks it is some hundred bytes, and what brings a door from
-MOST_KEPT = 1 << 20  # further back is no smaller than most configurations, so such a door gets the whole one.
-SMALL = 1000  # bytes of a whole that goes in one datagram: a difference would spare nothing there
-Way = list[Any]  # the digest that it begins at, and digest and difference of each step
+MAX_KEPT_DELTA_BYTES = (
+    1 << 20
+)  # further back is no smaller than most configurations, so such a door gets the whole one.
+MIN_BYTES_FOR_DELTA = (
+    1000  # bytes of a whole that goes in one datagram: a difference would spare nothing there
+)
+DeltaPath = list[Any]  # the digest that it begins at, and digest and difference of each step
 
 
-class Lacking(Exception):
+class MissingConfigurationError(Exception):
     """A state cannot be accepted: the bytes of its configuration have not come with it and are not here."""
 
     code = "word_lacking"
 
 
-class Register:
+class Acceptor:
     """The acceptor and learner of one door (docs/control.md).  It changes at once; whoever answers for a change
     waits until `take_records` has been saved.  A ballot once promised is never gone below, also by a decision."""
 
     def __init__(self, disk: int, founder: bool) -> None:
-        self.disk, self.founder = disk, founder
+        self.disk_id, self.may_bootstrap = disk, founder
         self.promised: Ballot = NO_BALLOT
-        self.accepted: tuple[Ballot, State] | None = None
-        self.decided: tuple[Ballot, State] | None = None
-        self.fence = 0  # the highest lineage that was heard of
-        self.words: dict[bytes, bytes] = {}  # configurations by digest, packed
-        self.steps: dict[
+        self.accepted: tuple[Ballot, ControlState] | None = None
+        self.decided: tuple[Ballot, ControlState] | None = None
+        self.highest_lineage = 0  # the highest lineage that was heard of
+        self.configurations: dict[bytes, bytes] = {}  # configurations by digest, packed
+        self.deltas: dict[
             bytes, tuple[bytes, bytes]
         ] = {}  # soft: by digest, that before it, and the difference
-        self.stale: set[str] = set()  # records that have to be written anew
-        self.on_disk: set[str] = set()
+        self.dirty_records: set[str] = set()  # records that have to be written anew
+        self.stored_records: set[str] = set()
 
     @property
-    def state(self) -> State | None:
+    def state(self) -> ControlState | None:
         """The newest state that is known to be decided."""
         return self.decided[1] if self.decided is not None else None
 
@@ -63,31 +67,35 @@
         return self.decided[1].version if self.decided is not None else -1
 
     @property
-    def pending(self) -> State | None:
+    def pending(self) -> ControlState | None:
         """What was accepted above that, and may or may not be decided."""
         if self.accepted is None or self.accepted[1].version <= self.version:
             return None
         return self.accepted[1]
 
-    def told(self) -> dict[str, int]:
+    def version_fields(self) -> dict[str, int]:
         """The version in force for people: its number, and the lineage where there was a rescue."""
-        number = {"version": self.version % LINEAGE if self.version >= 0 else -1}
-        return number | ({"lineage": lineage(self.version)} if self.version >= LINEAGE else {})
+        number = {"version": self.version % VERSIONS_PER_LINEAGE if self.version >= 0 else -1}
+        return number | ({"lineage": lineage(self.version)} if self.version >= VERSIONS_PER_LINEAGE else {})
 
-    def hear_of(self, version: int) -> None:
+    def observe_version(self, version: int) -> None:
         """Another door told of a version."""
-        self.fence = max(self.fence, lineage(version))
+        self.highest_lineage = max(self.highest_lineage, lineage(version))
 
-    def fenced(self) -> bool:
+    def is_superseded(self) -> bool:
         """Whether the core was rescued (hazelspring/consensus/disaster_recovery.py),
         and the state that goes on has yet to come here.  Until then
         this door says, confirms and votes on nothing by what it holds."""
-        return self.fence > lineage(self.version)
+        return self.highest_lineage > lineage(self.version)
 
-    def word(self) -> bytes | None:
+    def current_configuration(self) -> bytes | None:
         """The bytes of the configuration in force, packed."""
         state = self.state
-        return self.words.get(state.digest) if state is not None and state.digest != NO_WORD else None
+        return (
+            self.configurations.get(state.configuration_digest)
+            if state is not None and state.configuration_digest != NO_CONFIGURATION
+            else None
+        )
 
     # --- what others ask ---------------------------------------------------------------------------------
 
@@ -97,165 +105,176 @@
             return False
         if ballot > self.promised:
             self.promised = ballot
-            self.stale.add("vote")
+            self.dirty_records.add("vote")
         return True
 
-    def accept(self, ballot: Ballot, state: State, word: bytes | None = None) -> bool:
+    def accept(self, ballot: Ballot, state: ControlState, word: bytes | None = None) -> bool:
         """Accept a state; False where a higher ballot is promised; raises Lacking."""
         if ballot < self.promised:
             return False
-        self.hold(state, word)
+        self.keep_configuration(state, word)
         if self.accepted is None or self.accepted[0] != ballot:
             self.promised, self.accepted = ballot, (ballot, state)
-            self.stale.add("vote")
-        self.prune()
+            self.dirty_records.add("vote")
+        self.prune_configurations()
         return True
 
-    def learn(self, ballot: Ballot, state: State, word: bytes | None = None) -> bool:
+    def learn(self, ballot: Ballot, state: ControlState, word: bytes | None = None) -> bool:
         """A state was decided at a ballot; whether that is news here; raises Lacking."""
-        if state.version <= self.version or lineage(state.version) < self.fence:
+        if state.version <= self.version or lineage(state.version) < self.highest_lineage:
             return False
-        self.hold(state, word)
+        self.keep_configuration(state, word)
         if self.state is not None:
-            self.differ(self.state.digest, state.digest, self.words.get(state.digest))
+            self.compute_delta(
+                self.state.configuration_digest,
+                state.configuration_digest,
+                self.configurations.get(state.configuration_digest),
+            )
         rescued = lineage(state.version) > lineage(
             self.version
         )  # what was accepted before is void, at any ballot
         self.decided = (ballot, state)
-        self.stale.add("decided")
+        self.dirty_records.add("decided")
         if self.accepted is None or self.accepted[0] < ballot or rescued:
             self.accepted = (ballot, state)
             self.promised = max(self.promised, ballot)
-            self.stale.add("vote")
-        self.prune()
+            self.dirty_records.add("vote")
+        self.prune_configurations()
         return True
 
-    def hold(self, state: State, word: bytes | None) -> None:
-        if state.digest == NO_WORD or state.digest in self.words:
+    def keep_configuration(self, state: ControlState, word: bytes | None) -> None:
+        if (
+            state.configuration_digest == NO_CONFIGURATION
+            or state.configuration_digest in self.configurations
+        ):
             return
         if word is None:
-            raise Lacking(f"configuration {state.number}")
-        self.words[state.digest] = word
-        self.stale.add(WORD + state.digest.hex())
+            raise MissingConfigurationError(f"configuration {state.configuration_version}")
+        self.configurations[state.configuration_digest] = word
+        self.dirty_records.add(CONFIGURATION_RECORD_PREFIX + state.configuration_digest.hex())
 
-    def prune(self) -> None:
+    def prune_configurations(self) -> None:
         """Forget configurations that no state here names."""
-        named = {held[1].digest for held in (self.accepted, self.decided) if held is not None}
-        for digest in [digest for digest in self.words if digest not in named]:
-            del self.words[digest]
-            self.stale.add(WORD + digest.hex())
+        named = {held[1].configuration_digest for held in (self.accepted, self.decided) if held is not None}
+        for digest in [digest for digest in self.configurations if digest not in named]:
+            del self.configurations[digest]
+            self.dirty_records.add(CONFIGURATION_RECORD_PREFIX + digest.hex())
 
     # --- differences: soft, for others that hold an older configuration --------------------------------------
 
-    def differ(self, base: bytes, digest: bytes, word: bytes | None) -> None:
+    def compute_delta(self, base: bytes, digest: bytes, word: bytes | None) -> None:
         """Make the difference from a configuration that is held here to another, where none is kept; and keep it."""
-        if word is None or digest in self.steps or base == digest or base not in self.words:
+        if word is None or digest in self.deltas or base == digest or base not in self.configurations:
             return
         with contextlib.suppress(DeltaError):
-            self.keep(base, digest, difference(self.words[base], word), word)
+            self.keep_delta(base, digest, make_delta(self.configurations[base], word), word)
 
-    def keep(self, base: bytes, digest: bytes, delta: bytes, word: bytes) -> None:
+    def keep_delta(self, base: bytes, digest: bytes, delta: bytes, word: bytes) -> None:
         """Keep a difference, and so many of the youngest as are together smaller than the whole they lead to."""
-        self.steps.pop(digest, None)
-        self.steps[digest] = (base, delta)
-        left = min(MOST_KEPT, len(word))
-        for n, old in enumerate(reversed(list(self.steps))):
-            left -= len(self.steps[old][1])
-            if left < 0 or n >= MOST_STEPS:
-                del self.steps[old]
-
-    def parcel(self, digest: bytes, asking: Mapping[str, Any]) -> dict[str, Any]:
+        self.deltas.pop(digest, None)
+        self.deltas[digest] = (base, delta)
+        left = min(MAX_KEPT_DELTA_BYTES, len(word))
+        for n, old in enumerate(reversed(list(self.deltas))):
+            left -= len(self.deltas[old][1])
+            if left < 0 or n >= MAX_STEPS:
+                del self.deltas[old]
+
+    def configuration_payload(self, digest: bytes, asking: Mapping[str, Any]) -> dict[str, Any]:
         """What brings a configuration that is held here to a door: by what differs from the one that its message
         says it holds, where it takes that and that is smaller."""
-        way = self.way([asking["h"]] if "e" in asking else [], digest, self.words[digest])
-        return {"w": self.words[digest]} if way is None else {"x": way}
+        way = self.delta_path([asking["h"]] if "e" in asking else [], digest, self.configurations[digest])
+        return {"w": self.configurations[digest]} if way is None else {"x": way}
 
-    def opened(self, message: Mapping[str, Any], digest: bytes) -> bytes | None:
+    def open_payload(self, message: Mapping[str, Any], digest: bytes) -> bytes | None:
         """The configuration that has come with a message, whole or by what differs from one that is held here."""
-        if digest in self.words or "x" not in message:
+        if digest in self.configurations or "x" not in message:
             return message.get("w")
-        return self.walk(message["x"], digest)
+        return self.follow_delta_path(message["x"], digest)
 
-    def way(self, holds: Iterable[bytes], digest: bytes, word: bytes) -> Way | None:
+    def delta_path(self, holds: Iterable[bytes], digest: bytes, word: bytes) -> DeltaPath | None:
         """What leads who holds one of some configurations to another; none where the whole is smaller."""
-        if len(word) <= SMALL:
+        if len(word) <= MIN_BYTES_FOR_DELTA:
             return None
-        held, steps, left, at = set(holds) - {NO_WORD}, list[Any](), len(word), digest
-        while at not in held and at in self.steps and len(steps) < MOST_STEPS:
-            before, delta = self.steps[at]
+        held, steps, left, at = set(holds) - {NO_CONFIGURATION}, list[Any](), len(word), digest
+        while at not in held and at in self.deltas and len(steps) < MAX_STEPS:
+            before, delta = self.deltas[at]
             steps.insert(0, [at, delta])
             left, at = left - len(delta) - len(at), before
             if left <= 0:
                 return None
         return [at, steps] if at in held and steps else None
 
-    def walk(self, way: Way | None, digest: bytes) -> bytes | None:
+    def follow_delta_path(self, way: DeltaPath | None, digest: bytes) -> bytes | None:
         """The packed configuration of a digest to which differences lead; none where they do not."""
         try:
-            base, steps = way or (NO_WORD, ())
-            if base not in self.words or not steps or steps[-1][0] != digest:
+            base, steps = way or (NO_CONFIGURATION, ())
+            if base not in self.configurations or not steps or steps[-1][0] != digest:
                 return None
             if not all(isinstance(at, bytes) for at, _ in steps):
                 return None
-            word = follow(self.words[base], [delta for _, delta in steps], digest)
+            word = apply_deltas(self.configurations[base], [delta for _, delta in steps], digest)
         except (DeltaError, ValueError, TypeError, LookupError):
             return None
         for at, delta in steps:
-            if at not in self.steps:
-                self.keep(base, at, delta, word)
+            if at not in self.deltas:
+                self.keep_delta(base, at, delta, word)
             base = at
         return word
 
     # --- on disk -------------------------------------------------------------------------------------------
 
-    def take_records(self) -> dict[str, bytes | None]:
+    def take_dirty_records(self) -> dict[str, bytes | None]:
         """What has to be written, by name, all at once; None is to be removed."""
         found: dict[str, bytes | None] = {}
-        for name in sorted(self.stale):
+        for name in sorted(self.dirty_records):
             if name == "disk":
-                found[name] = cbor2.dumps([self.disk, self.founder])
+                found[name] = cbor2.dumps([self.disk_id, self.may_bootstrap])
             elif name == "vote":
-                held = [list(self.accepted[0]), self.accepted[1].row()] if self.accepted else None
+                held = [list(self.accepted[0]), self.accepted[1].encode()] if self.accepted else None
                 found[name] = cbor2.dumps([list(self.promised), held])
             elif name == "decided" and self.decided is not None:
-                found[name] = cbor2.dumps([list(self.decided[0]), self.decided[1].row()])
-            elif name.startswith(WORD):
-                word = self.words.get(bytes.fromhex(name[len(WORD) :]))
-                if word is not None or name in self.on_disk:
+                found[name] = cbor2.dumps([list(self.decided[0]), self.decided[1].encode()])
+            elif name.startswith(CONFIGURATION_RECORD_PREFIX):
+                word = self.configurations.get(bytes.fromhex(name[len(CONFIGURATION_RECORD_PREFIX) :]))
+                if word is not None or name in self.stored_records:
                     found[name] = word
-        self.stale.clear()
-        self.on_disk |= found.keys()
-        self.on_disk -= {name for name, body in found.items() if body is None}
+        self.dirty_records.clear()
+        self.stored_records |= found.keys()
+        self.stored_records -= {name for name, body in found.items() if body is None}
         return found
 
-    def not_saved(self, records: Mapping[str, bytes | None]) -> None:
+    def restore_dirty_records(self, records: Mapping[str, bytes | None]) -> None:
         """A save has failed: its records are still to be written, and what was to be removed is still there."""
-        self.stale |= records.keys()
-        self.on_disk |= records.keys()
+        self.dirty_records |= records.keys()
+        self.stored_records |= records.keys()
 
 
-def load(records: Mapping[str, bytes], disk: int, first: bool) -> Register:
+def load_acceptor(records: Mapping[str, bytes], disk: int, first: bool) -> Acceptor:
     """The register as its records tell it.  Without them the disk is empty and gets the number `disk`; only at the
     first start of all may it found.  Raises ValueError where the records cannot be read."""
     if "disk" not in records:
-        made = Register(disk, first)
-        made.stale.add("disk")
+        made = Acceptor(disk, first)
+        made.dirty_records.add("disk")
         return made
     number, founder = cbor2.loads(records["disk"])
-    found = Register(number, founder)
+    found = Acceptor(number, founder)
     for name, body in records.items():
-        if name.startswith(WORD):
-            found.words[bytes.fromhex(name[len(WORD) :])] = body
-            found.on_disk.add(name)
+        if name.startswith(CONFIGURATION_RECORD_PREFIX):
+            found.configurations[bytes.fromhex(name[len(CONFIGURATION_RECORD_PREFIX) :])] = body
+            found.stored_records.add(name)
     if "vote" in records:
         promised, held = cbor2.loads(records["vote"])
-        found.promised = ballot_of(promised)
-        found.accepted = (ballot_of(held[0]), state_of(held[1])) if held else None
+        found.promised = decode_ballot(promised)
+        found.accepted = (decode_ballot(held[0]), decode_state(held[1])) if held else None
     if "decided" in records:
         ballot, row = cbor2.loads(records["decided"])
-        found.decided = (ballot_of(ballot), state_of(row))
+        found.decided = (decode_ballot(ballot), decode_state(row))
     for pair in (found.accepted, found.decided):
-        if pair is not None and pair[1].digest != NO_WORD and pair[1].digest not in found.words:
-            raise ValueError(f"configuration {pair[1].number} is named and not there")
-    found.prune()
+        if (
+            pair is not None
+            and pair[1].configuration_digest != NO_CONFIGURATION
+            and pair[1].configuration_digest not in found.configurations
+        ):
+            raise ValueError(f"configuration {pair[1].configuration_version} is named and not there")
+    found.prune_configurations()
     return found
--- a/hazelspring/consensus/disaster_recovery.py
+++ b/hazelspring/consensus/disaster_recovery.py
@@ -6,31 +6,37 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from hazelspring.configuration.model import Stamp, digest
-from hazelspring.configuration.validation import Invalid, check
-from hazelspring.consensus.acceptor import Register
-from hazelspring.consensus.control_state import LINEAGE, NO_WORD, Member, State, lineage
-
-WORD, ZONE = "word", "zone/"  # keys of the items that format 1 kept
+from hazelspring.configuration.model import Stamp, configuration_digest
+from hazelspring.configuration.validation import InvalidConfigurationError, validate_configuration
+from hazelspring.consensus.acceptor import Acceptor
+from hazelspring.consensus.control_state import (
+    NO_CONFIGURATION,
+    VERSIONS_PER_LINEAGE,
+    ControlState,
+    Member,
+    lineage,
+)
+
+CONFIGURATION_KEY, ZONE_KEY_PREFIX = "word", "zone/"  # keys of the items that format 1 kept
 Items = Mapping[str, tuple[Stamp, bytes]]  # by key: the stamp, and the body; a configuration's is packed
 
 
-class Unfit(ValueError):
+class UnrecoverableError(ValueError):
     """What a disk holds cannot become a new core; the text says why."""
 
     code = "unfit"
 
 
 @dataclass(slots=True, frozen=True)
-class Source:
+class RecoverySource:
     """A state to go on from, its configuration packed, and the highest count of a ballot that the disk knows."""
 
-    state: State
-    word: bytes | None
+    state: ControlState
+    configuration: bytes | None
     count: int = 0
 
 
-def newest(items: Iterable[Items]) -> dict[str, tuple[Stamp, bytes]]:
+def newest_items(items: Iterable[Items]) -> dict[str, tuple[Stamp, bytes]]:
     """Of several disks of format 1: each item as it bears the highest stamp, as it was in force then."""
     found: dict[str, tuple[Stamp, bytes]] = {}
     for held in items:
@@ -40,50 +46,65 @@
     return found
 
 
-def of_items(items: Items) -> Source:
+def source_from_items(items: Items) -> RecoverySource:
     """What disks of format 1 hold as one state; raises Unfit where that is nothing."""
     if not items:
-        raise Unfit("no configuration and no zone was ever kept here")
+        raise UnrecoverableError("no configuration and no zone was ever kept here")
     closed = frozenset(
-        k[len(ZONE) :] for k, (_, body) in items.items() if k.startswith(ZONE) and body == b"1"
+        k[len(ZONE_KEY_PREFIX) :]
+        for k, (_, body) in items.items()
+        if k.startswith(ZONE_KEY_PREFIX) and body == b"1"
+    )
+    state = ControlState(0, (), (), evacuated_zones=closed)
+    if CONFIGURATION_KEY not in items:
+        return RecoverySource(state, None)
+    (number, _), word = items[CONFIGURATION_KEY]
+    return RecoverySource(
+        replace(
+            state,
+            configuration_version=number,
+            configuration_digest=configuration_digest(zlib.decompress(word)),
+        ),
+        word,
     )
-    state = State(0, (), (), closed=closed)
-    if WORD not in items:
-        return Source(state, None)
-    (number, _), word = items[WORD]
-    return Source(replace(state, number=number, digest=digest(zlib.decompress(word))), word)
 
 
-def of_register(register: Register, accepted: bool) -> Source:
+def source_from_acceptor(register: Acceptor, accepted: bool) -> RecoverySource:
     """What a disk of format 2 holds.  `accepted`: of a state that was accepted above the newest decided one, rather
     than that one; raises Unfit where nothing was agreed on yet."""
     state = register.pending if accepted and register.pending is not None else register.state
     if state is None or state.version == 0:
-        raise Unfit("nothing was agreed on here")
-    word = register.words[state.digest] if state.digest != NO_WORD else None
-    return Source(state, word, register.promised[0])
+        raise UnrecoverableError("nothing was agreed on here")
+    word = (
+        register.configurations[state.configuration_digest]
+        if state.configuration_digest != NO_CONFIGURATION
+        else None
+    )
+    return RecoverySource(state, word, register.promised[0])
 
 
-def usable(source: Source) -> None:
+def ensure_usable(source: RecoverySource) -> None:
     """Raises Unfit where no door could use the configuration."""
     try:
-        if source.word is not None:
-            check(zlib.decompress(source.word))
-    except (Invalid, zlib.error) as error:
-        raise Unfit(f"configuration r{source.state.number} cannot be used: {error}") from None
+        if source.configuration is not None:
+            validate_configuration(zlib.decompress(source.configuration))
+    except (InvalidConfigurationError, zlib.error) as error:
+        raise UnrecoverableError(
+            f"configuration r{source.state.configuration_version} cannot be used: {error}"
+        ) from None
 
 
-def rescued(source: Source, member: Member, size: int, now: int) -> Register:
+def recovered_acceptor(source: RecoverySource, member: Member, size: int, now: int) -> Acceptor:
     """The register of a core whose only member is `member`, on a disk that nobody knows; its records are to replace
     all others.  `now`: a number that grows with time, as a life does; of two rescues the later one prevails, also of
     two that do not know of each other.  `size`: how many members the core is meant to have, 0 as many as before."""
     state = source.state
     line = max(lineage(state.version) + 1, now)
-    version = line * LINEAGE + state.version % LINEAGE + 1
+    version = line * VERSIONS_PER_LINEAGE + state.version % VERSIONS_PER_LINEAGE + 1
     seats = (member,)
-    size = size or state.size or len(state.members)
-    register = Register(member.disk, False)
-    register.stale.add("disk")
-    made = replace(state, version=version, members=seats, before=seats, size=size)
-    register.learn((source.count + 1, now, member.ip), made, source.word)
+    size = size or state.target_size or len(state.members)
+    register = Acceptor(member.disk_id, False)
+    register.dirty_records.add("disk")
+    made = replace(state, version=version, members=seats, previous_members=seats, target_size=size)
+    register.learn((source.count + 1, now, member.ip), made, source.configuration)
     return register
--- a/hazelspring/consensus/forwarding.py
+++ b/hazelspring/consensus/forwarding.py
@@ -7,19 +7,21 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hazelspring.consensus.control_state import State
-from hazelspring.consensus.proposal import Order
+from hazelspring.consensus.control_state import ControlState
+from hazelspring.consensus.proposal import Proposal
 
-KEPT = 1.0  # seconds for which a door keeps an order that it was handed
-SPAN = 2  # versions in a row that an order may be applied to: that in force where it was handed, and the next
-MOST_TO = 2  # doors that are handed an order on one version
-MOST = 64  # orders that a door keeps of others; what is beyond its own doors see to
+FORWARDED_LIFETIME = 1.0  # seconds for which a door keeps an order that it was handed
+VALID_VERSIONS = (
+    2  # versions in a row that an order may be applied to: that in force where it was handed, and the next
+)
+MAX_RECIPIENTS = 2  # doors that are handed an order on one version
+MAX_FORWARDED = 64  # orders that a door keeps of others; what is beyond its own doors see to
 
 Row = list[Any]
 Asking = dict[str, Any]  # a message that says which configuration its door holds, or an empty one
 
 
-def carriable(order: Order, state: State) -> bool:
+def can_forward(order: Proposal, state: ControlState) -> bool:
     """Whether an order is one that another door may carry: an operator's, which a state does not settle yet."""
     return (
         order.token != 0
@@ -29,82 +31,106 @@
     )
 
 
-def row_of(order: Order) -> Row:
+def encode_proposal(order: Proposal) -> Row:
     """An order as it is handed on: kind, number, digest, bytes, zone, closed."""
-    return [order.kind, order.number, order.digest, order.word, order.zone, order.closed]
+    return [
+        order.kind,
+        order.configuration_version,
+        order.configuration_digest,
+        order.configuration,
+        order.zone,
+        order.evacuate,
+    ]
 
 
 @dataclass(slots=True)
-class HandedOrder(Order):
+class ForwardedProposal(Proposal):
     """Another door's order, of which nobody here waits for the end.  It may be applied to version `on` and the next
     one and to no other: once it is in force in one of these, whatever undoes it is decided after both, so that a copy
     which is late or comes twice can undo nothing."""
 
-    on: int = -1
+    valid_from_version: int = -1
     source: str = ""  # the door that handed it
 
-    def fits(self, state: State) -> bool:
-        return 0 <= state.version - self.on < SPAN
+    def is_valid_for(self, state: ControlState) -> bool:
+        return 0 <= state.version - self.valid_from_version < VALID_VERSIONS
 
-    def apply(self, state: State) -> State:
+    def apply(self, state: ControlState) -> ControlState:
         # named, as a class with slots is made anew and `super()` would look in the old one
-        return Order.apply(self, state) if self.fits(state) else state
+        return Proposal.apply(self, state) if self.is_valid_for(state) else state
 
 
 @dataclass(slots=True)
-class Carried:
+class ForwardedProposals:
     """What a door was handed, in the order it came; soft, and ends by itself."""
 
-    orders: list[HandedOrder] = field(default_factory=list)
-    waiting: dict[str, Asking] = field(
+    proposals: list[ForwardedProposal] = field(default_factory=list)
+    waiting_nodes: dict[str, Asking] = field(
         default_factory=dict
     )  # doors that wait for what is under way, and with what
 
-    def take(self, now: float, source: str, on: int, rows: Iterable[Row]) -> None:
+    def add(self, now: float, source: str, on: int, rows: Iterable[Row]) -> None:
         """Orders of another door come, which waits; raises where a row is none.  One that is here already stays."""
-        self.waiting.setdefault(source, {})
+        self.waiting_nodes.setdefault(source, {})
         for kind, number, digest, word, zone, closed in rows:
             if kind not in ("put", "evacuate"):
                 raise ValueError(f"an order that nobody carries: {kind}")
-            order = HandedOrder(0, now, kind, number, digest, word, zone, closed, on=on, source=source)
-            if len(self.orders) < MOST and not any(self.same(order, held) for held in self.orders):
-                self.orders.append(order)
+            order = ForwardedProposal(
+                0, now, kind, number, digest, word, zone, closed, valid_from_version=on, source=source
+            )
+            if len(self.proposals) < MAX_FORWARDED and not any(
+                self.is_same(order, held) for held in self.proposals
+            ):
+                self.proposals.append(order)
 
     @staticmethod
-    def same(one: HandedOrder, other: HandedOrder) -> bool:
-        return (one.on, one.source) == (other.on, other.source) and row_of(one) == row_of(other)
+    def is_same(one: ForwardedProposal, other: ForwardedProposal) -> bool:
+        return (one.valid_from_version, one.source) == (
+            other.valid_from_version,
+            other.source,
+        ) and encode_proposal(one) == encode_proposal(other)
 
-    def sweep(self, now: float, state: State | None) -> None:
+    def expire(self, now: float, state: ControlState | None) -> None:
         """Forget what is old, or can be applied to no state that may come."""
         version = state.version if state is not None else -1
-        self.orders = [o for o in self.orders if now - o.began <= KEPT and version < o.on + SPAN]
+        self.proposals = [
+            o
+            for o in self.proposals
+            if now - o.started_at <= FORWARDED_LIFETIME and version < o.valid_from_version + VALID_VERSIONS
+        ]
 
-    def told(self, state: State) -> list[tuple[str, Asking]]:
+    def pop_waiting(self, state: ControlState) -> list[tuple[str, Asking]]:
         """Doors without a seat that wait for a state which is in force now; who still has orders here waits on."""
-        due = [(source, asking) for source, asking in self.waiting.items() if state.seat(source) is None]
-        self.waiting = {order.source: self.waiting.get(order.source, {}) for order in self.wanted(state)}
+        due = [
+            (source, asking)
+            for source, asking in self.waiting_nodes.items()
+            if state.member_at(source) is None
+        ]
+        self.waiting_nodes = {
+            order.source: self.waiting_nodes.get(order.source, {}) for order in self.applicable(state)
+        }
         return due
 
-    def wanted(self, base: State) -> list[HandedOrder]:
+    def applicable(self, base: ControlState) -> list[ForwardedProposal]:
         """Those that a state does not settle yet.  One that it does is left out, as it must not undo what another
         order of the same round makes of it."""
-        return [order for order in self.orders if order.apply(base) is not base]
+        return [order for order in self.proposals if order.apply(base) is not base]
 
 
 @dataclass(slots=True)
-class Hands:
+class ProposalForwarder:
     """To whom a door has handed its orders, on the version in force here."""
 
     version: int = -1
-    to: dict[str, set[int]] = field(default_factory=dict)  # tokens by door
+    tokens_by_node: dict[str, set[int]] = field(default_factory=dict)  # tokens by door
 
-    def give(self, state: State, to: str, orders: Iterable[Order]) -> list[Row]:
+    def select(self, state: ControlState, to: str, orders: Iterable[Proposal]) -> list[Row]:
         """What is to be handed to a door; empty where it has it all, or enough others have."""
         if state.version != self.version:
-            self.version, self.to = state.version, {}
-        if to not in self.to and len(self.to) >= MOST_TO:
+            self.version, self.tokens_by_node = state.version, {}
+        if to not in self.tokens_by_node and len(self.tokens_by_node) >= MAX_RECIPIENTS:
             return []
-        had = self.to.setdefault(to, set())
-        new = [order for order in orders if order.token not in had and carriable(order, state)]
+        had = self.tokens_by_node.setdefault(to, set())
+        new = [order for order in orders if order.token not in had and can_forward(order, state)]
         had |= {order.token for order in new}
-        return [row_of(order) for order in new]
+        return [encode_proposal(order) for order in new]
--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -7,32 +7,38 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from hazelspring.consensus.acceptor import Register
+from hazelspring.consensus.acceptor import Acceptor
 from hazelspring.consensus.control_state import (
     NO_BALLOT,
-    NO_WORD,
+    NO_CONFIGURATION,
     Ballot,
+    ControlState,
     Member,
-    State,
     majority,
-    missing,
-    voices_needed,
+    missing_votes,
+    read_quorum,
 )
-from hazelspring.consensus.forwarding import Carried, Hands, carriable
-from hazelspring.consensus.proposal import Done, Order
+from hazelspring.consensus.forwarding import ForwardedProposals, ProposalForwarder, can_forward
+from hazelspring.consensus.proposal import Proposal, ProposalOutcome
 
-AGAIN = 0.25  # seconds between sendings to a member that has not answered
-WIDTH = 100e6  # bytes a second of a door's link, of a gigabit: all copies of a configuration share it
-LONG = 0.7  # seconds after which a round that met another counts on no more answers: two syncs of a slow disk
-WAIT = 3.0  # seconds for an order; its sender moves on sooner, and sends it to any door again
-LOOK = 0.3  # seconds in which voices may settle what changes nothing, before that takes a round
-PAUSE = 0.03  # seconds at least after a round that met another: a part of a round trip between regions,
-CARRY = 0.2  # seconds at least that another door has for orders it was handed, before this one goes alone
-MOST_PAUSE = 0.3  # doubled each time, up to half of the time for which a round may go first
+RESEND_INTERVAL = 0.25  # seconds between sendings to a member that has not answered
+LINK_BANDWIDTH = (
+    100e6  # bytes a second of a door's link, of a gigabit: all copies of a configuration share it
+)
+CONTENDED_ROUND_TIMEOUT = (
+    0.7  # seconds after which a round that met another counts on no more answers: two syncs of a slow disk
+)
+PROPOSAL_TIMEOUT = 3.0  # seconds for an order; its sender moves on sooner, and sends it to any door again
+NO_CHANGE_GRACE = 0.3  # seconds in which voices may settle what changes nothing, before that takes a round
+MIN_BACKOFF = 0.03  # seconds at least after a round that met another: a part of a round trip between regions,
+FORWARDING_GRACE = (
+    0.2  # seconds at least that another door has for orders it was handed, before this one goes alone
+)
+MAX_BACKOFF = 0.3  # doubled each time, up to half of the time for which a round may go first
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class OutgoingMessage:
     """A message of a round to a member."""
 
     to: str
@@ -44,349 +50,379 @@
     """One ballot of one door: promises of so many that any majority has one of them, then a majority's acceptances."""
 
     ballot: Ballot
-    base: State  # the newest decided state that its door knows
-    best: tuple[Ballot, State]  # the highest that was accepted, of those who promised
+    base: ControlState  # the newest decided state that its door knows
+    highest_accepted: tuple[Ballot, ControlState]  # the highest that was accepted, of those who promised
     promises: dict[str, tuple[int, bool]] = field(default_factory=dict)
-    accepts: dict[str, tuple[int, bool]] = field(default_factory=dict)
-    refused: set[str] = field(default_factory=set)
-    holds: dict[str, list[bytes]] = field(default_factory=dict)  # digests that a member has the bytes of
-    sent: dict[str, float] = field(default_factory=dict)
-    brought: dict[str, float] = field(
+    acceptances: dict[str, tuple[int, bool]] = field(default_factory=dict)
+    rejections: set[str] = field(default_factory=set)
+    known_digests: dict[str, list[bytes]] = field(
+        default_factory=dict
+    )  # digests that a member has the bytes of
+    sent_at: dict[str, float] = field(default_factory=dict)
+    payload_sent_at: dict[str, float] = field(
         default_factory=dict
     )  # when a member was sent the configuration's bytes
-    words: dict[bytes, bytes] = field(default_factory=dict)  # configurations that came with promises
-    target: State | None = None
-    began: float = 0.0
-    phase_began: float = 0.0
-    whole: bool = False  # a configuration came with a promise by differences that lead nowhere here
-    put_off: set[str] = field(default_factory=set)  # members that said so to what they were last asked
-    met: bool = False  # a member lets another round go first
-    wait: float = 0.0  # seconds for which a round that outbid this one may take
+    configurations: dict[bytes, bytes] = field(default_factory=dict)  # configurations that came with promises
+    value: ControlState | None = None
+    started_at: float = 0.0
+    phase_started_at: float = 0.0
+    without_deltas: bool = False  # a configuration came with a promise by differences that lead nowhere here
+    deferred_by: set[str] = field(default_factory=set)  # members that said so to what they were last asked
+    contended: bool = False  # a member lets another round go first
+    rival_wait: float = 0.0  # seconds for which a round that outbid this one may take
 
 
-class Orders:
+class Proposer:
     """A door's proposer.  One round at a time carries all its orders; a round that finds a state which may have
     been decided brings that to its end first."""
 
     def __init__(
         self,
-        register: Register,
+        register: Acceptor,
         me: tuple[str, int],
         chance: random.Random,
         answers: Callable[[float, Member], bool],
     ) -> None:
         """`answers`: whether a member has answered of late."""
-        self.register, self.me, self.chance, self.answers = register, me, chance, answers
-        self.open: list[Order] = []
+        self.acceptor, self.me, self.random, self.is_responsive = register, me, chance, answers
+        self.proposals: list[Proposal] = []
         self.round: Round | None = None
-        self.dropped = NO_BALLOT  # of the last round that ended without a decision
-        self.count = 0  # the highest ballot's count that was heard of
-        self.fails, self.pause_until = 0, -1e9
-        self.outbox: list[Ask] = []  # that rounds have ended, and orders for other doors
-        self.carried, self.hands = Carried(), Hands()
-        self.sure_since = -1e9  # when the last round began that a majority has brought to its end
-
-    def begin(self, order: Order) -> None:
-        order.version = self.register.version
-        self.open.append(order)
-
-    def eager(self, now: float) -> None:
+        self.abandoned_ballot = NO_BALLOT  # of the last round that ended without a decision
+        self.highest_count = 0  # the highest ballot's count that was heard of
+        self.failed_rounds, self.backoff_until = 0, -1e9
+        self.outbox: list[OutgoingMessage] = []  # that rounds have ended, and orders for other doors
+        self.forwarded, self.forwarder = ForwardedProposals(), ProposalForwarder()
+        self.confirmed_since = -1e9  # when the last round began that a majority has brought to its end
+
+    def submit(self, order: Proposal) -> None:
+        order.base_version = self.acceptor.version
+        self.proposals.append(order)
+
+    def on_new_state(self, now: float) -> None:
         """A newer state has come: whoever was in the way is done.  Orders that met others go to who decided it, and
         this door goes alone only where they are not carried out in time."""
-        met = self.fails > 0 or bool(self.hands.to)
-        self.fails, self.pause_until = 0, -1e9
-        decided = self.register.decided
+        met = self.failed_rounds > 0 or bool(self.forwarder.tokens_by_node)
+        self.failed_rounds, self.backoff_until = 0, -1e9
+        decided = self.acceptor.decided
         if not met or decided is None or decided[0][2] == self.me[0]:
             return
-        if any(carriable(order, decided[1]) for order in self.open):
-            self.hand(decided[0][2])
-            self.pause_until = now + CARRY * (1 + self.chance.random())
+        if any(can_forward(order, decided[1]) for order in self.proposals):
+            self.forward(decided[0][2])
+            self.backoff_until = now + FORWARDING_GRACE * (1 + self.random.random())
 
-    def hand(self, to: str) -> None:
+    def forward(self, to: str) -> None:
         """Give orders of operators to the door whose round goes first, for that round or its next."""
-        state = self.register.state
+        state = self.acceptor.state
         if state is None or to == self.me[0]:
             return
-        if rows := self.hands.give(state, to, self.open):
-            self.outbox.append(Ask(to, {"k": "hand", "v": state.version, "o": rows}))
+        if rows := self.forwarder.select(state, to, self.proposals):
+            self.outbox.append(OutgoingMessage(to, {"k": "hand", "v": state.version, "o": rows}))
 
-    def has(self, kind: str) -> bool:
-        return any(order.kind == kind for order in self.open)
+    def has_proposal(self, kind: str) -> bool:
+        return any(order.kind == kind for order in self.proposals)
 
     # --- how orders end --------------------------------------------------------------------------------------
 
-    def settle(self, now: float, sure: Callable[[Order], bool]) -> list[Done]:
+    def resolve(self, now: float, sure: Callable[[Proposal], bool]) -> list[ProposalOutcome]:
         """End what the state in force settles.  `sure`: nothing that was decided before the order came can be
         unknown here."""
-        state, ended = self.register.state, []
-        for order in list(self.open):
-            if state is not None and state.version > 0 and not order.sure and sure(order):
-                self.open[self.open.index(order)] = order = replace(order, sure=True)
-            if state is not None and state.version > 0 and (done := self.ending(order, state, sure)):
+        state, ended = self.acceptor.state, []
+        for order in list(self.proposals):
+            if state is not None and state.version > 0 and not order.confirmed and sure(order):
+                self.proposals[self.proposals.index(order)] = order = replace(order, confirmed=True)
+            if state is not None and state.version > 0 and (done := self.outcome_of(order, state, sure)):
                 ended.append(done)
-            elif now - order.began > WAIT:
-                ended.append(Done(order.token, False, self.why()))
+            elif now - order.started_at > PROPOSAL_TIMEOUT:
+                ended.append(ProposalOutcome(order.token, False, self.stall_reason()))
             else:
                 continue
-            self.open.remove(order)
+            self.proposals.remove(order)
         return [done for done in ended if done.token]
 
-    def ending(self, order: Order, state: State, sure: Callable[[Order], bool]) -> Done | None:
+    def outcome_of(
+        self, order: Proposal, state: ControlState, sure: Callable[[Proposal], bool]
+    ) -> ProposalOutcome | None:
         if order.kind == "settle":
-            return Done(order.token, True, state=state) if self.register.pending is None else None
+            return ProposalOutcome(order.token, True, state=state) if self.acceptor.pending is None else None
         if order.apply(state) is not state:
             return None
         # that these bytes are in force, or a higher number, stays true whoever tells it; all else may have been so only
         # before the order came, but for the newest of some time since and what was decided above it
-        conflicts = order.conflicts(state)
-        lasting = order.kind == "put" and state.version > order.version and not conflicts
-        if not lasting and not order.sure:
+        conflicts = order.conflicts_with(state)
+        lasting = order.kind == "put" and state.version > order.base_version and not conflicts
+        if not lasting and not order.confirmed:
             return None  # what stands here may be old
         if conflicts and not sure(order):
             return None  # it may have been acknowledged below a higher number since
         if conflicts:
-            return Done(order.token, False, f"r{state.number} is another body", True, state)
-        if order.kind == "read" and state.digest == NO_WORD:
-            return Done(order.token, False, "look: no configuration was ever acknowledged", state=state)
-        return Done(
-            order.token, True, state=state, word=self.register.word() if order.kind == "read" else None
+            return ProposalOutcome(
+                order.token, False, f"r{state.configuration_version} is another body", True, state
+            )
+        if order.kind == "read" and state.configuration_digest == NO_CONFIGURATION:
+            return ProposalOutcome(
+                order.token, False, "look: no configuration was ever acknowledged", state=state
+            )
+        return ProposalOutcome(
+            order.token,
+            True,
+            state=state,
+            configuration=self.acceptor.current_configuration() if order.kind == "read" else None,
         )
 
-    def why(self) -> str:
+    def stall_reason(self) -> str:
         if self.round is None:
             return "look: too few voices"
         current = self.round
-        if current.target is None:
-            return f"look: {missing(self.asked_sets(current), current.promises, voices_needed)} voices are missing"
-        return f"copy: {missing(current.target.sets(), current.accepts, majority)} disks are missing"
+        if current.value is None:
+            missing = missing_votes(self.prepare_member_sets(current), current.promises, read_quorum)
+            return f"look: {missing} voices are missing"
+        return f"copy: {missing_votes(current.value.member_sets(), current.acceptances, majority)} disks are missing"
 
     # --- rounds -----------------------------------------------------------------------------------------------
 
-    def step(self, now: float) -> list[Ask]:
+    def advance(self, now: float) -> list[OutgoingMessage]:
         """Bring the round on: begin one where an order needs it, ask again who has not answered."""
-        state = self.register.state
-        if self.round is not None and self.register.version > self.round.base.version:
-            self.drop()  # another door's round has ended: what is left begins from there
-        met = self.round is not None and (self.round.refused or self.round.met)
-        if met and self.round is not None and now - self.round.phase_began > LONG:
-            self.give_up(now)  # who is left does not answer either
-        self.carried.sweep(now, state)
-        if state is None or not (self.open or self.carried.wanted(state)):
-            self.drop()
+        state = self.acceptor.state
+        if self.round is not None and self.acceptor.version > self.round.base.version:
+            self.abandon_round()  # another door's round has ended: what is left begins from there
+        met = self.round is not None and (self.round.rejections or self.round.contended)
+        if met and self.round is not None and now - self.round.phase_started_at > CONTENDED_ROUND_TIMEOUT:
+            self.back_off(now)  # who is left does not answer either
+        self.forwarded.expire(now, state)
+        if state is None or not (self.proposals or self.forwarded.applicable(state)):
+            self.abandon_round()
             return []
         if self.round is None:
-            needed = any(self.needs_round(now, order, state) for order in self.open)
-            needed = needed or bool(self.carried.wanted(state))
-            if now < self.pause_until or not needed:
+            needed = any(self.needs_round(now, order, state) for order in self.proposals)
+            needed = needed or bool(self.forwarded.applicable(state))
+            if now < self.backoff_until or not needed:
                 return []
-            decided = self.register.decided or (NO_BALLOT, state)
-            self.count = max(self.count, self.register.promised[0], decided[0][0]) + 1
+            decided = self.acceptor.decided or (NO_BALLOT, state)
+            self.highest_count = max(self.highest_count, self.acceptor.promised[0], decided[0][0]) + 1
             self.round = Round(
-                (self.count, self.me[1], self.me[0]), state, decided, began=now, phase_began=now
+                (self.highest_count, self.me[1], self.me[0]),
+                state,
+                decided,
+                started_at=now,
+                phase_started_at=now,
             )
-        if self.round.target is None:
-            self.choose(now, self.round)
-        return self.ask(now, self.round)
+        if self.round.value is None:
+            self.choose_value(now, self.round)
+        return self.requests(now, self.round)
 
     @staticmethod
-    def needs_round(now: float, order: Order, state: State) -> bool:
+    def needs_round(now: float, order: Proposal, state: ControlState) -> bool:
         if order.kind == "settle" or order.apply(state) is not state:
             return True
-        return state.version > 0 and now - order.began > LOOK
+        return state.version > 0 and now - order.started_at > NO_CHANGE_GRACE
 
-    def wanted(self, base: State) -> State:
+    def next_state(self, base: ControlState) -> ControlState:
         """What is to follow for all open orders, after those of others; members change by one order at a time."""
         state, moved = base, False
-        for handed in self.carried.wanted(base):
+        for handed in self.forwarded.applicable(base):
             state = handed.apply(state)
-        for order in self.open:
-            if order.moves_members():
+        for order in self.proposals:
+            if order.changes_members():
                 if moved:
                     continue
                 moved = order.apply(state) is not state
             state = order.apply(state)
         if state is base:
             return base
-        return replace(state, version=base.version + 1, before=base.members)
+        return replace(state, version=base.version + 1, previous_members=base.members)
 
-    def asked_sets(self, current: Round) -> list[tuple[Member, ...]]:
+    def prepare_member_sets(self, current: Round) -> list[tuple[Member, ...]]:
         """Of whom promises are needed: the members in force, and those of what was found or is wanted."""
         sets = [current.base.members]
-        if current.best[1].version > current.base.version:
-            sets += current.best[1].sets()
-        elif (wanted := self.wanted(current.base)) is not current.base:
-            sets += wanted.sets()
+        if current.highest_accepted[1].version > current.base.version:
+            sets += current.highest_accepted[1].member_sets()
+        elif (wanted := self.next_state(current.base)) is not current.base:
+            sets += wanted.member_sets()
         return list(dict.fromkeys(sets))
 
-    def ask(self, now: float, current: Round) -> list[Ask]:
-        if current.target is current.base:
+    def requests(self, now: float, current: Round) -> list[OutgoingMessage]:
+        if current.value is current.base:
             return []  # nothing is to change, and nothing to be accepted
-        sets = current.target.sets() if current.target is not None else self.asked_sets(current)
-        have = current.accepts if current.target is not None else current.promises
+        sets = current.value.member_sets() if current.value is not None else self.prepare_member_sets(current)
+        have = current.acceptances if current.value is not None else current.promises
         asks = []
         ips = dict.fromkeys(member.ip for members in sets for member in members)
         for ip in ips:
-            if ip in have or ip in current.refused or now - current.sent.get(ip, -1e9) < AGAIN:
+            if (
+                ip in have
+                or ip in current.rejections
+                or now - current.sent_at.get(ip, -1e9) < RESEND_INTERVAL
+            ):
                 continue
-            current.sent[ip] = now
-            current.put_off.discard(ip)
+            current.sent_at[ip] = now
+            current.deferred_by.discard(ip)
             message: dict[str, Any] = {"b": list(current.ballot), "d": current.base.version}
-            if current.target is None:  # `e`: a configuration may come by differences
-                message |= {"k": "prepare", "h": current.base.digest} | ({} if current.whole else {"e": 1})
+            if current.value is None:  # `e`: a configuration may come by differences
+                message |= {"k": "prepare", "h": current.base.configuration_digest} | (
+                    {} if current.without_deltas else {"e": 1}
+                )
             else:
-                bringing = self.bytes_for(ip, current.target.digest, current)
+                bringing = self.payload_for(ip, current.value.configuration_digest, current)
                 if (word := bringing.get("w")) is not None:
                     # while the bytes may be under way, a member is asked without them, and says that it lacks them
-                    under_way = len(word) * len(ips) / WIDTH
-                    if now - current.brought.get(ip, -1e9) < max(AGAIN, under_way):
+                    under_way = len(word) * len(ips) / LINK_BANDWIDTH
+                    if now - current.payload_sent_at.get(ip, -1e9) < max(RESEND_INTERVAL, under_way):
                         bringing = {}
                     else:
-                        current.brought[ip] = now
-                message |= {"k": "accept", "s": current.target.row()} | bringing
-            asks.append(Ask(ip, message))
+                        current.payload_sent_at[ip] = now
+                message |= {"k": "accept", "s": current.value.encode()} | bringing
+            asks.append(OutgoingMessage(ip, message))
         return asks
 
-    def bytes_for(self, ip: str, digest: bytes, current: Round) -> dict[str, Any]:
+    def payload_for(self, ip: str, digest: bytes, current: Round) -> dict[str, Any]:
         """What brings a configuration to a member: by what differs from one that it holds, where that is smaller."""
-        holds = current.holds.get(ip, [current.base.digest])  # it has not told: most likely the one in force
-        if digest == NO_WORD or digest in holds:
+        holds = current.known_digests.get(
+            ip, [current.base.configuration_digest]
+        )  # it has not told: most likely the one in force
+        if digest == NO_CONFIGURATION or digest in holds:
             return {}
-        word = self.word(digest)
-        way = self.register.way(holds, digest, word) if word is not None and ip != self.me[0] else None
+        word = self.find_configuration(digest)
+        way = self.acceptor.delta_path(holds, digest, word) if word is not None and ip != self.me[0] else None
         return {"w": word} if way is None else {"x": way}
 
-    def word(self, digest: bytes) -> bytes | None:
+    def find_configuration(self, digest: bytes) -> bytes | None:
         """The bytes of a configuration: held here, come with a promise, or with an order."""
-        if digest in self.register.words:
-            return self.register.words[digest]
-        if self.round is not None and digest in self.round.words:
-            return self.round.words[digest]
-        known = [*self.open, *self.carried.orders]
-        return next((order.word for order in known if order.digest == digest), None)
+        if digest in self.acceptor.configurations:
+            return self.acceptor.configurations[digest]
+        if self.round is not None and digest in self.round.configurations:
+            return self.round.configurations[digest]
+        known = [*self.proposals, *self.forwarded.proposals]
+        return next((order.configuration for order in known if order.configuration_digest == digest), None)
 
     # --- what members answer -----------------------------------------------------------------------------------
 
-    def promised(
+    def on_promise(
         self,
         source: str,
         voter: tuple[int, bool],
         ballot: Ballot,
-        best: tuple[Ballot, State] | None,
+        best: tuple[Ballot, ControlState] | None,
         holds: Iterable[bytes],
         word: bytes | None = None,
     ) -> None:
         """A member promised, and told what it last accepted, with the configuration where that may be new here."""
         current = self.round
-        if ballot == self.dropped:  # it overtook the word that this round is over, or came before it
-            self.outbox.append(Ask(source, {"k": "over", "b": list(ballot)}))
-        if current is None or current.ballot != ballot or current.target is not None:
+        if ballot == self.abandoned_ballot:  # it overtook the word that this round is over, or came before it
+            self.outbox.append(OutgoingMessage(source, {"k": "over", "b": list(ballot)}))
+        if current is None or current.ballot != ballot or current.value is not None:
             return
-        current.promises[source], current.holds[source] = voter, list(holds)
+        current.promises[source], current.known_digests[source] = voter, list(holds)
         if best is not None and word is not None:
-            current.words[best[1].digest] = word
-        if best is not None and best[0] > current.best[0]:
-            current.best = best
+            current.configurations[best[1].configuration_digest] = word
+        if best is not None and best[0] > current.highest_accepted[0]:
+            current.highest_accepted = best
 
-    def choose(self, now: float, current: Round) -> None:
+    def choose_value(self, now: float, current: Round) -> None:
         """Once enough have promised and a majority is there, the round brings a state."""
-        if missing(self.asked_sets(current), current.promises, voices_needed):
+        if missing_votes(self.prepare_member_sets(current), current.promises, read_quorum):
             return
-        found = current.best[1]
-        target = found if found.version > current.base.version else self.wanted(current.base)
-        if target is not current.base and not self.enough(now, current, target):
+        found = current.highest_accepted[1]
+        target = found if found.version > current.base.version else self.next_state(current.base)
+        if target is not current.base and not self.can_reach_majority(now, current, target):
             return
-        if target.digest != NO_WORD:
-            word = self.word(target.digest)
+        if target.configuration_digest != NO_CONFIGURATION:
+            word = self.find_configuration(target.configuration_digest)
             if word is None:
                 return
-            current.words[target.digest] = word  # its order may end before the round does
-            self.register.differ(current.base.digest, target.digest, word)
-        current.target, current.sent, current.refused = target, {}, set()
-        current.phase_began, current.put_off, current.met = now, set(), False
+            current.configurations[target.configuration_digest] = (
+                word  # its order may end before the round does
+            )
+            self.acceptor.compute_delta(current.base.configuration_digest, target.configuration_digest, word)
+        current.value, current.sent_at, current.rejections = target, {}, set()
+        current.phase_started_at, current.deferred_by, current.contended = now, set(), False
 
-    def enough(self, now: float, current: Round, target: State) -> bool:
+    def can_reach_majority(self, now: float, current: Round, target: ControlState) -> bool:
         """Whether a majority is there to accept.  A state that too few can accept would stay half agreed on, and keep
         all from being sure of the one in force."""
-        for members in target.sets():
-            answer = {m.ip: (m.disk, m.disk == 0) for m in members if self.answers(now, m)}
-            if missing([members], {**answer, **current.promises}, majority):
+        for members in target.member_sets():
+            answer = {m.ip: (m.disk_id, m.disk_id == 0) for m in members if self.is_responsive(now, m)}
+            if missing_votes([members], {**answer, **current.promises}, majority):
                 return False
         return True
 
-    def accepted(self, source: str, voter: tuple[int, bool], ballot: Ballot) -> None:
+    def on_accepted(self, source: str, voter: tuple[int, bool], ballot: Ballot) -> None:
         current = self.round
-        if current is not None and current.ballot == ballot and current.target is not None:
-            current.accepts[source] = voter
+        if current is not None and current.ballot == ballot and current.value is not None:
+            current.acceptances[source] = voter
 
-    def lacks(self, source: str, ballot: Ballot) -> None:
+    def on_missing_configuration(self, source: str, ballot: Ballot) -> None:
         """Bytes that were believed to be at a member, or here, are not: now they go, or come, whole."""
         if self.round is not None and self.round.ballot == ballot:
-            self.round.whole = True
-            self.round.holds[source] = []
-            if source not in self.round.brought:  # else they may be under way, and go again in their time
-                self.round.sent.pop(source, None)
-
-    def refused(
+            self.round.without_deltas = True
+            self.round.known_digests[source] = []
+            if (
+                source not in self.round.payload_sent_at
+            ):  # else they may be under way, and go again in their time
+                self.round.sent_at.pop(source, None)
+
+    def on_rejected(
         self, now: float, source: str, ballot: Ballot, higher: Ballot, wait: float, brought: bool
     ) -> None:
         """A member has promised a higher ballot, or lets another round go first, for some seconds at most: then it is
         asked again.  The round ends where too few are left for it.  `brought`: a state was refused, and not the
         asking for a promise."""
-        self.count = max(self.count, higher[0])
+        self.highest_count = max(self.highest_count, higher[0])
         current = self.round
-        if current is None or current.ballot != ballot or brought is (current.target is None):
+        if current is None or current.ballot != ballot or brought is (current.value is None):
             return
         if wait and not brought:
-            current.put_off.add(source)
-            current.met = True
-            self.hand(higher[2])
+            current.deferred_by.add(source)
+            current.contended = True
+            self.forward(higher[2])
             return
-        current.refused.add(source)
+        current.rejections.add(source)
         if wait:
-            self.hand(higher[2])
-        current.wait = max(current.wait, wait)
-        sets = current.target.sets() if current.target is not None else self.asked_sets(current)
-        needed = voices_needed if current.target is None else majority
-        have = current.promises if current.target is None else current.accepts
-        left = [sum(self.may_answer(now, m, current.refused, have) for m in members) for members in sets]
+            self.forward(higher[2])
+        current.rival_wait = max(current.rival_wait, wait)
+        sets = current.value.member_sets() if current.value is not None else self.prepare_member_sets(current)
+        needed = read_quorum if current.value is None else majority
+        have = current.promises if current.value is None else current.acceptances
+        left = [sum(self.may_answer(now, m, current.rejections, have) for m in members) for members in sets]
         if any(count < needed(len(members)) for count, members in zip(left, sets, strict=True)):
-            self.give_up(now)
+            self.back_off(now)
 
     def may_answer(self, now: float, member: Member, refused: Collection[str], have: Collection[str]) -> bool:
         """Whether a member has answered a round well, or may still: it has not refused, and is there."""
         if member.ip in refused:
             return False
-        return member.ip in have or member.ip == self.me[0] or self.answers(now, member)
+        return member.ip in have or member.ip == self.me[0] or self.is_responsive(now, member)
 
-    def drop(self) -> None:
+    def abandon_round(self) -> None:
         """End a round that has decided nothing; members that let it in, or whose promise is still on its way, need
         not keep others waiting for it."""
         if self.round is not None:
             message = {"k": "over", "b": list(self.round.ballot)}
-            out = self.round.refused | self.round.put_off
-            asked = dict.fromkeys([*self.round.promises, *self.round.sent])
-            self.outbox += [Ask(ip, message) for ip in asked if ip not in out]
-            self.dropped, self.round = self.round.ballot, None
+            out = self.round.rejections | self.round.deferred_by
+            asked = dict.fromkeys([*self.round.promises, *self.round.sent_at])
+            self.outbox += [OutgoingMessage(ip, message) for ip in asked if ip not in out]
+            self.abandoned_ballot, self.round = self.round.ballot, None
 
-    def give_up(self, now: float) -> None:
+    def back_off(self, now: float) -> None:
         """End a round that met another, and begin anew above it: once that one has ended, as a newer state tells, or
         has had its time."""
-        wait = self.round.wait if self.round is not None else 0.0
-        self.drop()
-        pause = min(MOST_PAUSE, PAUSE * 2**self.fails) if wait or self.fails else 0.0
-        self.fails += 1
-        self.pause_until = now + wait + pause * (0.5 + self.chance.random())
+        wait = self.round.rival_wait if self.round is not None else 0.0
+        self.abandon_round()
+        pause = min(MAX_BACKOFF, MIN_BACKOFF * 2**self.failed_rounds) if wait or self.failed_rounds else 0.0
+        self.failed_rounds += 1
+        self.backoff_until = now + wait + pause * (0.5 + self.random.random())
 
-    def chosen(self) -> tuple[Ballot, State, bytes | None] | None:
+    def take_decision(self) -> tuple[Ballot, ControlState, bytes | None] | None:
         """What the round has decided, with its configuration, or that the state in force is the newest; the round is
         over then."""
         current = self.round
-        if current is None or current.target is None:
+        if current is None or current.value is None:
             return None
-        if current.target is not current.base and missing(current.target.sets(), current.accepts, majority):
+        if current.value is not current.base and missing_votes(
+            current.value.member_sets(), current.acceptances, majority
+        ):
             return None
-        if current.target is current.base:
-            self.drop()
-        self.round, self.fails = None, 0
-        self.sure_since = max(self.sure_since, current.began)
-        return current.ballot, current.target, current.words.get(current.target.digest)
+        if current.value is current.base:
+            self.abandon_round()
+        self.round, self.failed_rounds = None, 0
+        self.confirmed_since = max(self.confirmed_since, current.started_at)
+        return current.ballot, current.value, current.configurations.get(current.value.configuration_digest)
--- a/hazelspring/daemon/__main__.py
+++ b/hazelspring/daemon/__main__.py
@@ -14,21 +14,23 @@
 
 from hazelspring.daemon import recovery_command as rescue
 from hazelspring.daemon import structured_log as log
-from hazelspring.daemon.node_process import Door
-from hazelspring.daemon.settings import Settings, SettingsError, UnreadableSettingsError, load
+from hazelspring.daemon.node_process import NodeProcess
+from hazelspring.daemon.settings import Settings, SettingsError, UnreadableSettingsError, load_settings
 from ivymux.periodic import Periodic
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 NO_FILE = (0, 0)
-LOOK = 1.0  # seconds between looks whether the settings file has changed: what it may change is needed seldom
+SETTINGS_CHECK_INTERVAL = (
+    1.0  # seconds between looks whether the settings file has changed: what it may change is needed seldom
+)
 
 
-class Watched:
+class SettingsWatcher:
     """The settings file, which may change with a SIGHUP or without a word."""
 
     def __init__(self, path: str, take: Callable[[Settings], None]) -> None:
         self.path, self.take = path, take
-        self.seen = self.stamp()  # of the last file that was taken or refused
+        self.last_seen = self.stamp()  # of the last file that was taken or refused
 
     def stamp(self) -> tuple[int, int]:
         """What tells two states of the file apart; NO_FILE where it can't be looked at."""
@@ -38,21 +40,21 @@
         except OSError:
             return NO_FILE
 
-    def look(self, asked: bool = False) -> None:
+    def check(self, asked: bool = False) -> None:
         """Take the file where it was changed.  One that can't be used is logged, and changes nothing; one that can't
         be read, or is not taken for an error that nobody foresaw, is tried again with the next look."""
         stamp = self.stamp()
-        if stamp in (self.seen, NO_FILE) and not asked:
+        if stamp in (self.last_seen, NO_FILE) and not asked:
             return
         try:
-            settings = load(self.path)
+            settings = load_settings(self.path)
         except SettingsError as error:
-            log.log.say("daemon", "new settings cannot be used", problem=error)
+            log.log.write("daemon", "new settings cannot be used", problem=error)
             if not isinstance(error, UnreadableSettingsError):
-                self.seen = stamp
+                self.last_seen = stamp
             return
         self.take(settings)
-        self.seen = stamp
+        self.last_seen = stamp
 
 
 async def serve(settings: Settings, path: str, metrics_port: int = 0) -> None:
@@ -60,11 +62,16 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    door = Door(settings, metrics_port)
-    watched = Watched(path, door.reload)
-    loop.add_signal_handler(signal.SIGHUP, watched.look, True)
+    door = NodeProcess(settings, metrics_port)
+    watched = SettingsWatcher(path, door.reload)
+    loop.add_signal_handler(signal.SIGHUP, watched.check, True)
     await door.start()
-    Periodic(loop, LOOK, watched.look, lambda error: door.supervisor.failed("look at the settings", error))
+    Periodic(
+        loop,
+        SETTINGS_CHECK_INTERVAL,
+        watched.check,
+        lambda error: door.supervisor.failed("look at the settings", error),
+    )
     gc.collect()
     gc.freeze()  # what lives as long as the process need not be looked at again
     await stop.wait()
@@ -74,7 +81,7 @@
 def port(text: str) -> int:
     """A port's number, or 0.  Raises ValueError, which argparse tells."""
     number = int(text)
-    if not 0 <= number <= MOST_PORT:
+    if not 0 <= number <= MAX_PORT:
         raise ValueError(text)
     return number
 
@@ -103,7 +110,7 @@
     if not chosen.settings:
         parser.error("no settings file: name one, or set HAZELSPRING_SETTINGS")
     try:
-        settings = load(chosen.settings)
+        settings = load_settings(chosen.settings)
     except SettingsError as error:
         print(f"hazelspringd: {error.code}: {error}", file=sys.stderr)
         return 2
--- a/hazelspring/daemon/disk_worker.py
+++ b/hazelspring/daemon/disk_worker.py
@@ -8,14 +8,14 @@
 
 from hazelspring.daemon.structured_log import log
 from hazelspring.daemon.supervisor import Supervisor
-from hazelspring.storage.replica_store import Store, StoreError
+from hazelspring.storage.replica_store import ReplicaStore, StoreError
 
 
 class DiskWorker:
     """Loads and saves records one after another; how each ends is told as a value, whatever error ended it."""
 
     def __init__(self, folder: str, supervisor: Supervisor) -> None:
-        self.store = Store(folder)
+        self.store = ReplicaStore(folder)
         self.supervisor = supervisor
         self.loop = asyncio.get_running_loop()
         self.thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
@@ -25,13 +25,13 @@
         try:
             records = await self.loop.run_in_executor(self.thread, self.store.load)
         except StoreError as error:
-            log.say("control", "cannot read the disk, goes on without it", error=error)
+            log.write("control", "cannot read the disk, goes on without it", error=error)
             return None
         except Exception as error:  # who awaits the disk tries again
             self.supervisor.failed("read the disk", error)
             return None
-        while self.store.aside:
-            log.say("control", "put aside what could not be read", what=self.store.aside.pop())
+        while self.store.quarantined:
+            log.write("control", "put aside what could not be read", what=self.store.quarantined.pop())
         return records
 
     async def save(self, records: Mapping[str, bytes | None]) -> bool:
@@ -39,7 +39,7 @@
         try:
             await self.loop.run_in_executor(self.thread, self.store.save, records)
         except StoreError as error:
-            log.say("control", "could not save", records=",".join(records), error=error)
+            log.write("control", "could not save", records=",".join(records), error=error)
         except Exception as error:  # the core waits for every save to end
             self.supervisor.failed("save", error)
         else:
@@ -48,7 +48,7 @@
 
     def discard(self, why: str) -> None:
         """Put aside what is on disk, as it makes no sense."""
-        log.say("control", "put aside what could not be read", what=why)
+        log.write("control", "put aside what could not be read", what=why)
         self.store.discard(why)
 
     def close(self) -> None:
--- a/hazelspring/daemon/http_api.py
+++ b/hazelspring/daemon/http_api.py
@@ -10,55 +10,57 @@
 import httptools
 
 from hazelspring.configuration.blocks import unpack
-from hazelspring.configuration.validation import Invalid
-from hazelspring.daemon.client_listener import Final, encode
-from hazelspring.daemon.operator_calls import OperatorCalls, Settled
+from hazelspring.configuration.validation import InvalidConfigurationError
+from hazelspring.daemon.client_listener import FinalAnswer, encode
+from hazelspring.daemon.operator_calls import OperatorCalls, OrderResult
 from hazelspring.daemon.structured_log import log
 from ivymux.caller import BadRequest, Client, Exchange, Listener
 from ivymux.config import Address
 from ivymux.host import Answer, Open
 from ivymux.metrics import Counts
 
-MOST_CALL = 8 << 20  # bytes of a configuration
-MOST_CALLERS = 128
-RETRY = 0.5  # seconds after which an order that could not be settled may come again
-JSON = b"Content-Type: application/json\r\n"
-TEXT = b"Content-Type: text/plain; version=0.0.4; charset=utf-8\r\n"
+MAX_BODY_BYTES = 8 << 20  # bytes of a configuration
+MAX_CONNECTIONS = 128
+RETRY_AFTER = 0.5  # seconds after which an order that could not be settled may come again
+JSON_HEADERS = b"Content-Type: application/json\r\n"
+METRICS_HEADERS = b"Content-Type: text/plain; version=0.0.4; charset=utf-8\r\n"
 
 CALLS = frozenset(("configuration", "core", "evacuation", "lookup", "metrics", "readiness", "status"))
 
 Reply = Callable[[Answer], None]
 
 
-class Door(Protocol):
+class NodeInterface(Protocol):
     """What the calls are about."""
 
     counts: Counts
-    calls: OperatorCalls
+    operator_calls: OperatorCalls
 
-    def ready(self) -> bool: ...
+    def is_ready(self) -> bool: ...
 
     def lookup(self, region: str) -> list[str]: ...
 
     @property
-    def lifetime(self) -> float: ...
+    def lookup_lifetime(self) -> float: ...
 
-    def zone_known(self, zone: str) -> bool: ...
+    def is_zone_known(self, zone: str) -> bool: ...
 
     def status(self) -> dict[str, Any]: ...
 
     def metrics(self) -> bytes: ...
 
 
-def answer(status: int, body: Any, retry_after: float = 0.0) -> Final:
-    return Final(status, json.dumps(body).encode() + b"\n", retry_after=retry_after, headers=JSON)
+def answer(status: int, body: Any, retry_after: float = 0.0) -> FinalAnswer:
+    return FinalAnswer(
+        status, json.dumps(body).encode() + b"\n", retry_after=retry_after, headers=JSON_HEADERS
+    )
 
 
-def problem(status: int, code: str, text: str, retry_after: float = 0.0) -> Final:
+def problem(status: int, code: str, text: str, retry_after: float = 0.0) -> FinalAnswer:
     return answer(status, {"code": code, "problem": text}, retry_after)
 
 
-class Caller(Client):
+class ApiConnection(Client):
     """One connection of a caller; bodies are held whole, as a configuration is checked as one."""
 
     __slots__ = ()
@@ -70,7 +72,7 @@
         self.body.append(body)
 
     def take(self, exchange: Exchange) -> None:
-        desk = cast(Desk, self.server)
+        desk = cast(HttpApi, self.server)
         try:
             url = httptools.parse_url(self.url)
         except httptools.HttpParserInvalidURLError:
@@ -80,20 +82,20 @@
         desk.dispatch(self.parser.get_method().decode(), segments, query, b"".join(self.body), exchange.reply)
 
 
-class Desk(Listener):
+class HttpApi(Listener):
     """One of the addresses that take calls; `roles` says which calls."""
 
     encode = staticmethod(encode)
-    most_body = MOST_CALL
+    most_body = MAX_BODY_BYTES
     head_timeout, idle_timeout = 3.0, 15.0
 
-    def __init__(self, listen: Address, door: Door, roles: frozenset[str]) -> None:
-        super().__init__(listen, None, self, MOST_CALLERS)
-        self.make, self.door, self.roles = Caller, door, roles
+    def __init__(self, listen: Address, door: NodeInterface, roles: frozenset[str]) -> None:
+        super().__init__(listen, None, self, MAX_CONNECTIONS)
+        self.make, self.node, self.roles = ApiConnection, door, roles
 
     @property
     def counts(self) -> Counts:
-        return self.door.counts
+        return self.node.counts
 
     def left(self, request: Open) -> None:
         pass  # an order goes on without its sender, who sends it again
@@ -102,35 +104,35 @@
         pass
 
     def dispatch(self, method: str, segments: list[str], query: str, body: bytes, reply: Reply) -> None:
-        door = self.door
+        door = self.node
         match (method, segments):
             case ("GET", ["-", "readiness"]):
                 reply(
                     answer(200, {"ready": True})
-                    if door.ready()
-                    else problem(503, "not_ready", "not ready", RETRY)
+                    if door.is_ready()
+                    else problem(503, "not_ready", "not ready", RETRY_AFTER)
                 )
             case ("GET", ["-", "lookup"]) if "directory" in self.roles:
                 addresses = door.lookup(parse_qs(query).get("answerRegion", [""])[0])
                 if addresses:
-                    reply(answer(200, {"addresses": addresses, "lifetimeS": door.lifetime}))
+                    reply(answer(200, {"addresses": addresses, "lifetimeS": door.lookup_lifetime}))
                 else:
-                    reply(problem(503, "no_door", "no door is ready", RETRY))
+                    reply(problem(503, "no_door", "no door is ready", RETRY_AFTER))
             case ("GET", ["-", "status"]):
                 reply(answer(200, door.status()))
             case ("GET", ["-", "metrics"]):
-                reply(Final(200, door.metrics(), headers=TEXT))
+                reply(FinalAnswer(200, door.metrics(), headers=METRICS_HEADERS))
             case ("PUT", ["-", "configuration"]) if "control" in self.roles:
-                self.put(body, reply)
+                self.put_configuration(body, reply)
             case ("GET", ["-", "configuration"]) if "control" in self.roles:
-                door.calls.read(self.ending(reply, read=True))
+                door.operator_calls.read_configuration(self.result_handler(reply, read=True))
             case ("POST" | "DELETE", ["-", "evacuation", zone]) if "control" in self.roles:
-                if not door.zone_known(zone):
+                if not door.is_zone_known(zone):
                     reply(problem(404, "no_such_zone", f"zone {zone} is none of the settings"))
                     return
-                door.calls.evacuate(zone, method == "POST", self.ending(reply))
+                door.operator_calls.set_evacuation(zone, method == "POST", self.result_handler(reply))
             case ("DELETE", ["-", "core", ip]) if "control" in self.roles:
-                door.calls.retire(ip, self.ending(reply))
+                door.operator_calls.retire_member(ip, self.result_handler(reply))
             case (
                 _,
                 [
@@ -143,21 +145,21 @@
             case _:
                 reply(problem(404, "no_such_path", "no such path"))
 
-    def put(self, body: bytes, reply: Reply) -> None:
+    def put_configuration(self, body: bytes, reply: Reply) -> None:
         try:
-            self.door.calls.put(body, self.ending(reply))
-        except Invalid as error:
-            log.say("api", "refused a configuration", problem=error)
+            self.node.operator_calls.put_configuration(body, self.result_handler(reply))
+        except InvalidConfigurationError as error:
+            log.write("api", "refused a configuration", problem=error)
             reply(problem(400, error.code, str(error)))
 
-    def ending(self, reply: Reply, read: bool = False) -> Callable[[Settled], None]:
-        def done(settled: Settled) -> None:
+    def result_handler(self, reply: Reply, read: bool = False) -> Callable[[OrderResult], None]:
+        def done(settled: OrderResult) -> None:
             if settled.conflict:
-                reply(problem(409, "number_taken", settled.why))
-            elif not settled.good:
-                reply(problem(503, "unsettled", settled.why, RETRY))
+                reply(problem(409, "number_taken", settled.reason))
+            elif not settled.succeeded:
+                reply(problem(503, "unsettled", settled.reason, RETRY_AFTER))
             elif read:
-                reply(Final(200, unpack(settled.body), headers=JSON))
+                reply(FinalAnswer(200, unpack(settled.body), headers=JSON_HEADERS))
             else:
                 reply(answer(200, {"acknowledged": True}))
 
--- a/hazelspring/daemon/list_reader.py
+++ b/hazelspring/daemon/list_reader.py
@@ -64,22 +64,24 @@
         """Log why a read failed; where nobody foresaw the error, also where it arose."""
         sentence = "could not read the list"
         if isinstance(error, InstanceListError | ValueError):
-            log.say("registry", sentence, error=error)
+            log.write("registry", sentence, error=error)
         else:
-            log.failed("registry", sentence, error)
+            log.write_failure("registry", sentence, error)
 
     def _log_malformed(self, malformed: tuple[str, ...]) -> None:
         """Log the entries that a read has passed over, where they are not those of the read before."""
         if malformed != self.malformed:
             names = ",".join(malformed[:MAX_NAMES])
-            log.say("registry", "passed over entries of the list", count=len(malformed), ids=names)
+            log.write("registry", "passed over entries of the list", count=len(malformed), ids=names)
         self.malformed = malformed
 
     def log_role(self, is_reader: bool) -> None:
         """Log when this node becomes the one that reads the list, and when it ceases to be."""
         if is_reader != self.is_reader:
             self.is_reader = is_reader
-            log.say("registry", "reads the list" if is_reader else "reads the list no more", reads=self.reads)
+            log.write(
+                "registry", "reads the list" if is_reader else "reads the list no more", reads=self.reads
+            )
 
     def close(self) -> None:
         """End the connection to the platform."""
--- a/hazelspring/daemon/message_transport.py
+++ b/hazelspring/daemon/message_transport.py
@@ -12,42 +12,44 @@
 from hazelspring.daemon.structured_log import log
 from hazelspring.daemon.supervisor import Supervisor
 
-MOST_DATAGRAM = 1200  # bytes: fits a packet on any link
-MOST_MESSAGE = 8 << 20
-REOPEN = 0.2  # seconds until a socket that could not be opened is tried again: half of a heartbeat's interval
-PATIENCE = 2.0  # seconds for a message that goes by TCP; what asked for it asks again sooner
-MOST_OUT = 64  # such messages on their way at once
+MAX_DATAGRAM_BYTES = 1200  # bytes: fits a packet on any link
+MAX_MESSAGE_BYTES = 8 << 20
+REOPEN_INTERVAL = (
+    0.2  # seconds until a socket that could not be opened is tried again: half of a heartbeat's interval
+)
+DELIVERY_TIMEOUT = 2.0  # seconds for a message that goes by TCP; what asked for it asks again sooner
+MAX_DELIVERIES = 64  # such messages on their way at once
 OPEN_SOCKET = "open a socket"  # the name under which failures to do so are counted
 
 
-class Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, mesh: Mesh) -> None:
-        self.mesh = mesh
+class DatagramReceiver(asyncio.DatagramProtocol):
+    def __init__(self, mesh: MessageTransport) -> None:
+        self.transport_owner = mesh
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.mesh.received(addr[0], data)
+        self.transport_owner.on_bytes(addr[0], data)
 
     def error_received(self, error: Exception) -> None:
         pass  # a dead port: who is away is told by silence
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.mesh.lost_socket(error)
+        self.transport_owner.on_socket_lost(error)
 
 
-class Mesh:
+class MessageTransport:
     """`heard` gets each message with its sender's address."""
 
     def __init__(
         self, ip: str, port: int, heard: Callable[[str, dict[str, Any]], None], supervisor: Supervisor
     ) -> None:
-        self.ip, self.port, self.heard, self.supervisor = ip, port, heard, supervisor
+        self.ip, self.port, self.on_message, self.supervisor = ip, port, heard, supervisor
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
-        self.delivering = 0  # messages on their way by TCP
+        self.deliveries_in_flight = 0  # messages on their way by TCP
         self.loop = asyncio.get_running_loop()
         self.closed = False
-        self.message: dict[str, Any] = {}  # the last one,
-        self.data = b""  # and its bytes
+        self.last_message: dict[str, Any] = {}  # the last one,
+        self.last_message_bytes = b""  # and its bytes
 
     async def start(self) -> None:
         await self.open_socket()
@@ -56,14 +58,14 @@
     async def open_socket(self) -> None:
         """Open the socket for datagrams; raises OSError."""
         self.transport, _ = await self.loop.create_datagram_endpoint(
-            lambda: Datagrams(self), local_addr=(self.ip, self.port)
+            lambda: DatagramReceiver(self), local_addr=(self.ip, self.port)
         )
 
-    def lost_socket(self, error: Exception | None) -> None:
+    def on_socket_lost(self, error: Exception | None) -> None:
         """The event loop has closed the socket for datagrams: without it this node would run on and hear nobody."""
         self.transport = None
         if not self.closed:
-            log.say("transport", "lost its socket, opens another", error=error)
+            log.write("transport", "lost its socket, opens another", error=error)
             self.supervisor.start(OPEN_SOCKET, self.reopen_socket())
 
     async def reopen_socket(self) -> None:
@@ -73,26 +75,26 @@
                 await self.open_socket()
             except Exception as error:
                 self.supervisor.failed(OPEN_SOCKET, error)
-                await asyncio.sleep(REOPEN)
+                await asyncio.sleep(REOPEN_INTERVAL)
 
     def send(self, to: str, message: dict[str, Any]) -> None:
         """One message may go to many, one after another: it is encoded once, and not to be changed between."""
-        if message is not self.message:
-            self.message, self.data = message, cbor2.dumps(message)
-        data = self.data
-        if len(data) <= MOST_DATAGRAM:
+        if message is not self.last_message:
+            self.last_message, self.last_message_bytes = message, cbor2.dumps(message)
+        data = self.last_message_bytes
+        if len(data) <= MAX_DATAGRAM_BYTES:
             if self.transport is not None:
                 with contextlib.suppress(OSError):
                     self.transport.sendto(data, (to, self.port))
-        elif self.delivering < MOST_OUT:
-            self.delivering += 1
+        elif self.deliveries_in_flight < MAX_DELIVERIES:
+            self.deliveries_in_flight += 1
             self.supervisor.start("deliver a message", self.deliver(to, data))
         else:
-            log.say("transport", "too many large messages are on their way", peer=to)
+            log.write("transport", "too many large messages are on their way", peer=to)
 
     async def deliver(self, to: str, data: bytes) -> None:
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(DELIVERY_TIMEOUT):
                 reader, writer = await asyncio.open_connection(to, self.port, local_addr=(self.ip, 0))
                 try:
                     writer.write(len(data).to_bytes(4, "big") + data)
@@ -101,29 +103,29 @@
                 finally:
                     writer.transport.abort()
         except Exception as error:  # a write to a connection that was reset raises no type of its own
-            log.say("transport", "a message did not arrive", peer=to, error=type(error).__name__)
+            log.write("transport", "a message did not arrive", peer=to, error=type(error).__name__)
         finally:
-            self.delivering -= 1
+            self.deliveries_in_flight -= 1
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(DELIVERY_TIMEOUT):
                 size = int.from_bytes(await reader.readexactly(4), "big")
-                if size > MOST_MESSAGE:
+                if size > MAX_MESSAGE_BYTES:
                     return
                 data = await reader.readexactly(size)
-            self.received(writer.get_extra_info("peername")[0], data)
+            self.on_bytes(writer.get_extra_info("peername")[0], data)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             pass
         finally:
             writer.close()
 
-    def received(self, source: str, data: bytes) -> None:
+    def on_bytes(self, source: str, data: bytes) -> None:
         try:
             message = cbor2.loads(data)
-            self.heard(source, message)
+            self.on_message(source, message)
         except Exception as error:  # whatever another process sends must not end this one
-            log.say(
+            log.write(
                 "transport",
                 "a message could not be taken",
                 peer=source,
--- a/hazelspring/daemon/operator_calls.py
+++ b/hazelspring/daemon/operator_calls.py
@@ -5,25 +5,25 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from hazelspring.configuration.incremental import Held
-from hazelspring.configuration.validation import check_change
-from hazelspring.consensus.proposal import Done
+from hazelspring.configuration.incremental import LoadedConfiguration
+from hazelspring.configuration.validation import validate_change
+from hazelspring.consensus.proposal import ProposalOutcome
 from hazelspring.daemon.structured_log import log
-from hazelspring.node.actions import Deed
-from hazelspring.node.node import Core
+from hazelspring.node.actions import Action
+from hazelspring.node.node import Node
 
 
 @dataclass(slots=True, frozen=True)
-class Settled:
+class OrderResult:
     """How an order ended: `conflict` where another body holds its number; `body` is what was read, packed."""
 
-    good: bool
+    succeeded: bool
     conflict: bool = False
-    why: str = ""
+    reason: str = ""
     body: bytes = b""
 
 
-Reply = Callable[[Settled], None]
+Reply = Callable[[OrderResult], None]
 
 
 class OperatorCalls:
@@ -35,49 +35,51 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        core: Callable[[], Core],
-        held: Callable[[], Held | None],
-        carry_out: Callable[[list[Deed]], None],
+        core: Callable[[], Node],
+        held: Callable[[], LoadedConfiguration | None],
+        carry_out: Callable[[list[Action]], None],
     ) -> None:
         self.clock = clock
-        self.core = core
-        self.held = held
-        self.carry_out = carry_out
+        self.node = core
+        self.loaded_configuration = held
+        self.execute = carry_out
         self.token = 0
         self.replies: dict[int, Reply] = {}
 
-    def put(self, body: bytes, done: Reply) -> None:
+    def put_configuration(self, body: bytes, done: Reply) -> None:
         """A new configuration.  Raises hazelspring.configuration.validation.Invalid, and nothing is ordered then."""
-        checked = check_change(body, self.held())
-        self._begin(lambda token: self.core().put(self.clock(), token, body, checked), done)
+        checked = validate_change(body, self.loaded_configuration())
+        self._begin(lambda token: self.node().put_configuration(self.clock(), token, body, checked), done)
 
-    def read(self, done: Reply) -> None:
+    def read_configuration(self, done: Reply) -> None:
         """The newest configuration."""
-        self._begin(lambda token: self.core().read(self.clock(), token), done)
+        self._begin(lambda token: self.node().read_configuration(self.clock(), token), done)
 
-    def evacuate(self, zone: str, closed: bool, done: Reply) -> None:
+    def set_evacuation(self, zone: str, closed: bool, done: Reply) -> None:
         """Close a zone, or open it again."""
-        self._begin(lambda token: self.core().evacuate(self.clock(), token, zone, closed), done)
+        self._begin(lambda token: self.node().set_evacuation(self.clock(), token, zone, closed), done)
 
-    def retire(self, ip: str, done: Reply) -> None:
+    def retire_member(self, ip: str, done: Reply) -> None:
         """Take a member out of the core for good."""
-        self._begin(lambda token: self.core().retire(self.clock(), token, ip), done)
+        self._begin(lambda token: self.node().retire_member(self.clock(), token, ip), done)
 
-    def done(self, end: Done) -> None:
+    def on_outcome(self, end: ProposalOutcome) -> None:
         """An order has ended."""
         reply = self.replies.pop(end.token, None)
         if reply is None:
             return
-        if not end.good:
-            log.say("api", "refused an order" if end.conflict else "could not settle an order", why=end.why)
-        reply(Settled(end.good, end.conflict, end.why, end.word or b""))
+        if not end.succeeded:
+            log.write(
+                "api", "refused an order" if end.conflict else "could not settle an order", why=end.reason
+            )
+        reply(OrderResult(end.succeeded, end.conflict, end.reason, end.configuration or b""))
 
     def fail_all(self, why: str) -> None:
         """The core that the orders were begun at is given up."""
         for token in list(self.replies):
-            self.done(Done(token, False, why))
+            self.on_outcome(ProposalOutcome(token, False, why))
 
-    def _begin(self, begin: Callable[[int], list[Deed]], reply: Reply) -> None:
+    def _begin(self, begin: Callable[[int], list[Action]], reply: Reply) -> None:
         self.token += 1
         self.replies[self.token] = reply
         try:
@@ -85,4 +87,4 @@
         except Exception:
             del self.replies[self.token]  # its caller hears of the error
             raise
-        self.carry_out(deeds)
+        self.execute(deeds)
--- a/hazelspring/daemon/recovery_command.py
+++ b/hazelspring/daemon/recovery_command.py
@@ -11,21 +11,28 @@
 
 import cbor2
 
-from hazelspring.consensus.acceptor import Register, load
-from hazelspring.consensus.control_state import LINEAGE, NO_WORD, Ballot, Member, State, lineage
+from hazelspring.consensus.acceptor import Acceptor, load_acceptor
+from hazelspring.consensus.control_state import (
+    NO_CONFIGURATION,
+    VERSIONS_PER_LINEAGE,
+    Ballot,
+    ControlState,
+    Member,
+    lineage,
+)
 from hazelspring.consensus.disaster_recovery import (
-    ZONE,
-    Source,
-    Unfit,
-    newest,
-    of_items,
-    of_register,
-    rescued,
-    usable,
+    ZONE_KEY_PREFIX,
+    RecoverySource,
+    UnrecoverableError,
+    ensure_usable,
+    newest_items,
+    recovered_acceptor,
+    source_from_acceptor,
+    source_from_items,
 )
 from hazelspring.daemon.settings import SettingsError
-from hazelspring.daemon.settings import load as load_settings
-from hazelspring.storage.offline import Found, look, replace_all
+from hazelspring.daemon.settings import load_settings as load_settings
+from hazelspring.storage.offline import StoreContents, inspect_store, replace_contents
 from hazelspring.storage.replica_store import StoreError
 
 FILE, ASIDE = "comb.sqlite", "comb.sqlite.aside"
@@ -51,7 +58,7 @@
     """Carry out the call; the exit status, see HELP."""
     try:
         settings = load_settings(chosen.settings) if chosen.settings else None
-        folder = chosen.data or (settings.folder if settings is not None else "")
+        folder = chosen.data or (settings.data_directory if settings is not None else "")
         files = [Path(file) for file in chosen.files]
         if not folder and not (chosen.list and files):
             return refuse("settings: no disk is named: use --settings or --data", USAGE)
@@ -63,20 +70,20 @@
         if not chosen.stopped:
             return refuse("say --old-core-is-stopped once it is so: two cores would serve and decide", USAGE)
         target = Path(folder) / FILE
-        found = [look(path) for path in files or [target]]
+        found = [inspect_store(path) for path in files or [target]]
         source, marks = chosen_source(found, chosen.take == "accepted")
-        if not (chosen.size or source.state.size):
+        if not (chosen.size or source.state.target_size):
             return refuse("size: format 1 does not tell it: use --size", USAGE)
-        usable(source)
+        ensure_usable(source)
         now = (int(time.time() * 1000) << 8) + secrets.randbits(8)
         member = Member(settings.ip, settings.zone, settings.region, now)
-        register = rescued(source, member, chosen.size, now)
-        records = {name: body for name, body in register.take_records().items() if body is not None}
+        register = recovered_acceptor(source, member, chosen.size, now)
+        records = {name: body for name, body in register.take_dirty_records().items() if body is not None}
         kept = Path(f"{target}.before-{now}")
-        replace_all(target, marks | records, kept)
+        replace_contents(target, marks | records, kept)
     except SettingsError as error:
         return refuse(f"{error.code}: {error}", USAGE)
-    except (StoreError, Unfit) as error:
+    except (StoreError, UnrecoverableError) as error:
         return refuse(f"{error.code}: {error}", 1)
     assert register.decided is not None
     print(f"{target}: holds a new core; what it held is in {kept}")
@@ -89,28 +96,30 @@
     return status
 
 
-def chosen_source(found: list[Found], accepted: bool) -> tuple[Source, dict[str, bytes]]:
+def chosen_source(found: list[StoreContents], accepted: bool) -> tuple[RecoverySource, dict[str, bytes]]:
     """What to go on from, and the marks to keep; raises Unfit."""
-    wrong = [name for one in found for name in one.wrong]
+    wrong = [name for one in found for name in one.corrupt]
     if wrong:
-        raise Unfit(f"the sum of {', '.join(wrong)} is wrong")
+        raise UnrecoverableError(f"the sum of {', '.join(wrong)} is wrong")
     if {one.format for one in found} == {1}:
         doors = max(int(one.marks.get("doors", b"0")) for one in found)
-        return of_items(newest(one.items for one in found)), {"mark doors": str(doors).encode()}
+        return source_from_items(newest_items(one.items for one in found)), {
+            "mark doors": str(doors).encode()
+        }
     if len(found) > 1:
-        raise Unfit("only files of format 1 can be put together: name one")
+        raise UnrecoverableError("only files of format 1 can be put together: name one")
     marks = {name: body for name, body in found[0].records.items() if name.startswith("mark ")}
-    return of_register(register_of(found[0]), accepted), marks
+    return source_from_acceptor(register_of(found[0]), accepted), marks
 
 
-def register_of(found: Found) -> Register:
+def register_of(found: StoreContents) -> Acceptor:
     """Raises Unfit where the records tell none."""
     if "disk" not in found.records:
-        raise Unfit("nothing was ever kept here")
+        raise UnrecoverableError("nothing was ever kept here")
     try:
-        return load(found.records, 0, False)
+        return load_acceptor(found.records, 0, False)
     except (ValueError, TypeError, cbor2.CBORDecodeError) as error:
-        raise Unfit(str(error)) from None
+        raise UnrecoverableError(str(error)) from None
 
 
 # --- what a disk holds ------------------------------------------------------------------------------------------------
@@ -121,39 +130,43 @@
     bad = 0
     for path in paths:
         try:
-            found = look(path)
+            found = inspect_store(path)
             lines = list(items_told(found) if found.format == 1 else register_told(register_of(found)))
-        except (StoreError, Unfit) as error:
+        except (StoreError, UnrecoverableError) as error:
             bad = refuse(f"{error.code}: {path}: {error}", 1)
             continue
-        print(
-            f"{path}: format {found.format}, sums {'good' if not found.wrong else 'WRONG of ' + ', '.join(found.wrong)}"
-        )
+        sums = "good" if not found.corrupt else f"WRONG of {', '.join(found.corrupt)}"
+        print(f"{path}: format {found.format}, sums {sums}")
         for line in lines:
             print(f"  {line}")
-        bad |= bool(found.wrong)
+        bad |= bool(found.corrupt)
     return bad
 
 
-def register_told(register: Register) -> Iterator[str]:
-    yield f"disk      {register.disk}  promised up to ballot {register.promised[0]} of {register.promised[2] or 'none'}"
+def register_told(register: Acceptor) -> Iterator[str]:
+    count, _, proposer = register.promised
+    yield f"disk      {register.disk_id}  promised up to ballot {count} of {proposer or 'none'}"
     yield f"decided   {told(*register.decided)}" if register.decided is not None else "decided   nothing"
     if register.accepted is not None and register.pending is not None:
         yield f"accepted  {told(*register.accepted)}, which may have been acknowledged"
 
 
-def told(ballot: Ballot, state: State) -> str:
-    word = f"r{state.number} {state.digest.hex()}" if state.digest != NO_WORD else "no configuration"
-    members = " ".join(f"{member.ip}/{member.disk}" for member in state.members)
+def told(ballot: Ballot, state: ControlState) -> str:
+    word = (
+        f"r{state.configuration_version} {state.configuration_digest.hex()}"
+        if state.configuration_digest != NO_CONFIGURATION
+        else "no configuration"
+    )
+    members = " ".join(f"{member.ip}/{member.disk_id}" for member in state.members)
     return (
-        f"lineage {lineage(state.version)} version {state.version % LINEAGE} ballot {ballot[0]}  {word}"
-        f"  closed {','.join(sorted(state.closed)) or 'none'}  core of {state.size}: {members}"
+        f"lineage {lineage(state.version)} version {state.version % VERSIONS_PER_LINEAGE} ballot {ballot[0]}  {word}"
+        f"  closed {','.join(sorted(state.evacuated_zones)) or 'none'}  core of {state.target_size}: {members}"
     )
 
 
-def items_told(found: Found) -> Iterator[str]:
+def items_told(found: StoreContents) -> Iterator[str]:
     for key, ((number, tie), body) in found.items.items():
-        if key.startswith(ZONE):
+        if key.startswith(ZONE_KEY_PREFIX):
             yield f"{key} {'closed' if body == b'1' else 'open'}  stamp {number} {tie.hex()}"
         else:
             yield f"r{number} {tie.hex()}"
--- a/hazelspring/daemon/settings.py
+++ b/hazelspring/daemon/settings.py
@@ -8,10 +8,10 @@
 
 from marshmallow import ValidationError, fields, post_load, pre_load, validate
 
-from hazelspring.configuration.schema import Lenient, problems
+from hazelspring.configuration.schema import LenientSchema, flatten_errors
 from hazelspring.node.invariants import InvariantBounds
-from hazelspring.quota.limits import QuotaRule
-from hazelspring.routing.request_router import Rule
+from hazelspring.quota.limits import QuotaLimits
+from hazelspring.routing.request_router import SharedLimits
 from ivymux.config import Address, ConfigError, parse_address
 
 
@@ -36,7 +36,7 @@
         return address
 
 
-class Listed(fields.Field):  # type: ignore[type-arg]
+class CommaSeparatedField(fields.Field):  # type: ignore[type-arg]
     """A list joined by commas."""
 
     def __init__(self, inner: fields.Field[Any], **kwargs: Any) -> None:
@@ -47,13 +47,13 @@
         return [self.inner.deserialize(part.strip()) for part in str(value).split(",") if part.strip()]
 
 
-class Limits(Lenient):
+class LimitsSchema(LenientSchema):
     memoryMb = fields.Float(load_default=300.0, validate=validate.Range(min=1))
     fileDescriptors = fields.Integer(load_default=1024, validate=validate.Range(min=256))
     linkMbps = fields.Float(load_default=1000.0, validate=validate.Range(min=0, min_inclusive=False))
 
 
-class ThisDoor(Lenient):
+class ThisNodeSchema(LenientSchema):
     nodeName = fields.String(required=True, validate=validate.Length(min=1))
     internetAddress = fields.String(required=True, validate=validate.Length(min=1))
     zone = fields.String(required=True)
@@ -61,33 +61,35 @@
     firstStart = fields.Boolean(load_default=False)
     lossCounted = fields.Boolean(load_default=False)
     dataDirectory = fields.String(load_default="")
-    limits = fields.Nested(Limits, load_default=dict)
+    limits = fields.Nested(LimitsSchema, load_default=dict)
 
 
-class Listen(Lenient):
+class ListenAddressesSchema(LenientSchema):
     front = AddressField(required=True)
     readiness = AddressField(required=True)
     controlAddress = AddressField(required=True)
     directoryAddress = AddressField(required=True)
 
 
-class Network(Lenient):
-    listenAddresses = fields.Nested(Listen, required=True)
-    internalPorts = Listed(fields.Integer(validate=validate.Range(min=1, max=65535)), required=True)
-    seedNodes = Listed(AddressField(), load_default=list)
+class NetworkSchema(LenientSchema):
+    listenAddresses = fields.Nested(ListenAddressesSchema, required=True)
+    internalPorts = CommaSeparatedField(
+        fields.Integer(validate=validate.Range(min=1, max=65535)), required=True
+    )
+    seedNodes = CommaSeparatedField(AddressField(), load_default=list)
     zones = fields.Dict(keys=fields.String(), values=fields.String(), required=True)
 
 
-class Cloud(Lenient):
+class CloudInterfaceSchema(LenientSchema):
     address = AddressField(required=True)
     requestsPerS = fields.Float(load_default=10.0, validate=validate.Range(min=0, min_inclusive=False))
 
 
-class Platform(Lenient):
-    cloudInterface = fields.Nested(Cloud, required=True)
+class PlatformSchema(LenientSchema):
+    cloudInterface = fields.Nested(CloudInterfaceSchema, required=True)
 
 
-class Bounds(Lenient):
+class RuleBoundsSchema(LenientSchema):
     drainCutoffMs = fields.Float(load_default=3000.0, validate=validate.Range(min=0))
     inTouchMs = fields.Float(load_default=4000.0, validate=validate.Range(min=0))
     revocationMs = fields.Float(load_default=5000.0, validate=validate.Range(min=500))
@@ -102,8 +104,8 @@
     ttl_max_s = fields.Float(load_default=5.0, validate=validate.Range(min=0.1))
 
 
-class Timing(Lenient):
-    ruleBounds = fields.Nested(Bounds, load_default=lambda: Bounds().load({}))
+class TimingSchema(LenientSchema):
+    ruleBounds = fields.Nested(RuleBoundsSchema, load_default=lambda: RuleBoundsSchema().load({}))
 
 
 @dataclass(slots=True, frozen=True)
@@ -114,31 +116,31 @@
     ip: str
     zone: str
     region: str
-    first: bool
-    folder: str
-    descriptors: int
-    link: float  # bytes a second of this machine's own
-    front: Address
-    readiness: Address
-    control: Address
-    directory: Address
-    port: int  # of messages between doors, UDP and TCP
+    first_start: bool
+    data_directory: str
+    max_descriptors: int
+    link_bandwidth: float  # bytes a second of this machine's own
+    client_address: Address
+    readiness_address: Address
+    control_address: Address
+    directory_address: Address
+    internal_port: int  # of messages between doors, UDP and TCP
     seeds: tuple[str, ...]
     zones: dict[str, str]
-    platform: Address
+    platform_address: Address
     platform_rate: float
-    revocation: float
-    grace: float
-    lifetime: float
-    rule: Rule
+    revocation_time: float
+    grace_period: float
+    max_lookup_lifetime: float
+    shared_limits: SharedLimits
     invariants: InvariantBounds
 
 
-class File(Lenient):
-    thisDoor = fields.Nested(ThisDoor, required=True)
-    network = fields.Nested(Network, required=True)
-    platformSettings = fields.Nested(Platform, required=True)
-    timingTerms = fields.Nested(Timing, load_default=lambda: Timing().load({}))
+class SettingsSchema(LenientSchema):
+    thisDoor = fields.Nested(ThisNodeSchema, required=True)
+    network = fields.Nested(NetworkSchema, required=True)
+    platformSettings = fields.Nested(PlatformSchema, required=True)
+    timingTerms = fields.Nested(TimingSchema, load_default=lambda: TimingSchema().load({}))
 
     @pre_load
     def fold(self, lines: dict[str, str], **kwargs: Any) -> dict[str, Any]:
@@ -157,12 +159,12 @@
     @post_load
     def settle(self, found: dict[str, Any], **kwargs: Any) -> Settings:
         door, net, bounds = found["thisDoor"], found["network"], found["timingTerms"]["ruleBounds"]
-        limits = door["limits"] or Limits().load({})
+        limits = door["limits"] or LimitsSchema().load({})
         cloud, listen = found["platformSettings"]["cloudInterface"], net["listenAddresses"]
         if not net["internalPorts"]:
             raise ValidationError("none is named", "internalPorts")
-        rule = Rule(
-            QuotaRule(bounds["quotaWindowS"], bounds["quotaOverage"], bounds["quotaSlack"]),
+        rule = SharedLimits(
+            QuotaLimits(bounds["quotaWindowS"], bounds["quotaOverage"], bounds["quotaSlack"]),
             bounds["retryBudgetRatio"],
             bounds["budgetSlack"],
             bounds["budgetWindowS"],
@@ -193,7 +195,7 @@
         )
 
 
-def parse(text: str) -> Settings:
+def parse_settings(text: str) -> Settings:
     """Settings from the file's text; raises SettingsError with every problem."""
     lines = {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -205,18 +207,18 @@
             raise SettingsError(f"line {number}: no a.b=value")
         lines[key.strip()] = value.strip()
     try:
-        found = File().load(lines)
+        found = SettingsSchema().load(lines)
     except ValidationError as error:
-        raise SettingsError("\n".join(problems(error.messages))) from None
+        raise SettingsError("\n".join(flatten_errors(error.messages))) from None
     assert isinstance(found, Settings)
     return found
 
 
-def load(path: str) -> Settings:
+def load_settings(path: str) -> Settings:
     try:
         text = Path(path).read_text()
     except OSError as error:
         raise UnreadableSettingsError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError as error:
         raise SettingsError(f"{path}: no text: {error}") from None
-    return parse(text)
+    return parse_settings(text)
--- a/hazelspring/daemon/supervisor.py
+++ b/hazelspring/daemon/supervisor.py
@@ -37,7 +37,7 @@
     def failed(self, name: str, error: BaseException) -> None:
         """Something ended by an error that nobody foresaw."""
         self.failures[name] += 1
-        log.failed("daemon", "failed", error, what=name)
+        log.write_failure("daemon", "failed", error, what=name)
 
     def close(self) -> None:
         """Cancel the tasks that still run."""
@@ -56,4 +56,4 @@
             self.failed(CALLBACK, error)
         else:
             self.failures[CALLBACK] += 1
-            log.say("daemon", "failed", what=CALLBACK, error=context.get("message", ""))
+            log.write("daemon", "failed", what=CALLBACK, error=context.get("message", ""))
--- a/hazelspring/localfleet/__main__.py
+++ b/hazelspring/localfleet/__main__.py
@@ -12,15 +12,15 @@
 from pathlib import Path
 
 from hazelspring.cli.__main__ import statuses
-from hazelspring.cli.control_client import order
-from hazelspring.localfleet.fleet import KEY, Yard, configuration
-from hazelspring.localfleet.stand_ins import Stands
+from hazelspring.cli.control_client import call_until_settled
+from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration
+from hazelspring.localfleet.stand_ins import StandIns
 
 
 class Background:
     """The stand-ins' loop, in a thread of its own."""
 
-    def __init__(self, stands: Stands) -> None:
+    def __init__(self, stands: StandIns) -> None:
         self.stands, self.loop = stands, asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
@@ -45,11 +45,11 @@
     if chosen.core < 1 or chosen.others < 0:
         parser.error("there must be a door with a disk")
     with tempfile.TemporaryDirectory(prefix="hazelspring-") as folder:
-        yard = Yard(Path(folder), chosen.core, chosen.others)
-        background = Background(Stands(yard.platform, yard.servers))
+        yard = LocalFleet(Path(folder), chosen.core, chosen.others)
+        background = Background(StandIns(yard.platform, yard.servers))
         try:
             yard.start_all(first=True)
-            order(yard.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
+            call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
             yard.until(lambda: all(yard.is_ready(n) for n in range(len(yard.ips))))
             doors = ",".join(yard.controls())
             print(f"export HAZELSPRING_NODES={doors}\nlogs and disks: {folder}\n")
--- a/hazelspring/localfleet/fleet.py
+++ b/hazelspring/localfleet/fleet.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from hazelspring.localfleet.stand_ins import Server
+from hazelspring.localfleet.stand_ins import StandInServer
 
 ROOT = Path(__file__).parent.parent.parent
 ZONES = {"north-1": "north", "north-2": "north", "south-1": "south", "south-2": "south"}
@@ -55,7 +55,7 @@
     return json.dumps({"versionNumber": f"r{number}", "resourceList": resources}).encode()
 
 
-class Yard:
+class LocalFleet:
     """So many core doors and others; each has an address of its own in 127.0.0.0/8, and all have the same ports.
     `program` is what runs a door, `settings` are lines beside the usual ones, `apart` gives each server a process;
     `nth` keeps the addresses of several yards of one process apart."""
@@ -83,7 +83,7 @@
         self.zones = [list(ZONES)[n % len(ZONES)] for n in range(core + others)]
         self.platform = f"{net}.{200 + nth}:{self.platform_port}"
         self.servers = [
-            Server(
+            StandInServer(
                 f"i-{n}", "shop", f"{net}.{100 + first + n}:{web}", list(ZONES)[n % len(ZONES)], apart=apart
             )
             for n in range(servers)
--- a/hazelspring/localfleet/stand_ins.py
+++ b/hazelspring/localfleet/stand_ins.py
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class Server:
+class StandInServer:
     """A server's life; what it ran is counted by attempt id."""
 
     id: str
@@ -123,10 +123,10 @@
     writer.transport.abort()
 
 
-class Stands:
+class StandIns:
     """The platform and all servers, in one loop."""
 
-    def __init__(self, platform: str, servers: list[Server]) -> None:
+    def __init__(self, platform: str, servers: list[StandInServer]) -> None:
         self.platform, self.servers = platform, servers
         self.calls = 0
         self.listening: list[asyncio.Server] = []
@@ -177,8 +177,8 @@
 
 async def serve_one(id_: str, service: str, address: str, zone: str, file: str) -> None:
     notes = os.open(file, os.O_CREAT | os.O_APPEND | os.O_WRONLY)
-    server = Server(id_, service, address, zone, work=0.03, notes=notes)
-    await Stands("", []).listen(address, server.handle)
+    server = StandInServer(id_, service, address, zone, work=0.03, notes=notes)
+    await StandIns("", []).listen(address, server.handle)
     await asyncio.Event().wait()
 
 
--- a/hazelspring/membership/roster.py
+++ b/hazelspring/membership/roster.py
@@ -9,29 +9,31 @@
 from functools import lru_cache
 from typing import Any
 
-Row = list[Any]  # address, zone, region, disk, life, ready
-Change = tuple[
-    int, int, list[str], list[Row]
+RosterRow = list[Any]  # address, zone, region, disk, life, ready
+RosterChange = tuple[
+    int, int, list[str], list[RosterRow]
 ]  # the sum before, the sum after, addresses gone, rows new or changed
 
-KEPT = 128  # changes that are remembered: more than members see in the six seconds until a far door leaves
-WRAP = 1 << 64
+MAX_REMEMBERED_CHANGES = (
+    128  # changes that are remembered: more than members see in the six seconds until a far door leaves
+)
+CHECKSUM_MODULUS = 1 << 64
 
 
 @lru_cache(maxsize=1 << 13)
-def hash_of(row: tuple[Any, ...]) -> int:
+def row_hash(row: tuple[Any, ...]) -> int:
     """Of 64 bits; kept, as a row that goes or comes in a whole roster was mostly summed before."""
     return int.from_bytes(hashlib.blake2b(repr(row).encode(), digest_size=8).digest(), "big")
 
 
-def sum_of(rows: Iterable[Row]) -> int:
+def rows_checksum(rows: Iterable[RosterRow]) -> int:
     """What two doors compare to see whether they hold the same rows.  Rows add up, so that one row's change costs one
     row's hash; the hash is of 64 bits and not linear, so that no two small changes undo each other (Bellare and
     Micciancio 1997, AdHash).  No rows: 0."""
-    return sum(hash_of(tuple(row)) for row in rows) % WRAP
+    return sum(row_hash(tuple(row)) for row in rows) % CHECKSUM_MODULUS
 
 
-def place(rows: Sequence[Row], ip: str) -> tuple[int, bool]:
+def find_row(rows: Sequence[RosterRow], ip: str) -> tuple[int, bool]:
     """Where a door's row is, or would be, and whether it is there."""
     at = bisect_left(rows, ip, key=lambda row: row[0])
     return at, at < len(rows) and rows[at][0] == ip
@@ -41,83 +43,85 @@
     """`rows` is in the order of addresses; it is replaced and never changed, as many hold it."""
 
     def __init__(self) -> None:
-        self.rows: list[Row] = []
-        self.sum = 0
+        self.rows: list[RosterRow] = []
+        self.checksum = 0
         self.changes: deque[tuple[int, list[str]]] = deque()  # the sum before each, and whose rows it changed
         # what changed since a sum, as worked out since the last change
-        self.told: dict[int, Change | None] = {}
+        self.cached_changes: dict[int, RosterChange | None] = {}
 
-    def take(self, rows: list[Row]) -> None:
+    def replace(self, rows: list[RosterRow]) -> None:
         """The whole, as another door told it; what changed before is forgotten.  Only rows that differ are summed,
         unless this door's own sum is forgotten."""
-        known = {row[0]: row for row in self.rows} if self.sum else {}
-        more = sum_of([row for row in rows if known.get(row[0]) != row])
+        known = {row[0]: row for row in self.rows} if self.checksum else {}
+        more = rows_checksum([row for row in rows if known.get(row[0]) != row])
         same = {row[0] for row in rows if known.get(row[0]) == row}
-        less = sum_of([row for ip, row in known.items() if ip not in same])
-        self.rows, self.sum = rows, (self.sum * bool(known) + more - less) % WRAP
+        less = rows_checksum([row for ip, row in known.items() if ip not in same])
+        self.rows, self.checksum = rows, (self.checksum * bool(known) + more - less) % CHECKSUM_MODULUS
         self.changes.clear()
-        self.told.clear()
+        self.cached_changes.clear()
 
-    def change(self, gone: Sequence[str], changed: Sequence[Row]) -> None:
+    def update(self, gone: Sequence[str], changed: Sequence[RosterRow]) -> None:
         """Bring it up to date, and remember what changed; what is as told already is no change."""
         touched: list[str] = []
         rows, total = self.applied(gone, changed, touched)
         if not touched:
             return
-        before, self.rows, self.sum = self.sum, rows, total
+        before, self.rows, self.checksum = self.checksum, rows, total
         self.changes.append((before, touched))
-        self.told.clear()
-        while len(self.changes) > KEPT or sum(len(ips) for _, ips in self.changes) > len(rows):
+        self.cached_changes.clear()
+        while len(self.changes) > MAX_REMEMBERED_CHANGES or sum(len(ips) for _, ips in self.changes) > len(
+            rows
+        ):
             self.changes.popleft()
 
     def applied(
-        self, gone: Sequence[str], changed: Sequence[Row], touched: list[str]
-    ) -> tuple[list[Row], int]:
+        self, gone: Sequence[str], changed: Sequence[RosterRow], touched: list[str]
+    ) -> tuple[list[RosterRow], int]:
         """The rows and the sum that changes make; `touched` takes the addresses of those that change something."""
-        rows, total = list(self.rows), self.sum
+        rows, total = list(self.rows), self.checksum
         for ip in gone:
-            at, there = place(rows, ip)
+            at, there = find_row(rows, ip)
             if there:
-                total -= sum_of((rows.pop(at),))
+                total -= rows_checksum((rows.pop(at),))
                 touched.append(ip)
         for row in changed:
-            at, there = place(rows, row[0])
+            at, there = find_row(rows, row[0])
             if there and rows[at] == row:
                 continue
-            total += sum_of((row,)) - (sum_of((rows[at],)) if there else 0)
+            total += rows_checksum((row,)) - (rows_checksum((rows[at],)) if there else 0)
             rows[at : at + there] = [row]
             touched.append(row[0])
-        return rows, total % WRAP
+        return rows, total % CHECKSUM_MODULUS
 
-    def since(self, known: int) -> Change | None:
+    def changes_since(self, known: int) -> RosterChange | None:
         """What changed since the sum that a door named; none where that is not remembered, or the whole is less."""
-        if known not in self.told:
-            if len(self.told) > KEPT:  # sums that no door should name
-                self.told.clear()
-            self.told[known] = self.worked_out(known)
-        return self.told[known]
+        if known not in self.cached_changes:
+            if len(self.cached_changes) > MAX_REMEMBERED_CHANGES:  # sums that no door should name
+                self.cached_changes.clear()
+            self.cached_changes[known] = self.compute_changes_since(known)
+        return self.cached_changes[known]
 
-    def worked_out(self, known: int) -> Change | None:
+    def compute_changes_since(self, known: int) -> RosterChange | None:
         sums = [before for before, _ in self.changes]
         if not known or known not in sums:  # 0: it holds nothing, or not what it thought
             return None
         touched = {ip for _, ips in list(self.changes)[sums.index(known) :] for ip in ips}
         if 2 * len(touched) > len(self.rows):
             return None
-        found = {ip: place(self.rows, ip) for ip in sorted(touched)}
+        found = {ip: find_row(self.rows, ip) for ip in sorted(touched)}
         gone = [ip for ip, (_, there) in found.items() if not there]
-        return known, self.sum, gone, [self.rows[at] for at, there in found.values() if there]
+        return known, self.checksum, gone, [self.rows[at] for at, there in found.values() if there]
 
-    def follow(self, change: Sequence[Any]) -> None:
+    def apply_change(self, change: Sequence[Any]) -> None:
         """Take what another door told to have changed.  It counts only on the very rows that it was made from; where
         it does not come to the sum that it should, this door's sum is forgotten, so that it is told the whole."""
         before, after, gone, changed = change
-        if before != self.sum or before == 0:
+        if before != self.checksum or before == 0:
             return  # late, or told twice
         rows, total = self.applied(gone, changed, [])
         if total == after:
-            self.rows, self.sum = rows, total
+            self.rows, self.checksum = rows, total
         else:
-            self.sum = 0
+            self.checksum = 0
         self.changes.clear()
-        self.told.clear()
+        self.cached_changes.clear()
--- a/hazelspring/node/actions.py
+++ b/hazelspring/node/actions.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hazelspring.consensus.proposal import Done
-from hazelspring.quota.credits import Granted, Lapsed
+from hazelspring.consensus.proposal import ProposalOutcome
+from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
 
 Message = dict[str, Any]
 # kinds of messages that the agreement takes
@@ -30,32 +30,42 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Poll:
+class ReadList:
     """The platform's list is to be read; `Core.listed` wants to hear how that read, by its number, ended."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
-class Changed:
+class StateChanged:
     """Something is seen anew: the key of an item, or `service:NAME`."""
 
     what: str
 
 
 @dataclass(slots=True, frozen=True)
-class Danced:
+class LoadReported:
     """Another door has told where its requests are, by servers' tags."""
 
-    door: str
-    outs: dict[int, int]
+    node: str
+    in_flight_by_tag: dict[int, int]
 
 
 @dataclass(slots=True, frozen=True)
-class Violated:
+class InvariantViolated:
     """An invariant has ceased to hold; by its name in `hazelspring.node.invariants`."""
 
     name: str
 
 
-Deed = Send | Save | Poll | Done | Changed | Granted | Lapsed | Danced | Violated
+Action = (
+    Send
+    | Save
+    | ReadList
+    | ProposalOutcome
+    | StateChanged
+    | CreditsGranted
+    | CounterUnavailable
+    | LoadReported
+    | InvariantViolated
+)
--- a/hazelspring/node/dissemination.py
+++ b/hazelspring/node/dissemination.py
@@ -5,50 +5,56 @@
 import math
 from collections.abc import Mapping
 
-from hazelspring.membership.peer_table import Peers
-from hazelspring.node.actions import Changed, Deed, Message, Send
-from hazelspring.node.load_reporter import Outs, Teller, budget
-from hazelspring.node.messages import TableNews, TableRequest
+from hazelspring.membership.peer_table import PeerTable
+from hazelspring.node.actions import Action, Message, Send, StateChanged
+from hazelspring.node.load_reporter import InFlightByTag, LoadReporter, report_budget
+from hazelspring.node.messages import TableRequest, TableUpdate
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node
 
 
 class Disseminator:
     """Tells other nodes of changed tables, and of where this node's requests are."""
 
-    def __init__(self, peers: Peers, link: float = math.inf) -> None:
+    def __init__(self, peers: PeerTable, link: float = math.inf) -> None:
         self.peers, self.registry = peers, ServerRegistry(peers.me.ip)
-        self.teller = Teller(peers, budget(link))
+        self.load_reporter = LoadReporter(peers, report_budget(link))
 
-    def listed(self, now: float, wall_ms: int, found: dict[str, dict[str, ServerEntry]]) -> list[Deed]:
+    def publish_list(
+        self, now: float, wall_ms: int, found: dict[str, dict[str, ServerEntry]]
+    ) -> list[Action]:
         """A list has come: what it changes goes to the core, and to the home node of each service and zone."""
-        deeds: list[Deed] = []
+        deeds: list[Action] = []
         me = self.peers.me.ip
         for service in self.registry.update_from_list(now, wall_ms, found):
-            deeds.append(Changed(f"service:{service}"))
-            message = TableNews(self.registry.encode_change(now, service)).encode()
-            zones = sorted({row[1] for row in self.peers.roster})
-            homes = {home_node(service, zone, self.peers.doors(zone=zone)) for zone in zones}
-            for ip in sorted({*self.peers.others(), *(h for h in homes if h is not None)} - {me}):
+            deeds.append(StateChanged(f"service:{service}"))
+            message = TableUpdate(self.registry.encode_change(now, service)).encode()
+            zones = sorted({row[1] for row in self.peers.roster_rows})
+            homes = {home_node(service, zone, self.peers.ready_nodes(zone=zone)) for zone in zones}
+            for ip in sorted({*self.peers.other_core_nodes(), *(h for h in homes if h is not None)} - {me}):
                 deeds.append(Send(ip, message))
-            deeds += self.tell_zone(service, message)
+            deeds += self.forward_to_zone(service, message)
         return deeds
 
-    def apply(self, now: float, news: TableNews) -> list[Deed]:
+    def apply_update(self, now: float, news: TableUpdate) -> list[Action]:
         """What another node told; where it can't be applied, the whole table is asked for."""
         service = news.service
         if not self.registry.apply(now, news.table):
-            core = self.peers.others()[:1] if self.registry.outdated({service: news.version}) else []
+            core = (
+                self.peers.other_core_nodes()[:1] if self.registry.outdated({service: news.version}) else []
+            )
             return [Send(ip, TableRequest(service).encode()) for ip in core]
-        return [Changed(f"service:{service}"), *self.tell_zone(service, news.encode())]
+        return [StateChanged(f"service:{service}"), *self.forward_to_zone(service, news.encode())]
 
-    def tell_zone(self, service: str, message: Message) -> list[Deed]:
+    def forward_to_zone(self, service: str, message: Message) -> list[Action]:
         """The home node tells the others of its zone."""
         me = self.peers.me
-        doors = self.peers.doors(zone=me.zone)
+        doors = self.peers.ready_nodes(zone=me.zone)
         if home_node(service, me.zone, doors) != me.ip:
             return []
         return [Send(ip, message) for ip in doors if ip != me.ip]
 
-    def tell_load(self, now: float, outs: Outs, heard: Mapping[str, tuple[float, Outs]]) -> list[Deed]:
+    def report_load(
+        self, now: float, outs: InFlightByTag, heard: Mapping[str, tuple[float, InFlightByTag]]
+    ) -> list[Action]:
         """Tell other nodes where this node's requests are; `heard` is what they told."""
-        return self.teller.tell(now, outs, heard)
+        return self.load_reporter.report(now, outs, heard)
--- a/hazelspring/node/heartbeats.py
+++ b/hazelspring/node/heartbeats.py
@@ -5,201 +5,221 @@
 import zlib
 from typing import Any
 
-from hazelspring.leases.singleton_roles import Duties
-from hazelspring.membership.peer_table import About, Peer, Peers
+from hazelspring.leases.singleton_roles import SingletonRoles
+from hazelspring.membership.peer_table import NodeInfo, Peer, PeerTable
 from hazelspring.node.actions import Message
-from hazelspring.node.control_replica import Control
-from hazelspring.registry.list_freshness import UNIT, ListFreshness
+from hazelspring.node.control_replica import ControlReplica
+from hazelspring.registry.list_freshness import AGE_UNIT, ListFreshness
 from hazelspring.registry.tables import ServerRegistry
 
-NEAR_BEAT = 0.4  # seconds between beats inside a region, and between core doors, whose leases live on them
-FAR_BEAT = 2.0  # between regions, where bytes are dear, while the near part of the core answers
-YOUNG = 3.0  # seconds for which a new life says in each echo who it is
-APART = 1 << 24  # beats between the numbers of two lives: more than one sends in a month
-MOST_SENT = 512  # beats that an answer may still come to: those of the last half minute
+NEAR_INTERVAL = (
+    0.4  # seconds between beats inside a region, and between core doors, whose leases live on them
+)
+FAR_INTERVAL = 2.0  # between regions, where bytes are dear, while the near part of the core answers
+INTRODUCTION_TIME = 3.0  # seconds for which a new life says in each echo who it is
+NUMBERS_PER_INCARNATION = 1 << 24  # beats between the numbers of two lives: more than one sends in a month
+MAX_REMEMBERED_HEARTBEATS = 512  # beats that an answer may still come to: those of the last half minute
 
 
-def hash_of(life: int) -> int:
+def incarnation_hash(life: int) -> int:
     """A number below a million that two lives hardly share."""
     return zlib.crc32(life.to_bytes(16, "big")) % 1_000_000
 
 
-class Beats:
+class Heartbeats:
     """Makes the beats of one door, answers those of others, and notes what the answers tell."""
 
     def __init__(
         self,
-        peers: Peers,
-        control: Control,
-        duties: Duties,
+        peers: PeerTable,
+        control: ControlReplica,
+        duties: SingletonRoles,
         news: ServerRegistry,
         freshness: ListFreshness,
         began: float,
     ) -> None:
-        self.peers, self.control, self.duties, self.registry, self.began = peers, control, duties, news, began
+        self.peers, self.control, self.roles, self.registry, self.started_at = (
+            peers,
+            control,
+            duties,
+            news,
+            began,
+        )
         self.freshness = freshness
         # beats are numbered from a number of this life's own on, so an answer to an earlier life is known by it, also
         # on a machine whose steady clock has begun anew
-        self.count = hash_of(peers.me.life) * APART
+        self.last_number = incarnation_hash(peers.me.incarnation) * NUMBERS_PER_INCARNATION
         # of the last beats, by number: when each was sent, and the sum of what was known then of whom it went to
         self.sent: dict[int, tuple[float, int]] = {}
-        self.summed: tuple[dict[str, Any], int] = ({}, 0)  # the state told last, and its sum
+        self.cached_state_checksum: tuple[dict[str, Any], int] = ({}, 0)  # the state told last, and its sum
         self.first_sent: dict[str, float] = {}  # to whom a beat went that has never answered
 
-    def state(self, now: float) -> dict[str, Any]:
+    def own_state(self, now: float) -> dict[str, Any]:
         """What others want to know of this door, and what seldom changes."""
-        told: dict[str, Any] = {"n": self.registry.versions(), "m": {"doors": self.peers.most_doors}}
-        told["h"] = dict(zip(("v", "p"), self.control.held(), strict=True))
-        if self.control.seated():
-            told["d"] = self.duties.told(now)
-            told["q"] = self.control.silent(now)
-            if declining := self.duties.declining(now):
+        told: dict[str, Any] = {"n": self.registry.versions(), "m": {"doors": self.peers.max_node_count}}
+        told["h"] = dict(zip(("v", "p"), self.control.control_versions(), strict=True))
+        if self.control.is_member():
+            told["d"] = self.roles.reported_holders(now)
+            told["q"] = self.control.unresponsive_members(now)
+            if declining := self.roles.declined_roles(now):
                 told["o"] = dict.fromkeys(declining, 1)
         return told
 
-    def number(self, now: float, known: int) -> int:
+    def next_number(self, now: float, known: int) -> int:
         """The number of a beat that goes out now; `known`: the sum that it names."""
-        self.count += 1
-        self.sent[self.count] = (now, known)
-        if len(self.sent) > MOST_SENT:
+        self.last_number += 1
+        self.sent[self.last_number] = (now, known)
+        if len(self.sent) > MAX_REMEMBERED_HEARTBEATS:
             del self.sent[next(iter(self.sent))]
-        return self.count
+        return self.last_number
 
-    def asked_at(self, number: int) -> float | None:
+    def request_sent_at(self, number: int) -> float | None:
         """When the beat of a number was sent; None where it was not this life that sent it, or long ago."""
         sent = self.sent.get(number)
         return sent[0] if sent is not None else None
 
     @staticmethod
-    def sum_of(state: dict[str, Any]) -> int:
+    def checksum_of(state: dict[str, Any]) -> int:
         return zlib.crc32(repr(sorted((k, sorted(v.items())) for k, v in state.items())).encode())
 
-    def own_sum(self, state: dict[str, Any]) -> int:
+    def own_checksum(self, state: dict[str, Any]) -> int:
         """The sum of this door's own state, worked out anew where that has changed."""
-        if state != self.summed[0]:
-            self.summed = state, self.sum_of(state)
-        return self.summed[1]
+        if state != self.cached_state_checksum[0]:
+            self.cached_state_checksum = state, self.checksum_of(state)
+        return self.cached_state_checksum[1]
 
-    def sent_at(self, ip: str) -> float:
+    def last_sent_at(self, ip: str) -> float:
         peer = self.peers.peers.get(ip)
-        return peer.sent_at if peer is not None else self.first_sent.get(ip, -1e9)
+        return peer.heartbeat_sent_at if peer is not None else self.first_sent.get(ip, -1e9)
 
-    def answers(self, now: float, ip: str) -> bool:
+    def is_responsive(self, now: float, ip: str) -> bool:
         """Whether a core door answers what this one asks it, however seldom that is."""
-        seldom = 0.0 if self.peers.core[ip].region == self.peers.me.region or self.peers.me.disk else FAR_BEAT
-        return self.peers.alive(now - seldom, ip)
-
-    def due(self, now: float, ip: str, enough: bool) -> bool:
+        seldom = (
+            0.0
+            if self.peers.core_nodes[ip].region == self.peers.me.region or self.peers.me.disk_id
+            else FAR_INTERVAL
+        )
+        return self.peers.is_alive(now - seldom, ip)
+
+    def is_due(self, now: float, ip: str, enough: bool) -> bool:
         """Whether a core door is to be asked again; `enough`: near voices tell all that is needed."""
-        about, me = self.peers.core[ip], self.peers.me
-        near = about.region == me.region or me.disk or not enough
-        return now - self.sent_at(ip) >= (NEAR_BEAT if near else FAR_BEAT) - 0.01
+        about, me = self.peers.core_nodes[ip], self.peers.me
+        near = about.region == me.region or me.disk_id or not enough
+        return now - self.last_sent_at(ip) >= (NEAR_INTERVAL if near else FAR_INTERVAL) - 0.01
 
-    def beat(self, now: float, ip: str, ready: bool, wants: list[int]) -> Message:
+    def make_heartbeat(self, now: float, ip: str, ready: bool, wants: list[int]) -> Message:
         """A beat to another door."""
         peer, me = self.peers.peers.get(ip), self.peers.me
         if peer is not None:
-            peer.sent_at = now
+            peer.heartbeat_sent_at = now
         else:
             self.first_sent[ip] = now
-        known = peer.state_sum if peer is not None else 0
+        known = peer.state_checksum if peer is not None else 0
         message: Message = {
             "k": "beat",
-            "l": me.life,
-            "t": self.number(now, known),
+            "l": me.incarnation,
+            "t": self.next_number(now, known),
             "r": ready,
-            "c": self.peers.core_sum(),
+            "c": self.peers.core_checksum(),
         }
         message["x"] = known
         if peer is None or not peer.knows_me:
-            message["a"] = me.row()
-        if self.control.seated() or (not self.peers.seated and me.disk):
+            message["a"] = me.encode()
+        if self.control.is_member() or (not self.peers.core_agreed and me.disk_id):
             message["w"] = wants
-            if now < self.duties.granter.silent_until:
+            if now < self.roles.granter.silent_until:
                 message["q"] = 1
-        elif ip == next(iter(self.peers.others()), None) or not self.peers.core:
-            message["s"] = self.peers.roster_sum
+        elif ip == next(iter(self.peers.other_core_nodes()), None) or not self.peers.core_nodes:
+            message["s"] = self.peers.roster_checksum
         return message
 
-    def who(self, source: str, message: Message) -> About | None:
+    def sender_of(self, source: str, message: Message) -> NodeInfo | None:
         """Who sent a beat or an echo, as it says or as is known."""
         if "a" in message:
-            return About(*message["a"])
-        for about in self.peers.named(source):
-            if about.life == message["l"]:
+            return NodeInfo(*message["a"])
+        for about in self.peers.known_infos(source):
+            if about.incarnation == message["l"]:
                 return about
         return None
 
-    def answer(self, now: float, about: About | None, message: Message) -> Message:
+    def make_reply(self, now: float, about: NodeInfo | None, message: Message) -> Message:
         """The echo to a beat; the beat's sender is asked who it is where that is not known."""
         me = self.peers.me
-        echo: Message = {"k": "echo", "l": me.life, "t": message["t"]}
-        if "a" in message or now - self.began < YOUNG:
-            echo["a"] = me.row()
+        echo: Message = {"k": "echo", "l": me.incarnation, "t": message["t"]}
+        if "a" in message or now - self.started_at < INTRODUCTION_TIME:
+            echo["a"] = me.encode()
         if about is None:
             echo["y"] = 1
             return echo
-        seated = self.control.seated()
+        seated = self.control.is_member()
         if seated:
             if "q" in message:
-                echo["p"] = self.duties.counts_on(now, (about.ip, about.life))
-            who = (about.ip, about.life)
+                echo["p"] = self.roles.disclaim_previous(now, (about.ip, about.incarnation))
+            who = (about.ip, about.incarnation)
             wants, asked = message.get("w", []), message["t"]
-            self.duties.granter.unasked(who, wants, asked)
-            if not self.may_grant(message["c"]):
+            self.roles.granter.withdraw_unrequested(who, wants, asked)
+            if not self.may_grant_leases(message["c"]):
                 wants = []
-            granted = [duty for duty in wants if self.duties.granter.ask(now, str(duty), who, asked)]
+            granted = [duty for duty in wants if self.roles.granter.request(now, str(duty), who, asked)]
             if granted:
                 echo["g"] = granted
-        if (age := self.freshness.tell(now)) is not None:
+        if (age := self.freshness.encode_age(now)) is not None:
             echo["f"] = age
-        state = self.state(now)  # after the grants, which it tells of
-        if message["x"] != self.own_sum(state):
+        state = self.own_state(now)  # after the grants, which it tells of
+        if message["x"] != self.own_checksum(state):
             echo["z"] = state
-        if message["c"] != self.peers.core_sum():
-            echo["c"] = [member.row() for member in self.peers.core.values()]
-        if "s" in message and (seated or not self.peers.seated) and message["s"] != self.peers.roster_sum:
-            if (change := self.peers.directory.since(message["s"])) is not None:
+        if message["c"] != self.peers.core_checksum():
+            echo["c"] = [member.encode() for member in self.peers.core_nodes.values()]
+        if (
+            "s" in message
+            and (seated or not self.peers.core_agreed)
+            and message["s"] != self.peers.roster_checksum
+        ):
+            if (change := self.peers.roster_table.changes_since(message["s"])) is not None:
                 echo["e"] = change
             else:
-                echo["s"] = self.peers.roster
+                echo["s"] = self.peers.roster_rows
         return echo
 
-    def may_grant(self, core_sum: int) -> bool:
+    def may_grant_leases(self, core_sum: int) -> bool:
         """Whether a member may promise a duty to one that names this core: not while its members are changing, as
         majorities of two cores that follow each other but one need not meet; nor once this one is known to be over."""
-        pending, state = self.control.register.pending, self.control.state
+        pending, state = self.control.acceptor.pending, self.control.state
         moving = pending is not None and state is not None and pending.members != state.members
-        return core_sum == self.peers.core_sum() and not moving and not self.control.register.fenced()
+        return (
+            core_sum == self.peers.core_checksum()
+            and not moving
+            and not self.control.acceptor.is_superseded()
+        )
 
-    def take(self, now: float, about: About, message: Message, asked_at: float) -> Peer:
+    def on_reply(self, now: float, about: NodeInfo, message: Message, asked_at: float) -> Peer:
         """What an echo tells of its sender; `asked_at` is when its beat was sent."""
         peer = self.peers.peer(about)
         peer.heard_at = now
         peer.knows_me = "y" not in message
-        if not peer.knows_me or asked_at < peer.asked_at:
+        if not peer.knows_me or asked_at < peer.latest_request_at:
             return peer  # it told nothing of itself, or what an answer that has come before it has overtaken
-        if "z" not in message and self.sent[message["t"]][1] != peer.state_sum:
+        if "z" not in message and self.sent[message["t"]][1] != peer.state_checksum:
             return peer  # nothing new to what was known then; since then another answer has told what is not that
-        peer.asked_at = asked_at
-        peer.counts_on = message.get("p")
+        peer.latest_request_at = asked_at
+        peer.relied_on_roles = message.get("p")
         if (state := message.get("z")) is not None:
-            peer.state_sum = self.sum_of(state)
-            self.peers.most_doors = max(self.peers.most_doors, state["m"]["doors"])
-            peer.table_versions, peer.holders = state["n"], state.get("d", {})
-            peer.held = (state["h"]["v"], state["h"]["p"])
-            peer.silent = frozenset(state.get("q", ()))
-            peer.declines = frozenset(state.get("o", ()))
+            peer.state_checksum = self.checksum_of(state)
+            self.peers.max_node_count = max(self.peers.max_node_count, state["m"]["doors"])
+            peer.table_versions, peer.role_holders = state["n"], state.get("d", {})
+            peer.control_versions = (state["h"]["v"], state["h"]["p"])
+            peer.unresponsive_members = frozenset(state.get("q", ()))
+            peer.declined_roles = frozenset(state.get("o", ()))
         if (age := message.get("f")) is not None:
-            peer.list_read_at = asked_at - age * UNIT
-        if peer.held is not None:
-            self.control.told_of(about.ip, peer.held[0])
-            if max(peer.held) <= self.control.register.version:
-                peer.clean_at = asked_at
+            peer.list_read_at = asked_at - age * AGE_UNIT
+        if peer.control_versions is not None:
+            self.control.observe_version(about.ip, peer.control_versions[0])
+            if max(peer.control_versions) <= self.control.acceptor.version:
+                peer.caught_up_at = asked_at
         for duty in message.get("g", ()):
-            self.duties.granted(duty, about.ip, asked_at, about.life)
-        if "s" in message and message["s"] != self.peers.roster:
-            self.peers.take_roster(message["s"])
+            self.roles.on_granted(duty, about.ip, asked_at, about.incarnation)
+        if "s" in message and message["s"] != self.peers.roster_rows:
+            self.peers.replace_roster(message["s"])
         if "e" in message:
-            self.peers.follow_roster(message["e"])
+            self.peers.apply_roster_change(message["e"])
         return peer
--- a/hazelspring/node/invariants.py
+++ b/hazelspring/node/invariants.py
@@ -13,16 +13,18 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from hazelspring.membership.peer_table import Peers
-from hazelspring.node.actions import Violated
-from hazelspring.node.heartbeats import NEAR_BEAT, Beats
+from hazelspring.membership.peer_table import PeerTable
+from hazelspring.node.actions import InvariantViolated
+from hazelspring.node.heartbeats import NEAR_INTERVAL, Heartbeats
 from hazelspring.registry.list_freshness import ListFreshness
-from hazelspring.registry.list_reader_role import LIST, ListDuty
+from hazelspring.registry.list_reader_role import LIST_READER, ListReaderRole
 
 LIST_READ = "list_read"
 LIST_KNOWN = "list_known"
-HANDING_ON = 1.0  # seconds more that a holder may take to hand the duty on: two heartbeats and a round trip
-CONFIRMING = 1.0  # seconds more until a node is told that it knows: two heartbeats and a round trip
+HANDOVER_TIME = (
+    1.0  # seconds more that a holder may take to hand the duty on: two heartbeats and a round trip
+)
+CONFIRMATION_TIME = 1.0  # seconds more until a node is told that it knows: two heartbeats and a round trip
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,51 +42,58 @@
         self,
         now: float,
         bounds: InvariantBounds,
-        peers: Peers,
-        beats: Beats,
-        list_duty: ListDuty,
+        peers: PeerTable,
+        beats: Heartbeats,
+        list_duty: ListReaderRole,
         freshness: ListFreshness,
     ) -> None:
-        self.bounds, self.peers, self.beats = bounds, peers, beats
-        self.list_duty, self.freshness = list_duty, freshness
+        self.bounds, self.peers, self.heartbeats = bounds, peers, beats
+        self.list_reader_role, self.freshness = list_duty, freshness
         self.violations: Counter[str] = Counter()
         self.violated: set[str] = set()  # those that don't hold now
-        self.looked_at = -1e9
-        self.whole_since = now
-        self.lives: tuple[tuple[str, int], ...] = ()
+        self.checked_at = -1e9
+        self.core_responsive_since = now
+        self.incarnations: tuple[tuple[str, int], ...] = ()
 
-    def look(self, now: float) -> list[Violated]:
+    def check(self, now: float) -> list[InvariantViolated]:
         """What has ceased to hold since the last look; looks come as often as heartbeats tell anything new."""
-        if now - self.looked_at < NEAR_BEAT:
+        if now - self.checked_at < NEAR_INTERVAL:
             return []
-        self.looked_at = now
-        self._look_at_core(now)
+        self.checked_at = now
+        self._check_core(now)
         found = {LIST_READ: self._list_is_read(now), LIST_KNOWN: self._list_is_known(now)}
         broken = {name for name, holds in found.items() if not holds}
         new = sorted(broken - self.violated)
         self.violated = broken
         self.violations.update(new)
-        return [Violated(name) for name in new]
+        return [InvariantViolated(name) for name in new]
 
     def in_touch(self, now: float) -> bool:
         """Whether what the rules bind by time binds this node."""
-        return now - self.whole_since >= self.bounds.in_touch
-
-    def _look_at_core(self, now: float) -> None:
-        core = self.peers.core
-        lives = tuple((ip, self._life(ip)) for ip in core)
-        whole = self.peers.seated and all(self.beats.answers(now, ip) and self.peers.sits(ip) for ip in core)
-        if not whole or lives != self.lives:
-            self.whole_since = now
-        self.lives = lives
-
-    def _life(self, ip: str) -> int:
+        return now - self.core_responsive_since >= self.bounds.in_touch
+
+    def _check_core(self, now: float) -> None:
+        core = self.peers.core_nodes
+        lives = tuple((ip, self._incarnation(ip)) for ip in core)
+        whole = self.peers.core_agreed and all(
+            self.heartbeats.is_responsive(now, ip) and self.peers.holds_membership(ip) for ip in core
+        )
+        if not whole or lives != self.incarnations:
+            self.core_responsive_since = now
+        self.incarnations = lives
+
+    def _incarnation(self, ip: str) -> int:
         peer = self.peers.peers.get(ip)
-        return peer.about.life if peer is not None else self.peers.core[ip].life
+        return peer.info.incarnation if peer is not None else self.peers.core_nodes[ip].incarnation
 
     def _list_is_read(self, now: float) -> bool:
-        overdue = self.list_duty.without_read(now) > self.list_duty.timing.overdue + HANDING_ON
-        return not overdue or not self.list_duty.duties.others_willing(now, LIST)
+        overdue = (
+            self.list_reader_role.time_without_read(now)
+            > self.list_reader_role.timing.overdue + HANDOVER_TIME
+        )
+        return not overdue or not self.list_reader_role.roles.others_willing(now, LIST_READER)
 
     def _list_is_known(self, now: float) -> bool:
-        return not self.in_touch(now) or self.freshness.age(now) <= self.bounds.drain_cutoff + CONFIRMING
+        return (
+            not self.in_touch(now) or self.freshness.age(now) <= self.bounds.drain_cutoff + CONFIRMATION_TIME
+        )
--- a/hazelspring/node/messages.py
+++ b/hazelspring/node/messages.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any, ClassVar, Self
 
-from hazelspring.membership.peer_table import About
+from hazelspring.membership.peer_table import NodeInfo
 from hazelspring.node.actions import Message
 
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TableNews:
+class TableUpdate:
     """A table of servers, or a change of one, as `ServerRegistry` encodes it."""
 
     KIND: ClassVar[str] = "news"
@@ -57,24 +57,24 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DutiesDeclined:
+class RolesDeclined:
     """A member leaves duties to others that it could not do; it stays a member."""
 
     KIND: ClassVar[str] = "decline"
 
-    member: About
-    duties: list[int]
+    member: NodeInfo
+    roles: list[int]
 
     def encode(self) -> Message:
-        return {"k": self.KIND, "a": self.member.row(), "d": self.duties}
+        return {"k": self.KIND, "a": self.member.encode(), "d": self.roles}
 
     @classmethod
     def decode(cls, message: Message) -> Self:
-        return cls(About(*message["a"]), message["d"])
+        return cls(NodeInfo(*message["a"]), message["d"])
 
 
 @dataclass(slots=True, frozen=True)
-class DutiesFreed(DutiesDeclined):
+class RolesReleased(RolesDeclined):
     """A member gives up all that it held, as it ends in order."""
 
     KIND: ClassVar[str] = "free"
