--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -10,362 +10,391 @@
 import cbor2
 
 from hazelspring.configuration.blocks import pack
-from hazelspring.configuration.incremental import Checked
-from hazelspring.configuration.model import digest, number_of
+from hazelspring.configuration.incremental import ValidatedConfiguration
+from hazelspring.configuration.model import configuration_digest, parse_version
 from hazelspring.consensus.control_state import Member, lineage
-from hazelspring.consensus.proposal import Order
-from hazelspring.leases.singleton_roles import Duties, Who
-from hazelspring.membership.peer_table import TERM, About, Peers
+from hazelspring.consensus.proposal import Proposal
+from hazelspring.leases.singleton_roles import NodeIdentity, SingletonRoles
+from hazelspring.membership.peer_table import LEASE_TERM, NodeInfo, PeerTable
 from hazelspring.membership.rendezvous import shard
-from hazelspring.node.actions import AGREEMENT, Danced, Deed, Message, Poll, Send
-from hazelspring.node.control_replica import ASK_AGAIN, Control
+from hazelspring.node.actions import AGREEMENT, Action, LoadReported, Message, ReadList, Send
+from hazelspring.node.control_replica import REQUEST_INTERVAL, ControlReplica
 from hazelspring.node.dissemination import Disseminator
-from hazelspring.node.heartbeats import FAR_BEAT, NEAR_BEAT, Beats
+from hazelspring.node.heartbeats import FAR_INTERVAL, NEAR_INTERVAL, Heartbeats
 from hazelspring.node.invariants import InvariantBounds, Invariants
-from hazelspring.node.load_reporter import LEASE
-from hazelspring.node.messages import DutiesDeclined, DutiesFreed, TableNews, TableRequest
-from hazelspring.quota.counter import Counter
-from hazelspring.quota.credits import Granted, Lapsed
+from hazelspring.node.load_reporter import LEASE_CALL_BYTES
+from hazelspring.node.messages import RolesDeclined, RolesReleased, TableRequest, TableUpdate
+from hazelspring.quota.counter import QuotaCounter
+from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
 from hazelspring.registry.list_freshness import ListFreshness
-from hazelspring.registry.list_reader_role import LIST, ListDuty, ListTiming
+from hazelspring.registry.list_reader_role import LIST_READER, ListReaderRole, ListTiming
 from hazelspring.registry.tables import ServerEntry
 
-SHARDS = 8  # of tenants; fixed, as two doors that differ in it would both own a tenant
-BARE = 0.15  # seconds without any table, as none else has one, after which a core door asks for itself
-DOORS = "mark doors"  # the record of how many doors there ever were
+TENANT_SHARDS = 8  # of tenants; fixed, as two doors that differ in it would both own a tenant
+EMPTY_REGISTRY_GRACE = (
+    0.15  # seconds without any table, as none else has one, after which a core door asks for itself
+)
+NODE_COUNT_RECORD = "mark doors"  # the record of how many doors there ever were
 
 
 @dataclass(slots=True)
-class Start:
+class NodeStart:
     """What a door knows at its start.  The number of its disk in `about` is that of an empty one: what the records
     say goes before it."""
 
-    about: About
+    info: NodeInfo
     seeds: list[str]
-    first: bool  # the whole system starts for the first time
+    first_start: bool  # the whole system starts for the first time
     records: dict[str, bytes] = field(default_factory=dict)  # what is on disk
-    link: float = math.inf  # bytes a second of this machine's own
+    link_bandwidth: float = math.inf  # bytes a second of this machine's own
     bounds: InvariantBounds = field(default_factory=InvariantBounds)
 
 
-class Core:
+class Node:
     """`limit` gives a tenant's limit for one window, as the configuration at hand has it."""
 
-    def __init__(self, now: float, start: Start, window: float, limit: Callable[[str], float]) -> None:
-        me = start.about
-        if me.disk and "disk" in start.records:
-            me = replace(me, disk=cbor2.loads(start.records["disk"])[0])
-        self.me, self.seeds, self.first, self.began = me, start.seeds, start.first, now
-        self.peers = Peers(me, now)
-        self.control = Control(now, self.peers, start.records, start.first, start.seeds)
-        self.peers.most_doors = self.marked_doors = int(start.records.get(DOORS, b"0"))
-        self.duties = Duties(self.peers, now, start.first, SHARDS + 1)
-        self.counter, self.limit = Counter(window), limit
-        self.disseminator = Disseminator(self.peers, start.link)
+    def __init__(self, now: float, start: NodeStart, window: float, limit: Callable[[str], float]) -> None:
+        me = start.info
+        if me.disk_id and "disk" in start.records:
+            me = replace(me, disk_id=cbor2.loads(start.records["disk"])[0])
+        self.me, self.seeds, self.first_start, self.started_at = me, start.seeds, start.first_start, now
+        self.peers = PeerTable(me, now)
+        self.control = ControlReplica(now, self.peers, start.records, start.first_start, start.seeds)
+        self.peers.max_node_count = self.saved_node_count = int(start.records.get(NODE_COUNT_RECORD, b"0"))
+        self.roles = SingletonRoles(self.peers, now, start.first_start, TENANT_SHARDS + 1)
+        self.quota_counter, self.tenant_limit = QuotaCounter(window), limit
+        self.disseminator = Disseminator(self.peers, start.link_bandwidth)
         self.registry = self.disseminator.registry
         self.freshness = ListFreshness(now)
-        self.beats = Beats(self.peers, self.control, self.duties, self.registry, self.freshness, now)
+        self.heartbeats = Heartbeats(self.peers, self.control, self.roles, self.registry, self.freshness, now)
         self.ready = False
-        self.list_duty = ListDuty(self.duties, ListTiming.within(start.bounds.drain_cutoff))
+        self.list_reader_role = ListReaderRole(self.roles, ListTiming.within(start.bounds.drain_cutoff))
         self.invariants = Invariants(
-            now, start.bounds, self.peers, self.beats, self.list_duty, self.freshness
+            now, start.bounds, self.peers, self.heartbeats, self.list_reader_role, self.freshness
         )
         # of each member, the versions of tables that it told and those known here when none of its was newer
-        self.level: dict[str, tuple[dict[str, int], dict[str, int]]] = {}
-        self.asked: dict[str, tuple[float, int]] = {}  # what was asked for, when, and how often
-        self.was_seated = self.control.seated()
+        self.tables_in_sync: dict[str, tuple[dict[str, int], dict[str, int]]] = {}
+        self.table_requests: dict[str, tuple[float, int]] = {}  # what was asked for, when, and how often
+        self.was_member = self.control.is_member()
         self.members = self.control.state.members if self.control.state is not None else ()
         self.dropped: dict[str, int] = {}  # messages of or to another life, by kind
-        self.deeds: list[Deed] = []
+        self.actions: list[Action] = []
 
     # --- what others of this process ask ---------------------------------------------------------------
 
-    def settled(self) -> bool:
+    def core_agreed(self) -> bool:
         """Whether the core is agreed on, as far as this door knows."""
         return self.control.state is not None
 
-    def fresh_at(self, now: float) -> float:
+    def confirmed_at(self, now: float) -> float:
         """Every change acknowledged up to then is seen here."""
-        return self.control.fresh_at(now)
+        return self.control.confirmed_at(now)
 
-    def put(self, now: float, token: int, body: bytes, checked: Checked | None = None) -> list[Deed]:
+    def put_configuration(
+        self, now: float, token: int, body: bytes, checked: ValidatedConfiguration | None = None
+    ) -> list[Action]:
         """An operator's configuration that `hazelspring.configuration.validation` has let pass."""
         if checked is None:
-            number = number_of(json.loads(body)["versionNumber"])
-            checked = Checked(number, pack(body, self.control.register.word()))
-        order = Order(token, now, "put", number=checked.number, digest=digest(body), word=checked.packed)
-        return self.order(now, order)
+            number = parse_version(json.loads(body)["versionNumber"])
+            checked = ValidatedConfiguration(
+                number, pack(body, self.control.acceptor.current_configuration())
+            )
+        order = Proposal(
+            token,
+            now,
+            "put",
+            configuration_version=checked.version,
+            configuration_digest=configuration_digest(body),
+            configuration=checked.packed,
+        )
+        return self.propose(now, order)
 
-    def evacuate(self, now: float, token: int, zone: str, closed: bool) -> list[Deed]:
-        return self.order(now, Order(token, now, "evacuate", zone=zone, closed=closed))
+    def set_evacuation(self, now: float, token: int, zone: str, closed: bool) -> list[Action]:
+        return self.propose(now, Proposal(token, now, "evacuate", zone=zone, evacuate=closed))
 
-    def retire(self, now: float, token: int, ip: str) -> list[Deed]:
+    def retire_member(self, now: float, token: int, ip: str) -> list[Action]:
         """An operator takes a member out of the core for good."""
-        return self.order(now, Order(token, now, "retire", member=Member(ip), by_hand=True))
+        return self.propose(now, Proposal(token, now, "retire", member=Member(ip), by_operator=True))
 
-    def read(self, now: float, token: int) -> list[Deed]:
-        return self.order(now, Order(token, now, "read"))
+    def read_configuration(self, now: float, token: int) -> list[Action]:
+        return self.propose(now, Proposal(token, now, "read"))
 
-    def order(self, now: float, order: Order) -> list[Deed]:
-        self.deeds = []
-        wants = self.wants(now)
-        for ip in self.peers.others():
-            self.beat(now, ip, wants)
-        self.deeds += self.control.begin(now, order)
-        self.look(now)
-        return self.deeds
+    def propose(self, now: float, order: Proposal) -> list[Action]:
+        self.actions = []
+        wants = self.requested_roles(now)
+        for ip in self.peers.other_core_nodes():
+            self.send_heartbeat(now, ip, wants)
+        self.actions += self.control.propose(now, order)
+        self.check_membership(now)
+        return self.actions
 
     # --- time -----------------------------------------------------------------------------------------
 
-    def tick(self, now: float) -> list[Deed]:
-        self.deeds = []
-        enough = now - self.fresh_at(now) < 2 * NEAR_BEAT
-        before = self.duties.asking
-        wants = self.wants(now)  # one look for all that this tick sends and renews
+    def tick(self, now: float) -> list[Action]:
+        self.actions = []
+        enough = now - self.confirmed_at(now) < 2 * NEAR_INTERVAL
+        before = self.roles.requested
+        wants = self.requested_roles(now)  # one look for all that this tick sends and renews
         anew = wants != before
-        for ip in self.peers.others():
-            if anew or self.beats.due(now, ip, enough):
-                self.beat(now, ip, wants)
-        heard = any(self.peers.alive(now, ip) for ip in self.peers.others())
-        lost = not heard or (self.first and not self.settled())
-        rescued = lineage(self.control.register.version) > 0  # others may not know of it
+        for ip in self.peers.other_core_nodes():
+            if anew or self.heartbeats.is_due(now, ip, enough):
+                self.send_heartbeat(now, ip, wants)
+        heard = any(self.peers.is_alive(now, ip) for ip in self.peers.other_core_nodes())
+        lost = not heard or (self.first_start and not self.core_agreed())
+        rescued = lineage(self.control.acceptor.version) > 0  # others may not know of it
         if lost or rescued:
             for ip in self.seeds:
-                known = ip == self.me.ip or ip in self.peers.core
-                if not known and now - self.beats.sent_at(ip) >= (NEAR_BEAT if lost else FAR_BEAT) - 0.01:
-                    self.beat(now, ip, wants)
-        self.duties_on(now)
-        if self.member():
-            self.peers.note(now, self.me, self.ready)
-            self.peers.make_roster(now)
-            self.counter.sweep(now)
-        self.mend(now)
-        if self.me.disk and self.peers.most_doors > self.marked_doors:
-            self.marked_doors = self.peers.most_doors
-            self.control.mark(DOORS, str(self.marked_doors).encode())
-        self.deeds += self.control.tick(now)
-        self.look(now)
-        self.deeds += self.invariants.look(now)
-        return self.deeds
-
-    def member(self) -> bool:
+                known = ip == self.me.ip or ip in self.peers.core_nodes
+                if (
+                    not known
+                    and now - self.heartbeats.last_sent_at(ip)
+                    >= (NEAR_INTERVAL if lost else FAR_INTERVAL) - 0.01
+                ):
+                    self.send_heartbeat(now, ip, wants)
+        self.perform_roles(now)
+        if self.is_core_candidate():
+            self.peers.record_heartbeat(now, self.me, self.ready)
+            self.peers.update_roster(now)
+            self.quota_counter.expire(now)
+        self.request_missing_tables(now)
+        if self.me.disk_id and self.peers.max_node_count > self.saved_node_count:
+            self.saved_node_count = self.peers.max_node_count
+            self.control.write_record(NODE_COUNT_RECORD, str(self.saved_node_count).encode())
+        self.actions += self.control.tick(now)
+        self.check_membership(now)
+        self.actions += self.invariants.check(now)
+        return self.actions
+
+    def is_core_candidate(self) -> bool:
         """Whether this door is one of the core, or may become one of the first."""
-        return bool(self.me.disk) and (self.control.seated() or not self.peers.seated)
+        return bool(self.me.disk_id) and (self.control.is_member() or not self.peers.core_agreed)
 
-    def look(self, now: float) -> None:
+    def check_membership(self, now: float) -> None:
         """See whether this door's seat has changed: one that is new promises nothing for a term."""
-        seated, state = self.control.seated(), self.control.state
+        seated, state = self.control.is_member(), self.control.state
         if state is not None and state.members != self.members:
             if self.members:
-                follows = state.before == self.members
-                self.duties.moved(now, follows, len(self.members), len(state.members))
+                follows = state.previous_members == self.members
+                self.roles.on_members_changed(now, follows, len(self.members), len(state.members))
             self.members = state.members
-        if seated and not self.was_seated and not self.first:
-            self.duties.granter.silent_until = max(self.duties.granter.silent_until, now + TERM)
-        self.was_seated = seated
+        if seated and not self.was_member and not self.first_start:
+            self.roles.granter.silent_until = max(self.roles.granter.silent_until, now + LEASE_TERM)
+        self.was_member = seated
 
-    def wants(self, now: float) -> list[int]:
+    def requested_roles(self, now: float) -> list[int]:
         """The duties that beats which go out now ask for."""
-        return self.duties.asks(now, self.settled() and self.member())
+        return self.roles.update_requests(now, self.core_agreed() and self.is_core_candidate())
 
-    def beat(self, now: float, ip: str, wants: list[int] | None = None) -> None:
+    def send_heartbeat(self, now: float, ip: str, wants: list[int] | None = None) -> None:
         """`wants`: the duties to ask for, where they are known for this moment."""
-        wants = self.wants(now) if wants is None else wants
-        self.deeds.append(Send(ip, self.beats.beat(now, ip, self.ready and not self.duties.left, wants)))
+        wants = self.requested_roles(now) if wants is None else wants
+        self.actions.append(
+            Send(ip, self.heartbeats.make_heartbeat(now, ip, self.ready and not self.roles.has_left, wants))
+        )
 
-    def mend(self, now: float) -> None:
+    def request_missing_tables(self, now: float) -> None:
         """Ask for news of servers that others told of and this door lacks."""
-        for ip in self.peers.core:
+        for ip in self.peers.core_nodes:
             peer = self.peers.peers.get(ip)
             if peer is None or ip == self.me.ip:
                 continue
-            told, known = self.level.get(ip, (None, None))
+            told, known = self.tables_in_sync.get(ip, (None, None))
             if told is not peer.table_versions or known is not self.registry.versions():
                 newer = self.registry.outdated(peer.table_versions)
                 for service in newer:
-                    self.ask_news(now, service, peer.table_versions[service])
+                    self.request_table(now, service, peer.table_versions[service])
                 if newer:
                     continue
-                self.level[ip] = (peer.table_versions, self.registry.versions())
+                self.tables_in_sync[ip] = (peer.table_versions, self.registry.versions())
             self.freshness.confirm(peer.list_read_at)  # what it knows is known here
 
-    def ask_news(self, now: float, service: str, version: int) -> None:
-        if not self.may_ask(now, f"news {service}"):
+    def request_table(self, now: float, service: str, version: int) -> None:
+        if not self.may_request(now, f"news {service}"):
             return
-        has = self.peers.others_where(lambda peer: peer.table_versions.get(service, 0) >= version)
-        self.ask_one(now, f"news {service}", has, TableRequest(service).encode())
+        has = self.peers.other_core_nodes_where(lambda peer: peer.table_versions.get(service, 0) >= version)
+        self.request_from_one(now, f"news {service}", has, TableRequest(service).encode())
 
-    def may_ask(self, now: float, what: str) -> bool:
+    def may_request(self, now: float, what: str) -> bool:
         """Whether what was asked for last has had its time."""
-        return now - self.asked.get(what, (-1e9, 0))[0] >= ASK_AGAIN
+        return now - self.table_requests.get(what, (-1e9, 0))[0] >= REQUEST_INTERVAL
 
-    def ask_one(self, now: float, what: str, have: list[str], message: Message) -> None:
+    def request_from_one(self, now: float, what: str, have: list[str], message: Message) -> None:
         """Ask the nearest that has it; one that did not answer in time, and the next one, in turn."""
-        _, times = self.asked.get(what, (-1e9, 0))
-        if have and self.may_ask(now, what):
-            alive = [ip for ip in have if self.peers.alive(now, ip)] or have
-            self.deeds.append(Send(alive[times % len(alive)], message))
-            self.asked[what] = (now, times + 1)
+        _, times = self.table_requests.get(what, (-1e9, 0))
+        if have and self.may_request(now, what):
+            alive = [ip for ip in have if self.peers.is_alive(now, ip)] or have
+            self.actions.append(Send(alive[times % len(alive)], message))
+            self.table_requests[what] = (now, times + 1)
 
     # --- duties ------------------------------------------------------------------------------------------
 
-    def duties_on(self, now: float) -> None:
+    def perform_roles(self, now: float) -> None:
         """Renew what this door holds, take what nobody does, and do the first of them: ask the platform."""
-        if not self.member():
+        if not self.is_core_candidate():
             return
-        if self.settled():
-            self.duties.recall(now)
-            if self.beats.may_grant(self.peers.core_sum()):  # to itself, as to others
-                self.duties.renew(now)
-        if self.list_duty.must_decline(now):
-            self.decline(now, LIST)
-        young = now - self.began <= BARE and not self.list_duty.holds(now)
-        if self.may_list(now) and not young and (number := self.list_duty.begin(now)) is not None:
-            self.deeds.append(Poll(number))
-
-    def decline(self, now: float, duty: int) -> None:
+        if self.core_agreed():
+            self.roles.restore_grants(now)
+            if self.heartbeats.may_grant_leases(self.peers.core_checksum()):  # to itself, as to others
+                self.roles.grant_to_self(now)
+        if self.list_reader_role.must_decline(now):
+            self.decline_role(now, LIST_READER)
+        young = now - self.started_at <= EMPTY_REGISTRY_GRACE and not self.list_reader_role.holds(now)
+        if (
+            self.may_read_list(now)
+            and not young
+            and (number := self.list_reader_role.begin_read(now)) is not None
+        ):
+            self.actions.append(ReadList(number))
+
+    def decline_role(self, now: float, duty: int) -> None:
         """Leave a duty that this door can't do to another one, at once."""
-        self.duties.decline(now, duty)
-        message = DutiesDeclined(self.me, [duty]).encode()
-        self.deeds += [Send(ip, message) for ip in self.peers.others()]
+        self.roles.decline(now, duty)
+        message = RolesDeclined(self.me, [duty]).encode()
+        self.actions += [Send(ip, message) for ip in self.peers.other_core_nodes()]
 
-    def may_list(self, now: float) -> bool:
+    def may_read_list(self, now: float) -> bool:
         """Whether the platform's list is this door's to read: by its duty, or for want of any table."""
-        return self.list_duty.holds(now) or not self.registry.tables
+        return self.list_reader_role.holds(now) or not self.registry.tables
 
-    def drain(self, now: float) -> list[Deed]:
+    def drain(self, now: float) -> list[Action]:
         """This door leaves in order: its duties go to others at once."""
-        self.deeds = []
-        self.control.members.leaving = True
-        message = DutiesFreed(self.me, self.duties.leave(now)).encode()
-        self.deeds += [Send(ip, message) for ip in self.peers.others()]
-        return self.deeds
+        self.actions = []
+        self.control.reconfiguration.leaving = True
+        message = RolesReleased(self.me, self.roles.release_all(now)).encode()
+        self.actions += [Send(ip, message) for ip in self.peers.other_core_nodes()]
+        return self.actions
 
     # --- news of servers ----------------------------------------------------------------------------------
 
-    def listed(
+    def on_list_read(
         self, now: float, wall_ms: int, found: dict[str, dict[str, ServerEntry]] | None, number: int
-    ) -> list[Deed]:
+    ) -> list[Action]:
         """The platform's list as a read brought it, or None where it failed; `number`: which read."""
-        newest = self.list_duty.end(number, found is not None)
-        if found is None or not newest or not self.may_list(now):
+        newest = self.list_reader_role.end_read(number, found is not None)
+        if found is None or not newest or not self.may_read_list(now):
             return []
-        deeds = self.disseminator.listed(now, wall_ms, found)
-        self.freshness.confirm(self.list_duty.read_at)
+        deeds = self.disseminator.publish_list(now, wall_ms, found)
+        self.freshness.confirm(self.list_reader_role.read_at)
         return deeds
 
     # --- quotas -----------------------------------------------------------------------------------------------
 
-    def lease(self, now: float, tenant: str, number: int, units: float) -> list[Deed]:
+    def lease_credits(self, now: float, tenant: str, number: int, units: float) -> list[Action]:
         """A call of this door to the counter of a tenant."""
-        self.deeds = []
-        holder = self.duties.holder(now, self.counter_of(tenant))
+        self.actions = []
+        holder = self.roles.holder(now, self.counter_role(tenant))
         if holder is not None and holder != self.me.ip:
-            ask = {"k": "lease", "n": tenant, "q": number, "u": int(units), "y": self.me.life}
-            self.deeds.append(Send(holder, ask))
-            self.disseminator.teller.spend(LEASE)
-        elif (granted := self.count(now, tenant, (self.me.ip, self.me.life), number, units)) is None:
-            self.deeds.append(Lapsed(tenant))
+            ask = {"k": "lease", "n": tenant, "q": number, "u": int(units), "y": self.me.incarnation}
+            self.actions.append(Send(holder, ask))
+            self.disseminator.load_reporter.record_other_bytes(LEASE_CALL_BYTES)
+        elif (
+            granted := self.grant_credits(now, tenant, (self.me.ip, self.me.incarnation), number, units)
+        ) is None:
+            self.actions.append(CounterUnavailable(tenant))
         elif units > 0:
-            self.deeds.append(granted)
-        return self.deeds
+            self.actions.append(granted)
+        return self.actions
 
     @staticmethod
-    def counter_of(tenant: str) -> int:
+    def counter_role(tenant: str) -> int:
         """The duty that a tenant's counter belongs to."""
-        return 1 + shard(tenant, SHARDS)
+        return 1 + shard(tenant, TENANT_SHARDS)
 
-    def count(self, now: float, tenant: str, caller: Who, number: int, units: float) -> Granted | None:
+    def grant_credits(
+        self, now: float, tenant: str, caller: NodeIdentity, number: int, units: float
+    ) -> CreditsGranted | None:
         """Add to a counter of this door; nothing where it is not this door's."""
-        until = self.duties.until(self.counter_of(tenant))
+        until = self.roles.held_until(self.counter_role(tenant))
         if until <= now:
             return None
-        found = self.counter.lease(now, until, tenant, units, self.limit(tenant), caller, number)
-        return Granted(tenant, number, *found)
+        found = self.quota_counter.grant(now, until, tenant, units, self.tenant_limit(tenant), caller, number)
+        return CreditsGranted(tenant, number, *found)
 
     # --- messages -----------------------------------------------------------------------------------------
 
-    def heard(self, now: float, source: str, message: Message) -> list[Deed]:
+    def on_message(self, now: float, source: str, message: Message) -> list[Action]:
         """A message from another door; one that is malformed raises, and changes at most soft state."""
-        self.deeds = []
+        self.actions = []
         match message["k"]:
             case kind if kind in AGREEMENT:
-                self.deeds += self.control.heard(now, source, message)
-                self.look(now)
-                return self.deeds
+                self.actions += self.control.on_message(now, source, message)
+                self.check_membership(now)
+                return self.actions
             case "beat":
-                self.on_beat(now, source, message)
+                self.on_heartbeat(now, source, message)
             case "echo":
-                self.on_echo(now, source, message)
+                self.on_heartbeat_reply(now, source, message)
             case TableRequest.KIND:
                 self.on_table_request(now, source, TableRequest.decode(message))
-            case TableNews.KIND:
-                self.on_table_news(now, TableNews.decode(message))
-            case DutiesDeclined.KIND:
-                declined = DutiesDeclined.decode(message)
-                self.duties.declined_by(declined.member.who(), declined.duties)
-            case DutiesFreed.KIND:
-                freed = DutiesFreed.decode(message)
-                self.duties.freed(freed.member.who(), freed.duties)
+            case TableUpdate.KIND:
+                self.on_table_update(now, TableUpdate.decode(message))
+            case RolesDeclined.KIND:
+                declined = RolesDeclined.decode(message)
+                self.roles.on_declined(declined.member.identity(), declined.roles)
+            case RolesReleased.KIND:
+                freed = RolesReleased.decode(message)
+                self.roles.on_released(freed.member.identity(), freed.roles)
             case "dance":
-                return [Danced(source, message["o"])]
+                return [LoadReported(source, message["o"])]
             case "lease":
-                self.on_lease(now, source, message)
-            case "grant" | "lost" if message["y"] != self.me.life:
-                self.drop(message["k"])  # for an earlier life, whose calls may have borne the same numbers
+                self.on_lease_request(now, source, message)
+            case "grant" | "lost" if message["y"] != self.me.incarnation:
+                self.count_dropped(
+                    message["k"]
+                )  # for an earlier life, whose calls may have borne the same numbers
             case "grant":
                 left, filled = message["l"] / 1000, message["f"] / 100
-                self.deeds.append(Granted(message["n"], message["q"], message["u"], left, filled))
+                self.actions.append(CreditsGranted(message["n"], message["q"], message["u"], left, filled))
             case "lost":
-                self.deeds.append(Lapsed(message["n"]))
+                self.actions.append(CounterUnavailable(message["n"]))
         if "z" in message:  # it told of news; what is not answered in time is asked for again with a tick
-            self.mend(now)
-        self.deeds += self.control.proceed(now)
-        self.look(now)
-        return self.deeds
+            self.request_missing_tables(now)
+        self.actions += self.control.proceed(now)
+        self.check_membership(now)
+        return self.actions
 
-    def drop(self, kind: str) -> None:
+    def count_dropped(self, kind: str) -> None:
         """Count a message that counts for nothing."""
         self.dropped[kind] = self.dropped.get(kind, 0) + 1
 
     def on_table_request(self, now: float, source: str, request: TableRequest) -> None:
         if request.service in self.registry.tables:
-            news = TableNews(self.registry.encode(now, request.service))
-            self.deeds.append(Send(source, news.encode()))
+            news = TableUpdate(self.registry.encode(now, request.service))
+            self.actions.append(Send(source, news.encode()))
 
-    def on_table_news(self, now: float, news: TableNews) -> None:
-        self.deeds += self.disseminator.apply(now, news)
-        self.asked.pop(f"news {news.service}", None)
+    def on_table_update(self, now: float, news: TableUpdate) -> None:
+        self.actions += self.disseminator.apply_update(now, news)
+        self.table_requests.pop(f"news {news.service}", None)
 
-    def on_beat(self, now: float, source: str, message: Message) -> None:
-        about = self.beats.who(source, message)
+    def on_heartbeat(self, now: float, source: str, message: Message) -> None:
+        about = self.heartbeats.sender_of(source, message)
         if about is not None:
-            if self.peers.stale(now, about):
+            if self.peers.is_stale(now, about):
                 return
-            self.peers.meet(now, about)
-            self.peers.note(now, about, message["r"])
-        self.deeds.append(Send(source, self.beats.answer(now, about, message)))
+            self.peers.observe(now, about)
+            self.peers.record_heartbeat(now, about, message["r"])
+        self.actions.append(Send(source, self.heartbeats.make_reply(now, about, message)))
 
-    def on_echo(self, now: float, source: str, message: Message) -> None:
-        about = self.beats.who(source, message)
+    def on_heartbeat_reply(self, now: float, source: str, message: Message) -> None:
+        about = self.heartbeats.sender_of(source, message)
         if about is None:  # a new life that is not known yet
             if (peer := self.peers.peers.get(source)) is not None:
                 peer.knows_me = False
             return
-        asked_at = self.beats.asked_at(message["t"])
-        if self.peers.stale(now, about) or asked_at is None:
-            self.drop("echo")  # of an earlier life, or to one
+        asked_at = self.heartbeats.request_sent_at(message["t"])
+        if self.peers.is_stale(now, about) or asked_at is None:
+            self.count_dropped("echo")  # of an earlier life, or to one
             return
-        self.peers.meet(now, about)
-        if not self.beats.take(now, about, message, asked_at).knows_me:
-            self.beat(now, source)
+        self.peers.observe(now, about)
+        if not self.heartbeats.on_reply(now, about, message, asked_at).knows_me:
+            self.send_heartbeat(now, source)
         for row in message.get("c", ()):
-            self.peers.meet(now, About(*row))
+            self.peers.observe(now, NodeInfo(*row))
 
-    def on_lease(self, now: float, source: str, message: Message) -> None:
-        granted = self.count(now, message["n"], (source, message["y"]), message["q"], message["u"])
+    def on_lease_request(self, now: float, source: str, message: Message) -> None:
+        granted = self.grant_credits(now, message["n"], (source, message["y"]), message["q"], message["u"])
         if granted is None:
-            self.deeds.append(Send(source, {"k": "lost", "n": message["n"], "y": message["y"]}))
+            self.actions.append(Send(source, {"k": "lost", "n": message["n"], "y": message["y"]}))
         elif message["u"] > 0:
             answer = {
                 "k": "grant",
@@ -373,15 +402,15 @@
                 "n": granted.tenant,
                 "q": granted.number,
                 "u": int(granted.units),
-                "l": int(1000 * granted.left),
-                "f": int(100 * granted.filled),
+                "l": int(1000 * granted.lifetime),
+                "f": int(100 * granted.granted_part),
             }
-            self.deeds.append(Send(source, answer))
+            self.actions.append(Send(source, answer))
 
     # --- the disk -----------------------------------------------------------------------------------------
 
-    def saved(self, now: float, serial: int, good: bool) -> list[Deed]:
+    def on_saved(self, now: float, serial: int, good: bool) -> list[Action]:
         """A save has ended."""
-        self.deeds = self.control.saved(now, serial, good)
-        self.look(now)
-        return self.deeds
+        self.actions = self.control.on_saved(now, serial, good)
+        self.check_membership(now)
+        return self.actions
--- a/hazelspring/quota/counter.py
+++ b/hazelspring/quota/counter.py
@@ -7,27 +7,27 @@
 
 Caller = tuple[str, int]  # a door's address and life
 
-FORGET = 30.0  # windows without a call after which a counter is dropped
+KEPT_WINDOWS = 30.0  # windows without a call after which a counter is dropped
 
 
 @dataclass(slots=True)
-class Count:
+class WindowCount:
     """One tenant's: what is out in a window, and by caller what that one was granted of it and has not given back."""
 
     window: int
     total: float = 0.0
-    out: dict[Caller, float] = field(default_factory=dict)
-    calls: dict[Caller, int] = field(default_factory=dict)  # the highest number of a call of each
+    granted_by_caller: dict[Caller, float] = field(default_factory=dict)
+    last_call_numbers: dict[Caller, int] = field(default_factory=dict)  # the highest number of a call of each
 
 
-class Counter:
+class QuotaCounter:
     """Batches are granted from the window at hand and die at its edge, or with the owner's lease if that is sooner."""
 
     def __init__(self, length: float) -> None:
         self.length = length
-        self.counts: dict[str, Count] = {}
+        self.counts: dict[str, WindowCount] = {}
 
-    def lease(
+    def grant(
         self,
         now: float,
         until: float,
@@ -43,21 +43,21 @@
         window = math.floor(now / self.length)
         count = self.counts.get(tenant)
         if count is None or count.window != window:
-            count = self.counts[tenant] = Count(window)
+            count = self.counts[tenant] = WindowCount(window)
         left = min((window + 1) * self.length, until) - now
-        out, last = count.out.get(caller, 0.0), count.calls.get(caller, 0)
-        count.calls[caller] = max(last, number)
+        out, last = count.granted_by_caller.get(caller, 0.0), count.last_call_numbers.get(caller, 0)
+        count.last_call_numbers[caller] = max(last, number)
         if units < 0:
             back = min(-units, out) if number > last else 0.0
-            count.out[caller] = out - back
+            count.granted_by_caller[caller] = out - back
             count.total -= back
             return 0.0, left, count.total / max(1.0, limit)
         granted = max(0.0, min(units, limit - count.total)) if left > 0 else 0.0
-        count.out[caller] = out + granted
+        count.granted_by_caller[caller] = out + granted
         count.total += granted
         return granted, max(0.0, left), count.total / max(1.0, limit)
 
-    def sweep(self, now: float) -> None:
-        before = math.floor(now / self.length) - FORGET
+    def expire(self, now: float) -> None:
+        before = math.floor(now / self.length) - KEPT_WINDOWS
         for tenant in [t for t, count in self.counts.items() if count.window < before]:
             del self.counts[tenant]
--- a/hazelspring/quota/limits.py
+++ b/hazelspring/quota/limits.py
@@ -4,13 +4,17 @@
 
 from dataclasses import dataclass
 
-WINDOWS = 5  # in a span of the rule: shorter ones refuse bursts, longer ones let an edge double them
-LATE = 0.92  # part of the bound that is given out: the rest covers what arrives later than it was admitted
-RESERVE = 0.16  # part of the bound that doors share evenly, for when no counter answers; whole requests each
+WINDOWS_PER_SPAN = 5  # in a span of the rule: shorter ones refuse bursts, longer ones let an edge double them
+GRANTED_PART = (
+    0.92  # part of the bound that is given out: the rest covers what arrives later than it was admitted
+)
+RESERVED_PART = (
+    0.16  # part of the bound that doors share evenly, for when no counter answers; whole requests each
+)
 
 
 @dataclass(slots=True, frozen=True)
-class QuotaRule:
+class QuotaLimits:
     """The rule's figures, from the settings; seconds and requests."""
 
     span: float = 5.0
@@ -19,16 +23,16 @@
 
     @property
     def window(self) -> float:
-        return self.span / WINDOWS
+        return self.span / WINDOWS_PER_SPAN
 
-    def bound(self, rate: float, burst: float) -> float:
+    def span_limit(self, rate: float, burst: float) -> float:
         return (rate * self.span + burst) * (1 + self.overage) + self.slack
 
     def reserve(self, rate: float, burst: float, doors: int) -> int:
         """Requests that each of so many doors may let in by itself in any span; none where doors are not counted."""
-        return int(RESERVE * self.bound(rate, burst) / doors) if doors > 0 else 0
+        return int(RESERVED_PART * self.span_limit(rate, burst) / doors) if doors > 0 else 0
 
-    def limit(self, rate: float, burst: float, doors: int) -> float:
+    def window_limit(self, rate: float, burst: float, doors: int) -> float:
         """Requests that a window may grant.  A span touches one window more than fit into it."""
         shared = doors * self.reserve(rate, burst, doors)
-        return float(int((LATE * self.bound(rate, burst) - shared) / (WINDOWS + 1)))
+        return float(int((GRANTED_PART * self.span_limit(rate, burst) - shared) / (WINDOWS_PER_SPAN + 1)))
--- a/hazelspring/registry/list_freshness.py
+++ b/hazelspring/registry/list_freshness.py
@@ -4,8 +4,8 @@
 
 import math
 
-UNIT = 0.1  # seconds: an age is told as a small number of these
-MOST_TOLD = 250  # units; an older knowledge is not told
+AGE_UNIT = 0.1  # seconds: an age is told as a small number of these
+MAX_AGE_UNITS = 250  # units; an older knowledge is not told
 
 
 class ListFreshness:
@@ -24,7 +24,7 @@
         """Seconds for which the list may have changed unknown to this node."""
         return now - self.read_at
 
-    def tell(self, now: float) -> int | None:
+    def encode_age(self, now: float) -> int | None:
         """The age as it is told to others, rounded up; None where there is nothing to tell."""
-        units = math.ceil(self.age(now) / UNIT)
-        return units if self.known and units <= MOST_TOLD else None
+        units = math.ceil(self.age(now) / AGE_UNIT)
+        return units if self.known and units <= MAX_AGE_UNITS else None
--- a/hazelspring/registry/list_reader_role.py
+++ b/hazelspring/registry/list_reader_role.py
@@ -8,16 +8,16 @@
 
 from dataclasses import dataclass
 
-from hazelspring.leases.singleton_roles import Duties
+from hazelspring.leases.singleton_roles import SingletonRoles
 
-LIST = 0  # the number of this duty
+LIST_READER = 0  # the number of this duty
 # seconds between two reads at most: rarer ones make news late, and the platform's list itself lags by more than this
 MAX_INTERVAL = 0.5
 # seconds for one read at most: a platform that takes longer is as one that doesn't answer
 MAX_TIMEOUT = 1.5
 # seconds: a round trip between regions with a new connection, and three; no cutoff makes reads fail that would end well
 MIN_INTERVAL, MIN_TIMEOUT = 0.1, 0.3
-UNHEARD = 0.25  # seconds after its timeout at which a read whose end was not heard is given up
+LOST_END_GRACE = 0.25  # seconds after its timeout at which a read whose end was not heard is given up
 NEVER = -1e9
 
 
@@ -41,7 +41,7 @@
     @property
     def deadline(self) -> float:
         """Seconds after which a read is given up, whether its end was heard or not."""
-        return self.timeout + UNHEARD
+        return self.timeout + LOST_END_GRACE
 
     @property
     def overdue(self) -> float:
@@ -49,45 +49,47 @@
         return self.interval + self.timeout
 
 
-class ListDuty:
+class ListReaderRole:
     """When this node reads the list, and when it leaves that to another."""
 
-    def __init__(self, duties: Duties, timing: ListTiming) -> None:
-        self.duties, self.timing = duties, timing
+    def __init__(self, duties: SingletonRoles, timing: ListTiming) -> None:
+        self.roles, self.timing = duties, timing
         self.number = 0  # of the read that was begun last
-        self.began_at = NEVER
+        self.started_at = NEVER
         self.under_way = False
         self.read_at = NEVER  # when the last read that succeeded had begun
         self.held_since: float | None = None
 
     def holds(self, now: float) -> bool:
         """Whether this node has the lease."""
-        return self.duties.until(LIST) > now
+        return self.roles.held_until(LIST_READER) > now
 
-    def begin(self, now: float) -> int | None:
+    def begin_read(self, now: float) -> int | None:
         """The number of a read that is to begin now; None where none is due."""
-        if self.under_way and now - self.began_at < self.timing.deadline:
+        if self.under_way and now - self.started_at < self.timing.deadline:
             return None
-        if now - self.began_at < self.timing.interval:
+        if now - self.started_at < self.timing.interval:
             return None
         self.number += 1
-        self.began_at, self.under_way = now, True
+        self.started_at, self.under_way = now, True
         return self.number
 
-    def end(self, number: int, succeeded: bool) -> bool:
+    def end_read(self, number: int, succeeded: bool) -> bool:
         """A read has ended; whether it is the one that was begun last.  One that was given up counts for nothing."""
         if number != self.number or not self.under_way:
             return False
         self.under_way = False
         if succeeded:
-            self.read_at = self.began_at
+            self.read_at = self.started_at
         return True
 
     def must_decline(self, now: float) -> bool:
         """Whether this node holds the duty, has read nothing for too long, and another node may do better."""
-        return self.without_read(now) > self.timing.overdue and self.duties.others_willing(now, LIST)
+        return self.time_without_read(now) > self.timing.overdue and self.roles.others_willing(
+            now, LIST_READER
+        )
 
-    def without_read(self, now: float) -> float:
+    def time_without_read(self, now: float) -> float:
         """Seconds for which this node has held the duty and read nothing; 0 where it does not hold it."""
         if not self.holds(now):
             self.held_since = None
--- a/hazelspring/registry/tables.py
+++ b/hazelspring/registry/tables.py
@@ -10,7 +10,7 @@
 from hazelspring.membership.rendezvous import owner
 
 NODE_BITS = 20  # low bits of a version, by the node that made it; above them stand milliseconds
-WARMER = 0.5  # seconds by which a server must become cold for longer to be told anew
+SLOW_START_TOLERANCE = 0.5  # seconds by which a server must become cold for longer to be told anew
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
     def same(self, other: ServerEntry) -> bool:
         """Whether nothing is told anew; less time to go until it is warm is no change."""
         return replace(self, cold_until=0.0) == replace(other, cold_until=0.0) and (
-            self.cold_until <= other.cold_until + WARMER
+            self.cold_until <= other.cold_until + SLOW_START_TOLERANCE
         )
 
 
--- a/hazelspring/routing/retry_budget.py
+++ b/hazelspring/routing/retry_budget.py
@@ -4,31 +4,31 @@
 
 from collections import deque
 
-PART = 0.5  # of the rule's ratio and of the even share of its slack
+LOCAL_PART = 0.5  # of the rule's ratio and of the even share of its slack
 
 
-class Allowance:
+class RetryBudget:
     """A sliding window of requests and further tries."""
 
     def __init__(self, ratio: float, slack: float, window: float) -> None:
-        self.ratio, self.slack, self.window = PART * ratio, PART * slack, window
-        self.asked: deque[float] = deque()
-        self.again: deque[float] = deque()
+        self.ratio, self.slack, self.window = LOCAL_PART * ratio, LOCAL_PART * slack, window
+        self.request_times: deque[float] = deque()
+        self.retry_times: deque[float] = deque()
 
-    def request(self, now: float) -> None:
-        self.asked.append(now)
-        self.trim(now)
+    def record_request(self, now: float) -> None:
+        self.request_times.append(now)
+        self.expire(now)
 
-    def trim(self, now: float) -> None:
-        for times in (self.asked, self.again):
+    def expire(self, now: float) -> None:
+        for times in (self.request_times, self.retry_times):
             while times and times[0] < now - self.window:
                 times.popleft()
 
-    def take(self, now: float, doors: int) -> bool:
+    def try_spend(self, now: float, doors: int) -> bool:
         """Whether one more try may go out; of the slack nothing, where the doors that share it are not counted."""
-        self.trim(now)
+        self.expire(now)
         slack = self.slack / doors if doors > 0 else 0.0
-        if len(self.again) + 1 > self.ratio * len(self.asked) + slack:
+        if len(self.retry_times) + 1 > self.ratio * len(self.request_times) + slack:
             return False
-        self.again.append(now)
+        self.retry_times.append(now)
         return True
--- a/hazelspring/storage/replica_store.py
+++ b/hazelspring/storage/replica_store.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-FORMAT = 2  # 1 was one row an item of the operator's word, without an agreement
-TABLES = "create table if not exists record (name text primary key, body blob, sum blob);"
+FORMAT_VERSION = 2  # 1 was one row an item of the operator's word, without an agreement
+SCHEMA = "create table if not exists record (name text primary key, body blob, sum blob);"
 
 
 class StoreError(Exception):
@@ -24,11 +24,11 @@
         self.step = step
 
 
-def row_sum(name: str, body: bytes) -> bytes:
+def record_checksum(name: str, body: bytes) -> bytes:
     return hashlib.blake2b(name.encode() + b"\0" + body, digest_size=16).digest()
 
 
-class Store:
+class ReplicaStore:
     """One door's file.  `load` and `save` may be called from any thread; each holds the lock.  `connect` opens it,
     as `sqlite3.connect` does."""
 
@@ -36,13 +36,13 @@
         self.path = Path(folder) / "comb.sqlite"
         self.connect = connect
         self.lock = threading.Lock()
-        self.base: sqlite3.Connection | None = None
-        self.aside: list[str] = []  # what could not be read, for the log
+        self.connection: sqlite3.Connection | None = None
+        self.quarantined: list[str] = []  # what could not be read, for the log
 
     def open(self) -> sqlite3.Connection:
         """The open file.  One that is foreign, damaged or of a newer format is put aside, never served."""
-        if self.base is not None:
-            return self.base
+        if self.connection is not None:
+            return self.connection
         for last in (False, True):
             base: sqlite3.Connection = self.connect(self.path, isolation_level=None, check_same_thread=False)
             try:
@@ -52,25 +52,25 @@
                 base.execute("pragma journal_mode=wal")
                 base.execute("pragma cache_size=-256")
                 (found,) = base.execute("pragma user_version").fetchone()
-                if found not in (0, FORMAT):
+                if found not in (0, FORMAT_VERSION):
                     raise sqlite3.DatabaseError(f"format {found} is not known")
                 if found == 0:  # a file that stands is opened without a write: the disk may be full
-                    base.executescript(TABLES)
-                    base.execute(f"pragma user_version={FORMAT}")
+                    base.executescript(SCHEMA)
+                    base.execute(f"pragma user_version={FORMAT_VERSION}")
                 if base.execute("pragma quick_check").fetchone() != ("ok",):
                     raise sqlite3.DatabaseError("damaged")
             except sqlite3.DatabaseError as error:
                 base.close()
                 if last or isinstance(error, sqlite3.OperationalError):
                     raise
-                self.put_aside(str(error))
+                self.quarantine(str(error))
                 continue
-            self.base = base
+            self.connection = base
             return base
         raise AssertionError("unreachable")
 
-    def put_aside(self, why: str) -> None:
-        self.aside.append(why)
+    def quarantine(self, why: str) -> None:
+        self.quarantined.append(why)
         for end in ("", "-wal", "-shm", "-journal"):
             old = Path(f"{self.path}{end}")
             if old.exists():
@@ -88,7 +88,7 @@
             try:
                 rows = list(self.open().execute("select name, body, sum from record"))
                 for name, body, found in rows:
-                    if row_sum(name, body) != found:
+                    if record_checksum(name, body) != found:
                         self.discard(f"record {name}: its sum is wrong")
                         return {}
                 return {name: body for name, body, _ in rows}
@@ -97,10 +97,10 @@
 
     def discard(self, why: str) -> None:
         """Put a file aside whose records are of no use, and begin an empty one."""
-        if self.base is not None:
-            self.base.close()
-            self.base = None
-        self.put_aside(why)
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
+        self.quarantine(why)
         self.open()
 
     def save(self, records: Mapping[str, bytes | None]) -> None:
@@ -114,7 +114,7 @@
                         if body is None:
                             base.execute("delete from record where name = ?", (name,))
                         else:
-                            row = (name, body, row_sum(name, body))
+                            row = (name, body, record_checksum(name, body))
                             base.execute("insert or replace into record values (?, ?, ?)", row)
                     base.execute("commit")
                 except BaseException:
@@ -126,6 +126,6 @@
 
     def close(self) -> None:
         with self.lock:
-            if self.base is not None:
-                self.base.close()
-                self.base = None
+            if self.connection is not None:
+                self.connection.close()
+                self.connection = None
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -17,15 +17,31 @@
 
 import cbor2
 
-from hazelspring.configuration.model import read
-from hazelspring.consensus.proposal import Done
-from hazelspring.node.actions import Changed, Danced, Deed, Message, Poll, Save, Violated
-from hazelspring.node.node import Core
-from hazelspring.quota.credits import Call as CounterCall
-from hazelspring.quota.credits import Granted, Lapsed
+from hazelspring.configuration.model import parse_configuration
+from hazelspring.consensus.proposal import ProposalOutcome
+from hazelspring.node.actions import (
+    Action,
+    InvariantViolated,
+    LoadReported,
+    Message,
+    ReadList,
+    Save,
+    StateChanged,
+)
+from hazelspring.node.node import Node
+from hazelspring.quota.credits import CounterCall as CounterCall
+from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
 from hazelspring.registry.tables import ServerEntry, server_tag
-from hazelspring.routing.endpoints import Fleet
-from hazelspring.routing.request_router import Asked, Deny, Forager, Lease, Leave, Rule, Tick
+from hazelspring.routing.endpoints import EndpointSet
+from hazelspring.routing.request_router import (
+    AbandonAttempt,
+    LeaseCredits,
+    RejectOverQuota,
+    RequestArrived,
+    RequestRouter,
+    SharedLimits,
+    TimerTick,
+)
 from orchidhill import interface as i
 from orchidhill.gateway import Gateway
 from orchidhill.interface import Outcome
@@ -37,12 +53,13 @@
 from .world import Call, World
 
 LABELS: dict[type, str] = {
-    Poll: "read list", Changed: "changed", Danced: "load told", Violated: "violated", Granted: "granted",
-    Lapsed: "lapsed", Deny: "deny", Lease: "lease", Leave: "leave", CounterCall: "counter call", i.Send: "send",
+    ReadList: "read list", StateChanged: "changed", LoadReported: "load told", InvariantViolated: "violated",
+    CreditsGranted: "granted", CounterUnavailable: "lapsed", RejectOverQuota: "deny", LeaseCredits: "lease",
+    AbandonAttempt: "leave", CounterCall: "counter call", i.Send: "send",
     i.Refuse: "refuse", i.Fail: "fail", i.Cancel: "cancel", i.SetTimer: "set timer", i.Probe: "probe",
     i.CloseIdle: "close idle", i.Tell: "tell", i.Log: "log", i.Watch: "watch", i.Pull: "pull", i.Count: "count",
 }  # fmt: skip
-WITHOUT_VALUES = (Changed,)  # its value is a key of this process alone, not of an interface
+WITHOUT_VALUES = (StateChanged,)  # its value is a key of this process alone, not of an interface
 SPLIT = [{"service": "shop", "shareWeight": 3}, {"service": "cart", "shareWeight": 1}]
 SERVERS = [f"{zone}-{n}" for zone in ("a1", "a2", "b1") for n in range(4)]
 OUTCOMES = (*[Outcome.OK] * 12, *Outcome)
@@ -102,25 +119,25 @@
         """By node, the load that others told it, and when."""
         return {}
 
-    def deeds(self, name: str, deeds: list[Deed]) -> None:
+    def deeds(self, name: str, deeds: list[Action]) -> None:
         for deed in deeds:
             if type(deed) in LABELS:
                 self.recorder.add(self.now, name, deed)
-            if isinstance(deed, Danced):
-                self.loads.setdefault(name, {})[deed.door] = (self.now, deed.outs)
+            if isinstance(deed, LoadReported):
+                self.loads.setdefault(name, {})[deed.node] = (self.now, deed.in_flight_by_tag)
         super().deeds(name, deeds)
 
     def send(self, source: str, to: str, message: Message) -> None:
         self.recorder.add(self.now, "message", source, to, wire_bytes(message))
         super().send(source, to, message)
 
-    def save(self, name: str, core: Core, save: Save) -> None:
+    def save(self, name: str, core: Node, save: Save) -> None:
         self.recorder.add(self.now, "save", name, save.records)
         super().save(name, core, save)
 
-    def done(self, done: Done) -> None:
+    def done(self, done: ProposalOutcome) -> None:
         version = done.state.version if done.state is not None else None
-        row = [done.token, done.good, done.conflict, done.why, version, done.word]
+        row = [done.token, done.succeeded, done.conflict, done.reason, version, done.configuration]
         self.recorder.add(self.now, "order ended", *row)
         super().done(done)
 
@@ -169,7 +186,7 @@
 
 def configure(world: World, name: str, body: bytes) -> None:
     call = Call("configure", world.now, name)
-    world.call(call, lambda core, token: core.put(world.now, token, body))
+    world.call(call, lambda core, token: core.put_configuration(world.now, token, body))
 
 
 def calm_play(core: int, others: int, seed: int, drop: float, odd: float) -> str:
@@ -199,10 +216,10 @@
             node = world.doors[each].core
             assert node is not None
             outs = {server_tag(chance.choice(SERVERS)): chance.randrange(4) for _ in range(3)}
-            world.deeds(each, node.disseminator.tell_load(world.now, outs, world.loads.get(each, {})))
+            world.deeds(each, node.disseminator.report_load(world.now, outs, world.loads.get(each, {})))
             if chance.random() < 0.3:
                 tenant, units = f"tenant-{chance.randrange(4)}", float(chance.randrange(-3, 12))
-                world.deeds(each, node.lease(world.now, tenant, step + 1, units))
+                world.deeds(each, node.lease_credits(world.now, tenant, step + 1, units))
         world.run(chance.choice([0.02, 0.1, 0.1, 0.4]))
     world.run(4.0)
     world.recorder.add("breaches", len(world.breaches))
@@ -250,55 +267,62 @@
     """Drive one node's routing by a drawn stream of events."""
     chance, recorder, now = random.Random(seed), Recorder(), 10.0
     attempts, calls = Attempts(chance), list[CounterCall]()
-    fleet = Fleet("a1", "a", {"a1": "a", "a2": "a", "b1": "b"}, random.Random(seed + 1))
-    router, configuration = Forager(Rule(), fleet, seed + 2), read(routing_document())
+    fleet = EndpointSet("a1", "a", {"a1": "a", "a2": "a", "b1": "b"}, random.Random(seed + 1))
+    router, configuration = (
+        RequestRouter(SharedLimits(), fleet, seed + 2),
+        parse_configuration(routing_document()),
+    )
     routes, tenants = configuration.routes["h"], [None, *configuration.tenants.values()]
 
     def hand(event: object) -> None:
         actions: list[Any] = list(router.handle(now, event))
-        recorder.add(now, actions, fleet.outs())
+        recorder.add(now, actions, fleet.in_flight_by_tag())
         for action in actions:
             if isinstance(action, i.Send):
                 attempts.add(action)
-            elif isinstance(action, Lease):
+            elif isinstance(action, LeaseCredits):
                 calls.append(action.call)
 
     def change(what: int) -> None:
         if what == 0:
             service = chance.choice(["shop", "cart"])
-            gone = router.listed(now, service, draw_servers(chance, service))
+            gone = router.update_endpoints(now, service, draw_servers(chance, service))
             recorder.add([server.number for server in gone])
         elif what == 1:
-            router.close(now, frozenset(chance.sample(["a1", "a2", "b1"], chance.randrange(2))))
+            router.set_evacuated_zones(now, frozenset(chance.sample(["a1", "a2", "b1"], chance.randrange(2))))
         elif what == 2:
-            router.doors, router.leaving = chance.choice([1, 4, 31]), chance.random() < 0.2
+            router.node_count, router.leaving = chance.choice([1, 4, 31]), chance.random() < 0.2
             router.fresh_until = chance.choice([1e9, 1e9, 1e9, now])
         else:
             outs = {server_tag(f"shop-{n}"): chance.randrange(4) for n in chance.sample(SERVERS, 3)}
-            fleet.danced(now, f"d{chance.randrange(5)}", outs)
+            fleet.on_load_report(now, f"d{chance.randrange(5)}", outs)
 
-    router.take_word(configuration)
-    router.fresh_until, router.doors = 1e9, 4
+    router.use_configuration(configuration)
+    router.fresh_until, router.node_count = 1e9, 4
     for service in ("shop", "cart"):
-        router.listed(now, service, draw_servers(chance, service))
+        router.update_endpoints(now, service, draw_servers(chance, service))
     for request in range(1, 3001):
         now += chance.expovariate(40.0)
         act = chance.randrange(40)
         if act < 14:
-            hand(Asked(request, chance.choice(routes), chance.choice(tenants), chance.uniform(0.0, 5.0)))
+            hand(
+                RequestArrived(
+                    request, chance.choice(routes), chance.choice(tenants), chance.uniform(0.0, 5.0)
+                )
+            )
         elif act < 28 and attempts.out:
             hand(attempts.finish())
         elif act < 32 and calls:
             call = calls.pop(chance.randrange(len(calls)))
             units = max(0.0, min(call.units, float(chance.randrange(12))))
-            granted = Granted(call.tenant, call.number, units, chance.random(), chance.random())
-            hand(granted if chance.random() < 0.8 else Lapsed(call.tenant))
+            granted = CreditsGranted(call.tenant, call.number, units, chance.random(), chance.random())
+            hand(granted if chance.random() < 0.8 else CounterUnavailable(call.tenant))
         elif act == 32 and attempts.out:
             hand(attempts.disturb())
         elif act == 33:
             change(chance.randrange(12))
         else:
-            hand(Tick())
+            hand(TimerTick())
     recorder.add(list(router.ends.values()), router.on_old_list)
     return recorder.hexdigest()
 
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -10,22 +10,22 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hazelspring.cli.control_client import OrderError, order, problem
-from hazelspring.localfleet.fleet import KEY, Yard, configuration
+from hazelspring.cli.control_client import CallError, call_until_settled, problem_of
+from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration
 
 UNCLEAR = (0, 503)  # no answer, or none that says how an order ended
 numbers = itertools.count(10)
 
 
-def core_doors(yard: Yard) -> list[int]:
+def core_doors(yard: LocalFleet) -> list[int]:
     return [n for n in yard.there() if n in yard.disks]
 
 
-def other_doors(yard: Yard) -> list[int]:
+def other_doors(yard: LocalFleet) -> list[int]:
     return [n for n in yard.there() if n not in yard.disks]
 
 
-def controls(yard: Yard, doors: Sequence[int] | None = None, but: Sequence[int] = ()) -> list[str]:
+def controls(yard: LocalFleet, doors: Sequence[int] | None = None, but: Sequence[int] = ()) -> list[str]:
     return [yard.controls()[n] for n in (yard.there() if doors is None else doors) if n not in but]
 
 
@@ -60,18 +60,18 @@
         return self
 
     def __repr__(self) -> str:
-        return f"{self.status} {problem(self.body)}"
+        return f"{self.status} {problem_of(self.body)}"
 
 
-def put(yard: Yard, n: int, body: bytes) -> Sent:
+def put(yard: LocalFleet, n: int, body: bytes) -> Sent:
     return Sent(yard.controls()[n], "PUT", "/-/configuration", body)
 
 
-def read(yard: Yard, n: int) -> Sent:
+def read(yard: LocalFleet, n: int) -> Sent:
     return Sent(yard.controls()[n], "GET", "/-/configuration")
 
 
-def ask(yard: Yard, n: int, method: str, path: str, id_: str, key: str = KEY, left: int = 1500) -> Sent:
+def ask(yard: LocalFleet, n: int, method: str, path: str, id_: str, key: str = KEY, left: int = 1500) -> Sent:
     return Sent(
         f"{yard.ips[n]}:{yard.front}",
         method,
@@ -84,7 +84,7 @@
     )
 
 
-def told(yard: Yard, n: int) -> Any:
+def told(yard: LocalFleet, n: int) -> Any:
     """What a door says of itself; nothing while it does not answer."""
     got = Sent(yard.controls()[n], "GET", "/-/status").end()
     return json.loads(got.body) if got.status == 200 else {}
@@ -107,7 +107,7 @@
 class Questions:
     """All that operators and clients ask a door that was away, sent at once."""
 
-    yard: Yard
+    yard: LocalFleet
     n: int
     number: int  # acknowledged elsewhere meanwhile, with the key `coming` and without the key `leaving`
     mark: str
@@ -160,14 +160,16 @@
 
     def reopen(self) -> None:
         """Also an order that was left unclear may be carried out: the zone is open again at every door."""
-        order(controls(self.yard), "DELETE", "/-/evacuation/south-2")
+        call_until_settled(controls(self.yard), "DELETE", "/-/evacuation/south-2")
         for n in self.yard.there():
             self.yard.until(lambda n=n: told(self.yard, n).get("closedZones") == [])
 
 
-def give_keys(yard: Yard, doors: Sequence[int]) -> None:
+def give_keys(yard: LocalFleet, doors: Sequence[int]) -> None:
     """Both doors let the key `leaving` in."""
-    order(controls(yard), "PUT", "/-/configuration", configuration(next(numbers), keys=(KEY, "leaving")))
+    call_until_settled(
+        controls(yard), "PUT", "/-/configuration", configuration(next(numbers), keys=(KEY, "leaving"))
+    )
     marks = itertools.count()
     for n in doors:
         yard.until(
@@ -175,30 +177,30 @@
         )
 
 
-def change_keys(yard: Yard, without: Sequence[int]) -> int:
+def change_keys(yard: LocalFleet, without: Sequence[int]) -> int:
     number = next(numbers)
     body = configuration(number, keys=(KEY, "coming"))
-    order(controls(yard, but=without), "PUT", "/-/configuration", body)
+    call_until_settled(controls(yard, but=without), "PUT", "/-/configuration", body)
     return number
 
 
 def settle(doors: Sequence[str], body: bytes) -> bool:
     """Whether a body is confirmed; else its number is taken, and nothing else is said."""
     try:
-        return order(doors, "PUT", "/-/configuration", body).status == 200
-    except OrderError as error:
+        return call_until_settled(doors, "PUT", "/-/configuration", body).status == 200
+    except CallError as error:
         assert error.code == "refused" and "409 number_taken" in str(error), error
         return False
 
 
-def links(yard: Yard, n: int, lines: dict[str, str]) -> None:
+def links(yard: LocalFleet, n: int, lines: dict[str, str]) -> None:
     """What a door hears badly: see tests/cut_door.py."""
     path = yard.folder / f"door-{n + 1}.cut"
     path.with_suffix(".new").write_text("".join(f"{ip} {late}\n" for ip, late in lines.items()))
     path.with_suffix(".new").rename(path)
 
 
-def cut(yard: Yard, n: int, ways: str) -> None:
+def cut(yard: LocalFleet, n: int, ways: str) -> None:
     """Cut a door off from all others: in both directions, or only from what it hears (`in`) or says (`out`)."""
     others = [other for other in yard.there() if other != n]
     if ways in ("both", "in"):
@@ -207,7 +209,7 @@
         links(yard, other, {yard.ips[n]: ""})
 
 
-def mend(yard: Yard) -> None:
+def mend(yard: LocalFleet) -> None:
     for path in yard.folder.glob("*.cut"):
         path.unlink()
 
@@ -227,13 +229,13 @@
             doors, number = self.doors(), next(numbers)
             n += 1
             try:
-                order(
+                call_until_settled(
                     doors[n % len(doors) :] + doors[: n % len(doors)],
                     "PUT",
                     "/-/configuration",
                     configuration(number),
                 )
-            except OrderError as error:
+            except CallError as error:
                 self.failed.append(str(error))
                 return
             self.highest, self.confirmed = max(self.highest, number), self.confirmed + 1
@@ -252,7 +254,7 @@
 class Clients:
     """Writes and reads, each once, at all doors in turn; a connection is kept as long as it works."""
 
-    def __init__(self, yard: Yard, count: int = 8) -> None:
+    def __init__(self, yard: LocalFleet, count: int = 8) -> None:
         self.yard, self.stopped = yard, threading.Event()
         self.ends: dict[str, int] = {}  # status by attempt id
         self.doors: dict[str, int] = {}  # the door that was asked, by attempt id
--- a/tests/chaos.py
+++ b/tests/chaos.py
@@ -9,7 +9,7 @@
 
 import cbor2
 
-from hazelspring.consensus.control_state import State
+from hazelspring.consensus.control_state import ControlState
 
 from .chaos_days import Act, Day
 from .chaos_rules import DUTIES, Watched
@@ -22,7 +22,7 @@
 class Chaos(Watched):
     # --- whom trouble may befall --------------------------------------------------------------------------------
 
-    def last(self) -> State | None:
+    def last(self) -> ControlState | None:
         return self.decided[max(self.decided)] if self.decided else None
 
     def losses(self) -> int:
@@ -45,11 +45,11 @@
         states = [state]
         for door in [*self.doors.values(), *self.gone.values()]:
             if door.core is not None:
-                states += [pair[1] for pair in (door.core.control.register.accepted,) if pair is not None]
-        sets = {members for s in states if s.version >= state.version for members in s.sets()}
+                states += [pair[1] for pair in (door.core.control.acceptor.accepted,) if pair is not None]
+        sets = {members for s in states if s.version >= state.version for members in s.member_sets()}
         for members in sets:
             bear = 0 if len(members) < 3 else 1 if len(members) < 5 else 2
-            lost = [m for m in members if m.ip == name or not self.holds_seat(m.ip, m.disk)]
+            lost = [m for m in members if m.ip == name or not self.holds_seat(m.ip, m.disk_id)]
             if len(lost) > bear:
                 return False
         return self.may(name)
@@ -58,7 +58,7 @@
         door = self.doors.get(ip)
         if door is None or door.disk is None or "disk" not in door.disk.records:
             return False
-        return door.about.disk == disk or self.on_disk(door.disk) == disk
+        return door.about.disk_id == disk or self.on_disk(door.disk) == disk
 
     @staticmethod
     def on_disk(disk: Disk) -> int:
@@ -279,7 +279,7 @@
         if state is None:
             return
         away = [m.ip for m in state.members if m.ip not in self.doors]
-        if away or (not self.day.tame and state.size > 1):
+        if away or (not self.day.tame and state.target_size > 1):
             ip = away[0] if away else state.members[deed.more % len(state.members)].ip
             self.retire(name, ip)
             for n in [n for n in self.troubled if n == ip]:
@@ -326,13 +326,15 @@
         assert state is not None
         for name, door in self.doors.items():
             assert door.core is not None
-            if (found := door.core.control.register.version) != state.version:
+            if (found := door.core.control.acceptor.version) != state.version:
                 self.breach(f"{name} knows {found} of {state.version}")
-            if not self.day.tame and state.size < 3:
+            if not self.day.tame and state.target_size < 3:
                 continue
-        dead = [m.ip for m in state.members if m.ip not in self.doors or not self.holds_seat(m.ip, m.disk)]
-        if (dead and len(state.members) > state.size) or len(state.members) < state.size:
-            self.breach(f"the core is {[m.ip for m in state.members]} of {state.size}, {dead} are gone")
+        dead = [m.ip for m in state.members if m.ip not in self.doors or not self.holds_seat(m.ip, m.disk_id)]
+        if (dead and len(state.members) > state.target_size) or len(state.members) < state.target_size:
+            self.breach(
+                f"the core is {[m.ip for m in state.members]} of {state.target_size}, {dead} are gone"
+            )
         for duty in range(DUTIES):
             if not any(self.holds(name, duty) for name in self.up()):
                 self.breach(f"duty {duty} is held by none")
--- a/tests/chaos_rules.py
+++ b/tests/chaos_rules.py
@@ -8,12 +8,12 @@
 from bisect import bisect
 from typing import Any
 
-from hazelspring.configuration.model import digest
-from hazelspring.consensus.control_state import NO_WORD
-from hazelspring.consensus.proposal import Done
-from hazelspring.membership.peer_table import About
+from hazelspring.configuration.model import configuration_digest
+from hazelspring.consensus.control_state import NO_CONFIGURATION
+from hazelspring.consensus.proposal import ProposalOutcome
+from hazelspring.membership.peer_table import NodeInfo
 from hazelspring.node.actions import Message
-from hazelspring.node.node import Core, Start
+from hazelspring.node.node import Node, NodeStart
 
 from .chaos_days import Day
 from .world import Call, Door, World
@@ -21,14 +21,14 @@
 DUTIES = 3  # one of them that of asking the platform; what each tick costs goes by their number
 TIMED = [
     "tick",
-    "heard",
-    "saved",
-    "put",
-    "evacuate",
-    "retire",
-    "read",
-    "lease",
-    "listed",
+    "on_message",
+    "on_saved",
+    "put_configuration",
+    "set_evacuation",
+    "retire_member",
+    "read_configuration",
+    "lease_credits",
+    "on_list_read",
     "drain",
 ]  # steps that are told the time
 
@@ -36,14 +36,14 @@
 class Clocked:
     """A core whose clock stands elsewhere, and goes a little faster or slower."""
 
-    def __init__(self, core: Core, began: float, local: float, rate: float) -> None:
+    def __init__(self, core: Node, began: float, local: float, rate: float) -> None:
         self.core, self.began, self.at, self.rate = core, began, local, rate
 
     def local(self, now: float) -> float:
         return self.at + (now - self.began) * self.rate
 
-    def fresh_at(self, now: float) -> float:
-        return self.began + (self.core.fresh_at(self.local(now)) - self.at) / self.rate
+    def confirmed_at(self, now: float) -> float:
+        return self.began + (self.core.confirmed_at(self.local(now)) - self.at) / self.rate
 
     def __getattr__(self, name: str) -> Any:
         found = getattr(self.core, name)
@@ -70,17 +70,17 @@
 
     # --- its own clocks and links -------------------------------------------------------------------------------
 
-    def make(self, start: Start) -> Core:
+    def make(self, start: NodeStart) -> Node:
         core = super().make(start)
-        core.duties.count = DUTIES
+        core.roles.role_count = DUTIES
         if not self.day.clocks:
             return core
         local, rate = self.clock.choice((7.0, 100.0, 5e5)), self.clock.uniform(0.98, 1.02)
-        begun = Core(local, start, core.counter.length, core.limit)
-        begun.duties.count = DUTIES
+        begun = Node(local, start, core.quota_counter.length, core.tenant_limit)
+        begun.roles.role_count = DUTIES
         return Clocked(begun, self.now, local, rate)  # type: ignore[return-value]
 
-    def delay(self, here: About, there: About) -> float:
+    def delay(self, here: NodeInfo, there: NodeInfo) -> float:
         most = self.lags.get((here.ip, there.ip), 0.0)
         return super().delay(here, there) + most * self.random.random()
 
@@ -99,13 +99,15 @@
         if core is None or self.doors[name].frozen is not None:
             return False
         now = core.local(self.now) if isinstance(core, Clocked) else self.now
-        return bool(core.duties.until(duty) > now)
+        return bool(core.roles.held_until(duty) > now)
 
     # --- what must hold -------------------------------------------------------------------------------------------
 
     def put(self, name: str, number: int, mark: str = "") -> int:
         token = super().put(name, number, mark)
-        self.bodies[token] = digest(json.dumps({"versionNumber": f"r{number}", "mark": mark}).encode())
+        self.bodies[token] = configuration_digest(
+            json.dumps({"versionNumber": f"r{number}", "mark": mark}).encode()
+        )
         self.puts.append((number, mark))
         return token
 
@@ -113,7 +115,7 @@
         if len(self.breaches) < 20:
             self.breaches.append(f"{self.now:.3f} {what}")
 
-    def done(self, done: Done) -> None:
+    def done(self, done: ProposalOutcome) -> None:
         super().done(done)
         call, state = self.calls[done.token], done.state
         if state is None:
@@ -122,36 +124,48 @@
             self.acks.append((self.now, state.version))
         if state.version > 0 and self.decided.setdefault(state.version, state) != state:
             self.breach(f"{call.kind} was settled by {state}, not {self.decided[state.version]}")
-        if call.kind == "evacuate" and done.good and (call.zone in state.closed) is not call.closed:
+        if (
+            call.kind == "evacuate"
+            and done.succeeded
+            and (call.zone in state.evacuated_zones) is not call.closed
+        ):
             self.breach(f"{call} was confirmed and is not so")
-        if call.kind == "read" and done.good:
-            shown = digest(zlib.decompress(done.word)) if done.word is not None else NO_WORD
-            if shown != state.digest:
+        if call.kind == "read" and done.succeeded:
+            shown = (
+                configuration_digest(zlib.decompress(done.configuration))
+                if done.configuration is not None
+                else NO_CONFIGURATION
+            )
+            if shown != state.configuration_digest:
                 self.breach(f"{call} showed another body")
         if call.kind != "put":
             return
         key = (call.number, self.body(done.token, call))
-        if done.good and state.number == call.number and state.digest != key[1]:
+        if (
+            done.succeeded
+            and state.configuration_version == call.number
+            and state.configuration_digest != key[1]
+        ):
             self.breach(f"{call} was confirmed, and {state} has another body")
-        if done.good:
+        if done.succeeded:
             self.acked[key] = min(self.now, self.acked.get(key, self.now))
         if done.conflict and self.acked.get(key, 1e9) < call.at:
             self.breach(f"{call} was confirmed before at {self.acked[key]:.3f}, and is refused now")
-        if done.conflict and state.digest == key[1]:
+        if done.conflict and state.configuration_digest == key[1]:
             self.breach(f"{call} was refused, and is in force")
 
     def body(self, token: int, call: Call) -> bytes:
         text = {"versionNumber": f"r{call.number}", "mark": call.digest.decode()}
-        return self.bodies.setdefault(token, digest(json.dumps(text).encode()))
+        return self.bodies.setdefault(token, configuration_digest(json.dumps(text).encode()))
 
     def newest(self, before: float = 1e9) -> int:
         at = bisect(self.acks, (before, -1))
         return self.acks[at - 1][1] if at else -1
 
-    def watch(self, name: str, core: Core) -> None:
+    def watch(self, name: str, core: Node) -> None:
         """Freshness is what it says: all that was told to a caller up to then is known; a duty has one holder."""
-        if core.control.register.version < self.newest(core.fresh_at(self.now)):
-            self.breach(f"{name} takes itself for fresh at {core.fresh_at(self.now):.3f} and is not")
+        if core.control.acceptor.version < self.newest(core.confirmed_at(self.now)):
+            self.breach(f"{name} takes itself for fresh at {core.confirmed_at(self.now):.3f} and is not")
         self.seen_by(name, core)
         for duty in range(DUTIES):
             if self.holds(name, duty):
@@ -159,14 +173,20 @@
                 if holding:
                     self.breach(f"duty {duty} is held by {[name, *holding]}")
 
-    def seen_by(self, name: str, core: Core) -> None:
-        state = core.control.register.state
+    def seen_by(self, name: str, core: Node) -> None:
+        state = core.control.acceptor.state
         if state is None or state.version == self.doors[name].seen:
             return
         self.saw(name, core)
         old = self.decided.get(state.version - 1)
         if old is not None and state.version > 1:
-            if state.before != old.members or len({m.ip for m in {*state.members} ^ {*old.members}}) > 1:
+            if (
+                state.previous_members != old.members
+                or len({m.ip for m in {*state.members} ^ {*old.members}}) > 1
+            ):
                 self.breach(f"{state} does not follow from {old}")
-            if state.number < old.number or (state.number == old.number and state.digest != old.digest):
+            if state.configuration_version < old.configuration_version or (
+                state.configuration_version == old.configuration_version
+                and state.configuration_digest != old.configuration_digest
+            ):
                 self.breach(f"{state} goes back from {old}")
--- a/tests/control_door.py
+++ b/tests/control_door.py
@@ -7,32 +7,37 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from hazelspring.consensus.control_state import NO_BALLOT, Ballot, State, ballot_of
-from hazelspring.consensus.forwarding import SPAN, Carried, Hands, row_of
-from hazelspring.consensus.proposal import Order
-from hazelspring.membership.peer_table import About, Peers
+from hazelspring.consensus.control_state import NO_BALLOT, Ballot, ControlState, decode_ballot
+from hazelspring.consensus.forwarding import (
+    VALID_VERSIONS,
+    ForwardedProposals,
+    ProposalForwarder,
+    encode_proposal,
+)
+from hazelspring.consensus.proposal import Proposal
+from hazelspring.membership.peer_table import NodeInfo, PeerTable
 from hazelspring.node.actions import Message
-from hazelspring.node.control_replica import Control
-from hazelspring.node.reconfiguration import Membership
+from hazelspring.node.control_replica import ControlReplica
+from hazelspring.node.reconfiguration import Reconfiguration
 
 NEVER = float("inf")
 LOOKED = 0.5  # seconds after an order: long enough that it takes a round, too short to end for want of one
 
 
-class Door(Control):
+class Door(ControlReplica):
     """A control whose rounds begin when the schedule says so."""
 
-    def __init__(self, about: About, records: dict[str, bytes], first: bool, seeds: list[str]) -> None:
-        super().__init__(0.0, Peers(about, 0.0), records, first, seeds)
-        self.orders.pause_until = NEVER
+    def __init__(self, about: NodeInfo, records: dict[str, bytes], first: bool, seeds: list[str]) -> None:
+        super().__init__(0.0, PeerTable(about, 0.0), records, first, seeds)
+        self.proposer.backoff_until = NEVER
         self.first, self.records, self.clock = first, records, 0
 
-    def busy(self, now: float, source: str, base: int) -> bool:
+    def must_yield_to(self, now: float, source: str, base: int) -> bool:
         return False  # a round that was let in keeps no other out: its time may be over
 
-    def learn(self, now: float, ballot: Ballot, state: State, word: bytes | None) -> None:
+    def learn(self, now: float, ballot: Ballot, state: ControlState, word: bytes | None) -> None:
         super().learn(now, ballot, state, word)
-        self.orders.pause_until = NEVER  # or a round would begin at once
+        self.proposer.backoff_until = NEVER  # or a round would begin at once
 
     @property
     def now(self) -> float:
@@ -41,49 +46,70 @@
     def twin(self) -> Door:
         """A door in the same state, that can be changed without it."""
         new = copy.copy(self)
-        new.peers = Peers(self.peers.me, 0.0)
-        held = new.register = copy.copy(self.register)
-        held.words = dict(sorted(held.words.items()))
-        held.stale, held.on_disk = set(held.stale), set(held.on_disk)
-        orders = new.orders = copy.copy(self.orders)
-        orders.register, orders.open = held, list(orders.open)
-        kept = [replace(order, began=NEVER) for order in orders.carried.orders]  # it is never too old
-        orders.carried, orders.hands, orders.outbox = Carried(kept), Hands(), []
+        new.peers = PeerTable(self.peers.me, 0.0)
+        held = new.acceptor = copy.copy(self.acceptor)
+        held.configurations = dict(sorted(held.configurations.items()))
+        held.dirty_records, held.stored_records = set(held.dirty_records), set(held.stored_records)
+        orders = new.proposer = copy.copy(self.proposer)
+        orders.acceptor, orders.proposals = held, list(orders.proposals)
+        kept = [
+            replace(order, started_at=NEVER) for order in orders.forwarded.proposals
+        ]  # it is never too old
+        orders.forwarded, orders.forwarder, orders.outbox = ForwardedProposals(kept), ProposalForwarder(), []
         if (old := orders.round) is not None:
-            promises, accepts = dict(old.promises), dict(old.accepts)
+            promises, accepts = dict(old.promises), dict(old.acceptances)
             orders.round = replace(
                 old,
                 promises=promises,
-                accepts=accepts,
-                holds=dict(old.holds),
-                words=dict(old.words),
-                sent={},
-                brought={},
+                acceptances=accepts,
+                known_digests=dict(old.known_digests),
+                configurations=dict(old.configurations),
+                sent_at={},
+                payload_sent_at={},
             )
-        new.members = Membership(0.0, new.peers, held, orders, self.first)
-        new.records, new.deeds = dict(self.records), []
-        new.held_up, new.queued = list(self.held_up), list(self.queued)
+        new.reconfiguration = Reconfiguration(0.0, new.peers, held, orders, self.first)
+        new.records, new.actions = dict(self.records), []
+        new.replies_after_current_save, new.replies_after_next_save = (
+            list(self.replies_after_current_save),
+            list(self.replies_after_next_save),
+        )
         return new
 
     def key(self) -> tuple[Any, ...]:
         """All that its next steps depend on."""
-        held, orders, current = self.register, self.orders, self.orders.round
+        held, orders, current = self.acceptor, self.proposer, self.proposer.round
         turn: tuple[Any, ...] = ()
-        if current is not None and current.target is not None:  # who promised is of no use any more
-            digest = current.target.digest
-            has = frozenset(ip for ip, digests in current.holds.items() if digest in digests)
-            turn = (current.target, frozenset(current.accepts.items()), has)
+        if current is not None and current.value is not None:  # who promised is of no use any more
+            digest = current.value.configuration_digest
+            has = frozenset(ip for ip, digests in current.known_digests.items() if digest in digests)
+            turn = (current.value, frozenset(current.acceptances.items()), has)
         elif current is not None:
-            holds = frozenset((ip, frozenset(digests)) for ip, digests in current.holds.items())
-            turn = (current.best, frozenset(current.promises.items()), holds, frozenset(current.words))
+            holds = frozenset((ip, frozenset(digests)) for ip, digests in current.known_digests.items())
+            turn = (
+                current.highest_accepted,
+                frozenset(current.promises.items()),
+                holds,
+                frozenset(current.configurations),
+            )
         if current is not None:
-            turn += (current.ballot, current.base, current.began)
+            turn += (current.ballot, current.base, current.started_at)
         return (
-            (self.peers.me, held.promised, held.accepted, held.decided, frozenset(held.words)),
-            (frozenset(held.stale), frozenset(held.on_disk), orders.count, orders.sure_since, self.clock),
-            (tuple((o.token, o.version, o.sure, o.began) for o in orders.open), turn),
-            tuple((o.on, o.source, *row_of(o)) for o in orders.carried.orders),
-            (frozenset(self.records.items()), repr(self.saving), repr(self.held_up), repr(self.queued)),
+            (self.peers.me, held.promised, held.accepted, held.decided, frozenset(held.configurations)),
+            (
+                frozenset(held.dirty_records),
+                frozenset(held.stored_records),
+                orders.highest_count,
+                orders.confirmed_since,
+                self.clock,
+            ),
+            (tuple((o.token, o.base_version, o.confirmed, o.started_at) for o in orders.proposals), turn),
+            tuple((o.valid_from_version, o.source, *encode_proposal(o)) for o in orders.forwarded.proposals),
+            (
+                frozenset(self.records.items()),
+                repr(self.records_being_saved),
+                repr(self.replies_after_current_save),
+                repr(self.replies_after_next_save),
+            ),
         )
 
 
@@ -93,7 +119,7 @@
 
     what: str
     ip: str
-    order: Order | None = None
+    order: Proposal | None = None
     ready: Callable[[Door], bool] = lambda door: True  # as its door knows the state
     name: str = ""
     after: int = 0
@@ -107,18 +133,18 @@
 def spent_at(door: Door, message: Message, fragile: bool) -> bool:
     """Whether a message can do nothing at a door any more: it would be refused, was answered, or nobody waits.
     What a refusal tells besides, the newest state, is told by whoever decided it, too."""
-    held, current = door.register, door.orders.round
+    held, current = door.acceptor, door.proposer.round
     if message["k"] == "decided":
         return not fragile and bool(message["s"][0] <= held.version)
     if message["k"] == "hand":
-        return not fragile and bool(message["v"] + SPAN <= held.version)
-    ballot = ballot_of(message["b"]) if "b" in message else NO_BALLOT
+        return not fragile and bool(message["v"] + VALID_VERSIONS <= held.version)
+    ballot = decode_ballot(message["b"]) if "b" in message else NO_BALLOT
     if message["k"] == "prepare":
         return not fragile and ballot <= held.promised
     if message["k"] == "accept":
         answered = held.accepted is not None and held.accepted[0] == ballot
         return not fragile and (ballot < held.promised or answered)
     if message["k"] in ("promise", "accepted", "lack"):
-        late = message["k"] == "promise" and current is not None and current.target is not None
+        late = message["k"] == "promise" and current is not None and current.value is not None
         return current is None or current.ballot != ballot or late
     return False
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -18,11 +18,11 @@
 
 import cbor2
 
-from hazelspring.consensus.acceptor import load
-from hazelspring.consensus.control_state import NO_BALLOT, State
-from hazelspring.consensus.proposal import Done, Order
-from hazelspring.membership.peer_table import About, Peers
-from hazelspring.node.actions import Deed, Message, Save, Send
+from hazelspring.consensus.acceptor import load_acceptor
+from hazelspring.consensus.control_state import NO_BALLOT, ControlState
+from hazelspring.consensus.proposal import Proposal, ProposalOutcome
+from hazelspring.membership.peer_table import NodeInfo, PeerTable
+from hazelspring.node.actions import Action, Message, Save, Send
 
 from .control_door import NEVER, Door, Event, once, spent_at
 from .control_rules import Disk, chain, copies, kept, undone, unread
@@ -99,10 +99,14 @@
         self.ips = [door.peers.me.ip for door in case.doors]
         self.doors: Numbers[Door] = Numbers()
         self.letters: Numbers[tuple[str, str, bytes]] = Numbers()  # from, to, message
-        self.states: Numbers[State] = Numbers()
-        self.ends: Numbers[tuple[Order, Done]] = Numbers()
+        self.states: Numbers[ControlState] = Numbers()
+        self.ends: Numbers[tuple[Proposal, ProposalOutcome]] = Numbers()
         self.orders = {event.order.token: event.order for event in case.events if event.order is not None}
-        self.since = {e.order.token: self.orders[e.after].number for e in case.events if e.order and e.after}
+        self.since = {
+            e.order.token: self.orders[e.after].configuration_version
+            for e in case.events
+            if e.order and e.after
+        }
         self.last = self.orders.keys() - {event.after for event in case.events}  # that no order waits for
         self.to = [0] * len(self.ips)  # letters by receiver
         self.taken: dict[tuple[int, int], Step] = {}  # door and letter
@@ -123,7 +127,7 @@
 
     # --- steps of one door ---------------------------------------------------------------------------------
 
-    def finish(self, door: Door, deeds: Iterable[Deed]) -> Step:
+    def finish(self, door: Door, deeds: Iterable[Action]) -> Step:
         """Carry out what a door wants done, and number what came of it."""
         sent = ended = 0
         todo = list(deeds)
@@ -137,27 +141,35 @@
                 lost = kind in UNHEARD or (kind == "hand" and pair not in self.case.hands)
                 if not lost and deed.to in self.ips:
                     sent |= 1 << self.letter(*pair, deed.message)
-            elif isinstance(deed, Done):
-                end = (deed.token, deed.good, deed.conflict, deed.state)
+            elif isinstance(deed, ProposalOutcome):
+                end = (deed.token, deed.succeeded, deed.conflict, deed.state)
                 ended |= 1 << self.ends.of(end, (self.orders[deed.token], deed))
-        door.held_up, door.queued = once(door.held_up), once(door.queued)
-        orders, answering = door.orders, door.peers.me.ip not in self.case.deaf
-        orders.answers = lambda now, member: answering
-        orders.pause_until, orders.fails = NEVER, 0  # a round that met another hands nothing on by itself
-        if not any(order.began <= orders.sure_since and not order.sure for order in orders.open):
-            orders.sure_since = -1e9  # it says nothing of orders that come later
-        state = door.register.state
+        door.replies_after_current_save, door.replies_after_next_save = (
+            once(door.replies_after_current_save),
+            once(door.replies_after_next_save),
+        )
+        orders, answering = door.proposer, door.peers.me.ip not in self.case.deaf
+        orders.is_responsive = lambda now, member: answering
+        orders.backoff_until, orders.failed_rounds = (
+            NEVER,
+            0,
+        )  # a round that met another hands nothing on by itself
+        if not any(
+            order.started_at <= orders.confirmed_since and not order.confirmed for order in orders.proposals
+        ):
+            orders.confirmed_since = -1e9  # it says nothing of orders that come later
+        state = door.acceptor.state
         decided = 1 << self.states.of(state, state) if state is not None else 0
         return self.doors.of(door.key(), door), sent, decided, ended
 
     @staticmethod
-    def save(door: Door) -> list[Deed]:
-        for name, body in (door.saving or {}).items():
+    def save(door: Door) -> list[Action]:
+        for name, body in (door.records_being_saved or {}).items():
             if body is None:
                 door.records.pop(name, None)
             else:
                 door.records[name] = body
-        return list(door.saved(door.now, door.serial, True))
+        return list(door.on_saved(door.now, door.save_number, True))
 
     def letter(self, source: str, to: str, message: Message) -> int:
         packed = (source, to, cbor2.dumps(message))
@@ -169,53 +181,53 @@
         """A message comes."""
         source, _, body = self.letters.values[letter]
         door = self.doors.values[number].twin()
-        return self.finish(door, door.heard(door.now, source, cbor2.loads(body)))
+        return self.finish(door, door.on_message(door.now, source, cbor2.loads(body)))
 
     def move(self, number: int, what: Any) -> Step | None:
         """What a door does by itself, or None where it cannot."""
         old = self.doors.values[number]
         door, me = old.twin(), old.peers.me
         if what == "save":
-            return self.finish(door, self.save(door)) if old.saving is not None else None
+            return self.finish(door, self.save(door)) if old.records_being_saved is not None else None
         if isinstance(what, int):  # a round, by its count
-            held, orders = door.register, door.orders
-            highest = max(orders.count, held.promised[0], (held.decided or (NO_BALLOT,))[0][0])
-            wanted = orders.open or (held.state and orders.carried.wanted(held.state))
+            held, orders = door.acceptor, door.proposer
+            highest = max(orders.highest_count, held.promised[0], (held.decided or (NO_BALLOT,))[0][0])
+            wanted = orders.proposals or (held.state and orders.forwarded.applicable(held.state))
             if not wanted or held.state is None or what <= highest:
                 return None
-            orders.give_up(door.now)
-            orders.count, orders.pause_until = what - 1, -1e9
+            orders.back_off(door.now)
+            orders.highest_count, orders.backoff_until = what - 1, -1e9
             deeds = door.proceed(door.now)
             return self.finish(door, deeds) if orders.round is not None else None
         if isinstance(what, str):  # word of a newer state at another door
-            if old.register.state is not None:
+            if old.acceptor.state is not None:
                 return None  # it has been told
-            peer = door.peers.peer(About(what, "", "", 0, 1))
-            peer.held = (1 << 30, -1)
-            door.deeds, door.asked = [], (-1e9, 0)
+            peer = door.peers.peer(NodeInfo(what, "", "", 0, 1))
+            peer.control_versions = (1 << 30, -1)
+            door.actions, door.last_state_request = [], (-1e9, 0)
             door.catch_up(door.now)
-            deeds, door.asked = door.deeds, (-1e9, 0)
-            door.peers = Peers(me, 0.0)
+            deeds, door.last_state_request = door.actions, (-1e9, 0)
+            door.peers = PeerTable(me, 0.0)
             return self.finish(door, deeds)
         if isinstance(what, tuple):  # it hands its orders to another door
-            door.deeds = []
-            door.orders.hand(what[1])
-            return self.finish(door, door.advance(door.now)) if door.orders.outbox else None
+            door.actions = []
+            door.proposer.forward(what[1])
+            return self.finish(door, door.advance(door.now)) if door.proposer.outbox else None
         event: Event = what
         if not event.ready(old):
             return None
         if event.order is not None:
             door.clock += 1
-            order = replace(event.order, began=float(door.clock))
-            return self.finish(door, door.begin(float(door.clock), order))
+            order = replace(event.order, started_at=float(door.clock))
+            return self.finish(door, door.propose(float(door.clock), order))
         if event.what == "fail":
-            if old.saving is None:
+            if old.records_being_saved is None:
                 return None
-            deeds = door.saved(door.now, door.serial, False)
-            door.failed = False  # as the next tick has it
+            deeds = door.on_saved(door.now, door.save_number, False)
+            door.save_failed = False  # as the next tick has it
             return self.finish(door, [*deeds, *door.proceed(door.now)])
         wiped = event.what == "wipe"
-        about = replace(me, life=me.life + 1, disk=me.disk + 10 if wiped else me.disk)
+        about = replace(me, incarnation=me.incarnation + 1, disk_id=me.disk_id + 10 if wiped else me.disk_id)
         new = Door(about, {} if wiped else dict(old.records), old.first and not wiped, [])
         return self.finish(new, new.proceed(new.now))
 
@@ -290,7 +302,9 @@
 
     def has(self, ended: int, token: int) -> bool:
         """Whether an order was confirmed."""
-        return any(o.token == token and done.good for o, done in (self.ends.values[n] for n in bits(ended)))
+        return any(
+            o.token == token and done.succeeded for o, done in (self.ends.values[n] for n in bits(ended))
+        )
 
     # --- all of them ---------------------------------------------------------------------------------------
 
@@ -299,7 +313,7 @@
         gave orders can see."""
         found, self.told_only = Found(), told_only
         self.spread(found, most)
-        good = [order.token for order, done in self.ends.values if done.good]
+        good = [order.token for order, done in self.ends.values if done.succeeded]
         found.states, found.steps = len(self.parents), len(self.taken) + len(self.moved)
         found.confirmed, found.decided = len(set(good)), len(self.states.values)
         return found
@@ -351,9 +365,9 @@
     def on_disk(self, number: int) -> int:
         """The number of what a door has on disk."""
         if number not in self.held:
-            there = load(self.doors.values[number].records, 0, False)
+            there = load_acceptor(self.doors.values[number].records, 0, False)
             states = tuple(pair[1] for pair in (there.accepted, there.decided) if pair is not None)
-            disk = (there.disk, there.founder, states)
+            disk = (there.disk_id, there.may_bootstrap, states)
             self.held[number] = self.disks.of(disk, disk)
         return self.held[number]
 
@@ -380,20 +394,23 @@
                     "has saved" if what[1] == "save" else f"asks {what[1]} for what is newer"
                 )
             ends = [self.ends.values[n] for n in bits(now[3] & ~before[3])]
-            text += "".join(f" [order {o.token}: {'confirmed' if d.good else d.why}]" for o, d in ends)
+            text += "".join(
+                f" [order {o.token}: {'confirmed' if d.succeeded else d.reason}]" for o, d in ends
+            )
             lines.insert(0, f"  {text} => {then}")
             now = before
         return lines
 
     def tell(self, number: int) -> str:
-        held = self.doors.values[number].register
+        held = self.doors.values[number].acceptor
 
-        def short(pair: tuple[Any, State] | None) -> str:
+        def short(pair: tuple[Any, ControlState] | None) -> str:
             if pair is None:
                 return "nothing"
             ballot, state = pair
-            seats = ",".join(f"{m.ip}/{m.disk}" for m in state.members)
-            return f"v{state.version} r{state.number} {state.digest!r} of {seats} at {ballot[0]}.{ballot[2]}"
+            seats = ",".join(f"{m.ip}/{m.disk_id}" for m in state.members)
+            configuration = f"r{state.configuration_version} {state.configuration_digest!r}"
+            return f"v{state.version} {configuration} of {seats} at {ballot[0]}.{ballot[2]}"
 
         promised = f"{held.promised[0]}.{held.promised[2]}"
         return f"has promised {promised}, accepted {short(held.accepted)}, decided {short(held.decided)}"
--- a/tests/cut_door.py
+++ b/tests/cut_door.py
@@ -16,23 +16,23 @@
 import hazelspring.daemon.node_process
 from hazelspring.daemon.__main__ import main
 from hazelspring.daemon.instance_list_client import InstanceListClient
-from hazelspring.daemon.message_transport import Mesh
-from hazelspring.node.control_replica import Control
+from hazelspring.daemon.message_transport import MessageTransport
+from hazelspring.node.control_replica import ControlReplica
 
 FILE = Path(os.environ["HAZELSPRING_SETTINGS"]).with_suffix(".cut")
 PLATFORM = FILE.with_suffix(".platform")
 
 
-class Cut(Mesh):
+class Cut(MessageTransport):
     """Datagrams and messages by TCP both pass here before anything is made of them."""
 
-    def received(self, source: str, data: bytes) -> None:
+    def on_bytes(self, source: str, data: bytes) -> None:
         lines = FILE.read_text().splitlines() if FILE.exists() else ()
         late = next((line.split()[1:] for line in lines if line.split()[0] == source), None)
         if late is None:
-            super().received(source, data)
+            super().on_bytes(source, data)
         elif late:
-            self.loop.call_later(float(late[0]), super().received, source, data)
+            self.loop.call_later(float(late[0]), super().on_bytes, source, data)
 
 
 class Platform(InstanceListClient):
@@ -49,12 +49,12 @@
 
 def credulous() -> None:
     """Take the fences out."""
-    Control.sure = lambda control, order, now: True  # type: ignore[assignment, method-assign]
-    Control.fresh_at = lambda control, now: now  # type: ignore[assignment, method-assign]
+    ControlReplica.is_confirmed_for = lambda control, order, now: True  # type: ignore[assignment, method-assign]
+    ControlReplica.confirmed_at = lambda control, now: now  # type: ignore[assignment, method-assign]
 
 
 if __name__ == "__main__":
-    hazelspring.daemon.node_process.Mesh = Cut  # type: ignore[attr-defined]
+    hazelspring.daemon.node_process.MessageTransport = Cut  # type: ignore[attr-defined]
     hazelspring.daemon.list_reader.InstanceListClient = Platform  # type: ignore[attr-defined]
     words = sys.argv[1:]
     if "--credulous" in words:
--- a/tests/cut_history.py
+++ b/tests/cut_history.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from hazelspring.consensus.control_state import State
-from hazelspring.consensus.proposal import Done, Order
+from hazelspring.consensus.control_state import ControlState
+from hazelspring.consensus.proposal import Proposal, ProposalOutcome
 
 from .control_rules import unread
 
@@ -74,8 +74,10 @@
         for token, call in enumerate(self.good(READ), 1):
             before = bisect.bisect_left(ended, call.sent)
             since = {token: floors[before - 1]} if before else {}
-            shown = Done(token, True, state=State(0, (), (), number=call.number))
-            if fault := unread([(Order(token, call.sent, "read"), shown)], since):
+            shown = ProposalOutcome(
+                token, True, state=ControlState(0, (), (), configuration_version=call.number)
+            )
+            if fault := unread([(Proposal(token, call.sent, "read"), shown)], since):
                 yield f"{fault}: {call}"
 
     def bodies(self) -> Iterable[str]:
--- a/tests/golden/recording.py
+++ b/tests/golden/recording.py
@@ -16,17 +16,17 @@
 
 import cbor2
 
-from hazelspring.configuration.blocks import MARK, pack
-from hazelspring.configuration.delta import difference
-from hazelspring.configuration.model import digest
-from hazelspring.consensus.acceptor import Register
-from hazelspring.consensus.control_state import Member, State
+from hazelspring.configuration.blocks import BLOCK_BOUNDARY, pack
+from hazelspring.configuration.delta import make_delta
+from hazelspring.configuration.model import configuration_digest
+from hazelspring.consensus.acceptor import Acceptor
+from hazelspring.consensus.control_state import ControlState, Member
 from hazelspring.consensus.disaster_recovery import Items
-from hazelspring.consensus.proposal import Done
-from hazelspring.node.actions import Deed, Message, Save, Send
-from hazelspring.node.node import Core
+from hazelspring.consensus.proposal import ProposalOutcome
+from hazelspring.node.actions import Action, Message, Save, Send
+from hazelspring.node.node import Node
 from hazelspring.registry.tables import ServerEntry
-from hazelspring.storage.replica_store import Store
+from hazelspring.storage.replica_store import ReplicaStore
 from tests.world import Call, World
 
 FOLDER = Path(__file__).parent
@@ -82,11 +82,11 @@
             message = from_wire(cbor2.dumps(fields))
         super().send(source, to, message)
 
-    def save(self, name: str, core: Core, save: Save) -> None:
+    def save(self, name: str, core: Node, save: Save) -> None:
         self.sum.update(cbor2.dumps([name, save.records]))
         super().save(name, core, save)
 
-    def node(self, name: str) -> Core:
+    def node(self, name: str) -> Node:
         core = self.doors[name].core
         assert core is not None
         return core
@@ -95,9 +95,9 @@
         """An operator's configuration whose packed bytes are too many for a datagram."""
         body = configuration(number)
         call = Call("put", self.now, name, number)
-        self.call(call, lambda core, token: core.put(self.now, token, body))
+        self.call(call, lambda core, token: core.put_configuration(self.now, token, body))
 
-    def done(self, done: Done) -> None:
+    def done(self, done: ProposalOutcome) -> None:
         """How calls end is looked at by other tests."""
 
     def list_servers(self, step: int) -> None:
@@ -116,7 +116,7 @@
     for n in range(resources):
         seed = f"{n} {changed if n == changed % resources else 0}".encode()
         value = "".join(hashlib.blake2b(seed + bytes([part])).hexdigest() for part in range(text // 96))
-        rows.append(MARK.decode() + f':"route","name":"route-{n}","value":"{value[:text]}"' + "}")
+        rows.append(BLOCK_BOUNDARY.decode() + f':"route","name":"route-{n}","value":"{value[:text]}"' + "}")
     head = f'{{"versionNumber":"r{number}","resourceList":['
     return (head + ",".join(rows) + "]}").encode()
 
@@ -144,7 +144,7 @@
     world.start("d3")
     world.run(1.5)
     for name in world.doors:
-        world.node(name).control.register.steps.clear()  # as after a restart: no differences are held
+        world.node(name).control.acceptor.deltas.clear()  # as after a restart: no differences are held
     world.freeze("d6")
     world.freeze("d4")
     world.submit("d1", 52)
@@ -171,12 +171,12 @@
             world.thaw("d6")
     for number, name in enumerate(world.doors, 1):
         for tenant in ("acme", "globex", "initech"):
-            world.deeds(name, world.node(name).lease(world.now, tenant, number, 3 * number))
+            world.deeds(name, world.node(name).lease_credits(world.now, tenant, number, 3 * number))
             lease = {"k": "lease", "n": tenant, "q": 7, "u": 2, "y": 9}
-            world.deeds(name, world.node(name).heard(world.now, "d1", from_wire(cbor2.dumps(lease))))
+            world.deeds(name, world.node(name).on_message(world.now, "d1", from_wire(cbor2.dumps(lease))))
         for step, load in enumerate(({1: 2, 70000: 1}, {})):
             at = world.now + 1.0 + step
-            world.deeds(name, world.node(name).disseminator.tell_load(at, load, {}))
+            world.deeds(name, world.node(name).disseminator.report_load(at, load, {}))
     world.run(0.5)
     world.cut = {("d1", "d2"), ("d2", "d1"), ("d1", "d3")}
     world.run(1.5)
@@ -211,23 +211,37 @@
     member, found = world.node("d2"), {}
     for key, body in messages.items():
         core = copy.deepcopy(member)  # so that no message is heard after another
-        found[key] = [act(deed) for deed in core.heard(world.now, "d1", from_wire(bytes.fromhex(body)))]
+        found[key] = [act(deed) for deed in core.on_message(world.now, "d1", from_wire(bytes.fromhex(body)))]
     return found
 
 
-def act(deed: Deed) -> str:
-    return f"{deed.to} {variant(wire_bytes(deed.message))}" if isinstance(deed, Send) else type(deed).__name__
+# labels of actions in the record, by the names of their classes
+LABELS = {"StateChanged": "Changed", "LoadReported": "Danced"}
 
 
-SEATS = tuple(Member(f"d{n}", f"z{n}", "east", n) for n in (1, 2, 3))
-FIRST = State(1, SEATS, SEATS, 3, 7, digest(b"first"), frozenset({"z3", "z1"}))
-SECOND = replace(FIRST, version=2, members=SEATS[:2], number=8, digest=digest(b"second"), closed=frozenset())
+def act(action: Action) -> str:
+    if isinstance(action, Send):
+        return f"{action.to} {variant(wire_bytes(action.message))}"
+    name = type(action).__name__
+    return LABELS.get(name, name)
 
 
-def register_steps() -> Iterable[tuple[str, Register]]:
+SEATS = tuple(Member(f"d{n}", f"z{n}", "east", n) for n in (1, 2, 3))
+FIRST = ControlState(1, SEATS, SEATS, 3, 7, configuration_digest(b"first"), frozenset({"z3", "z1"}))
+SECOND = replace(
+    FIRST,
+    version=2,
+    members=SEATS[:2],
+    configuration_version=8,
+    configuration_digest=configuration_digest(b"second"),
+    evacuated_zones=frozenset(),
+)
+
+
+def register_steps() -> Iterable[tuple[str, Acceptor]]:
     """Yield one register after each step of its life."""
-    register = Register(4242, False)
-    register.stale.add("disk")
+    register = Acceptor(4242, False)
+    register.dirty_records.add("disk")
     yield "new disk", register
     assert register.prepare((3, 100101, "d1"))
     yield "prepared", register
@@ -245,7 +259,8 @@
     """Return the records that each step writes, and those that a member of a settled core has on disk."""
     found = {
         step: {
-            name: body.hex() if body is not None else None for name, body in register.take_records().items()
+            name: body.hex() if body is not None else None
+            for name, body in register.take_dirty_records().items()
         }
         for step, register in register_steps()
     }
@@ -267,14 +282,14 @@
     packed = pack(large)
     return {
         "old": pack(old).hex(),
-        "old digest": digest(old).hex(),
+        "old digest": configuration_digest(old).hex(),
         "new": pack(new, pack(old)).hex(),
-        "new digest": digest(new).hex(),
-        "difference": difference(pack(old), pack(new, pack(old))).hex(),
+        "new digest": configuration_digest(new).hex(),
+        "difference": make_delta(pack(old), pack(new, pack(old))).hex(),
         "large hash": hashed(packed),
-        "large digest": digest(large).hex(),
+        "large digest": configuration_digest(large).hex(),
         "large changed hash": hashed(pack(changed, packed)),
-        "large difference hash": hashed(difference(packed, pack(changed, packed))),
+        "large difference hash": hashed(make_delta(packed, pack(changed, packed))),
     }
 
 
@@ -307,7 +322,7 @@
     }
     for name, found in files.items():
         (FOLDER / name).write_text(json.dumps(found, indent=1) + "\n")
-    store = Store(str(FOLDER))
+    store = ReplicaStore(str(FOLDER))
     store.save(STORE_RECORDS)
     store.close()
     store.path.replace(FOLDER / "store-format-2.sqlite")
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -21,10 +21,10 @@
 from functools import partial
 from pathlib import Path
 
-from hazelspring.cli.control_client import once, order
+from hazelspring.cli.control_client import call_once, call_until_settled
 from hazelspring.localfleet.__main__ import Background
-from hazelspring.localfleet.fleet import Yard, configuration
-from hazelspring.localfleet.stand_ins import Stands
+from hazelspring.localfleet.fleet import LocalFleet, configuration
+from hazelspring.localfleet.stand_ins import StandIns
 
 from .callers import Clients, Operators, is_write, links, told
 from .ledger import PROMISES
@@ -81,8 +81,8 @@
     def __init__(self, folder: Path, seed: int, nth: int = 0) -> None:
         self.chance = random.Random(seed)
         program = ("-m", "tests.cut_door", "serve")
-        self.yard = Yard(folder, CORE, OTHERS, SERVERS, program, nth=nth)
-        self.stands = Stands(self.yard.platform, self.yard.servers)
+        self.yard = LocalFleet(folder, CORE, OTHERS, SERVERS, program, nth=nth)
+        self.stands = StandIns(self.yard.platform, self.yard.servers)
         self.background = Background(self.stands)
         self.faults: list[str] = []
         self.seen: dict[Path, int] = {}  # how far each log was read
@@ -98,7 +98,7 @@
         yard = self.yard
         try:
             yard.start_all(first=True)
-            order(yard.controls(), "PUT", "/-/configuration", configuration(1), BACK)
+            call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(1), BACK)
             self.wait_until_whole()
             for _ in range(episodes):
                 self.episode(draw(self.chance))
@@ -190,7 +190,7 @@
         """The door that reads the list now, where one that answers says so."""
         for n in range(CORE):
             with contextlib.suppress(OSError, http.client.HTTPException):
-                got = once(self.yard.controls()[n], "GET", "/-/metrics", None, ASKING)
+                got = call_once(self.yard.controls()[n], "GET", "/-/metrics", None, ASKING)
                 if b"hazelspring_list_reader 1\n" in got.body:
                     return n
         return otherwise
@@ -256,7 +256,7 @@
         self.read_back()
 
     def read_back(self) -> None:
-        answer = order(self.yard.controls(), "GET", "/-/configuration", patience=BACK)
+        answer = call_until_settled(self.yard.controls(), "GET", "/-/configuration", patience=BACK)
         number = int(json.loads(answer.body)["versionNumber"][1:])
         if number < self.number:
             self.faults.append(f"LOST: r{number} is in force, r{self.number} was acknowledged")
--- a/tests/test_bringing.py
+++ b/tests/test_bringing.py
@@ -14,10 +14,10 @@
 import hazelspring.consensus.acceptor
 from bench.scale.words import configuration
 from hazelspring.configuration.blocks import pack, unpack
-from hazelspring.configuration.model import digest
-from hazelspring.consensus.acceptor import MOST_KEPT, Register
+from hazelspring.configuration.model import configuration_digest
+from hazelspring.consensus.acceptor import MAX_KEPT_DELTA_BYTES, Acceptor
 from hazelspring.node.actions import Message, Send
-from hazelspring.node.node import Core
+from hazelspring.node.node import Node
 
 from .test_word_property import KINDS, play
 from .world import Call, World
@@ -34,8 +34,8 @@
 
 
 def put(world: World, name: str, number: int, text: bytes) -> Call:
-    call = Call("put", world.now, name, number, digest(text))
-    world.call(call, lambda core, token: core.put(world.now, token, text))
+    call = Call("put", world.now, name, number, configuration_digest(text))
+    world.call(call, lambda core, token: core.put_configuration(world.now, token, text))
     return call
 
 
@@ -70,7 +70,8 @@
 
     def everywhere(self, number: int) -> bool:
         return all(
-            (packed := door.core.control.register.word()) is not None and unpack(packed) == body(number)
+            (packed := door.core.control.acceptor.current_configuration()) is not None
+            and unpack(packed) == body(number)
             for door in self.doors.values()
             if door.core is not None
         )
@@ -95,7 +96,8 @@
     world.change(1)
     for name, upto in (("d3", 9), ("d6", 9)):
         world.kill(name) if name == "d3" else world.freeze(name)
-        for number in range(world.doors["d1"].core.control.register.state.number + 1, upto + 1):  # type: ignore[union-attr]
+        held = world.doors["d1"].core.control.acceptor.state.configuration_version  # type: ignore[union-attr]
+        for number in range(held + 1, upto + 1):
             put(world, "d1", number, body(number))
             world.run(0.3)
         world.wholes = 0
@@ -104,15 +106,15 @@
         assert world.everywhere(upto) and world.wholes == 0 and not world.breaches
     for door in world.doors.values():
         assert door.core is not None
-        door.core.control.register.steps.clear()  # as after a restart of all
+        door.core.control.acceptor.deltas.clear()  # as after a restart of all
     world.freeze("d6")
     put(world, "d1", 10, body(10))
     world.run(0.5)
     put(world, "d2", 11, body(11))
     world.run(0.5)
-    world.doors["d6"].core.control.register.steps.clear()  # type: ignore[union-attr]
+    world.doors["d6"].core.control.acceptor.deltas.clear()  # type: ignore[union-attr]
     for n in (1, 2, 3, 4):
-        world.doors[f"d{n}"].core.control.register.steps.clear()  # type: ignore[union-attr]
+        world.doors[f"d{n}"].core.control.acceptor.deltas.clear()  # type: ignore[union-attr]
     world.thaw("d6")
     world.run(2.5)
     assert world.everywhere(11) and world.wholes >= 1 and not world.breaches
@@ -155,20 +157,24 @@
         if number == 8:
             world.start("d1")
         for door in world.doors.values():
-            held = door.core.control.register if door.core is not None else None
-            for of, packed in held.words.items() if held is not None else ():
-                assert digest(unpack(packed)) == of
+            held = door.core.control.acceptor if door.core is not None else None
+            for of, packed in held.configurations.items() if held is not None else ():
+                assert configuration_digest(unpack(packed)) == of
     world.drop = 0.0
     world.run(3.0)
     last = max(world.decided.values(), key=lambda state: state.version)
-    assert world.everywhere(last.number) and last.number >= 10 and not world.breaches
+    assert (
+        world.everywhere(last.configuration_version)
+        and last.configuration_version >= 10
+        and not world.breaches
+    )
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_what_was_acknowledged_outlives_losses_also_where_all_goes_by_differences(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(hazelspring.consensus.acceptor, "SMALL", 0)
+    monkeypatch.setattr(hazelspring.consensus.acceptor, "MIN_BYTES_FOR_DELTA", 0)
     draw = random.Random(seed)
     deeds = [(draw.choice(KINDS), draw.randrange(8)) for _ in range(16)]
     assert play(3 + seed, 1 + (seed > 1), seed, deeds, odd=0.05 * (seed % 2)).breaches == []
@@ -179,32 +185,32 @@
     for number in (1, 2):
         world.change(number)
     core: Any = world.doors["d1"].core
-    assert isinstance(core, Core)
-    old = {"k": "want", "v": 1, "h": digest(body(1))}
-    (said,) = [deed.message for deed in core.heard(world.now, "d5", old) if isinstance(deed, Send)]
+    assert isinstance(core, Node)
+    old = {"k": "want", "v": 1, "h": configuration_digest(body(1))}
+    (said,) = [deed.message for deed in core.on_message(world.now, "d5", old) if isinstance(deed, Send)]
     assert unpack(said["w"]) == body(2) and "x" not in said
-    (said,) = [d.message for d in core.heard(world.now, "d5", old | {"e": 1}) if isinstance(d, Send)]
+    (said,) = [d.message for d in core.on_message(world.now, "d5", old | {"e": 1}) if isinstance(d, Send)]
     assert "w" not in said and len(cbor2.dumps(said)) < 900
 
 
 def test_what_is_kept_of_differences_is_bounded() -> None:
-    register = Register(1, True)
+    register = Acceptor(1, True)
     for n in range(400):
-        register.keep(b"%d" % n, b"%d" % (n + 1), b"x" * 100, b"w" * 20_000)
-    assert len(register.steps) == 200
-    assert register.way([b"395"], b"400", b"w" * 20_000) == [
+        register.keep_delta(b"%d" % n, b"%d" % (n + 1), b"x" * 100, b"w" * 20_000)
+    assert len(register.deltas) == 200
+    assert register.delta_path([b"395"], b"400", b"w" * 20_000) == [
         b"395",
         [[b"%d" % n, b"x" * 100] for n in range(396, 401)],
     ]
     assert (
-        register.way([b"395"], b"400", b"w" * 400) is None
-        and register.way([b"9"], b"400", b"w" * 20_000) is None
+        register.delta_path([b"395"], b"400", b"w" * 400) is None
+        and register.delta_path([b"9"], b"400", b"w" * 20_000) is None
     )
-    register.keep(b"400", b"401", b"x" * MOST_KEPT, b"w" * MOST_KEPT * 2)
-    assert list(register.steps) == [b"401"]
+    register.keep_delta(b"400", b"401", b"x" * MAX_KEPT_DELTA_BYTES, b"w" * MAX_KEPT_DELTA_BYTES * 2)
+    assert list(register.deltas) == [b"401"]
     for n in range(1000):
-        register.keep(b"%d" % n, b"%d" % (n + 1), b"", b"w" * 20_000)
-    assert len(register.steps) == 256
+        register.keep_delta(b"%d" % n, b"%d" % (n + 1), b"", b"w" * 20_000)
+    assert len(register.deltas) == 256
     for way in (
         [b"1", []],
         [b"1", [[b"2", b"x"]]],
@@ -213,5 +219,5 @@
         [[], [[{}, 3]]],
         [b"9", [[[], b""], [b"2", b""]]],
     ):
-        register.words = {b"1": pack(body(1, 100)), b"9": b"none"}
-        assert register.walk(way, b"2") is None  # type: ignore[arg-type]
+        register.configurations = {b"1": pack(body(1, 100)), b"9": b"none"}
+        assert register.follow_delta_path(way, b"2") is None  # type: ignore[arg-type]
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -4,9 +4,15 @@
 
 import pytest
 
-from hazelspring.consensus.control_state import Member, State
-from hazelspring.consensus.forwarding import KEPT, SPAN, Carried, HandedOrder, Hands
-from hazelspring.consensus.proposal import Order
+from hazelspring.consensus.control_state import ControlState, Member
+from hazelspring.consensus.forwarding import (
+    FORWARDED_LIFETIME,
+    VALID_VERSIONS,
+    ForwardedProposal,
+    ForwardedProposals,
+    ProposalForwarder,
+)
+from hazelspring.consensus.proposal import Proposal
 from hazelspring.node.actions import Message
 
 from .test_control import settled_world
@@ -15,8 +21,8 @@
 SEATS = (Member("d1", "", "", 1),)
 
 
-def state(version: int, *closed: str) -> State:
-    return State(version, SEATS, SEATS, 1, closed=frozenset(closed))
+def state(version: int, *closed: str) -> ControlState:
+    return ControlState(version, SEATS, SEATS, 1, evacuated_zones=frozenset(closed))
 
 
 def noted(world: World, kind: str) -> list[tuple[str, str, Message]]:
@@ -43,36 +49,45 @@
 
 
 def test_a_handed_order_may_be_applied_to_two_versions_and_once() -> None:
-    closing = HandedOrder(0, 0.0, "evacuate", zone="z1", closed=True, on=4)
-    assert [closing.apply(state(version)).closed == {"z1"} for version in (3, 4, 5, 6)] == [
+    closing = ForwardedProposal(0, 0.0, "evacuate", zone="z1", evacuate=True, valid_from_version=4)
+    assert [closing.apply(state(version)).evacuated_zones == {"z1"} for version in (3, 4, 5, 6)] == [
         False,
         True,
         True,
         False,
     ]
-    carried = Carried()
+    carried = ForwardedProposals()
     row = ["evacuate", -1, b"", None, "z1", True]
     for _ in range(3):
-        carried.take(0.0, "d2", 4, [row])
-    assert len(carried.orders) == 1 and carried.wanted(state(4)) and not carried.wanted(state(4, "z1"))
-    carried.sweep(0.0, state(3 + SPAN))
-    assert carried.orders
-    carried.sweep(0.0, state(4 + SPAN))
-    assert not carried.orders
-    carried.take(0.0, "d2", 4, [row])
-    carried.sweep(KEPT + 0.1, state(4))
-    assert not carried.orders
+        carried.add(0.0, "d2", 4, [row])
+    assert (
+        len(carried.proposals) == 1
+        and carried.applicable(state(4))
+        and not carried.applicable(state(4, "z1"))
+    )
+    carried.expire(0.0, state(3 + VALID_VERSIONS))
+    assert carried.proposals
+    carried.expire(0.0, state(4 + VALID_VERSIONS))
+    assert not carried.proposals
+    carried.add(0.0, "d2", 4, [row])
+    carried.expire(FORWARDED_LIFETIME + 0.1, state(4))
+    assert not carried.proposals
     with pytest.raises(ValueError):
-        carried.take(0.0, "d2", 4, [["retire", -1, b"", None, "", False]])
+        carried.add(0.0, "d2", 4, [["retire", -1, b"", None, "", False]])
 
 
 def test_a_door_is_handed_an_order_once_and_only_what_an_operator_wants_to_change() -> None:
-    hands, closing = Hands(), Order(1, 0.0, "evacuate", zone="z1", closed=True)
-    orders = [closing, Order(0, 0.0, "settle"), Order(2, 0.0, "read"), Order(3, 0.0, "retire", by_hand=True)]
-    assert [row[0] for row in hands.give(state(4), "d2", orders)] == ["evacuate"]
-    assert not hands.give(state(4), "d2", orders)
-    assert hands.give(state(4), "d3", orders) and not hands.give(state(4), "d4", orders)
-    assert hands.give(state(5), "d4", orders) and not hands.give(state(6, "z1"), "d4", orders)
+    hands, closing = ProposalForwarder(), Proposal(1, 0.0, "evacuate", zone="z1", evacuate=True)
+    orders = [
+        closing,
+        Proposal(0, 0.0, "settle"),
+        Proposal(2, 0.0, "read"),
+        Proposal(3, 0.0, "retire", by_operator=True),
+    ]
+    assert [row[0] for row in hands.select(state(4), "d2", orders)] == ["evacuate"]
+    assert not hands.select(state(4), "d2", orders)
+    assert hands.select(state(4), "d3", orders) and not hands.select(state(4), "d4", orders)
+    assert hands.select(state(5), "d4", orders) and not hands.select(state(6, "z1"), "d4", orders)
 
 
 @pytest.mark.parametrize("bound", [True, False])
@@ -81,7 +96,7 @@
 ) -> None:
     """The bound bites: were a handed order good for any version, the zone would be closed again."""
     if not bound:
-        monkeypatch.setattr("hazelspring.consensus.forwarding.SPAN", 1000)
+        monkeypatch.setattr("hazelspring.consensus.forwarding.VALID_VERSIONS", 1000)
     again = 0
     for seed in range(6):
         world = settled_world(seed=seed)
@@ -95,7 +110,7 @@
         for source, to, message in [*handed, *handed]:
             world.send(source, to, message)
         world.run(1.0)
-        again += world.decided[max(world.decided)].closed != frozenset()
+        again += world.decided[max(world.decided)].evacuated_zones != frozenset()
         assert not world.breaches
     assert (again == 0) is bound
 
@@ -138,14 +153,14 @@
     world = settled_world()
     world.put("d1", 6)
     core = world.doors["d1"].core
-    assert core is not None and core.control.orders.round is not None
-    core.control.orders.open.clear()  # as where what others tell settles an order at once
+    assert core is not None and core.control.proposer.round is not None
+    core.control.proposer.proposals.clear()  # as where what others tell settles an order at once
     world.deeds("d1", core.control.proceed(world.now))
     world.run(0.08)
     for name in ("d1", "d2", "d3", "d4"):
         member = world.doors[name].core
-        assert member is not None and not member.control.busy(
-            world.now, "d6", member.control.register.version
+        assert member is not None and not member.control.must_yield_to(
+            world.now, "d6", member.control.acceptor.version
         )
     token = world.put("d6", 7)
     world.run(0.1)
@@ -170,7 +185,7 @@
 ) -> None:
     """Two members of four stop as a change is brought to them: small bytes go again each 0.25 s; what takes a slow
     link 0.4 s for all four goes again after 0.5 s, and until then the members are asked without it."""
-    monkeypatch.setattr("hazelspring.consensus.proposer.WIDTH", 1e6)
+    monkeypatch.setattr("hazelspring.consensus.proposer.LINK_BANDWIDTH", 1e6)
     world = settled_world()
     accepts = noted(world, "accept")
     token = world.put("d1", 6, world.random.randbytes(size).hex())
@@ -185,4 +200,5 @@
         world.thaw(name)
     world.run(1.0)
     assert world.calls[token].good and not world.breaches
-    assert all(world.doors[name].core.control.register.state.number == 6 for name in ("d2", "d4"))  # type: ignore[union-attr]
+    for name in ("d2", "d4"):
+        assert world.doors[name].core.control.acceptor.state.configuration_version == 6  # type: ignore[union-attr]
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -17,10 +17,15 @@
 import hazelspring.configuration.delta
 from bench.scale.words import configuration
 from hazelspring.configuration.blocks import pack, unpack
-from hazelspring.configuration.delta import DeltaError, difference, follow
-from hazelspring.configuration.incremental import Held, take
-from hazelspring.configuration.model import Word, digest, read
-from hazelspring.configuration.validation import Invalid, check, check_change, sound
+from hazelspring.configuration.delta import DeltaError, apply_deltas, make_delta
+from hazelspring.configuration.incremental import LoadedConfiguration, load_configuration
+from hazelspring.configuration.model import Configuration, configuration_digest, parse_configuration
+from hazelspring.configuration.validation import (
+    InvalidConfigurationError,
+    validate_change,
+    validate_configuration,
+    validate_incrementally,
+)
 
 Entry = dict[str, Any]
 QUIET = settings(max_examples=300, deadline=None, derandomize=True)
@@ -30,9 +35,9 @@
 def small_blocks() -> Iterator[None]:
     """Blocks of a few resources, so that small configurations have many."""
     with pytest.MonkeyPatch.context() as patch:
-        for name, value in (("LEAST", 300), ("MOST", 2000), ("CHANCE", 3)):
+        for name, value in (("MIN_BLOCK_BYTES", 300), ("MAX_BLOCK_BYTES", 2000), ("BOUNDARY_MASK", 3)):
             patch.setattr(hazelspring.configuration.blocks, name, value)
-        patch.setattr(hazelspring.configuration.delta, "LEAST", 300)
+        patch.setattr(hazelspring.configuration.delta, "MIN_BLOCK_BYTES", 300)
         yield
 
 
@@ -125,14 +130,14 @@
     return found
 
 
-def verdict(body: bytes, held: Held | None = None) -> int | str:
+def verdict(body: bytes, held: LoadedConfiguration | None = None) -> int | str:
     try:
-        return check_change(body, held).number if held is not None else check(body)
-    except Invalid as error:
+        return validate_change(body, held).version if held is not None else validate_configuration(body)
+    except InvalidConfigurationError as error:
         return str(error)
 
 
-def unshared(old: Word, new: Word) -> int:
+def unshared(old: Configuration, new: Configuration) -> int:
     """How many entries are the same and not the same objects."""
     routes = {route: route for routes in old.routes.values() for route in routes}
     now = [route for of in new.routes.values() for route in of]
@@ -164,32 +169,37 @@
 ) -> None:
     """Over two changes, as the second stands on tables and blocks that the first has made."""
     body = text(entries(seed))
-    held, found = take(pack(body), None), entries(seed)
-    assert held.apart and held.word == read(body)
+    held, found = load_configuration(pack(body), None), entries(seed)
+    assert held.block_aligned and held.configuration == parse_configuration(body)
     for edits in (first, then):
         found = edited(found, edits)
         body = text(found, number if edits is then else "r8", indent)
         if edits is then:
             for at, length, other in noise:
                 body = body[:at] + other + body[at + length :]
-        before = copy.deepcopy(held.word)
+        before = copy.deepcopy(held.configuration)
         right = verdict(body)
         assert verdict(body, held) == right
-        assert held.word == before
-        packed = follow(held.packed, [difference(held.packed, pack(body))], digest(body))
+        assert held.configuration == before
+        packed = apply_deltas(held.packed, [make_delta(held.packed, pack(body))], configuration_digest(body))
         assert unpack(packed) == body
         if not isinstance(right, int):
             return
-        old, held = held, take(packed, held)
-        assert held.word == read(body)
-        if held.apart and max(old.word.bounds, held.word.bounds) < 2:
-            assert unshared(old.word, held.word) <= len(edits)
-        assert all(held.word.tenants[tenant.name] is tenant for tenant in held.word.keys.values())
+        old, held = held, load_configuration(packed, held)
+        assert held.configuration == parse_configuration(body)
+        if (
+            held.block_aligned
+            and max(old.configuration.limits_entries, held.configuration.limits_entries) < 2
+        ):
+            assert unshared(old.configuration, held.configuration) <= len(edits)
+        assert all(
+            held.configuration.tenants[tenant.name] is tenant for tenant in held.configuration.keys.values()
+        )
 
 
 def test_a_usual_change_is_read_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     body = text(entries(3))
-    held = take(pack(body))
+    held = load_configuration(pack(body))
     for edits in (
         [("put", 5, 7, "", None)],
         [("drop", 3, 0, "", None)],
@@ -197,18 +207,18 @@
     ):
         changed = text(edited(entries(3), edits), "r8")
         packed = pack(changed, held.packed)
-        assert sound(held, packed) == 8
+        assert validate_incrementally(held, packed) == 8
         with monkeypatch.context() as patch:
-            patch.setattr("hazelspring.configuration.incremental.read", None)
-            patch.setattr("hazelspring.configuration.incremental.tables", None)
-            assert take(packed, held).word == read(changed)
+            patch.setattr("hazelspring.configuration.incremental.parse_configuration", None)
+            patch.setattr("hazelspring.configuration.incremental.build_configuration", None)
+            assert load_configuration(packed, held).configuration == parse_configuration(changed)
 
 
 @pytest.mark.parametrize(
     "head", ['{"resourceList": ["x"], "resourceList": [', '{"a": {"resourceList": [', "[["]
 )
 def test_entries_that_stand_elsewhere_are_not_taken_for_resources(head: str) -> None:
-    held = take(pack(text(entries(0))))
+    held = load_configuration(pack(text(entries(0))))
     middle = ", ".join(json.dumps(each) for each in entries(0))
     for tail in (
         "]}",
@@ -226,13 +236,13 @@
     packed = pack(one)
     assert unpack(packed) == one and zlib.decompress(packed) == one
     blocks = [
-        {block.packed for block in hazelspring.configuration.blocks.blocks_of(each)}
+        {block.packed for block in hazelspring.configuration.blocks.read_blocks(each)}
         for each in (packed, pack(two, packed))
     ]
     assert len(blocks[0]) > 6 and len(blocks[1] - blocks[0]) <= 3
     old = zlib.compress(one, 6)  # as it was packed before
-    assert follow(old, [difference(old, pack(two))], digest(two)) == follow(
-        packed, [difference(packed, pack(two))], digest(two)
+    assert apply_deltas(old, [make_delta(old, pack(two))], configuration_digest(two)) == apply_deltas(
+        packed, [make_delta(packed, pack(two))], configuration_digest(two)
     )
 
 
@@ -243,7 +253,7 @@
         document = json.loads(body)
         document["versionNumber"] = "r2"
         document["resourceList"][50]["specification"]["priority"] = 9
-        sizes.append(len(difference(pack(body), pack(json.dumps(document).encode()))))
+        sizes.append(len(make_delta(pack(body), pack(json.dumps(document).encode()))))
     assert max(sizes) < 400 and abs(sizes[0] - sizes[1]) < 40
 
 
@@ -253,10 +263,10 @@
         text(edited(entries(1), [("put", 5, 7, "", None), ("drop", 9, 0, "", None)]), "r8"),
     )
     packed = pack(one)
-    right = difference(packed, pack(two))
-    assert unpack(follow(packed, [right], digest(two))) == two
+    right = make_delta(packed, pack(two))
+    assert unpack(apply_deltas(packed, [right], configuration_digest(two))) == two
     plain, other = zlib.decompress(right), pack(text(entries(2)))
-    wrong = [b"", b"x", right[:-5], other, difference(other, packed)]
+    wrong = [b"", b"x", right[:-5], other, make_delta(other, packed)]
     for seed in range(400):
         draw, bent = random.Random(seed), bytearray(plain)
         bent[draw.randrange(len(bent))] ^= 1 << draw.randrange(8)
@@ -267,7 +277,7 @@
             + hazelspring.configuration.delta.RUN.pack(0, 1 << 30, 0)
         )
     )
-    wrong.append(zlib.compress(bytes(hazelspring.configuration.delta.MOST_NEW + 1)))
+    wrong.append(zlib.compress(bytes(hazelspring.configuration.delta.MAX_NEW_BYTES + 1)))
     twice = hazelspring.configuration.delta.HEAD.pack(
         3 * len(one), 3
     ) + 3 * hazelspring.configuration.delta.RUN.pack(0, len(one), 0)
@@ -275,18 +285,20 @@
     raised = 0
     for delta in wrong:
         try:  # a bit that says nothing, as the offset of an empty run, may be bent
-            assert unpack(follow(packed, [delta], digest(two))) == two
+            assert unpack(apply_deltas(packed, [delta], configuration_digest(two))) == two
         except DeltaError:
             raised += 1
     assert raised > len(wrong) - 40
     for delta in wrong[:5] + wrong[-3:]:
         with pytest.raises(DeltaError):
-            follow(packed, [delta], digest(two))
+            apply_deltas(packed, [delta], configuration_digest(two))
     for base in (b"", b"no body", packed[9:], packed[:99] + packed[100:]):
         with pytest.raises(DeltaError):
-            follow(base, [right], digest(two))
+            apply_deltas(base, [right], configuration_digest(two))
     with pytest.raises(DeltaError, match="too many"):
-        follow(packed, [right] * (hazelspring.configuration.delta.MOST_STEPS + 1), digest(two))
+        apply_deltas(
+            packed, [right] * (hazelspring.configuration.delta.MAX_STEPS + 1), configuration_digest(two)
+        )
 
 
 def fault(what: str) -> tuple[list[Any], list[Any]]:
@@ -318,14 +330,14 @@
 @pytest.mark.parametrize("what", ["place", "key", "route", "tenant", "service", "s5", "s0"])
 def test_an_entry_that_goes_against_one_which_stays_is_refused(what: str) -> None:
     right, wrong = fault(what)
-    held = take(pack(text(right)))
-    assert held.apart and verdict(text(right, "r8"), held) == 8
+    held = load_configuration(pack(text(right)))
+    assert held.block_aligned and verdict(text(right, "r8"), held) == 8
     assert verdict(text(wrong, "r8"), held) == verdict(text(wrong, "r8")) != 8
 
 
 def test_entries_that_do_not_begin_as_usual_or_are_not_parted_are_not_passed_over() -> None:
     body = text(entries(0))
-    held = take(pack(body))
+    held = load_configuration(pack(body))
     first = body.replace(
         b'List": [', b'List": [{ "resourceKind": "limits", "metadata": {}, "specification": 1}, '
     )
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -5,7 +5,7 @@
 import pytest
 
 import hazelspring.consensus.proposer
-from hazelspring.node.control_replica import Control
+from hazelspring.node.control_replica import ControlReplica
 
 from .chaos import play
 from .chaos_days import Act, draw, shrink
@@ -22,7 +22,7 @@
 
 
 def test_a_read_without_a_question_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Control, "sure", lambda self, order, now: True)
+    monkeypatch.setattr(ControlReplica, "is_confirmed_for", lambda self, order, now: True)
     assert any("was settled by" in (play(draw(seed)).breaches or [""])[0] for seed in range(4))
 
 
--- a/tests/test_comb_crash.py
+++ b/tests/test_comb_crash.py
@@ -8,7 +8,7 @@
 
 import apsw
 
-from hazelspring.storage.replica_store import Store, StoreError
+from hazelspring.storage.replica_store import ReplicaStore, StoreError
 
 from .disk import Disk
 
@@ -24,12 +24,12 @@
 def played(folder: Path, before: str = "") -> Disk:
     """All saves on a noting disk, with checkpoints among them; `before` is said to the file first."""
     disk = Disk()
-    store = Store(str(folder), disk.connect)
+    store = ReplicaStore(str(folder), disk.connect)
     store.load()
-    assert store.base is not None
-    store.base.execute("pragma wal_autocheckpoint=6")
+    assert store.connection is not None
+    store.connection.execute("pragma wal_autocheckpoint=6")
     if before:
-        store.base.execute(before)
+        store.connection.execute(before)
     for count, save in enumerate(SAVES, 1):
         store.save(save)
         disk.promise(count)
@@ -59,11 +59,11 @@
                 old.unlink()
             for name, data in files.items():
                 (folder / name).write_bytes(data)
-            store = Store(str(folder), Disk().connect)
+            store = ReplicaStore(str(folder), Disk().connect)
             try:
                 found = store.load()
-                if store.aside or found not in (held(said), held(said + 1)):
-                    yield f"after {count}: {sorted(found)} {store.aside}, said {said}"
+                if store.quarantined or found not in (held(said), held(said + 1)):
+                    yield f"after {count}: {sorted(found)} {store.quarantined}, said {said}"
             except (StoreError, apsw.Error) as error:
                 yield f"after {count}: {error}"
             finally:
--- a/tests/test_comb_store.py
+++ b/tests/test_comb_store.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from hazelspring.storage.replica_store import Store, StoreError
+from hazelspring.storage.replica_store import ReplicaStore, StoreError
 
 ROOT = Path(__file__).parent.parent
 WRITER = """
 import sys
-from hazelspring.storage.replica_store import Store
-store = Store(sys.argv[1])
+from hazelspring.storage.replica_store import ReplicaStore
+store = ReplicaStore(sys.argv[1])
 for number in range(1, 10**6):
     store.save({"word": b"%d" % number * 50, "vote": b"%d" % number})
     print(number, flush=True)
@@ -34,7 +34,7 @@
         process.send_signal(signal.SIGKILL)
         said = int((process.stdout.read().split() or [str(said).encode()])[-1])
         process.wait()
-        store = Store(str(tmp_path))
+        store = ReplicaStore(str(tmp_path))
         records = store.load()
         store.close()
         assert int(records["vote"]) >= said and records["word"] == records["vote"] * 50
@@ -44,7 +44,7 @@
 
 
 def test_what_is_written_anew_or_removed_goes_with_the_rest(tmp_path: Path) -> None:
-    store = Store(str(tmp_path))
+    store = ReplicaStore(str(tmp_path))
     store.save({"word 1": b"one", "vote": b"1"})
     store.save({"word 2": b"two", "vote": b"2", "word 1": None})
     assert store.load() == {"word 2": b"two", "vote": b"2"}
@@ -52,25 +52,25 @@
 
 def test_a_changed_row_makes_the_disk_an_empty_one(tmp_path: Path) -> None:
     """What this door promised is not known any more, so it must not go on as the same disk."""
-    store = Store(str(tmp_path))
+    store = ReplicaStore(str(tmp_path))
     store.save({"word": b"three", "disk": b"7"})
     store.close()
     base = sqlite3.connect(tmp_path / "comb.sqlite")
     base.execute("update record set body = ? where name = 'word'", (b"threE",))
     base.commit()
     base.close()
-    store = Store(str(tmp_path))
-    assert store.load() == {} and "word" in store.aside[0]
+    store = ReplicaStore(str(tmp_path))
+    assert store.load() == {} and "word" in store.quarantined[0]
     assert (tmp_path / "comb.sqlite.aside").exists()
     store.save({"disk": b"8"})
     store.close()
-    assert Store(str(tmp_path)).load() == {"disk": b"8"}
+    assert ReplicaStore(str(tmp_path)).load() == {"disk": b"8"}
 
 
 @pytest.mark.parametrize("damage", ["foreign", "cut", "newer", "flipped"])
 def test_a_file_that_cannot_be_read_is_put_aside(tmp_path: Path, damage: str) -> None:
     path = tmp_path / "comb.sqlite"
-    store = Store(str(tmp_path))
+    store = ReplicaStore(str(tmp_path))
     store.save({f"word {n}": b"1" * 3000 for n in range(20)})
     store.close()
     whole = path.read_bytes()
@@ -84,29 +84,29 @@
         base = sqlite3.connect(path)
         base.execute("pragma user_version=99")
         base.close()
-    store = Store(str(tmp_path))
-    assert store.load() == {} and store.aside
+    store = ReplicaStore(str(tmp_path))
+    assert store.load() == {} and store.quarantined
     assert (tmp_path / "comb.sqlite.aside").exists()
     store.save({"word": b"new"})
     assert store.load() == {"word": b"new"}
 
 
 def test_a_disk_that_refuses_says_so_and_serves_again_later(tmp_path: Path) -> None:
-    store = Store(str(tmp_path))
+    store = ReplicaStore(str(tmp_path))
     store.save({"word": b"one"})
-    assert store.base is not None
-    (pages,) = store.base.execute("pragma page_count").fetchone()
-    store.base.execute(f"pragma max_page_count={pages}")
+    assert store.connection is not None
+    (pages,) = store.connection.execute("pragma page_count").fetchone()
+    store.connection.execute(f"pragma max_page_count={pages}")
     with pytest.raises(StoreError, match="save"):
         store.save({"word": os.urandom(100_000)})
     assert store.load() == {"word": b"one"}
-    store.base.execute("pragma max_page_count=1000000")
+    store.connection.execute("pragma max_page_count=1000000")
     store.save({"word": b"three"})
     assert store.load() == {"word": b"three"}
 
 
 def test_many_configurations_keep_the_file_small(tmp_path: Path) -> None:
-    store = Store(str(tmp_path))
+    store = ReplicaStore(str(tmp_path))
     for number in range(500):
         store.save(
             {f"word {number}": os.urandom(20_000), f"word {number - 1}": None, "vote": os.urandom(300)}
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -6,7 +6,7 @@
 
 import hazelspring.consensus.control_state
 from hazelspring.node.actions import Message, Send
-from hazelspring.registry.list_reader_role import LIST
+from hazelspring.registry.list_reader_role import LIST_READER
 
 from .world import World
 
@@ -45,7 +45,7 @@
     tokens += [world.evacuate(name, "z1", True), world.evacuate(name, "z1", False)]
     world.run(4.0)
     ends = [world.calls[token].done for token in tokens]
-    assert all(end is not None and not end.good and not end.conflict for end in ends)
+    assert all(end is not None and not end.succeeded and not end.conflict for end in ends)
     world.cut.clear()
     world.run(1.0)
     again = [world.read(name), world.put(name, 5), world.put(name, 8, "new"), world.put(name, 8, "other")]
@@ -108,7 +108,7 @@
     tokens = [world.put(f"d{n}", number) for n in (2, 5) for number in (5, 6, 200, 305)]
     world.run(2.0)
     assert all(world.calls[token].good for token in tokens) and not world.breaches
-    assert world.decided[max(world.decided)].number == 305
+    assert world.decided[max(world.decided)].configuration_version == 305
 
 
 def test_eight_orders_at_once_for_a_minute_are_all_settled_in_time() -> None:
@@ -162,7 +162,7 @@
         for _ in range(40):
             world.run(0.1)
             core = world.doors["d1"].core
-            if core is not None and core.control.seated():
+            if core is not None and core.control.is_member():
                 break
         for name in world.doors:
             world.wipe(name) if name == f"d{2 + seed % 3}" else world.kill(name)
@@ -177,11 +177,11 @@
 def test_a_leaver_is_kept_until_others_hold_what_it_holds() -> None:
     world = settled_world()
     core = world.doors["d1"].core
-    assert core is not None and not core.control.needed()
+    assert core is not None and not core.control.must_stay_up()
     alone(world, "d1")  # it settles nothing alone, so it cannot hold the only copy
     token = world.put("d1", 6)
     world.run(4.0)
-    assert not world.calls[token].good and not core.control.needed()
+    assert not world.calls[token].good and not core.control.must_stay_up()
 
 
 def test_a_disk_that_starts_late_joins_by_agreement_and_makes_the_core_larger() -> None:
@@ -194,7 +194,7 @@
         world.run(6.0)
         assert world.calls[token].good or late < 3.0
         state = world.decided[max(world.decided)]
-        assert len(state.members) == state.size == 4 and not world.breaches
+        assert len(state.members) == state.target_size == 4 and not world.breaches
 
 
 def test_there_is_one_founding_whoever_is_cut_off_meanwhile() -> None:
@@ -241,7 +241,7 @@
         world.kill("d1")
     world.run(2.0)
     core = world.doors["d3"].core
-    assert core is not None and core.control.register.version == max(world.decided)
+    assert core is not None and core.control.acceptor.version == max(world.decided)
     assert world.fresh("d3") and not world.breaches
     if trouble == "full":
         token = world.put("d1", number + 1)
@@ -306,7 +306,7 @@
 
 def test_a_disk_taken_for_the_one_before_it_would_lose_a_change(monkeypatch: pytest.MonkeyPatch) -> None:
     """The fence bites: where any disk at an address may speak for its seat, an emptied one undoes an agreement."""
-    monkeypatch.setattr(hazelspring.consensus.control_state, "takes", lambda member, voter: True)
+    monkeypatch.setattr(hazelspring.consensus.control_state, "is_vote_of", lambda member, voter: True)
     breaches = 0
     for seed in range(16):
         world = settled_world(3, 1, seed=seed)
@@ -361,7 +361,7 @@
     world.send = slow  # type: ignore[method-assign]
     old = world.doors["d6"].core
     assert old is not None
-    world.deeds("d6", old.lease(world.now, "t1", 1, 2.0))
+    world.deeds("d6", old.lease_credits(world.now, "t1", 1, 2.0))
     world.run(0.5)
     assert {message["k"] for _, message in held} == {"grant", "echo"}
     world.kill("d6")
@@ -371,18 +371,18 @@
     world.run(5.0)
     core, door = world.doors["d6"].core, world.doors["d6"]
     assert core is not None and not world.fresh("d6")
-    door.heard.clear()
+    door.on_message.clear()
     for source, message in held:
-        world.deeds("d6", core.heard(world.now, source, message))
-    assert not door.heard and core.dropped["grant"] and core.dropped["echo"]
-    asked = {ip: peer.asked_at for ip, peer in core.peers.peers.items()}
+        world.deeds("d6", core.on_message(world.now, source, message))
+    assert not door.on_message and core.dropped["grant"] and core.dropped["echo"]
+    asked = {ip: peer.latest_request_at for ip, peer in core.peers.peers.items()}
     # the fence bites: were numbers of beats not each life's own, the old answers would count
-    renumbered = {number: (world.now, known) for number, (_, known) in old.beats.sent.items()}
-    monkeypatch.setattr(core.beats, "sent", renumbered)
+    renumbered = {number: (world.now, known) for number, (_, known) in old.heartbeats.sent.items()}
+    monkeypatch.setattr(core.heartbeats, "sent", renumbered)
     for source, message in held:
         if message["k"] == "echo":
-            world.deeds("d6", core.heard(world.now, source, message))
-    assert any(peer.asked_at > asked[ip] for ip, peer in core.peers.peers.items())
+            world.deeds("d6", core.on_message(world.now, source, message))
+    assert any(peer.latest_request_at > asked[ip] for ip, peer in core.peers.peers.items())
 
 
 def test_an_operator_takes_a_member_out_that_has_no_successor() -> None:
@@ -391,7 +391,7 @@
     token = world.retire("d6", "d4")
     world.run(1.0)
     state = world.decided[max(world.decided)]
-    assert world.calls[token].good and len(state.members) == state.size == 3
+    assert world.calls[token].good and len(state.members) == state.target_size == 3
     world.kill("d3")  # of four with one lost a second loss would have stopped the operator
     order = world.put("d6", 6)
     world.run(1.5)
@@ -449,7 +449,7 @@
     token = world.put("d1", 6)
     world.run(0.5)
     core = world.doors["d1"].core
-    assert core is not None and (current := core.control.orders.round) is not None and current.target is None
+    assert core is not None and (current := core.control.proposer.round) is not None and current.value is None
     world.cut = {(a, b) for a, b in world.cut if "d4" not in (a, b)}
     world.cut |= {("d4", "d3"), ("d3", "d4")}
     drop = world.send
@@ -470,10 +470,12 @@
     assert core is not None
     for _ in range(60):
         world.run(0.1)
-        away |= {ip for ip in core.peers.core if not core.beats.answers(world.now, ip)}
+        away |= {ip for ip in core.peers.core_nodes if not core.heartbeats.is_responsive(world.now, ip)}
     world.kill("d1")
     world.run(4.0)
-    assert not away and [ip for ip in core.peers.core if not core.beats.answers(world.now, ip)] == ["d1"]
+    assert not away and [
+        ip for ip in core.peers.core_nodes if not core.heartbeats.is_responsive(world.now, ip)
+    ] == ["d1"]
 
 
 def test_an_order_is_not_settled_by_what_another_door_that_is_cut_off_still_holds() -> None:
@@ -494,7 +496,7 @@
     world.run(1.0)
     closing = world.evacuate("d6", "z1", True)
     world.run(1.0)
-    assert world.calls[closing].good and world.decided[max(world.decided)].closed == {"z1"}
+    assert world.calls[closing].good and world.decided[max(world.decided)].evacuated_zones == {"z1"}
 
 
 def test_a_member_that_comes_back_after_its_retirement_shows_nothing_old_and_joins_anew() -> None:
@@ -517,7 +519,7 @@
         assert all(number == 6 for number in shown)
         world.cut.clear()
         world.run(6.5)
-        assert core.control.seated() and len(world.decided[max(world.decided)].members) == 5
+        assert core.control.is_member() and len(world.decided[max(world.decided)].members) == 5
         for name in ("d1", "d2"):  # of five, two may go
             world.kill(name)
         token = world.put("d4", 7)
@@ -537,7 +539,7 @@
 
     world.send = noted  # type: ignore[method-assign]
     change = ["shop", version + 5, [], version + 4, ["i-1"], 0]  # of a table that this door never had
-    world.deeds("d6", core.heard(world.now, "d1", {"k": "news", "n": change}))
+    world.deeds("d6", core.on_message(world.now, "d1", {"k": "news", "n": change}))
     world.run(0.1)
     (asked,) = [to for source, to, kind in told if source == "d6" and kind == "ask"]
     assert (asked, "d6", "news") in told
@@ -553,13 +555,15 @@
     world.run(0.5)
 
     def beat() -> Message:
-        reader.deeds = []
-        reader.beat(world.now, "d1")
-        (sent,) = [deed.message for deed in reader.deeds if isinstance(deed, Send)]
+        reader.actions = []
+        reader.send_heartbeat(world.now, "d1")
+        (sent,) = [deed.message for deed in reader.actions if isinstance(deed, Send)]
         return sent
 
     def echo(message: Message) -> Message:
-        (sent,) = [deed.message for deed in member.heard(world.now, "d4", message) if isinstance(deed, Send)]
+        (sent,) = [
+            deed.message for deed in member.on_message(world.now, "d4", message) if isinstance(deed, Send)
+        ]
         return sent
 
     first, second = beat(), beat()
@@ -567,13 +571,13 @@
     token = world.put("d2", 6)
     world.run(1.0)
     assert world.calls[token].good
-    reader.heard(world.now, "d1", echo(first))
+    reader.on_message(world.now, "d1", echo(first))
     third = beat()
-    reader.heard(world.now, "d1", late)
-    before = reader.peers.peers["d1"].clean_at
+    reader.on_message(world.now, "d1", late)
+    before = reader.peers.peers["d1"].caught_up_at
     world.run(0.5)
-    reader.heard(world.now, "d1", echo(third))
-    assert reader.peers.peers["d1"].clean_at == before < reader.beats.sent[third["t"]][0]
+    reader.on_message(world.now, "d1", echo(third))
+    assert reader.peers.peers["d1"].caught_up_at == before < reader.heartbeats.sent[third["t"]][0]
 
 
 def test_a_body_that_was_acknowledged_below_a_higher_number_is_not_refused_by_a_door_behind() -> None:
@@ -602,9 +606,9 @@
     core = world.doors["d4"].core
     assert core is not None
     decided = {"k": "decided", "b": taken["b"], "s": taken["s"], "w": taken["w"]}
-    world.deeds("d4", core.heard(world.now, "d1", decided))
+    world.deeds("d4", core.on_message(world.now, "d1", decided))
     world.run(0.1)
-    assert core.control.register.version == max(world.decided) - 1 and world.calls[again].done is None
+    assert core.control.acceptor.version == max(world.decided) - 1 and world.calls[again].done is None
     world.cut.clear()
     world.run(1.0)
     assert world.calls[again].good and not world.breaches
@@ -615,12 +619,12 @@
     the first change and after the second need not meet."""
     for seed in range(4):
         world = settled_world(5, 1, seed=seed)
-        holder = next(name for name in world.up() if world.holds(name, LIST))
+        holder = next(name for name in world.up() if world.holds(name, LIST_READER))
         others = [name for name in sorted(world.doors) if name not in (holder, "d6")]
         for name in others[:2]:
             world.cut |= {(holder, name), (name, holder)}
         world.run(4.0)
-        assert world.holds(holder, LIST)
+        assert world.holds(holder, LIST_READER)
         alone(world, holder)
         for leaver in others[2:]:
             token = world.retire(others[0], leaver)
@@ -628,13 +632,13 @@
             assert world.calls[token].good
         assert not world.breaches
         world.run(4.0)
-        assert not world.breaches and any(world.holds(name, LIST) for name in others[:2])
+        assert not world.breaches and any(world.holds(name, LIST_READER) for name in others[:2])
 
 
 def test_a_member_that_accepted_other_members_promises_itself_no_duty_either() -> None:
     """The holder accepts two changes of members, and hears of no decision; one that was taken out still grants it."""
     world = settled_world(3, 1)
-    holder = next(name for name in world.up() if world.holds(name, LIST))
+    holder = next(name for name in world.up() if world.holds(name, LIST_READER))
     by, out = sorted({"d1", "d2", "d3"} - {holder})
     send = world.send
 
@@ -649,7 +653,7 @@
         world.run(0.3)
         assert world.calls[token].good
     world.run(3.0)
-    assert not world.breaches and world.holds(by, LIST)
+    assert not world.breaches and world.holds(by, LIST_READER)
 
 
 def test_counters_are_back_at_once_where_a_common_loss_has_emptied_a_disk() -> None:
--- a/tests/test_control_cut.py
+++ b/tests/test_control_cut.py
@@ -16,11 +16,11 @@
 
 import pytest
 
-from hazelspring.consensus.acceptor import load
+from hazelspring.consensus.acceptor import load_acceptor
 from hazelspring.localfleet.__main__ import Background
-from hazelspring.localfleet.fleet import KEY, Yard, configuration
-from hazelspring.localfleet.stand_ins import Stands
-from hazelspring.storage.replica_store import Store
+from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration
+from hazelspring.localfleet.stand_ins import StandIns
+from hazelspring.storage.replica_store import ReplicaStore
 
 from .control_rules import Disk, chain, copies
 from .cut_history import CLOSE, KEYED, OPEN, PUT, READ, STATUS, Call, History
@@ -41,8 +41,8 @@
         self.ways = ways
         settings = {"timingTerms.ruleBounds.revocationMs": str(int(REVOCATION * 1000))}
         program = ("-m", "tests.cut_door", *words, "serve")
-        self.yard = Yard(folder, CORE, 1, 2, program, settings, nth=nth)
-        self.background = Background(Stands(self.yard.platform, self.yard.servers))
+        self.yard = LocalFleet(folder, CORE, 1, 2, program, settings, nth=nth)
+        self.background = Background(StandIns(self.yard.platform, self.yard.servers))
         self.history = History(REVOCATION, EVACUATION)
         self.numbers, self.ids = itertools.count(13), itertools.count()
         self.is_cut, self.rush, self.tasks = False, False, set[asyncio.Task[None]]()
@@ -254,9 +254,9 @@
         held = dict[str, Disk]()
         for n in self.yard.disks:
             self.yard.kill(n)
-            register = load(Store(str(self.yard.folder / f"door-{n + 1}")).load(), 0, False)
+            register = load_acceptor(ReplicaStore(str(self.yard.folder / f"door-{n + 1}")).load(), 0, False)
             states = tuple(pair[1] for pair in (register.accepted, register.decided) if pair is not None)
-            held[self.yard.ips[n]] = (register.disk, register.founder, states)
+            held[self.yard.ips[n]] = (register.disk_id, register.may_bootstrap, states)
         decided = [states[-1] for _, _, states in held.values()]
         newest = max(decided, key=lambda state: state.version)
         return chain([s for s in decided if s.version == newest.version]) or copies(newest, held, 0)
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -16,13 +16,13 @@
 
 import hazelspring.consensus.acceptor
 import hazelspring.consensus.control_state
-from hazelspring.consensus.acceptor import Register
-from hazelspring.consensus.control_state import NO_BALLOT, Member, State
-from hazelspring.consensus.forwarding import SPAN
-from hazelspring.consensus.proposal import Founding, Order
-from hazelspring.consensus.proposer import Ask, Orders
-from hazelspring.membership.peer_table import About
-from hazelspring.node.control_replica import Control
+from hazelspring.consensus.acceptor import Acceptor
+from hazelspring.consensus.control_state import NO_BALLOT, ControlState, Member
+from hazelspring.consensus.forwarding import VALID_VERSIONS
+from hazelspring.consensus.proposal import BootstrapProposal, Proposal
+from hazelspring.consensus.proposer import OutgoingMessage, Proposer
+from hazelspring.membership.peer_table import NodeInfo
+from hazelspring.node.control_replica import ControlReplica
 
 from .control_door import Door, Event
 from .control_model import Case, Explorer, Found
@@ -39,11 +39,11 @@
 def core(*ips: str, new: str = "", bare: str = "") -> list[Door]:
     """Members who agree on version 1, a door beside them with an empty disk, and one without a disk."""
     members = seats(*ips)
-    state, doors = State(1, members, members, len(members)), []
+    state, doors = ControlState(1, members, members, len(members)), []
     for ip in (*ips, *([new] if new else ()), *([bare] if bare else ())):
         disk = 0 if ip == bare else int(ip[1:])
-        doors.append(Door(About(ip, "", "", disk, 1), {}, ip in ips, []))
-        doors[-1].register.learn(NO_BALLOT, state)
+        doors.append(Door(NodeInfo(ip, "", "", disk, 1), {}, ip in ips, []))
+        doors[-1].acceptor.learn(NO_BALLOT, state)
     return doors
 
 
@@ -53,16 +53,18 @@
 
 
 def put(ip: str, token: int, body: bytes, number: int = 2) -> Event:
-    order = Order(token, 0.0, "put", number=number, digest=body, word=body * 3)
+    order = Proposal(
+        token, 0.0, "put", configuration_version=number, configuration_digest=body, configuration=body * 3
+    )
     return Event("order", ip, order, name=f"r{number} {body!r}")
 
 
 def join(ip: str, token: int, disk: int) -> Event:
-    order = Order(token, 0.0, "join", member=Member(ip, "", "", disk))
+    order = Proposal(token, 0.0, "join", member=Member(ip, "", "", disk))
 
     def ready(door: Door) -> bool:  # as Membership.tick asks
-        state = door.register.state
-        return door.register.disk == disk and state is not None and not state.seated(ip, disk)
+        state = door.acceptor.state
+        return door.acceptor.disk_id == disk and state is not None and not state.is_member(ip, disk)
 
     return Event("order", ip, order, ready, f"disk {disk} joins")
 
@@ -93,10 +95,10 @@
     """A fourth door joins and a member retires, as a core of three has one too many, while an order races."""
 
     def ready(door: Door) -> bool:  # as Membership.retire asks
-        state = door.register.state
-        return state is not None and len(state.members) > state.size
+        state = door.acceptor.state
+        return state is not None and len(state.members) > state.target_size
 
-    order = Order(4, 0.0, "retire", member=seats(leaver)[0])
+    order = Proposal(4, 0.0, "retire", member=seats(leaver)[0])
     retire = Event("order", by, order, ready, f"{leaver} retires")
     return Case(
         core("d1", "d2", "d3", new="d4"), [put("d1", 1, b"a"), join("d4", 3, 4), retire], counts, rounds
@@ -107,7 +109,7 @@
     """Operators take out two members, each by an order to the other, while a third door has an order of its own."""
     events = [put("d3", 1, b"a")]
     for token, ip, other in ((4, "d1", "d2"), (5, "d2", "d1")):
-        order = Order(token, 0.0, "retire", member=Member(other), by_hand=True)
+        order = Proposal(token, 0.0, "retire", member=Member(other), by_operator=True)
         events.append(Event("order", ip, order, name=f"takes {other} out"))
     counts = {**upto(count, "d1"), **upto(count + 1, "d2"), "d3": (count,)}
     return Case(core("d1", "d2", "d3"), events, counts, rounds)
@@ -121,13 +123,13 @@
 
 def reader(count: int, rounds: int) -> Case:
     """Once an order is confirmed, a door without a disk reads."""
-    read = Event("order", "d4", Order(9, 0.0, "read"), name="reads", after=1)
+    read = Event("order", "d4", Proposal(9, 0.0, "read"), name="reads", after=1)
     doors = core("d1", "d2", "d3", bare="d4")
     return Case(doors, [put("d1", 1, b"a"), read], upto(count, "d1", "d4"), rounds)
 
 
 def evacuate(ip: str, token: int, closed: bool, after: int = 0) -> Event:
-    order = Order(token, 0.0, "evacuate", zone="z1", closed=closed)
+    order = Proposal(token, 0.0, "evacuate", zone="z1", evacuate=closed)
     return Event("order", ip, order, name=f"z1 {'closes' if closed else 'opens'}", after=after)
 
 
@@ -146,8 +148,11 @@
 def founding(count: int, rounds: int) -> Case:
     """Two of three seeds choose the first members, each itself alone: the widest that two choices differ."""
     ips = ("d1", "d2", "d3")
-    doors = [Door(About(ip, "", "", int(ip[1:]), 1), {}, True, list(ips)) for ip in ips]
-    chosen = [Founding(5, 0.0, "found", members=seats("d1")), Founding(6, 0.0, "found", members=seats("d2"))]
+    doors = [Door(NodeInfo(ip, "", "", int(ip[1:]), 1), {}, True, list(ips)) for ip in ips]
+    chosen = [
+        BootstrapProposal(5, 0.0, "found", members=seats("d1")),
+        BootstrapProposal(6, 0.0, "found", members=seats("d2")),
+    ]
     return Case(
         doors,
         [Event("order", ip, o) for ip, o in zip(ips, chosen, strict=False)],
@@ -211,85 +216,92 @@
 
 
 def voices_one_less(patch: Patch) -> None:
-    needed = hazelspring.consensus.control_state.voices_needed
-    patch.setattr("hazelspring.consensus.proposer.voices_needed", lambda members: needed(members) - 1)
+    needed = hazelspring.consensus.control_state.read_quorum
+    patch.setattr("hazelspring.consensus.proposer.read_quorum", lambda members: needed(members) - 1)
 
 
 def any_disk(patch: Patch) -> None:
-    patch.setattr(hazelspring.consensus.control_state, "takes", lambda member, voter: True)
+    patch.setattr(hazelspring.consensus.control_state, "is_vote_of", lambda member, voter: True)
 
 
 def new_set_only(patch: Patch) -> None:
-    patch.setattr(State, "sets", lambda state: [state.members])
+    patch.setattr(ControlState, "member_sets", lambda state: [state.members])
 
 
 def old_set_unasked(patch: Patch) -> None:
-    asked = Orders.asked_sets
-    patch.setattr(State, "sets", lambda state: [state.members])
-    patch.setattr(Orders, "asked_sets", lambda orders, current: asked(orders, current)[-1:])
+    asked = Proposer.prepare_member_sets
+    patch.setattr(ControlState, "member_sets", lambda state: [state.members])
+    patch.setattr(Proposer, "prepare_member_sets", lambda orders, current: asked(orders, current)[-1:])
 
 
 def promise_forgotten(patch: Patch) -> None:
-    def forgetful(*args: Any) -> Register:
-        found = hazelspring.consensus.acceptor.load(*args)
+    def forgetful(*args: Any) -> Acceptor:
+        found = hazelspring.consensus.acceptor.load_acceptor(*args)
         found.promised = NO_BALLOT
         return found
 
-    patch.setattr("hazelspring.node.control_replica.load", forgetful)
+    patch.setattr("hazelspring.node.control_replica.load_acceptor", forgetful)
 
 
 def promise_unkept(patch: Patch) -> None:
-    accept = Register.accept
+    accept = Acceptor.accept
 
-    def lax(register: Register, ballot: Any, state: State, word: bytes | None = None) -> bool:
+    def lax(register: Acceptor, ballot: Any, state: ControlState, word: bytes | None = None) -> bool:
         register.promised = min(register.promised, ballot)
         return accept(register, ballot, state, word)
 
-    patch.setattr(Register, "accept", lax)
+    patch.setattr(Acceptor, "accept", lax)
 
 
 def answers_unsaved(patch: Patch) -> None:
-    patch.setattr(Control, "answer", Control.emit)
+    patch.setattr(ControlReplica, "reply_when_durable", ControlReplica.send)
 
 
 def undecided_left(patch: Patch) -> None:
-    promised = Orders.promised
+    promised = Proposer.on_promise
 
-    def blind(orders: Orders, *args: Any) -> None:
+    def blind(orders: Proposer, *args: Any) -> None:
         source, voter, ballot, _, holds, *word = args
         promised(orders, source, voter, ballot, None, holds, *word)
 
-    patch.setattr(Orders, "promised", blind)
+    patch.setattr(Proposer, "on_promise", blind)
 
 
 def count_forgotten(patch: Patch) -> None:
-    step = Orders.step
+    step = Proposer.advance
 
-    def forgetful(orders: Orders, now: float) -> list[Ask]:
-        orders.count = 0  # a door without a seat promises nothing that would keep its ballots apart
+    def forgetful(orders: Proposer, now: float) -> list[OutgoingMessage]:
+        orders.highest_count = 0  # a door without a seat promises nothing that would keep its ballots apart
         return step(orders, now)
 
-    patch.setattr(Orders, "step", forgetful)
+    patch.setattr(Proposer, "advance", forgetful)
 
 
 def highest_digest(patch: Patch) -> None:
-    apply = Order.apply
-
-    def by_digest(order: Order, state: State) -> State:
-        if order.kind == "put" and (order.number, order.digest) > (state.number, state.digest):
-            return replace(state, number=order.number, digest=order.digest)
+    apply = Proposal.apply
+
+    def by_digest(order: Proposal, state: ControlState) -> ControlState:
+        if order.kind == "put" and (order.configuration_version, order.configuration_digest) > (
+            state.configuration_version,
+            state.configuration_digest,
+        ):
+            return replace(
+                state,
+                configuration_version=order.configuration_version,
+                configuration_digest=order.configuration_digest,
+            )
         return apply(order, state)
 
-    patch.setattr(Order, "apply", by_digest)
+    patch.setattr(Proposal, "apply", by_digest)
 
 
 def never_unsure(patch: Patch) -> None:
-    patch.setattr(Control, "sure", lambda control, order, now: True)
+    patch.setattr(ControlReplica, "is_confirmed_for", lambda control, order, now: True)
 
 
 def spans(patch: Patch, versions: int) -> None:
-    patch.setattr("hazelspring.consensus.forwarding.SPAN", versions)
-    patch.setattr("tests.control_door.SPAN", versions)
+    patch.setattr("hazelspring.consensus.forwarding.VALID_VERSIONS", versions)
+    patch.setattr("tests.control_door.VALID_VERSIONS", versions)
 
 
 def handed_for_ever(patch: Patch) -> None:
@@ -297,7 +309,7 @@
 
 
 def handed_too_long(patch: Patch) -> None:
-    spans(patch, SPAN + 1)
+    spans(patch, VALID_VERSIONS + 1)
 
 
 GONE, TAKEN = "r2 was confirmed and is gone", "r2 was confirmed and another body has its number"
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from hazelspring.cli.control_client import order
+from hazelspring.cli.control_client import call_until_settled
 from hazelspring.localfleet.__main__ import Background
-from hazelspring.localfleet.fleet import ZONES, Yard, configuration
-from hazelspring.localfleet.stand_ins import Stands
+from hazelspring.localfleet.fleet import ZONES, LocalFleet, configuration
+from hazelspring.localfleet.stand_ins import StandIns
 
 from .callers import (
     UNCLEAR,
@@ -48,19 +48,19 @@
 
 
 @pytest.fixture(scope="module")
-def founded(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Yard]:
-    made = Yard(
+def founded(tmp_path_factory: pytest.TempPathFactory) -> Iterator[LocalFleet]:
+    made = LocalFleet(
         tmp_path_factory.mktemp("yard"),
         program=("-m", "tests.cut_door", "serve"),
         settings={"timingTerms.ruleBounds.revocationMs": str(int(REVOCATION * 1000))},
         apart=True,
     )
-    background = Background(Stands(made.platform, made.servers))
+    background = Background(StandIns(made.platform, made.servers))
     try:
         for n in range(len(made.servers)):
             made.start_server(n)
         made.start_all(first=True)
-        order(made.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
+        call_until_settled(made.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
         yield made
     finally:
         made.close()
@@ -68,7 +68,7 @@
 
 
 @pytest.fixture
-def yard(founded: Yard) -> Yard:
+def yard(founded: LocalFleet) -> LocalFleet:
     """All doors run, the core is whole, and nothing is cut or closed, also after a test that failed."""
     mend(founded)
     for n in founded.there():
@@ -76,7 +76,7 @@
             founded.start(n)
         founded.processes[n].send_signal(signal.SIGCONT)
     for zone in ZONES:
-        order(controls(founded), "DELETE", f"/-/evacuation/{zone}", patience=40)
+        call_until_settled(controls(founded), "DELETE", f"/-/evacuation/{zone}", patience=40)
     seats = {founded.ips[n] for n in core_doors(founded)}
     for n in founded.there():
         founded.until(
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize(("at", "late"), [(0, 0.0), (2, 0.15)])
 def test_a_door_that_was_stopped_says_nothing_old_and_nothing_of_its_own(
-    yard: Yard, at: int, late: float
+    yard: LocalFleet, at: int, late: float
 ) -> None:
     """`late`: seconds to a far region, so that there is time to ask it between one answer to it and the next; orders,
     which bring it up to date, come afterwards there."""
@@ -129,15 +129,20 @@
     mend(yard)
     newest = next(numbers)
     for n in away:
-        assert order([yard.controls()[n]], "PUT", "/-/configuration", configuration(newest)).status == 200
+        assert (
+            call_until_settled([yard.controls()[n]], "PUT", "/-/configuration", configuration(newest)).status
+            == 200
+        )
     for n in yard.there():
-        answer = order([yard.controls()[n]], "GET", "/-/configuration")
+        answer = call_until_settled([yard.controls()[n]], "GET", "/-/configuration")
         assert json.loads(answer.body)["versionNumber"] == f"r{newest}"
     asked[0].reopen()
 
 
 @pytest.mark.parametrize("ways", ["both", "in", "out"])
-def test_a_core_door_that_is_cut_off_says_nothing_old_and_settles_nothing(yard: Yard, ways: str) -> None:
+def test_a_core_door_that_is_cut_off_says_nothing_old_and_settles_nothing(
+    yard: LocalFleet, ways: str
+) -> None:
     n = core_doors(yard)[1]
     give_keys(yard, [n])
     cut(yard, n, ways)
@@ -148,13 +153,13 @@
     questions.send_keys()  # a key that has just come may be refused for `configurationMs` after
     passed_on = [yard.controls()[n], *controls(yard, but=[n])]
     began = time.monotonic()
-    order(passed_on, "POST", "/-/evacuation/south-1")  # another door takes it up
+    call_until_settled(passed_on, "POST", "/-/evacuation/south-1")  # another door takes it up
     assert time.monotonic() - began < ACKNOWLEDGE
     questions.judge(settles=False, hears=ways == "out")
     mend(yard)
     after = Questions(yard, n, number, f"after-{ways}").send()
     after.judge()
-    order([yard.controls()[n]], "DELETE", "/-/evacuation/south-1")
+    call_until_settled([yard.controls()[n]], "DELETE", "/-/evacuation/south-1")
     after.reopen()
 
 
@@ -164,7 +169,7 @@
 @pytest.mark.parametrize("trouble", [signal.SIGKILL, signal.SIGSTOP])
 @pytest.mark.parametrize(("one", "two", "moment"), [(0, 3, 0.0), (1, 4, 0.004), (2, 0, 0.012), (5, 1, 0.03)])
 def test_of_two_bodies_under_one_number_one_is_confirmed_for_ever(
-    yard: Yard, trouble: signal.Signals, one: int, two: int, moment: float
+    yard: LocalFleet, trouble: signal.Signals, one: int, two: int, moment: float
 ) -> None:
     doors = [*core_doors(yard), *other_doors(yard)]
     hit, well, number = doors[one], doors[two], next(numbers)
@@ -185,19 +190,19 @@
     for n in yard.there():
         door = [yard.controls()[n]]
         assert [settle(door, body) for body in bodies] == good
-        assert order(door, "GET", "/-/configuration").body == bodies[good.index(True)]
+        assert call_until_settled(door, "GET", "/-/configuration").body == bodies[good.index(True)]
 
 
 # --- 3: losses one after another -------------------------------------------------------------------------------------
 
 
 def test_core_doors_are_lost_for_good_one_after_the_other_and_each_next_loss_is_borne(
-    founded: Yard, yard: Yard
+    founded: LocalFleet, yard: LocalFleet
 ) -> None:
     for _ in range(3):  # none of the seeds is left then
         lost, next_lost, *_ = core_doors(yard)
         body = configuration(next(numbers))
-        order(controls(yard), "PUT", "/-/configuration", body)
+        call_until_settled(controls(yard), "PUT", "/-/configuration", body)
         new = yard.replace(lost)
         yard.start(new)
         yard.until(lambda new=new: told(yard, new))
@@ -206,7 +211,7 @@
         assert time.monotonic() - began < CATCH_UP
         yard.kill(next_lost)
         number = next(numbers)
-        order(controls(yard, but=[next_lost]), "PUT", "/-/configuration", configuration(number))
+        call_until_settled(controls(yard, but=[next_lost]), "PUT", "/-/configuration", configuration(number))
         assert number_in(read(yard, new).end()) == number
         yard.start(next_lost)
         seats = {yard.ips[n] for n in core_doors(yard)}
@@ -214,7 +219,7 @@
         yard.until(lambda n=next_lost: told(yard, n).get("member"))
 
 
-def test_a_core_door_leaves_in_the_midst_of_orders_and_none_is_lost(yard: Yard) -> None:
+def test_a_core_door_leaves_in_the_midst_of_orders_and_none_is_lost(yard: LocalFleet) -> None:
     leaver = core_doors(yard)[0]
     operators = Operators(lambda: controls(yard))
     try:
@@ -238,7 +243,9 @@
 # --- 4: catching up -----------------------------------------------------------------------------------------------
 
 
-def test_a_core_door_behind_by_two_hundred_changes_catches_up_whole_and_shows_nothing_old(yard: Yard) -> None:
+def test_a_core_door_behind_by_two_hundred_changes_catches_up_whole_and_shows_nothing_old(
+    yard: LocalFleet,
+) -> None:
     late, *others = core_doors(yard)
     version = told(yard, others[0])["version"]
     yard.kill(late)
@@ -247,9 +254,9 @@
         number = next(numbers)
         zone = ("DELETE" if step % 2 else "POST", "/-/evacuation/south-1")
         early = Sent(door, *zone)
-        order([door], "PUT", "/-/configuration", configuration(number))
+        call_until_settled([door], "PUT", "/-/configuration", configuration(number))
         if early.end().status != 200:
-            order([door], *zone)
+            call_until_settled([door], *zone)
     last = number_in(read(yard, others[0]).end())
     newest = told(yard, others[0])["version"]
     assert newest >= version + 100  # one round may carry two orders
@@ -276,7 +283,7 @@
 
 
 def test_writes_run_once_and_answers_belong_to_their_calls_while_servers_are_stopped_and_killed(
-    yard: Yard,
+    yard: LocalFleet,
 ) -> None:
     clients = Clients(yard)
 
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -5,44 +5,44 @@
 import random
 from dataclasses import replace
 
-from hazelspring.membership.peer_table import About, Peers
-from hazelspring.node.actions import Deed, Send
+from hazelspring.membership.peer_table import NodeInfo, PeerTable
+from hazelspring.node.actions import Action, Send
 from hazelspring.node.dissemination import Disseminator
-from hazelspring.node.load_reporter import MOST_NAMES, Outs
-from hazelspring.node.messages import TableNews
+from hazelspring.node.load_reporter import MAX_SERVERS_PER_REPORT, InFlightByTag
+from hazelspring.node.messages import TableUpdate
 from hazelspring.registry.tables import ServerEntry
-from hazelspring.routing.endpoints import Fleet
+from hazelspring.routing.endpoints import EndpointSet
 
-ABOUTS = [About(f"d{n}", f"z{n % 3}", "south" if n % 3 == 2 else "north", False, n) for n in range(12)]
+ABOUTS = [NodeInfo(f"d{n}", f"z{n % 3}", "south" if n % 3 == 2 else "north", False, n) for n in range(12)]
 
 
 class Doors:
     """Doors in three zones, two of them of one region; what one tells arrives at once, unless it is lost."""
 
     def __init__(self) -> None:
-        self.roster = [[*about.row(), True] for about in ABOUTS]
-        self.nodes = {about.ip: Disseminator(Peers(about, 0.0)) for about in ABOUTS}
-        self.fleets = {a.ip: Fleet(a.zone, a.region, {}, random.Random(1)) for a in ABOUTS}
-        self.outs: dict[str, Outs] = {about.ip: {} for about in ABOUTS}
+        self.roster = [[*about.encode(), True] for about in ABOUTS]
+        self.nodes = {about.ip: Disseminator(PeerTable(about, 0.0)) for about in ABOUTS}
+        self.fleets = {a.ip: EndpointSet(a.zone, a.region, {}, random.Random(1)) for a in ABOUTS}
+        self.outs: dict[str, InFlightByTag] = {about.ip: {} for about in ABOUTS}
         self.told: list[tuple[str, str]] = []
         self.name_doors(self.roster)
 
     def name_doors(self, roster: list[list[object]]) -> None:
         for node in self.nodes.values():
-            node.peers.take_roster(roster)
+            node.peers.replace_roster(roster)
 
     def tick(self, now: float) -> None:
         for ip, node in self.nodes.items():
-            self.arrive(now, ip, node.tell_load(now, self.outs[ip], self.fleets[ip].dances))
+            self.arrive(now, ip, node.report_load(now, self.outs[ip], self.fleets[ip].load_reports))
 
-    def arrive(self, now: float, source: str, deeds: list[Deed]) -> None:
+    def arrive(self, now: float, source: str, deeds: list[Action]) -> None:
         for deed in deeds:
             assert isinstance(deed, Send)
             self.told.append((source, deed.to))
-            self.fleets[deed.to].danced(now, source, deed.message["o"])
+            self.fleets[deed.to].on_load_report(now, source, deed.message["o"])
 
-    def out(self, zones: set[str], but: str) -> Outs:
-        total: Outs = {}
+    def out(self, zones: set[str], but: str) -> InFlightByTag:
+        total: InFlightByTag = {}
         for about in ABOUTS:
             for name, out in self.outs[about.ip].items():
                 if about.zone in zones and about.ip != but:
@@ -58,7 +58,7 @@
             doors.tick(n + step / 20)
         for about in ABOUTS:
             zones = {"z2"} if about.zone == "z2" else {"z0", "z1"}
-            assert doors.fleets[about.ip].elsewhere == doors.out(zones, about.ip)
+            assert doors.fleets[about.ip].in_flight_elsewhere == doors.out(zones, about.ip)
     tellers = {(to, doors.nodes[source].peers.me.zone): source for source, to in doors.told}
     assert set(doors.told) == {(source, to) for (to, _), source in tellers.items()} | {
         (a.ip, b.ip) for a in ABOUTS for b in ABOUTS if a.zone == b.zone and a != b
@@ -76,22 +76,24 @@
     doors.told.clear()
     for step in range(1, 60):
         doors.tick(1.0 + step / 20)
-        doors.fleets["d0"].forget(1.0 + step / 20)
-    assert doors.fleets["d0"].elsewhere == {1: 6}  # three others of its zone, three of the other one
+        doors.fleets["d0"].expire_load_reports(1.0 + step / 20)
+    assert doors.fleets["d0"].in_flight_elsewhere == {
+        1: 6
+    }  # three others of its zone, three of the other one
     assert len({source for source, to in doors.told if to == "d0"} - {"d3", "d6", "d9"}) == 1
 
 
 def test_who_has_nothing_out_says_so_once_and_what_is_told_fits_a_datagram() -> None:
     doors = Doors()
-    doors.nodes["d0"].teller.allowed = 1e6  # bytes are no matter here
-    doors.outs["d0"] = {n: 1 + (n < 10) for n in range(3 * MOST_NAMES)}
+    doors.nodes["d0"].load_reporter.byte_budget = 1e6  # bytes are no matter here
+    doors.outs["d0"] = {n: 1 + (n < 10) for n in range(3 * MAX_SERVERS_PER_REPORT)}
     doors.tick(1.0)
-    heard = doors.fleets["d3"].elsewhere
-    assert len(heard) == MOST_NAMES and set(range(10)) <= heard.keys()
+    heard = doors.fleets["d3"].in_flight_elsewhere
+    assert len(heard) == MAX_SERVERS_PER_REPORT and set(range(10)) <= heard.keys()
     doors.outs["d0"] = {}
     for step in range(1, 20):
         doors.tick(1.0 + step / 20)
-    assert not doors.fleets["d3"].elsewhere
+    assert not doors.fleets["d3"].in_flight_elsewhere
     doors.told.clear()
     for step in range(20, 60):
         doors.tick(1.0 + step / 20)
@@ -110,24 +112,26 @@
 
 
 def test_changes_of_a_table_bring_every_door_what_the_list_says_whatever_is_lost() -> None:
-    chance, reader = random.Random(5), Disseminator(Peers(replace(ABOUTS[0], disk=True), 0.0))
-    doors = [Disseminator(Peers(about, 0.0)) for about in ABOUTS[1:4]]
+    chance, reader = random.Random(5), Disseminator(PeerTable(replace(ABOUTS[0], disk_id=True), 0.0))
+    doors = [Disseminator(PeerTable(about, 0.0)) for about in ABOUTS[1:4]]
     for door in doors:
-        door.peers.meet(0.0, reader.peers.me)
+        door.peers.observe(0.0, reader.peers.me)
     found = {f"i-{n}": ServerEntry(f"i-{n}", f"s{n}:1", "z0", True, 2, "v1") for n in range(40)}
     sizes, wants = [], 0
     for step in range(300):
         found = listing(chance, found)
-        reader.listed(1.0, 1000 + step, {"shop": found})
+        reader.publish_list(1.0, 1000 + step, {"shop": found})
         told = reader.registry.encode_change(1.0, "shop")
         sizes.append(len(told[2]))
         for n, door in enumerate(doors):
             if chance.random() < 0.1:
                 continue  # lost on its way
-            for deed in door.apply(1.0, TableNews(told)):
+            for deed in door.apply_update(1.0, TableUpdate(told)):
                 if isinstance(deed, Send) and deed.message["k"] == "ask":
                     wants += 1
-                    assert deed.to == "d0" and door.apply(1.0, TableNews(reader.registry.encode(1.0, "shop")))
+                    assert deed.to == "d0" and door.apply_update(
+                        1.0, TableUpdate(reader.registry.encode(1.0, "shop"))
+                    )
             assert door.registry.tables["shop"].servers == reader.registry.tables["shop"].servers, (step, n)
         for name, server in reader.registry.tables["shop"].servers.items():
             assert found[name].same(server)  # less time to go until it is warm is no news
@@ -145,21 +149,25 @@
         ServerEntry("i-4", "s:4", "z0", True, 2, "v1"),
     )
     reader, door = (
-        Disseminator(Peers(replace(ABOUTS[0], disk=True), 0.0)),
-        Disseminator(Peers(ABOUTS[1], 0.0)),
+        Disseminator(PeerTable(replace(ABOUTS[0], disk_id=True), 0.0)),
+        Disseminator(PeerTable(ABOUTS[1], 0.0)),
+    )
+    door.peers.observe(0.0, reader.peers.me)
+    door.publish_list(
+        1.0, 1000, {"shop": {"i-1": one, "i-3": third, "i-4": fourth}}
+    )  # another list, one version
+    reader.publish_list(1.0, 1000, {"shop": {"i-1": one, "i-2": other, "i-3": third}})
+    reader.publish_list(
+        1.0, 1500, {"shop": {"i-1": replace(one, accepting=False), "i-2": other, "i-3": third}}
     )
-    door.peers.meet(0.0, reader.peers.me)
-    door.listed(1.0, 1000, {"shop": {"i-1": one, "i-3": third, "i-4": fourth}})  # another list, one version
-    reader.listed(1.0, 1000, {"shop": {"i-1": one, "i-2": other, "i-3": third}})
-    reader.listed(1.0, 1500, {"shop": {"i-1": replace(one, accepting=False), "i-2": other, "i-3": third}})
     change = reader.registry.encode_change(1.0, "shop")
     assert len(change) == 6 and len(change[2]) == 1
-    asked = door.apply(1.0, TableNews(change))
+    asked = door.apply_update(1.0, TableUpdate(change))
     assert asked == [Send("d0", {"k": "ask", "s": "shop"})]
     assert door.registry.tables["shop"].servers.keys() == {"i-1", "i-3", "i-4"}
     assert (
-        door.apply(1.0, TableNews(reader.registry.encode(1.0, "shop")))
-        and door.apply(1.0, TableNews(change)) == []
+        door.apply_update(1.0, TableUpdate(reader.registry.encode(1.0, "shop")))
+        and door.apply_update(1.0, TableUpdate(change)) == []
     )
     assert door.registry.tables["shop"].servers == reader.registry.tables["shop"].servers
 
@@ -170,36 +178,36 @@
         ServerEntry("i-1", "s:1", "z0", True, 2, "v1"),
         ServerEntry("i-2", "s:2", "z0", True, 2, "v1"),
     )
-    first, second, door = (Disseminator(Peers(replace(about, disk=True), 0.0)) for about in ABOUTS[:3])
-    first.listed(1.0, 9000, {"shop": {"i-1": one, "i-2": other}})
+    first, second, door = (Disseminator(PeerTable(replace(about, disk_id=True), 0.0)) for about in ABOUTS[:3])
+    first.publish_list(1.0, 9000, {"shop": {"i-1": one, "i-2": other}})
     for node in (second, door):
-        node.apply(1.0, TableNews(first.registry.encode(1.0, "shop")))
-    first.listed(2.0, 1000, {"shop": {"i-1": one, "i-2": replace(other, accepting=False)}})
-    door.apply(2.0, TableNews(first.registry.encode(2.0, "shop")))
+        node.apply_update(1.0, TableUpdate(first.registry.encode(1.0, "shop")))
+    first.publish_list(2.0, 1000, {"shop": {"i-1": one, "i-2": replace(other, accepting=False)}})
+    door.apply_update(2.0, TableUpdate(first.registry.encode(2.0, "shop")))
     newest = {"i-1": replace(one, accepting=False), "i-2": replace(other, accepting=False)}
     for step in range(
         2
     ):  # it may take the other's table first, and sees at its next look that the list is another
-        second.listed(3.0 + step, 1100, {"shop": dict(newest)})
+        second.publish_list(3.0 + step, 1100, {"shop": dict(newest)})
         for source, to in ((second, door), (door, second)):
             if to.registry.outdated(source.registry.versions()):
-                to.apply(3.0 + step, TableNews(source.registry.encode(3.0 + step, "shop")))
+                to.apply_update(3.0 + step, TableUpdate(source.registry.encode(3.0 + step, "shop")))
     for node in (second, door):
         assert not any(server.accepting for server in node.registry.tables["shop"].servers.values())
 
 
 def test_two_readers_of_one_millisecond_make_no_common_version_and_all_come_to_the_newer_list() -> None:
     one = ServerEntry("i-1", "s:1", "z0", True, 2, "v1")
-    nodes = [Disseminator(Peers(replace(about, disk=True), 0.0)) for about in ABOUTS[:3]]
+    nodes = [Disseminator(PeerTable(replace(about, disk_id=True), 0.0)) for about in ABOUTS[:3]]
     first, second, door = nodes
-    first.listed(1.0, 5000, {"shop": {"i-1": one}})
-    second.listed(1.0, 5000, {"shop": {"i-1": replace(one, accepting=False)}})
+    first.publish_list(1.0, 5000, {"shop": {"i-1": one}})
+    second.publish_list(1.0, 5000, {"shop": {"i-1": replace(one, accepting=False)}})
     for source in (first, second):
-        door.apply(1.0, TableNews(source.registry.encode(1.0, "shop")))
+        door.apply_update(1.0, TableUpdate(source.registry.encode(1.0, "shop")))
     for step in range(2):  # the newest list is read again, by whoever reads it from then on
-        second.listed(2.0 + step, 5500 + 500 * step, {"shop": {"i-1": replace(one, accepting=False)}})
+        second.publish_list(2.0 + step, 5500 + 500 * step, {"shop": {"i-1": replace(one, accepting=False)}})
         for source in nodes:
             for to in nodes:
                 if to.registry.outdated(source.registry.versions()):
-                    to.apply(2.0 + step, TableNews(source.registry.encode(2.0 + step, "shop")))
+                    to.apply_update(2.0 + step, TableUpdate(source.registry.encode(2.0 + step, "shop")))
     assert not any(node.registry.tables["shop"].servers["i-1"].accepting for node in nodes)
