--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -4,94 +4,94 @@
 
 import pytest
 
-from hazelspring.leases.singleton_roles import Duties, Granter
-from hazelspring.membership.peer_table import TERM, About, Peers
+from hazelspring.leases.singleton_roles import LeaseGranter, SingletonRoles
+from hazelspring.membership.peer_table import LEASE_TERM, NodeInfo, PeerTable
 
 from .world import TICK, World
 
 ME, OTHER = ("d1", 1), ("d2", 1)
 
 
-def core_of_three() -> Duties:
+def core_of_three() -> SingletonRoles:
     """One of three core doors that is first in line for duty 0, and has heard the others."""
-    abouts = [About(ip, "z", "west", 1, 1) for ip in ("d1", "d2", "d3")]
-    peers = Peers(abouts[0], 0.0)
+    abouts = [NodeInfo(ip, "z", "west", 1, 1) for ip in ("d1", "d2", "d3")]
+    peers = PeerTable(abouts[0], 0.0)
     for about in abouts[1:]:
-        peers.meet(0.0, about)
+        peers.observe(0.0, about)
         peers.peer(about).heard_at = 10.0
-    return Duties(peers, 0.0, first=True, count=12)
+    return SingletonRoles(peers, 0.0, first=True, count=12)
 
 
 def test_a_promise_ends_once_its_asker_asks_no_more() -> None:
-    granter = Granter(0.0, first=True)
-    assert granter.ask(1.0, "0", ME, 1.0)
-    assert not granter.ask(1.1, "0", OTHER, 1.1)
-    granter.unasked(ME, [], 0.9)  # a beat from before, late on its way
-    assert not granter.ask(1.2, "0", OTHER, 1.2)
-    granter.unasked(ME, [0], 1.3)
-    assert not granter.ask(1.3, "0", OTHER, 1.3)
-    granter.unasked(ME, [], 1.4)
-    assert granter.ask(1.4, "0", OTHER, 1.4)
+    granter = LeaseGranter(0.0, first=True)
+    assert granter.request(1.0, "0", ME, 1.0)
+    assert not granter.request(1.1, "0", OTHER, 1.1)
+    granter.withdraw_unrequested(ME, [], 0.9)  # a beat from before, late on its way
+    assert not granter.request(1.2, "0", OTHER, 1.2)
+    granter.withdraw_unrequested(ME, [0], 1.3)
+    assert not granter.request(1.3, "0", OTHER, 1.3)
+    granter.withdraw_unrequested(ME, [], 1.4)
+    assert granter.request(1.4, "0", OTHER, 1.4)
 
 
 def test_what_was_recalled_ends_only_after_it_was_asked_for_again() -> None:
-    granter = Granter(0.0, first=False)
-    granter.recall(0.5, {ME: [0]})
-    granter.unasked(ME, [], 0.4)  # perhaps sent before the promise that was recalled
-    assert not granter.ask(0.6, "0", OTHER, 0.6)
-    assert granter.ask(0.7, "0", ME, 0.7)
-    granter.unasked(ME, [], 0.8)
-    assert granter.ask(0.9, "0", OTHER, 0.9)
+    granter = LeaseGranter(0.0, first=False)
+    granter.restore(0.5, {ME: [0]})
+    granter.withdraw_unrequested(ME, [], 0.4)  # perhaps sent before the promise that was recalled
+    assert not granter.request(0.6, "0", OTHER, 0.6)
+    assert granter.request(0.7, "0", ME, 0.7)
+    granter.withdraw_unrequested(ME, [], 0.8)
+    assert granter.request(0.9, "0", OTHER, 0.9)
 
 
 def test_a_yes_to_an_earlier_asking_counts_for_nothing() -> None:
     duties = core_of_three()
-    wants = duties.asks(10.0, settled=True)
+    wants = duties.update_requests(10.0, settled=True)
     duty = wants[0]
     for ip in ("d2", "d3"):
-        duties.granted(duty, ip, 10.0, 1)
-    assert duties.until(duty) > 10.0
-    assert duties.asks(10.1, settled=False) == [] and duties.until(duty) <= 10.1
+        duties.on_granted(duty, ip, 10.0, 1)
+    assert duties.held_until(duty) > 10.0
+    assert duties.update_requests(10.1, settled=False) == [] and duties.held_until(duty) <= 10.1
     for ip in ("d2", "d3"):
-        duties.granted(duty, ip, 10.0, 1)  # the answers come a second time
-    assert duties.until(duty) <= 10.1
-    assert duty in duties.asks(10.2, settled=True)
+        duties.on_granted(duty, ip, 10.0, 1)  # the answers come a second time
+    assert duties.held_until(duty) <= 10.1
+    assert duty in duties.update_requests(10.2, settled=True)
     for ip in ("d2", "d3"):
-        duties.granted(duty, ip, 10.0, 1)
-    assert duties.until(duty) <= 10.2
+        duties.on_granted(duty, ip, 10.0, 1)
+    assert duties.held_until(duty) <= 10.2
     for ip in ("d2", "d3"):
-        duties.granted(duty, ip, 10.2, 1)
-    assert 10.2 < duties.until(duty) < 10.2 + TERM
+        duties.on_granted(duty, ip, 10.2, 1)
+    assert 10.2 < duties.held_until(duty) < 10.2 + LEASE_TERM
 
 
 def test_who_hears_less_than_half_of_the_core_wants_nothing_new() -> None:
     duties = core_of_three()
-    assert duties.asks(10.0, settled=True)
-    assert duties.asks(20.0, settled=True) == []  # the others were last heard ten seconds ago
+    assert duties.update_requests(10.0, settled=True)
+    assert duties.update_requests(20.0, settled=True) == []  # the others were last heard ten seconds ago
 
 
 def test_a_late_promise_of_a_life_that_is_no_more_counted_on_counts_for_nothing() -> None:
     """The new life was told that nothing is counted on, so it may promise the duty to another."""
     duties = core_of_three()
-    duty = duties.asks(10.1, settled=True)[0]
-    duties.granted(duty, "d1", 10.1, 1)
-    assert duties.counts_on(10.5, ("d2", 2)) == []
-    duties.granted(duty, "d2", 10.4, 1)  # asked for and promised before that, late on its way
-    assert duties.until(duty) == 0.0
-    duties.granted(duty, "d2", 10.6, 2)
-    assert duties.until(duty) > 11.0
+    duty = duties.update_requests(10.1, settled=True)[0]
+    duties.on_granted(duty, "d1", 10.1, 1)
+    assert duties.disclaim_previous(10.5, ("d2", 2)) == []
+    duties.on_granted(duty, "d2", 10.4, 1)  # asked for and promised before that, late on its way
+    assert duties.held_until(duty) == 0.0
+    duties.on_granted(duty, "d2", 10.6, 2)
+    assert duties.held_until(duty) > 11.0
 
 
 def test_a_tick_looks_once_at_what_its_beats_ask_for(monkeypatch: pytest.MonkeyPatch) -> None:
     world = World(8, 0)
     world.run(4.0)
-    core, looks, wanted = world.doors["d1"].core, [], Duties.wanted
+    core, looks, wanted = world.doors["d1"].core, [], SingletonRoles.wanted_roles
 
-    def counted(duties: Duties, now: float) -> list[int]:
+    def counted(duties: SingletonRoles, now: float) -> list[int]:
         looks.append(duties)
         return wanted(duties, now)
 
-    monkeypatch.setattr(Duties, "wanted", counted)
+    monkeypatch.setattr(SingletonRoles, "wanted_roles", counted)
     assert core is not None
     beats = 0
     for _ in range(20):
--- a/tests/test_forage.py
+++ b/tests/test_forage.py
@@ -8,15 +8,23 @@
 
 import pytest
 
-from hazelspring.configuration.model import read
-from hazelspring.configuration.validation import Invalid, check
-from hazelspring.quota.counter import Counter
-from hazelspring.quota.credits import Call, Credits, Granted, Lapsed
-from hazelspring.quota.limits import QuotaRule
+from hazelspring.configuration.model import parse_configuration
+from hazelspring.configuration.validation import InvalidConfigurationError, validate_configuration
+from hazelspring.quota.counter import QuotaCounter
+from hazelspring.quota.credits import CounterCall, CounterUnavailable, CreditLeases, CreditsGranted
+from hazelspring.quota.limits import QuotaLimits
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.tables import ServerEntry, server_tag
-from hazelspring.routing.endpoints import HEARSAY, Fleet, Usual
-from hazelspring.routing.request_router import Asked, Deny, Forager, Lease, Leave, Rule, Tick
+from hazelspring.routing.endpoints import LOAD_REPORT_LIFETIME, EndpointSet, RouteLatency
+from hazelspring.routing.request_router import (
+    AbandonAttempt,
+    LeaseCredits,
+    RejectOverQuota,
+    RequestArrived,
+    RequestRouter,
+    SharedLimits,
+    TimerTick,
+)
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
 
@@ -53,7 +61,7 @@
     }
 
 
-WORD = read(json.dumps(document()).encode())
+WORD = parse_configuration(json.dumps(document()).encode())
 
 
 def servers(*names: str, accepting: bool = True) -> list[ServerEntry]:
@@ -63,18 +71,20 @@
 
 class Gate:
     def __init__(self, *names: str) -> None:
-        fleet = Fleet("a1", "a", ZONES, random.Random(1))
-        self.forager, self.now, self.number = Forager(Rule(), fleet, 1), 10.0, 0
-        self.forager.take_word(WORD)
-        self.forager.listed(self.now, "shop", servers(*names))
+        fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
+        self.forager, self.now, self.number = RequestRouter(SharedLimits(), fleet, 1), 10.0, 0
+        self.forager.use_configuration(WORD)
+        self.forager.update_endpoints(self.now, "shop", servers(*names))
         self.forager.fresh_until = 1e9
-        self.forager.doors = 31  # whose shares of a small quota's reserve are none, and of further tries one
+        self.forager.node_count = (
+            31  # whose shares of a small quota's reserve are none, and of further tries one
+        )
 
     def ask(self, path: str, tenant: str = "free", left: float = 4.0) -> list[Any]:
         self.number += 1
         route = WORD.route("h", path)
         assert route is not None
-        return self.handle(Asked(self.number, route, WORD.tenants[tenant], left))
+        return self.handle(RequestArrived(self.number, route, WORD.tenants[tenant], left))
 
     def handle(self, event: Any) -> list[Any]:
         return list(self.forager.handle(self.now, event))
@@ -110,7 +120,7 @@
     (again,) = gate.ends(send, Outcome.RESET)
     assert isinstance(again, i.Send)
     assert gate.ends(again, Outcome.RESET) == [i.Fail(send.request)]
-    gate.forager.doors, further = 1, 0
+    gate.forager.node_count, further = 1, 0
     for _ in range(200):  # all fail: further tries stay within half of the rule's ratio and slack
         (send,) = [a for a in gate.ask("/r/1") if isinstance(a, i.Send)]
         further += any(isinstance(a, i.Send) for a in gate.ends(send, Outcome.RESET, 0.0))
@@ -122,7 +132,7 @@
     found = []
     for _ in range(round(seconds / 0.05)):
         gate.now += 0.05
-        found += gate.handle(Tick())
+        found += gate.handle(TimerTick())
     return found
 
 
@@ -131,8 +141,8 @@
     (send,) = gate.ask("/r/1")
     assert send.timeout == 0  # its server is told all the time that is left
     (leave,) = silent(gate, 2.0)
-    assert leave == Leave(send.request, 0)
-    gate.forager.doors = 1000  # whose shares are none: the try is taken already
+    assert leave == AbandonAttempt(send.request, 0)
+    gate.forager.node_count = 1000  # whose shares are none: the try is taken already
     (again,) = gate.ends(send, Outcome.TIMEOUT)
     assert isinstance(again, i.Send) and gate.name(again) != gate.name(send)
     assert silent(gate, 1.0) == []  # its last attempt
@@ -144,11 +154,11 @@
 def test_a_server_at_work_is_not_broken_off_where_nothing_could_follow(why: str) -> None:
     gate = Gate("a1-0", *(["a1-1"] if why != "no other server" else []))
     if why == "no allowance":
-        gate.forager.doors = 1000
+        gate.forager.node_count = 1000
     gate.forager.leaving = why == "it ends soon"
     (send,) = gate.ask("/r/1", left=1.3 if why == "no time" else 4.0)
     if why == "no time":
-        gate.forager.fleet.usual["reads"] = Usual(1.5)
+        gate.forager.fleet.route_latencies["reads"] = RouteLatency(1.5)
     assert isinstance(send, i.Send) and send.timeout == 0 and silent(gate, 3.5) == []
 
 
@@ -162,7 +172,7 @@
     (again,) = gate.ends(read_, Outcome.RESET)
     assert gate.handle(i.Left(again.request)) == [i.Cancel(again.request, 1)]
     gate.ends(again, Outcome.CANCELLED)
-    ill = [server.failures or server.out for server in gate.forager.fleet.servers.values()]
+    ill = [server.failures or server.in_flight for server in gate.forager.fleet.servers.values()]
     assert sum(ill) == 1  # by the reset; nothing is counted as out, and who was left is not taken for ill
     assert isinstance(gate.ask("/r/3")[0], i.Send)
 
@@ -171,15 +181,15 @@
     gate = Gate("a1-0", "b1-0")
     (send,) = gate.ask("/h/1")
     assert gate.name(send) == "b1-0"
-    gate.forager.close(gate.now, frozenset(("b1",)))
+    gate.forager.set_evacuated_zones(gate.now, frozenset(("b1",)))
     assert isinstance(gate.ask("/h/1")[0], i.Refuse)
-    gate.forager.close(gate.now, frozenset())
+    gate.forager.set_evacuated_zones(gate.now, frozenset())
     assert isinstance(gate.ask("/h/1")[0], i.Refuse)  # taken back: its servers may be cold
     gate.now += 4.0
     assert isinstance(gate.ask("/h/1")[0], i.Send)
-    gate.forager.listed(gate.now, "shop", servers("a1-0", "b1-9"))  # a new life is cold
+    gate.forager.update_endpoints(gate.now, "shop", servers("a1-0", "b1-9"))  # a new life is cold
     assert isinstance(gate.ask("/h/1")[0], i.Refuse)
-    gate.forager.listed(gate.now, "shop", servers("a1-0", "b1-9", accepting=False))
+    gate.forager.update_endpoints(gate.now, "shop", servers("a1-0", "b1-9", accepting=False))
     gate.now += 9.0
     assert isinstance(gate.ask("/h/1")[0], i.Refuse) and isinstance(gate.ask("/r/1")[0], i.Refuse)
 
@@ -193,10 +203,10 @@
 
 def test_load_that_others_tell_of_sends_requests_elsewhere() -> None:
     gate = Gate("a1-0", "a1-1")
-    gate.forager.fleet.danced(gate.now, "d2", {server_tag("a1-0"): 6})
+    gate.forager.fleet.on_load_report(gate.now, "d2", {server_tag("a1-0"): 6})
     assert {gate.name(gate.ask("/r/1")[0]) for _ in range(3)} == {"a1-1"}
     gate.now += 2.0
-    gate.handle(Tick())
+    gate.handle(TimerTick())
     assert "a1-0" in {gate.name(gate.ask("/r/1")[0]) for _ in range(6)}
 
 
@@ -210,34 +220,36 @@
             {server_tag(n): chance.randrange(4) for n in chance.sample(names, 3)},
         )
         told[door] = (gate.now, outs)
-        gate.forager.fleet.danced(gate.now, door, outs)
+        gate.forager.fleet.on_load_report(gate.now, door, outs)
         if chance.random() < 0.2:
-            gate.forager.listed(gate.now, "shop", servers(*chance.sample(names, 4)))
+            gate.forager.update_endpoints(gate.now, "shop", servers(*chance.sample(names, 4)))
         if chance.random() < 0.5:
             with pytest.raises((AttributeError, TypeError)):
-                gate.forager.fleet.danced(gate.now, door, {server_tag(names[0]): "x"})  # type: ignore[dict-item]
-        gate.handle(Tick())
+                gate.forager.fleet.on_load_report(gate.now, door, {server_tag(names[0]): "x"})  # type: ignore[dict-item]
+        gate.handle(TimerTick())
         for server in gate.forager.fleet.servers.values():
-            heard = [outs for at, outs in told.values() if gate.now - at <= HEARSAY]
-            assert server.others == sum(outs.get(server_tag(server.id), 0) for outs in heard)
+            heard = [outs for at, outs in told.values() if gate.now - at <= LOAD_REPORT_LIFETIME]
+            assert server.in_flight_elsewhere == sum(outs.get(server_tag(server.id), 0) for outs in heard)
 
 
 def test_a_denied_lease_refuses_until_the_edge_and_a_lost_counter_shortly() -> None:
     gate = Gate("a1-0")
     (lease,) = gate.ask("/r/1", "green")
-    assert isinstance(lease, Lease)
+    assert isinstance(lease, LeaseCredits)
     assert gate.ask("/r/1", "green") == []  # one lease in flight: others wait for it
-    denied = gate.handle(Granted("green", lease.call.number, 0.0, 0.6, 1.0))
-    assert [type(action) for action in denied] == [Deny, Deny] and 0.5 < denied[0].retry_after <= 0.6
-    assert isinstance(gate.ask("/r/1", "green")[0], Deny)
+    denied = gate.handle(CreditsGranted("green", lease.call.number, 0.0, 0.6, 1.0))
+    assert [type(action) for action in denied] == [RejectOverQuota, RejectOverQuota] and 0.5 < denied[
+        0
+    ].retry_after <= 0.6
+    assert isinstance(gate.ask("/r/1", "green")[0], RejectOverQuota)
     gate.now += 0.7
     (lease,) = gate.ask("/r/1", "green")
-    (refused,) = gate.handle(Lapsed("green"))
+    (refused,) = gate.handle(CounterUnavailable("green"))
     assert isinstance(refused, i.Refuse)
     gate.ask("/r/1", "green")
     for _ in range(10):
         gate.now += 0.1
-        ended = [a for a in gate.handle(Tick()) if isinstance(a, i.Refuse)]
+        ended = [a for a in gate.handle(TimerTick()) if isinstance(a, i.Refuse)]
         if ended:
             break
     assert ended  # a counter that does not answer is given up on
@@ -245,42 +257,42 @@
 
 def test_a_door_lets_its_even_share_in_alone_where_no_counter_answers() -> None:
     gate = Gate("a1-0")
-    gate.forager.doors = 5
+    gate.forager.node_count = 5
     sent = 0
     for _ in range(100):  # ten seconds
         gate.now += 0.1
         for action in gate.ask("/r/1", "green"):
-            if isinstance(action, Lease):
-                sent += sum(isinstance(a, i.Send) for a in gate.handle(Lapsed("green")))
+            if isinstance(action, LeaseCredits):
+                sent += sum(isinstance(a, i.Send) for a in gate.handle(CounterUnavailable("green")))
     assert sent == 2 * gate.forager.rule.quota.reserve(10, 10, 5) > 0  # in each span of five
 
 
 def test_no_span_sees_more_than_the_rule_whatever_doors_and_owners_do() -> None:
     """Eleven doors ask as fast as they can, calls are lost, and the counter moves to a new owner twice."""
-    rule, rate, burst, dice = QuotaRule(), 10.0, 10.0, random.Random(5)
-    doors = [Credits(rule) for _ in range(11)]
+    rule, rate, burst, dice = QuotaLimits(), 10.0, 10.0, random.Random(5)
+    doors = [CreditLeases(rule) for _ in range(11)]
     served: list[float] = []
-    counter, until, now = Counter(rule.window), 0.0, 50.0
-    flying: list[tuple[float, Credits, Call]] = []
+    counter, until, now = QuotaCounter(rule.window), 0.0, 50.0
+    flying: list[tuple[float, CreditLeases, CounterCall]] = []
     for tick in range(3000):
         now += 0.01
         if tick in (900, 1700):  # its owner died: a new one starts when the old one's lease has ended
-            counter, dead = Counter(rule.window), until
+            counter, dead = QuotaCounter(rule.window), until
         owner = tick < 900 or now >= dead
         until = now + 1.0 if owner else until
         for door in doors:
-            door.take(now, "green", rate, burst, tick, 11)
+            door.request_credit(now, "green", rate, burst, tick, 11)
             door.tick(now)
             flying += [(now + dice.choice((0.001, 0.02, 0.04)), door, call) for call in door.calls]
             door.calls = []
-            served += [now for verdict in door.verdicts if verdict.granted]
+            served += [now for verdict in door.verdicts if verdict.admitted]
             door.verdicts = []
         due, flying = [f for f in flying if f[0] <= now], [f for f in flying if f[0] > now]
         for _, door, call in due:
             if owner and dice.random() > 0.1:
-                limit, caller = rule.limit(rate, burst, 11), ("door", doors.index(door))
-                granted = counter.lease(now, until, "green", call.units, limit, caller, call.number)
-                door.granted(now, Granted("green", call.number, *granted))
+                limit, caller = rule.window_limit(rate, burst, 11), ("door", doors.index(door))
+                granted = counter.grant(now, until, "green", call.units, limit, caller, call.number)
+                door.on_granted(now, CreditsGranted("green", call.number, *granted))
     most = max(
         sum(start <= t < start + rule.span for t in served) for start in [50 + n * 0.1 for n in range(250)]
     )
@@ -289,10 +301,10 @@
 
 
 def test_what_is_given_back_counts_once_and_only_of_what_its_window_granted_its_giver() -> None:
-    counter, one, other = Counter(10.0), ("a", 1), ("b", 1)
+    counter, one, other = QuotaCounter(10.0), ("a", 1), ("b", 1)
 
     def call(now: float, caller: tuple[str, int], number: int, units: float) -> float:
-        return counter.lease(now, 1e9, "green", units, 40.0, caller, number)[0]
+        return counter.grant(now, 1e9, "green", units, 40.0, caller, number)[0]
 
     assert (call(1, one, 1, 30.0), call(1, other, 1, 20.0)) == (30.0, 10.0)
     for _ in range(3):  # comes more than once
@@ -314,8 +326,8 @@
         service=None,
         weightedSplit=[{"service": "shop", "shareWeight": 0}, {"service": "other", "shareWeight": 5}],
     )
-    route = read(json.dumps(split).encode()).route("h", "/r/")
-    assert route is not None and {route.service(n / 10) for n in range(10)} == {"other"}
+    route = parse_configuration(json.dumps(split).encode()).route("h", "/r/")
+    assert route is not None and {route.pick_service(n / 10) for n in range(10)} == {"other"}
 
 
 def changed(entry: int, **spec: Any) -> dict[str, Any]:
@@ -342,9 +354,9 @@
     ],
 )
 def test_every_invalid_configuration_is_refused_by_its_field(body: str, field: str) -> None:
-    with pytest.raises(Invalid, match=field):
-        check(body.encode())
-    assert check(json.dumps(document()).encode()) == 3
+    with pytest.raises(InvalidConfigurationError, match=field):
+        validate_configuration(body.encode())
+    assert validate_configuration(json.dumps(document()).encode()) == 3
 
 
 def test_a_page_that_is_none_is_no_list() -> None:
--- a/tests/test_front_stress.py
+++ b/tests/test_front_stress.py
@@ -14,14 +14,14 @@
 import pytest
 import uvloop
 
-from hazelspring.configuration.model import read
+from hazelspring.configuration.model import parse_configuration
 from hazelspring.daemon import client_listener as front
-from hazelspring.daemon.client_listener import Carrier, Front, Visitor
-from hazelspring.daemon.upstream_servers import Line, Servers
-from hazelspring.quota.credits import Call, Granted, Lapsed
+from hazelspring.daemon.client_listener import ClientConnection, ClientListener, RouterHost
+from hazelspring.daemon.upstream_servers import UpstreamConnection, UpstreamServers
+from hazelspring.quota.credits import CounterCall, CounterUnavailable, CreditsGranted
 from hazelspring.registry.tables import ServerEntry
-from hazelspring.routing.endpoints import Fleet
-from hazelspring.routing.request_router import Forager, Rule, Tick
+from hazelspring.routing.endpoints import EndpointSet
+from hazelspring.routing.request_router import RequestRouter, SharedLimits, TimerTick
 from ivymux.caller import Client, Exchange
 from ivymux.config import Address, parse_address
 from ivymux.link import Link
@@ -72,25 +72,25 @@
         for server in self.servers if ways else ():
             server.ways = {name: server.ways[name] for name in ways}
         counts = Counts()
-        fleet = Fleet("a1", "a", {"a1": "a", "a2": "a"}, random.Random(seed))
-        self.forager = Forager(Rule(retry_ratio=1.0, retry_slack=1e6), fleet, 1)
-        self.upstream = Servers(1.0, pick.choice((0.4, 9.0)), 800, counts)
+        fleet = EndpointSet("a1", "a", {"a1": "a", "a2": "a"}, random.Random(seed))
+        self.forager = RequestRouter(SharedLimits(retry_ratio=1.0, retry_slack=1e6), fleet, 1)
+        self.upstream = UpstreamServers(1.0, pick.choice((0.4, 9.0)), 800, counts)
         self.upstream.per_backend = pick.choice((12, 60))
-        self.carrier = Carrier(self.forager, self.upstream, counts, self.lease)
-        self.front = Front(Address("127.0.0.1", 0), self.carrier, 400, lambda: True)
+        self.carrier = RouterHost(self.forager, self.upstream, counts, self.lease)
+        self.front = ClientListener(Address("127.0.0.1", 0), self.carrier, 400, lambda: True)
         self.leaves = pick.random() < 0.3  # the door is told to end, some time before the last client
-        word = read(configuration())
-        self.front.take_word(word)
-        self.forager.take_word(word)
+        word = parse_configuration(configuration())
+        self.front.use_configuration(word)
+        self.forager.use_configuration(word)
         self.forager.fresh_until = 1e18
         self.addresses: list[str] = []
 
-    def lease(self, call: Call) -> None:
+    def lease(self, call: CounterCall) -> None:
         """The tenant's counter: it grants what it is asked for, late, or says nothing."""
         pick = self.ledger.random
-        answer: Any = Granted(call.tenant, call.number, call.units, 1.0, 0.5)
+        answer: Any = CreditsGranted(call.tenant, call.number, call.units, 1.0, 0.5)
         if pick.random() < 0.02:
-            answer = Lapsed(call.tenant)
+            answer = CounterUnavailable(call.tenant)
         if pick.random() < 0.9:
             late = pick.choice((0.001, 0.02, 0.2))
             self.carrier.loop.call_later(late, self.carrier.post, answer)
@@ -101,7 +101,7 @@
             ServerEntry(server.id, address, server.zone, True, 40, "v1")
             for server, address in zip(self.servers, self.addresses, strict=True)
         ]
-        for gone in self.forager.listed(now, "shop", listed):
+        for gone in self.forager.update_endpoints(now, "shop", listed):
             self.upstream.remove(gone.number)
         for server in self.forager.fleet.services["shop"].values():
             self.upstream.place(server.number, parse_address(server.address), 0.0)
@@ -111,12 +111,14 @@
         count, pick = 0, random.Random(self.ledger.random.random())
         while True:
             await asyncio.sleep(0.05)
-            self.carrier.post(Tick())  # type: ignore[arg-type]
+            self.carrier.post(TimerTick())  # type: ignore[arg-type]
             count += 1
             if count % round(RESTART / 0.05) == 0:
                 self.list_servers()
                 pick.choice(self.servers).lives += 1
-                self.forager.close(self.carrier.clock(), frozenset(("a2",) if count // 20 % 4 == 1 else ()))
+                self.forager.set_evacuated_zones(
+                    self.carrier.clock(), frozenset(("a2",) if count // 20 % 4 == 1 else ())
+                )
 
     async def play(self) -> Ledger:
         self.addresses = [await server.start("127.0.0.1") for server in self.servers]
@@ -170,8 +172,8 @@
         pools = self.upstream.pools.values()
         found = {
             "open requests": len(self.carrier.table), "waiting": self.carrier.waiting, "held": self.front.held,
-            "jobs": len(self.forager.jobs), "clients": len(self.front.clients),
-            "out": sum(server.out for server in self.forager.fleet.servers.values()),
+            "jobs": len(self.forager.pending), "clients": len(self.front.clients),
+            "out": sum(server.in_flight for server in self.forager.fleet.servers.values()),
             "busy": sum(link.attempt is not None for pool in pools for link in pool.links),
             "waiting attempts": sum(not attempt.over for pool in pools for attempt in pool.waiting),
         }  # fmt: skip
@@ -211,11 +213,11 @@
 
 
 def believes_any_answer(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Line, "on_headers_complete", Link.on_headers_complete)
+    patch.setattr(UpstreamConnection, "on_headers_complete", Link.on_headers_complete)
 
 
 def believes_any_promise(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(front, "promise_kept", lambda reply: reply.status)
+    patch.setattr(front, "client_status", lambda reply: reply.status)
 
 
 def takes_a_reset_for_a_refusal(patch: pytest.MonkeyPatch) -> None:
@@ -223,7 +225,7 @@
 
 
 def takes_a_part_for_nothing(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Line, "connection_lost", Link.connection_lost)
+    patch.setattr(UpstreamConnection, "connection_lost", Link.connection_lost)
 
 
 def takes_a_cut_for_an_end(patch: pytest.MonkeyPatch) -> None:
@@ -232,7 +234,7 @@
 
 
 def forgets_what_it_offered(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Visitor, "reject", Client.reject)
+    patch.setattr(ClientConnection, "reject", Client.reject)
 
 
 def mixes_up_its_turns(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_golden_control.py
+++ b/tests/test_golden_control.py
@@ -9,13 +9,13 @@
 import cbor2
 import pytest
 
-from hazelspring.configuration.blocks import blocks_of, pack, unpack
-from hazelspring.configuration.delta import difference, follow
-from hazelspring.configuration.model import digest
-from hazelspring.consensus.acceptor import load
+from hazelspring.configuration.blocks import pack, read_blocks, unpack
+from hazelspring.configuration.delta import apply_deltas, make_delta
+from hazelspring.configuration.model import configuration_digest
+from hazelspring.consensus.acceptor import load_acceptor
 from hazelspring.consensus.control_state import NO_BALLOT
-from hazelspring.storage.offline import item_sum, look
-from hazelspring.storage.replica_store import Store, row_sum
+from hazelspring.storage.offline import inspect_store, item_checksum
+from hazelspring.storage.replica_store import ReplicaStore, record_checksum
 
 from .golden import recording
 from .golden.recording import FIRST, FOLDER, ITEMS, MARKS, SECOND, STORE_RECORDS, configuration, read
@@ -73,23 +73,25 @@
                 del disk[name]
             else:
                 disk[name] = bytes.fromhex(body)
-        loaded = load(disk, 1, True)
-        assert (loaded.disk, loaded.founder) == (4242, False)
+        loaded = load_acceptor(disk, 1, True)
+        assert (loaded.disk_id, loaded.may_bootstrap) == (4242, False)
         assert (loaded.promised, loaded.accepted) == (register.promised, register.accepted), step
-        assert (loaded.decided, loaded.words) == (register.decided, register.words), step
-        assert loaded.take_records() == {}
+        assert (loaded.decided, loaded.configurations) == (register.decided, register.configurations), step
+        assert loaded.take_dirty_records() == {}
     assert loaded.promised == (5, 100201, "d2")
     assert loaded.accepted == loaded.decided == ((5, 100201, "d2"), SECOND)
-    assert loaded.words == {SECOND.digest: b"packed second"}
+    assert loaded.configurations == {SECOND.configuration_digest: b"packed second"}
     removed = [name for name, body in recorded["learned another and pruned"].items() if body is None]
-    assert removed == [f"word {FIRST.digest.hex()}"]
+    assert removed == [f"word {FIRST.configuration_digest.hex()}"]
 
 
 def test_the_recorded_disk_of_a_settled_member_loads() -> None:
     disk = {name: bytes.fromhex(body) for name, body in read("records.json")["settled member"].items()}
     assert set(disk) == {"disk", "vote", "decided", "mark doors"} and disk["mark doors"] == b"5"
-    register = load(disk, 1, False)
-    assert [register.disk, register.founder] == cbor2.loads(disk["disk"]) and register.disk > 1_000_000
+    register = load_acceptor(disk, 1, False)
+    assert [register.disk_id, register.may_bootstrap] == cbor2.loads(
+        disk["disk"]
+    ) and register.disk_id > 1_000_000
     assert register.state is not None and register.version >= 0
     assert [member.ip for member in register.state.members] == ["d1", "d2", "d3"]
     assert register.promised > NO_BALLOT and register.accepted == register.decided
@@ -97,22 +99,22 @@
 
 def test_a_recorded_store_of_format_2_is_read_by_the_store_and_offline(tmp_path: Path) -> None:
     shutil.copy(FOLDER / "store-format-2.sqlite", tmp_path / "comb.sqlite")
-    found = look(tmp_path / "comb.sqlite")
-    assert (found.format, found.records, found.wrong) == (2, STORE_RECORDS, [])
-    store = Store(str(tmp_path))
-    assert store.load() == STORE_RECORDS and not store.aside
+    found = inspect_store(tmp_path / "comb.sqlite")
+    assert (found.format, found.records, found.corrupt) == (2, STORE_RECORDS, [])
+    store = ReplicaStore(str(tmp_path))
+    assert store.load() == STORE_RECORDS and not store.quarantined
     store.close()
 
 
 def test_a_recorded_store_of_format_1_is_read_offline(tmp_path: Path) -> None:
     shutil.copy(FOLDER / "store-format-1.sqlite", tmp_path / "comb.sqlite")
-    found = look(tmp_path / "comb.sqlite")
-    assert (found.format, found.items, found.marks, found.wrong) == (1, ITEMS, MARKS, [])
-    assert item_sum("config", 7, b"", b"packed").hex() == "f05507a319805110ef7a13e1e663287d"
+    found = inspect_store(tmp_path / "comb.sqlite")
+    assert (found.format, found.items, found.marks, found.corrupt) == (1, ITEMS, MARKS, [])
+    assert item_checksum("config", 7, b"", b"packed").hex() == "f05507a319805110ef7a13e1e663287d"
 
 
 def test_a_saved_store_has_the_recorded_tables_format_and_sums(tmp_path: Path) -> None:
-    store = Store(str(tmp_path))
+    store = ReplicaStore(str(tmp_path))
     store.save(STORE_RECORDS | {"gone": b"1"})
     store.save({"gone": None})
     store.close()
@@ -126,7 +128,7 @@
     assert tables[0] == tables[1]
     assert tables[0][:2] == ((SCHEMA,), (2,))
     assert {name: body for name, body, _ in rows} == STORE_RECORDS
-    assert [row_sum(name, body) for name, body, _ in rows] == [found for _, _, found in rows]
+    assert [record_checksum(name, body) for name, body, _ in rows] == [found for _, _, found in rows]
     assert rows[1][2].hex() == "b432a44aa9b3312ca86abb839f9f1c5f" and rows[1][0] == "mark doors"
 
 
@@ -134,14 +136,18 @@
 def test_a_recorded_packed_configuration_unpacks_to_its_body(name: str, number: int) -> None:
     recorded, body = read("configurations.json"), configuration(number, 4)
     packed = bytes.fromhex(recorded[name])
-    assert unpack(packed) == body and b"".join(block.unpacked() for block in blocks_of(packed)) == body
-    assert digest(body).hex() == recorded[f"{name} digest"]
+    assert unpack(packed) == body and b"".join(block.unpacked() for block in read_blocks(packed)) == body
+    assert configuration_digest(body).hex() == recorded[f"{name} digest"]
 
 
 def test_the_recorded_difference_leads_from_one_recorded_configuration_to_the_other() -> None:
     recorded = read("configurations.json")
     old, new, delta = (bytes.fromhex(recorded[name]) for name in ("old", "new", "difference"))
-    assert unpack(follow(old, [delta], digest(configuration(2, 4)))) == unpack(new) == configuration(2, 4)
+    assert (
+        unpack(apply_deltas(old, [delta], configuration_digest(configuration(2, 4))))
+        == unpack(new)
+        == configuration(2, 4)
+    )
 
 
 def test_packed_configurations_and_differences_are_produced_byte_for_byte() -> None:
@@ -153,7 +159,7 @@
 def test_a_configuration_of_several_blocks_is_packed_and_followed_exactly() -> None:
     large, changed = recording.large_configurations()
     packed = pack(large)
-    assert len(blocks_of(packed)) > 3 and unpack(packed) == large
-    delta = difference(packed, pack(changed, packed))
+    assert len(read_blocks(packed)) > 3 and unpack(packed) == large
+    delta = make_delta(packed, pack(changed, packed))
     assert len(delta) < len(packed) // 10
-    assert unpack(follow(packed, [delta], digest(changed))) == changed
+    assert unpack(apply_deltas(packed, [delta], configuration_digest(changed))) == changed
--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -24,16 +24,22 @@
 import pytest
 
 from hazelspring.configuration.blocks import pack
-from hazelspring.configuration.model import Route, read
-from hazelspring.configuration.validation import Invalid, check
-from hazelspring.consensus.proposal import Done
-from hazelspring.daemon.client_listener import Final, Front, Visitor, encode, flow_head
-from hazelspring.daemon.http_api import Caller, Desk
+from hazelspring.configuration.model import Route, parse_configuration
+from hazelspring.configuration.validation import InvalidConfigurationError, validate_configuration
+from hazelspring.consensus.proposal import ProposalOutcome
+from hazelspring.daemon.client_listener import (
+    ClientConnection,
+    ClientListener,
+    FinalAnswer,
+    encode,
+    flow_head,
+)
+from hazelspring.daemon.http_api import ApiConnection, HttpApi
 from hazelspring.daemon.instance_list_client import InstanceListClient
-from hazelspring.daemon.node_process import Door
+from hazelspring.daemon.node_process import NodeProcess
 from hazelspring.daemon.operator_calls import OperatorCalls
-from hazelspring.daemon.settings import Settings, SettingsError, load, parse
-from hazelspring.daemon.upstream_servers import Stream
+from hazelspring.daemon.settings import Settings, SettingsError, load_settings, parse_settings
+from hazelspring.daemon.upstream_servers import UpstreamStream
 from hazelspring.registry.tables import ServerEntry, ServiceTable
 from ivymux.caller import Client
 from ivymux.config import Address
@@ -64,28 +70,31 @@
     "thisDoor.internetAddress": lambda s: s.ip,
     "thisDoor.zone": lambda s: s.zone,
     "thisDoor.answerRegion": lambda s: s.region,
-    "thisDoor.firstStart": lambda s: s.first,
-    "thisDoor.dataDirectory": lambda s: s.folder,
-    "thisDoor.limits.fileDescriptors": lambda s: s.descriptors,
-    "thisDoor.limits.linkMbps": lambda s: s.link,
-    "network.listenAddresses.front": lambda s: [s.front.host, s.front.port],
-    "network.listenAddresses.readiness": lambda s: [s.readiness.host, s.readiness.port],
-    "network.listenAddresses.controlAddress": lambda s: [s.control.host, s.control.port],
-    "network.listenAddresses.directoryAddress": lambda s: [s.directory.host, s.directory.port],
-    "network.internalPorts": lambda s: s.port,
+    "thisDoor.firstStart": lambda s: s.first_start,
+    "thisDoor.dataDirectory": lambda s: s.data_directory,
+    "thisDoor.limits.fileDescriptors": lambda s: s.max_descriptors,
+    "thisDoor.limits.linkMbps": lambda s: s.link_bandwidth,
+    "network.listenAddresses.front": lambda s: [s.client_address.host, s.client_address.port],
+    "network.listenAddresses.readiness": lambda s: [s.readiness_address.host, s.readiness_address.port],
+    "network.listenAddresses.controlAddress": lambda s: [s.control_address.host, s.control_address.port],
+    "network.listenAddresses.directoryAddress": lambda s: [
+        s.directory_address.host,
+        s.directory_address.port,
+    ],
+    "network.internalPorts": lambda s: s.internal_port,
     "network.seedNodes": lambda s: list(s.seeds),
     "network.zones": lambda s: s.zones,
-    "platformSettings.cloudInterface.address": lambda s: [s.platform.host, s.platform.port],
+    "platformSettings.cloudInterface.address": lambda s: [s.platform_address.host, s.platform_address.port],
     "platformSettings.cloudInterface.requestsPerS": lambda s: s.platform_rate,
-    "timingTerms.ruleBounds.revocationMs": lambda s: s.revocation,
-    "timingTerms.ruleBounds.gracePeriodS": lambda s: s.grace,
-    "timingTerms.ruleBounds.ttl_max_s": lambda s: s.lifetime,
-    "timingTerms.ruleBounds.retryBudgetRatio": lambda s: s.rule.retry_ratio,
-    "timingTerms.ruleBounds.budgetSlack": lambda s: s.rule.retry_slack,
-    "timingTerms.ruleBounds.budgetWindowS": lambda s: s.rule.retry_window,
-    "timingTerms.ruleBounds.quotaWindowS": lambda s: s.rule.quota.span,
-    "timingTerms.ruleBounds.quotaOverage": lambda s: s.rule.quota.overage,
-    "timingTerms.ruleBounds.quotaSlack": lambda s: s.rule.quota.slack,
+    "timingTerms.ruleBounds.revocationMs": lambda s: s.revocation_time,
+    "timingTerms.ruleBounds.gracePeriodS": lambda s: s.grace_period,
+    "timingTerms.ruleBounds.ttl_max_s": lambda s: s.max_lookup_lifetime,
+    "timingTerms.ruleBounds.retryBudgetRatio": lambda s: s.shared_limits.retry_ratio,
+    "timingTerms.ruleBounds.budgetSlack": lambda s: s.shared_limits.retry_slack,
+    "timingTerms.ruleBounds.budgetWindowS": lambda s: s.shared_limits.retry_window,
+    "timingTerms.ruleBounds.quotaWindowS": lambda s: s.shared_limits.quota.span,
+    "timingTerms.ruleBounds.quotaOverage": lambda s: s.shared_limits.quota.overage,
+    "timingTerms.ruleBounds.quotaSlack": lambda s: s.shared_limits.quota.slack,
     "timingTerms.ruleBounds.drainCutoffMs": lambda s: s.invariants.drain_cutoff,
     "timingTerms.ruleBounds.inTouchMs": lambda s: s.invariants.in_touch,
 }
@@ -96,61 +105,70 @@
     for piece, other in changes:
         text = text.replace(piece, other) if piece else text + other
     with pytest.raises(SettingsError) as caught:
-        parse(text)
+        parse_settings(text)
     return f"{caught.value.code}: {caught.value}"
 
 
 def settings() -> Record:
     text = (FOLDER / "boot.conf").read_text()
-    whole = load(str(FOLDER / "boot.conf"))
-    assert whole == parse(text)
+    whole = load_settings(str(FOLDER / "boot.conf"))
+    assert whole == parse_settings(text)
     optional = re.compile(r"timingTerms|thisDoor\.(limits|firstStart|data|loss)|network\.seed|.*requestsPerS")
-    least = parse("\n".join(line for line in text.splitlines() if not optional.match(line)))
+    least = parse_settings("\n".join(line for line in text.splitlines() if not optional.match(line)))
     return {
         "whole": {name: value(whole) for name, value in SETTINGS.items()},
         "defaults": {name: value(least) for name, value in SETTINGS.items()},
-        "closedRevocation=false": parse(text.replace("Revocation=true", "Revocation=false")).revocation,
+        "closedRevocation=false": parse_settings(
+            text.replace("Revocation=true", "Revocation=false")
+        ).revocation_time,
         "errors": {name: settings_error(changes) for name, changes in CASES["settings"].items()},
     }
 
 
+# by the name in the recorded cases
+FIELDS_OF_OUTCOMES = {"good": "succeeded", "why": "reason", "word": "configuration"}
+
+
 async def answers() -> Record:
     text = (FOLDER / "boot.conf").read_text().replace("dataDirectory=/data/my-edge", "dataDirectory=")
     document = (FOLDER / "document.json").read_text()
-    node: Any = Door(parse(text))  # it is never started: what time and peers decide is given
-    node.core, node.ready = node.make_core({}, False), lambda: True
-    node.lookup = lambda region: ["10.1.0.13:8388", "10.2.0.13:8388"] if region == "zapad" else []
+    process: Any = NodeProcess(
+        parse_settings(text)
+    )  # it is never started: what time and peers decide is given
+    process.node, process.is_ready = process.make_node({}, False), lambda: True
+    process.lookup = lambda region: ["10.1.0.13:8388", "10.2.0.13:8388"] if region == "zapad" else []
     orders: list[list[Any]] = []
 
     def order(kind: str, *about: Any) -> list[Any]:
         orders.append([kind, *(one for one in about if isinstance(one, str | bool))])
         return []
 
-    core: Any = SimpleNamespace(
-        **{kind: partial(order, kind) for kind in ("put", "read", "evacuate", "retire")}
-    )
-    node.calls = OperatorCalls(lambda: 0.0, lambda: core, lambda: None, lambda deeds: None)
+    methods = {"put_configuration": "put", "read_configuration": "read", "set_evacuation": "evacuate"}
+    methods["retire_member"] = "retire"
+    node: Any = SimpleNamespace(**{name: partial(order, kind) for name, kind in methods.items()})
+    process.operator_calls = OperatorCalls(lambda: 0.0, lambda: node, lambda: None, lambda deeds: None)
 
     def call(request: str, roles: list[str], end: Record) -> str:
-        desk = Desk(Address("127.0.0.1", 0), node, frozenset(roles))
+        api = HttpApi(Address("127.0.0.1", 0), process, frozenset(roles))
         body = request.partition("\r\n\r\n")[2].replace("<document>", document)
         request = request.replace("<document>", document).replace("<length>", str(len(body)))
         ended: Record = {"good": True, "word": pack(document.encode())} | end
-        transport = exchange(Caller(desk), request.encode())
-        for token in list(node.calls.replies):
-            node.calls.done(Done(token, **ended))
-        desk.close()
+        outcome = {FIELDS_OF_OUTCOMES.get(key, key): value for key, value in ended.items()}
+        transport = exchange(ApiConnection(api), request.encode())
+        for token in list(process.operator_calls.replies):
+            process.operator_calls.on_outcome(ProposalOutcome(token, **outcome))
+        api.close()
         return transport.sent.decode()
 
     found: Record = {}
     for name, case in CASES["answers"].items():
         found[name] = call(case["request"], case["roles"], case.get("end", {}))
     found["orders"] = orders
-    node.ready = lambda: False
-    node.forager.ends["quota"] = node.core.dropped["dance"] = node.supervisor.failures["tick"] = 1
-    node.list_reader.read_at = 0.0
+    process.is_ready = lambda: False
+    process.router.ends["quota"] = process.node.dropped["dance"] = process.supervisor.failures["tick"] = 1
+    process.list_reader.read_at = 0.0
     server = ServerEntry("s-1", "10.1.0.9:80", "nitra-hall", True, 4, "v1")
-    node.core.registry.tables["shop"] = ServiceTable(3, {"s-1": server})
+    process.node.registry.tables["shop"] = ServiceTable(3, {"s-1": server})
     varying = re.compile(r'("freshForS": |Content-Length: |(?m:^hazelspring_\S+ ))[^,\r\n]+')
     for name in ("readiness", "status", "metrics"):
         answer = call(f"GET /-/{name} HTTP/1.1\r\nHost: x\r\n\r\n", [], {})
@@ -187,16 +205,16 @@
         """What servers are sent, listed and no longer listed, the request's terms, and what its client is."""
         sent.clear()
         text = re.sub(r"<(\d+)>", lambda size: "y" * int(size[1]), CASES["traffic"][name])
-        answered = exchange(Visitor(front), text.encode()).sent.decode()
+        answered = exchange(ClientConnection(front), text.encode()).sent.decode()
         return [one.replace("y" * 1000, "<1000>") for one in (*sent, answered)]
 
     fleet = SimpleNamespace(servers={1: SimpleNamespace(id="shop-7")})
     host: Any = SimpleNamespace(counts=Counts(), request=request, gateway=SimpleNamespace(fleet=fleet))
     host.whole = host.left = lambda request: None
     fresh = True
-    front = Front(Address("127.0.0.1", 0), host, 999, lambda: fresh)
+    front = ClientListener(Address("127.0.0.1", 0), host, 999, lambda: fresh)
     found: Record = {"list": await list_requests(), "no configuration": ask("keyed get")}
-    front.take_word(read((FOLDER / "document.json").read_bytes()))
+    front.use_configuration(parse_configuration((FOLDER / "document.json").read_bytes()))
     found |= {name: ask(name) for name in CASES["traffic"]}
     fresh = False
     found |= {f"{name}, not fresh": ask(name) for name in ("no route", "no key", "keyed get")}
@@ -207,15 +225,17 @@
 def heads() -> Record:
     """Answers to clients, on connections that are kept or closed."""
     served = b"content-type: text/x\r\nx-hazelspring-attempt-id: try-1\r\nx-hazelspring-server-seal: s\r\n"
-    finals: dict[str, Answer] = {str(status): Final(status) for status in (401, 404, 500, 502, 504, 299)}
-    finals |= {"200": Final(200, b"body", headers=served), "429": Final(429, retry_after=1.23456)}
-    finals |= {"503": Final(503, retry_after=0.25), "503 soon": Final(503, retry_after=1e-9)}
+    finals: dict[str, Answer] = {
+        str(status): FinalAnswer(status) for status in (401, 404, 500, 502, 504, 299)
+    }
+    finals |= {"200": FinalAnswer(200, b"body", headers=served), "429": FinalAnswer(429, retry_after=1.23456)}
+    finals |= {"503": FinalAnswer(503, retry_after=0.25), "503 soon": FinalAnswer(503, retry_after=1e-9)}
     finals["400 plain"] = Answer(400, b"malformed request\n")
     found: Record = {}
     for close in (False, True):
         found |= {f"{name}, closes {close}": encode(one, close).decode() for name, one in finals.items()}
         for length, chunked in ((70000, False), (None, True), (None, False)):
-            flow = Stream(length, b"", cast(Any, None), served, 200)
+            flow = UpstreamStream(length, b"", cast(Any, None), served, 200)
             found[f"flow {length} {chunked}, closes {close}"] = flow_head(flow, chunked, close).decode()
     return found
 
@@ -278,45 +298,48 @@
 
 def route_fields(route: Route) -> Record:
     return {
-        "name": route.name, "hostName": route.host, "pathPrefix": route.prefix, "routeKind": route.kind,
-        "timeoutMs": route.timeout, "targetAnswerMs": route.aim, "priority": route.priority,
-        "weightedSplit": [list(part) for part in route.split], "shareWeight=0": list(route.idle),
-        "maximumAttempts": route.attempts, "openAccess": route.open, "homeRegions": sorted(route.homes),
-        "repeatable": route.repeatable,
+        "name": route.name, "hostName": route.host, "pathPrefix": route.path_prefix, "routeKind": route.kind,
+        "timeoutMs": route.timeout, "targetAnswerMs": route.latency_target, "priority": route.priority,
+        "weightedSplit": [list(part) for part in route.weighted_services],
+        "shareWeight=0": list(route.zero_weight_services),
+        "maximumAttempts": route.max_attempts, "openAccess": route.open_access,
+        "homeRegions": sorted(route.home_regions),
+        "repeatable": route.idempotent,
     }  # fmt: skip
 
 
 def configuration() -> Record:
     text = (FOLDER / "document.json").read_text()
-    assert check(text.encode()) == 12
-    tables = read(text.encode())
+    assert validate_configuration(text.encode()) == 12
+    tables = parse_configuration(text.encode())
     limits, errors = tables.limits, {}
     for name, (piece, other) in CASES["invalid"].items():
         assert piece in text, name
-        with pytest.raises(Invalid) as caught:
-            check(text.replace(piece, other, 1).encode())
+        with pytest.raises(InvalidConfigurationError) as caught:
+            validate_configuration(text.replace(piece, other, 1).encode())
         errors[name] = f"{caught.value.code}: {caught.value}"
     return {
-        "versionNumber": tables.number,
+        "versionNumber": tables.version,
         "routeTable": {host: [route_fields(one) for one in routes] for host, routes in tables.routes.items()},
         "serviceTable": {
             name: {
-                "name": one.name, "healthPath": one.health, "connectionLimit": one.connections,
-                "coldStartS": one.cold_time, "coldPerS": one.cold_rate,
+                "name": one.name, "healthPath": one.health_path, "connectionLimit": one.connection_limit,
+                "coldStartS": one.slow_start_time, "coldPerS": one.slow_start_rate,
             }
             for name, one in tables.services.items()
         },
         "tenantTable": {
             name: {
                 "name": one.name, "requestsPerS": one.rate, "burstSize": one.burst,
-                "priority": one.priority, "homeRegions": sorted(one.homes),
+                "priority": one.priority, "homeRegions": sorted(one.home_regions),
             }
             for name, one in tables.tenants.items()
         },
         "accessKeys": {key: tenant.name for key, tenant in tables.keys.items()},
         "limits": {
-            "headerBytes": limits.head, "bodyBytes": limits.body, "headerTimeoutMs": limits.head_time,
-            "idleTimeoutMs": limits.idle, "entries": tables.bounds,
+            "headerBytes": limits.max_head_bytes, "bodyBytes": limits.max_body_bytes,
+            "headerTimeoutMs": limits.head_timeout,
+            "idleTimeoutMs": limits.idle_timeout, "entries": tables.limits_entries,
         },
         "errors": errors,
     }  # fmt: skip
--- a/tests/test_ill_servers.py
+++ b/tests/test_ill_servers.py
@@ -16,12 +16,18 @@
 
 import pytest
 
-from hazelspring.daemon.client_listener import Carrier
-from hazelspring.daemon.upstream_servers import Servers
-from hazelspring.localfleet.stand_ins import Server, serve
+from hazelspring.daemon.client_listener import RouterHost
+from hazelspring.daemon.upstream_servers import UpstreamServers
+from hazelspring.localfleet.stand_ins import StandInServer, serve
 from hazelspring.registry.tables import server_tag
-from hazelspring.routing.endpoints import Fleet
-from hazelspring.routing.request_router import Asked, Forager, Leave, Rule, Tick
+from hazelspring.routing.endpoints import EndpointSet
+from hazelspring.routing.request_router import (
+    AbandonAttempt,
+    RequestArrived,
+    RequestRouter,
+    SharedLimits,
+    TimerTick,
+)
 from ivymux.config import parse_address
 from ivymux.host import Answer
 from ivymux.metrics import Counts
@@ -55,18 +61,18 @@
         self.sent: dict[int, Counter[str]] = {n: Counter() for n in range(len(doors))}
         self.asked, self.served = Counter[int](), Counter[int]()
         self.live: dict[tuple[int, int], tuple[str, float]] = {}
-        self.doors: list[Forager] = []
+        self.doors: list[RequestRouter] = []
         for n, zone in enumerate(doors):
-            door = Forager(Rule(), Fleet(zone, zone[0], ZONES, random.Random(n)), n)
-            door.take_word(WORD)
-            door.fresh_until, door.doors = 1e9, len(doors)
+            door = RequestRouter(SharedLimits(), EndpointSet(zone, zone[0], ZONES, random.Random(n)), n)
+            door.use_configuration(WORD)
+            door.fresh_until, door.node_count = 1e9, len(doors)
             self.doors.append(door)
             self.at(self.dice.random() * TICK, "tick", n)
         self.listed()
 
     def listed(self) -> None:
         for door in self.doors:
-            door.listed(self.now, "shop", servers(*self.names))
+            door.update_endpoints(self.now, "shop", servers(*self.names))
 
     def at(self, when: float, *act: Any) -> None:
         heapq.heappush(self.heap, (when, next(self.order), act))
@@ -93,14 +99,14 @@
         self.asked[n] += 1
         route = WORD.route("h", "/r/1" if number % 2 else "/w/1")
         assert route is not None
-        self.act(n, self.doors[n].handle(self.now, Asked(number, route, WORD.tenants["free"], 4.0)))
+        self.act(n, self.doors[n].handle(self.now, RequestArrived(number, route, WORD.tenants["free"], 4.0)))
 
     def tick(self, n: int) -> None:
-        outs = self.doors[n].fleet.outs()
+        outs = self.doors[n].fleet.in_flight_by_tag()
         for other in self.doors:
             if other is not self.doors[n]:
-                other.fleet.danced(self.now, f"d{n}", outs)
-        self.act(n, self.doors[n].handle(self.now, Tick()))
+                other.fleet.on_load_report(self.now, f"d{n}", outs)
+        self.act(n, self.doors[n].handle(self.now, TimerTick()))
         self.at(self.now + TICK, "tick", n)
 
     def act(self, n: int, actions: list[Any]) -> None:
@@ -116,9 +122,9 @@
                 took *= failing if isinstance(failing, float) else 1.0
                 how = (end_of(failing), failing) if isinstance(failing, Outcome) else (took, Outcome.OK)
                 self.at(self.now + how[0], "end", n, action.request, action.backend, self.now, how[1])
-            elif isinstance(action, Leave):
+            elif isinstance(action, AbandonAttempt):
                 name, since = self.live[n, action.request]
-                backend = self.doors[n].fleet.named[server_tag(name)].number
+                backend = self.doors[n].fleet.servers_by_tag[server_tag(name)].number
                 self.end(n, action.request, backend, since, Outcome.TIMEOUT)
 
     def end(self, n: int, request: int, backend: int, since: float, outcome: Outcome) -> None:
@@ -213,7 +219,7 @@
 
 
 @contextlib.asynccontextmanager
-async def standing(server: Server) -> AsyncIterator[str]:
+async def standing(server: StandInServer) -> AsyncIterator[str]:
     async with listening(lambda reader, writer: serve(server.handle, reader, writer)) as address:
         yield address
 
@@ -222,16 +228,16 @@
     """A door's way to servers, over real connections; `stands` are what listens at their addresses."""
 
     def __init__(self, addresses: list[str]) -> None:
-        fleet = Fleet("a1", "a", ZONES, random.Random(1))
-        self.forager = Forager(Rule(), fleet, 1)
-        self.forager.take_word(WORD)
+        fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
+        self.forager = RequestRouter(SharedLimits(), fleet, 1)
+        self.forager.use_configuration(WORD)
         self.forager.fresh_until = 1e12
         listed = [replace(s, address=a) for s, a in zip(servers("a1-0", "a1-1"), addresses, strict=False)]
-        self.forager.listed(0.0, "shop", listed)
-        self.servers = Servers(3.0, 9.0, 100, Counts())  # however busy the machine is
+        self.forager.update_endpoints(0.0, "shop", listed)
+        self.servers = UpstreamServers(3.0, 9.0, 100, Counts())  # however busy the machine is
         for server in fleet.servers.values():
             self.servers.place(server.number, parse_address(server.address), 0.0)
-        self.carrier = Carrier(self.forager, self.servers, Counts(), lambda call: None)
+        self.carrier = RouterHost(self.forager, self.servers, Counts(), lambda call: None)
         self.answers: dict[str, int] = {}
 
     async def ask(self, name: str, path: str) -> int:
@@ -249,7 +255,7 @@
             self.answers[name] = answer.status
 
         def make(request: int) -> Any:
-            return Asked(request, found, WORD.tenants["free"], 4.0)
+            return RequestArrived(request, found, WORD.tenants["free"], 4.0)
 
         caller = cast(Any, SimpleNamespace(reply=reply))
         self.carrier.request(make, route.kind, 4.0, payload, caller, mark=name.encode())
@@ -267,7 +273,7 @@
 
 
 def test_an_address_that_went_to_another_service_runs_nothing_of_the_old_one() -> None:
-    other, own = (Server(name, "x", "", "a1", work=0.0) for name in ("i-late", "a1-1"))
+    other, own = (StandInServer(name, "x", "", "a1", work=0.0) for name in ("i-late", "a1-1"))
 
     async def play() -> None:
         async with standing(other) as taken, standing(own) as kept:
@@ -280,7 +286,9 @@
 
 
 def test_health_answers_are_not_asked_for_so_that_false_ones_change_nothing() -> None:
-    liar, own = (Server(name, "x", "", "a1", work=0.0, well=name != "a1-0") for name in ("a1-0", "a1-1"))
+    liar, own = (
+        StandInServer(name, "x", "", "a1", work=0.0, well=name != "a1-0") for name in ("a1-0", "a1-1")
+    )
 
     async def play() -> None:
         async with standing(liar) as one, standing(own) as other:
--- a/tests/test_list_duty.py
+++ b/tests/test_list_duty.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from hazelspring.node.actions import Deed, Poll
+from hazelspring.node.actions import Action, ReadList
 from hazelspring.node.invariants import LIST_KNOWN, LIST_READ
-from hazelspring.node.node import Core, Start
-from hazelspring.registry.list_reader_role import LIST, MAX_TIMEOUT, ListDuty, ListTiming
+from hazelspring.node.node import Node, NodeStart
+from hazelspring.registry.list_reader_role import LIST_READER, MAX_TIMEOUT, ListReaderRole, ListTiming
 
 from .world import World
 
@@ -27,29 +27,31 @@
         self.reads: list[str] = []
         super().__init__(core, others, seed)
 
-    def deeds(self, name: str, deeds: list[Deed]) -> None:
+    def deeds(self, name: str, deeds: list[Action]) -> None:
         core = self.doors[name].core
         assert core is not None
-        polls = [deed for deed in deeds if isinstance(deed, Poll)]
+        polls = [deed for deed in deeds if isinstance(deed, ReadList)]
         self.reads += [name for _ in polls]
         if name in self.stuck | self.cut_off:
-            deeds = [deed for deed in deeds if not isinstance(deed, Poll)]
+            deeds = [deed for deed in deeds if not isinstance(deed, ReadList)]
         for poll in polls if name in self.cut_off else ():
-            self.at(self.now + core.list_duty.timing.timeout, partial(self.fail, name, core, poll.number))
+            self.at(
+                self.now + core.list_reader_role.timing.timeout, partial(self.fail, name, core, poll.number)
+            )
         super().deeds(name, deeds)
 
-    def fail(self, name: str, core: Core, number: int) -> None:
+    def fail(self, name: str, core: Node, number: int) -> None:
         def failed() -> None:
-            self.deeds(name, core.listed(self.now, int(self.now * 1000), None, number))
+            self.deeds(name, core.on_list_read(self.now, int(self.now * 1000), None, number))
 
         self.unless_frozen(name, core, failed)
 
-    def make(self, start: Start) -> Core:
+    def make(self, start: NodeStart) -> Node:
         start.bounds = replace(start.bounds, drain_cutoff=self.cutoff)
         return super().make(start)
 
     def reader(self) -> str:
-        (found,) = [name for name in self.up() if self.holds(name, LIST)]
+        (found,) = [name for name in self.up() if self.holds(name, LIST_READER)]
         return found
 
     def drain(self) -> None:
@@ -125,12 +127,12 @@
     core = world.doors[reader].core
     assert core is not None
     world.stuck = {reader}
-    late = core.list_duty.number
+    late = core.list_reader_role.number
     old = world.listing
     world.run(4.0)
     world.drain()
     world.run(DRAIN_CUTOFF)
-    assert core.listed(world.now, int(world.now * 1000) + 10_000, old, late) == []
+    assert core.on_list_read(world.now, int(world.now * 1000) + 10_000, old, late) == []
     assert world.unaware() == []
 
 
@@ -158,7 +160,7 @@
 def test_the_invariants_bite_where_a_holder_that_reads_nothing_keeps_the_duty(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(ListDuty, "must_decline", lambda duty, now: False)
+    monkeypatch.setattr(ListReaderRole, "must_decline", lambda duty, now: False)
     world = ListWorld(4, 3)
     world.run(8.0)
     assert not world.breaches
@@ -182,7 +184,7 @@
         assert not world.breaches
 
 
-def cores(world: World) -> list[Core]:
+def cores(world: World) -> list[Node]:
     return [door.core for door in world.doors.values() if door.core is not None]
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -15,19 +15,19 @@
 import pytest
 
 from hazelspring.cli.__main__ import main as hazelspringctl
-from hazelspring.cli.control_client import OrderError, once, order
+from hazelspring.cli.control_client import CallError, call_once, call_until_settled
 from hazelspring.localfleet.__main__ import Background
-from hazelspring.localfleet.fleet import KEY, Yard, configuration, free_ports
-from hazelspring.localfleet.stand_ins import Stands
+from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration, free_ports
+from hazelspring.localfleet.stand_ins import StandIns
 
 
 @pytest.fixture(scope="module")
-def yard(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Yard]:
-    made = Yard(tmp_path_factory.mktemp("yard"))
-    background = Background(Stands(made.platform, made.servers))
+def yard(tmp_path_factory: pytest.TempPathFactory) -> Iterator[LocalFleet]:
+    made = LocalFleet(tmp_path_factory.mktemp("yard"))
+    background = Background(StandIns(made.platform, made.servers))
     try:
         made.start_all(first=True)
-        order(made.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
+        call_until_settled(made.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
         made.until(lambda: all(made.ask(n, "GET", "/read/a", f"first-{n}")[0] == 200 for n in range(6)))
         yield made
     finally:
@@ -35,36 +35,38 @@
         background.close()
 
 
-def status(yard: Yard, n: int) -> Any:
+def status(yard: LocalFleet, n: int) -> Any:
     """What a door says of itself; nothing while it does not answer."""
     try:
-        return json.loads(once(yard.controls()[n], "GET", "/-/status", None, 2).body)
+        return json.loads(call_once(yard.controls()[n], "GET", "/-/status", None, 2).body)
     except OSError:
         return {}
 
 
-def number_at(yard: Yard, n: int) -> int:
-    answer = order([yard.controls()[n]], "GET", "/-/configuration")
+def number_at(yard: LocalFleet, n: int) -> int:
+    answer = call_until_settled([yard.controls()[n]], "GET", "/-/configuration")
     return int(json.loads(answer.body)["versionNumber"][1:])
 
 
-def test_a_killed_door_with_a_wiped_disk_catches_up_and_has_its_seat_again(yard: Yard) -> None:
+def test_a_killed_door_with_a_wiped_disk_catches_up_and_has_its_seat_again(yard: LocalFleet) -> None:
     yard.kill(1)
     yard.wipe(1)
-    order([yard.controls()[4]], "PUT", "/-/configuration", configuration(7))
+    call_until_settled([yard.controls()[4]], "PUT", "/-/configuration", configuration(7))
     yard.start(1)
     yard.until(lambda: status(yard, 1).get("member"))
     assert number_at(yard, 1) == 7
     yard.until(lambda: yard.ask(1, "GET", "/read/a", "after-wipe")[0] == 200)
 
 
-def figures(yard: Yard, n: int) -> dict[str, float]:
+def figures(yard: LocalFleet, n: int) -> dict[str, float]:
     """A door's own figures by name and labels."""
-    text = once(yard.controls()[n], "GET", "/-/metrics", None, 2).body.decode()
+    text = call_once(yard.controls()[n], "GET", "/-/metrics", None, 2).body.decode()
     return {name: float(value) for name, value in (line.rsplit(" ", 1) for line in text.splitlines())}
 
 
-def test_the_metrics_name_the_one_reader_of_the_list_and_what_each_door_knows_of_servers(yard: Yard) -> None:
+def test_the_metrics_name_the_one_reader_of_the_list_and_what_each_door_knows_of_servers(
+    yard: LocalFleet,
+) -> None:
     def readers() -> list[dict[str, float]]:
         """Those that have the duty and have read the list: one that has just taken it has yet to."""
         found = [figures(yard, n) for n in range(6)]
@@ -87,24 +89,24 @@
 ) -> None:
     (wanted,) = free_ports(1)
     program = ("-m", "hazelspring.daemon", "serve", "--metrics-port", str(wanted))
-    yard = Yard(tmp_path, core=1, others=1, servers=1, program=program, nth=5)
-    background = Background(Stands(yard.platform, yard.servers))
+    yard = LocalFleet(tmp_path, core=1, others=1, servers=1, program=program, nth=5)
+    background = Background(StandIns(yard.platform, yard.servers))
     with socket.socket() as taken:
         taken.bind((yard.ips[1], wanted))
         taken.listen()
         try:
             yard.start_all(first=True)
-            order(yard.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
+            call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
             yard.until(lambda: yard.is_ready(0) and yard.is_ready(1))
-            found = once(f"{yard.ips[0]}:{wanted}", "GET", "/-/metrics", None, 2)
+            found = call_once(f"{yard.ips[0]}:{wanted}", "GET", "/-/metrics", None, 2)
             assert found.status == 200 and b"hazelspring_list_reader 1" in found.body
-            assert once(f"{yard.ips[0]}:{wanted}", "PUT", "/-/configuration", b"", 2).status == 405
+            assert call_once(f"{yard.ips[0]}:{wanted}", "PUT", "/-/configuration", b"", 2).status == 405
         finally:
             yard.close()
             background.close()
 
 
-def test_a_disk_that_cannot_be_read_is_not_taken_for_an_empty_one(yard: Yard) -> None:
+def test_a_disk_that_cannot_be_read_is_not_taken_for_an_empty_one(yard: LocalFleet) -> None:
     yard.until(lambda: status(yard, 1).get("member"))
     before = status(yard, 1)["version"]
     file = yard.folder / "door-2" / "comb.sqlite"
@@ -120,32 +122,32 @@
     assert status(yard, 1)["version"] == before  # its seat is its own still: nothing had to be agreed on
 
 
-def test_all_processes_are_killed_at_once_and_nothing_is_lost(yard: Yard) -> None:
-    order(yard.controls(), "PUT", "/-/configuration", configuration(9))
-    order(yard.controls(), "POST", "/-/evacuation/south-1")
+def test_all_processes_are_killed_at_once_and_nothing_is_lost(yard: LocalFleet) -> None:
+    call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(9))
+    call_until_settled(yard.controls(), "POST", "/-/evacuation/south-1")
     for n in range(6):
         yard.kill(n)
     yard.start_all()
     yard.until(lambda: all(yard.is_ready(n) for n in range(6)))
     said = status(yard, 5)
     assert said["configuration"] == 9 and said["closedZones"] == ["south-1"]
-    order(yard.controls(), "DELETE", "/-/evacuation/south-1")
+    call_until_settled(yard.controls(), "DELETE", "/-/evacuation/south-1")
     yard.until(lambda: all(yard.ask(n, "GET", "/read/a", f"back-{n}")[0] == 200 for n in range(6)))
 
 
-def test_a_door_that_was_stopped_lets_no_key_in_that_went_meanwhile(yard: Yard) -> None:
-    order(yard.controls(), "PUT", "/-/configuration", configuration(11, keys=(KEY, "leaving")))
+def test_a_door_that_was_stopped_lets_no_key_in_that_went_meanwhile(yard: LocalFleet) -> None:
+    call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(11, keys=(KEY, "leaving")))
     yard.until(lambda: yard.ask(5, "GET", "/read/a", "before", "leaving")[0] == 200)
     process = yard.processes[5]
     process.send_signal(signal.SIGSTOP)
-    order(yard.controls()[:5], "PUT", "/-/configuration", configuration(12))
+    call_until_settled(yard.controls()[:5], "PUT", "/-/configuration", configuration(12))
     yard.until(lambda: all(yard.ask(n, "GET", "/read/a", f"gone-{n}", "leaving")[0] == 401 for n in range(5)))
     process.send_signal(signal.SIGCONT)
     yard.until(lambda: yard.ask(5, "GET", "/read/a", "after", "leaving")[0] == 401)
     assert yard.ask(5, "GET", "/read/a", "after", KEY)[0] == 200
 
 
-def test_a_write_whose_answer_is_lost_runs_once_and_gets_no_promise(yard: Yard) -> None:
+def test_a_write_whose_answer_is_lost_runs_once_and_gets_no_promise(yard: LocalFleet) -> None:
     for server in yard.servers:
         server.cut = True
     found, _ = yard.ask(0, "POST", "/write/a", "lost-1")
@@ -155,14 +157,14 @@
     assert sum(server.ran["lost-1"] for server in yard.servers) == 1
 
 
-def raw(yard: Yard, n: int, *lines: str) -> int:
+def raw(yard: LocalFleet, n: int, *lines: str) -> int:
     """The status that a request of these lines gets."""
     with socket.create_connection((yard.ips[n], yard.front), 5) as wire:
         wire.sendall("\r\n".join((*lines, "Connection: close", "", "")).encode())
         return int(wire.makefile("rb").readline().split()[1])
 
 
-def test_what_goes_on_to_a_server_and_what_does_not(yard: Yard) -> None:
+def test_what_goes_on_to_a_server_and_what_does_not(yard: LocalFleet) -> None:
     good = ("Host: shop.example:80", "X-Hazelspring-Attempt-Id: raw-1", f"Authorization: Bearer {KEY}")
     forged = (
         "X-Hazelspring-Tenant-Name: other",
@@ -185,7 +187,7 @@
     assert raw(yard, 0, "GET /read/a HTTP/1.1", *good, "X-Big: " + "x" * 20_000) == 431
 
 
-def test_a_door_leaves_in_order_and_answers_what_it_holds(yard: Yard) -> None:
+def test_a_door_leaves_in_order_and_answers_what_it_holds(yard: LocalFleet) -> None:
     process = yard.processes[4]
     process.send_signal(signal.SIGTERM)
     yard.until(lambda: not yard.is_ready(4))
@@ -195,7 +197,9 @@
     yard.until(lambda: yard.is_ready(4))
 
 
-def test_what_a_server_is_at_work_on_when_its_door_is_stopped_is_answered_and_runs_once(yard: Yard) -> None:
+def test_what_a_server_is_at_work_on_when_its_door_is_stopped_is_answered_and_runs_once(
+    yard: LocalFleet,
+) -> None:
     for server in yard.servers:
         server.work = 2.0  # longer than the door listens on
     found: list[tuple[int, bytes]] = []
@@ -217,7 +221,7 @@
     yard.until(lambda: yard.is_ready(4))
 
 
-def test_a_stopped_door_ends_only_when_its_last_answer_has_been_read(yard: Yard) -> None:
+def test_a_stopped_door_ends_only_when_its_last_answer_has_been_read(yard: LocalFleet) -> None:
     for server in yard.servers:
         server.bulk = 100_000
     with socket.socket() as wire:
@@ -247,7 +251,7 @@
     yard.until(lambda: yard.is_ready(4))
 
 
-def test_settings_are_read_again_with_and_without_a_signal(yard: Yard) -> None:
+def test_settings_are_read_again_with_and_without_a_signal(yard: LocalFleet) -> None:
     log, path = yard.folder / "door-6.log", yard.folder / "door-6.conf"
     text = path.read_text()
     seeds = f"network.seedNodes={yard.controls()[3]}"
@@ -260,7 +264,7 @@
     assert yard.ask(5, "GET", "/read/a", "after-settings")[0] == 200
 
 
-def test_the_operators_client(yard: Yard, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_operators_client(yard: LocalFleet, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     doors = [part for door in yard.controls() for part in ("--door", door)]
     good, bad, out = tmp_path / "good.json", tmp_path / "bad.json", tmp_path / "out.json"
     good.write_bytes(configuration(20))
@@ -272,6 +276,6 @@
     assert hazelspringctl([*doors, "evacuate", "nowhere"]) == 1 and "no_such_zone" in capsys.readouterr().err
     yard.until(lambda: hazelspringctl([*doors, "status"]) == 0)
     assert "configuration 20" in capsys.readouterr().out
-    with pytest.raises(OrderError, match="not settled"):
-        order([f"{yard.ips[0]}:1"], "GET", "/-/configuration", patience=0.2)
+    with pytest.raises(CallError, match="not settled"):
+        call_until_settled([f"{yard.ips[0]}:1"], "GET", "/-/configuration", patience=0.2)
     assert os.path.exists(yard.folder / "door-1" / "comb.sqlite")
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -8,29 +8,29 @@
 
 import pytest
 
-from hazelspring.configuration.model import digest
-from hazelspring.consensus.acceptor import Register, load
-from hazelspring.consensus.control_state import LINEAGE, Member, State, lineage
+from hazelspring.configuration.model import configuration_digest
+from hazelspring.consensus.acceptor import Acceptor, load_acceptor
+from hazelspring.consensus.control_state import VERSIONS_PER_LINEAGE, ControlState, Member, lineage
 from hazelspring.consensus.disaster_recovery import (
     Items,
-    Source,
-    Unfit,
-    newest,
-    of_items,
-    of_register,
-    rescued,
+    RecoverySource,
+    UnrecoverableError,
+    newest_items,
+    recovered_acceptor,
+    source_from_acceptor,
+    source_from_items,
 )
 from hazelspring.localfleet.fleet import configuration
-from hazelspring.membership.peer_table import About, Peers
+from hazelspring.membership.peer_table import NodeInfo, PeerTable
 from hazelspring.node.actions import Message, Send
-from hazelspring.node.control_replica import Control
+from hazelspring.node.control_replica import ControlReplica
 
 from .world import World
 
 SEATS = tuple(Member(f"d{n}", "z", "east", n) for n in (1, 2, 3))
 BODY = configuration(7)
 WORD = zlib.compress(BODY, 6)
-HELD = State(4, SEATS, SEATS, 3, 7, digest(BODY), frozenset({"z1"}))
+HELD = ControlState(4, SEATS, SEATS, 3, 7, configuration_digest(BODY), frozenset({"z1"}))
 
 
 # --- doors -----------------------------------------------------------------------------------------------------------
@@ -46,15 +46,15 @@
     return world
 
 
-def rescue(world: World, name: str, source: Source | None = None, size: int = 0) -> None:
+def rescue(world: World, name: str, source: RecoverySource | None = None, size: int = 0) -> None:
     """As the operator does: the door is stopped, its disk gets the new records, the door starts."""
     world.kill(name)
     door = world.doors[name]
     assert door.disk is not None
-    source = source or of_register(load(door.disk.records, 0, False), True)
+    source = source or source_from_acceptor(load_acceptor(door.disk.records, 0, False), True)
     member = Member(name, door.about.zone, door.about.region, world.disk_number())
-    made = rescued(source, member, size, 10**12 + int(world.now * 1000))
-    door.disk.records = {k: body for k, body in made.take_records().items() if body is not None}
+    made = recovered_acceptor(source, member, size, 10**12 + int(world.now * 1000))
+    door.disk.records = {k: body for k, body in made.take_dirty_records().items() if body is not None}
     world.start(name)
 
 
@@ -64,13 +64,13 @@
 
 
 def lineages(world: World) -> set[int]:
-    return {lineage(world.doors[name].core.control.register.version) for name in world.up()}  # type: ignore[union-attr]
+    return {lineage(world.doors[name].core.control.acceptor.version) for name in world.up()}  # type: ignore[union-attr]
 
 
 def seats(world: World, name: str) -> list[str]:
     core = world.doors[name].core
     assert core is not None
-    return [member.ip for member in core.peers.seats]
+    return [member.ip for member in core.peers.members]
 
 
 def test_after_a_majority_of_the_disks_is_lost_no_order_is_taken_until_a_rescue() -> None:
@@ -97,14 +97,18 @@
         world.start(name)
     for _ in range(10):  # the hole
         assert settle(world, world.put("d1", 6), world.read("d2")) == [False, False]
-        assert not any(world.doors[name].core.settled() for name in world.up())  # type: ignore[union-attr]
-    rescue(world, "d4", of_items({"word": ((7, b""), WORD), "zone/z1": ((2, b""), b"1")}), size=4)
+        assert not any(world.doors[name].core.core_agreed() for name in world.up())  # type: ignore[union-attr]
+    rescue(world, "d4", source_from_items({"word": ((7, b""), WORD), "zone/z1": ((2, b""), b"1")}), size=4)
     world.run(2.0)
     assert seats(world, "d6") == ["d1", "d2", "d3", "d4"]
     token = world.read("d1")
     assert settle(world, token) == [True]
     state = world.calls[token].done.state  # type: ignore[union-attr]
-    assert state is not None and (state.number, state.closed, state.size) == (7, frozenset({"z1"}), 4)
+    assert state is not None and (state.configuration_version, state.evacuated_zones, state.target_size) == (
+        7,
+        frozenset({"z1"}),
+        4,
+    )
     assert settle(world, world.put("d2", 8)) == [True] and not world.breaches
 
 
@@ -189,7 +193,7 @@
 def test_without_the_fence_they_would(monkeypatch: pytest.MonkeyPatch) -> None:
     world = parted()
     without_the_state(world, monkeypatch)
-    monkeypatch.setattr(Register, "fenced", lambda self: False)
+    monkeypatch.setattr(Acceptor, "is_superseded", lambda self: False)
     world.breaches.clear()
     world.cut.clear()
     world.run(2.5)
@@ -235,66 +239,80 @@
 # --- the register ----------------------------------------------------------------------------------------------------
 
 
-def held() -> Register:
+def held() -> Acceptor:
     """A member that knows version 4 as decided, and has accepted 5 at a ballot above."""
-    register = Register(2, False)
-    register.stale.add("disk")
+    register = Acceptor(2, False)
+    register.dirty_records.add("disk")
     register.learn((3, 1, "d1"), HELD, WORD)
-    register.accept((9, 1, "d3"), State(5, SEATS, SEATS, 3, 7, digest(BODY)))
+    register.accept((9, 1, "d3"), ControlState(5, SEATS, SEATS, 3, 7, configuration_digest(BODY)))
     return register
 
 
 def test_what_was_accepted_may_have_been_acknowledged_and_is_taken_unless_told_otherwise() -> None:
-    assert of_register(held(), True).state.closed == frozenset()
-    source = of_register(held(), False)
+    assert source_from_acceptor(held(), True).state.evacuated_zones == frozenset()
+    source = source_from_acceptor(held(), False)
     assert source.state == HELD and source.count == 9
-    made = rescued(source, Member("d9", "z", "east", 77), 0, 1000)
+    made = recovered_acceptor(source, Member("d9", "z", "east", 77), 0, 1000)
     state = made.state
-    assert state is not None and (state.number, state.closed, state.size) == (7, frozenset({"z1"}), 3)
-    assert state.members == state.before == (Member("d9", "z", "east", 77),) and made.disk == 77
-    assert (state.version, made.promised[0]) == (1000 * LINEAGE + 5, 10)
-    assert load({k: b for k, b in made.take_records().items() if b is not None}, 0, False).state == state
-    again = rescued(of_register(made, True), Member("d9", "z", "east", 78), 0, 500)  # the clock stands back
+    assert state is not None and (state.configuration_version, state.evacuated_zones, state.target_size) == (
+        7,
+        frozenset({"z1"}),
+        3,
+    )
+    assert state.members == state.previous_members == (Member("d9", "z", "east", 77),) and made.disk_id == 77
+    assert (state.version, made.promised[0]) == (1000 * VERSIONS_PER_LINEAGE + 5, 10)
+    assert (
+        load_acceptor({k: b for k, b in made.take_dirty_records().items() if b is not None}, 0, False).state
+        == state
+    )
+    again = recovered_acceptor(
+        source_from_acceptor(made, True), Member("d9", "z", "east", 78), 0, 500
+    )  # the clock stands back
     assert lineage(again.version) == 1001
-    with pytest.raises(Unfit, match="nothing was agreed on"):
-        of_register(Register(1, True), True)
+    with pytest.raises(UnrecoverableError, match="nothing was agreed on"):
+        source_from_acceptor(Acceptor(1, True), True)
 
 
 def test_a_member_that_adopts_a_rescued_state_voids_what_it_had_accepted_at_a_higher_ballot() -> None:
     """A round takes the value accepted at the highest ballot: the old one would hide what the new core accepts."""
-    register, made = held(), rescued(Source(HELD, WORD), Member("d9", "z", "east", 77), 0, 1000)
+    register, made = (
+        held(),
+        recovered_acceptor(RecoverySource(HELD, WORD), Member("d9", "z", "east", 77), 0, 1000),
+    )
     assert made.decided is not None and made.decided[0] < (9, 1, "d3")
     assert register.learn(*made.decided)
     assert register.accepted == made.decided and register.promised == (9, 1, "d3")
-    assert not register.learn((99, 1, "d1"), State(6, SEATS, SEATS, 3))
+    assert not register.learn((99, 1, "d1"), ControlState(6, SEATS, SEATS, 3))
 
 
-def control(register: Register, ip: str) -> Control:
-    records = {name: body for name, body in register.take_records().items() if body is not None}
-    return Control(0.0, Peers(About(ip, "z", "east", register.disk, 1), 0.0), records, False, [])
+def control(register: Acceptor, ip: str) -> ControlReplica:
+    records = {name: body for name, body in register.take_dirty_records().items() if body is not None}
+    return ControlReplica(
+        0.0, PeerTable(NodeInfo(ip, "z", "east", register.disk_id, 1), 0.0), records, False, []
+    )
 
 
 @pytest.mark.parametrize("kind", ["prepare", "accept"])
 def test_a_round_is_of_one_lineage(kind: str) -> None:
     """A promise to another one's round would tell of what was accepted there, at a ballot that hides what is new."""
-    made = rescued(Source(HELD, WORD), Member("d9", "z", "east", 77), 0, 1000)
+    made = recovered_acceptor(RecoverySource(HELD, WORD), Member("d9", "z", "east", 77), 0, 1000)
     assert made.state is not None and made.decided is not None
     old, new = control(held(), "d2"), control(made, "d9")
-    ask: Message = {"k": kind, "b": [10**9, 1, "d3"], "h": b"", "s": HELD.row()}
-    told = [deed.message for deed in new.heard(1.0, "d3", ask | {"d": 5}) if isinstance(deed, Send)]
-    assert [message["k"] for message in told] == ["decided"] and new.register.accepted == made.decided
-    ask["s"] = made.state.row()
-    told = [d.message for d in old.heard(1.0, "d9", ask | {"d": made.version}) if isinstance(d, Send)]
-    assert [message["k"] for message in told] == ["want"] and old.register.fenced()
-    assert old.heard(1.1, "d3", ask | {"d": 4}) == []  # nor does it vote by what it knows to be over,
-    later = State(6, SEATS, SEATS, 3)
-    old.heard(1.2, "d3", {"k": "decided", "b": [99, 1, "d3"], "s": later.row()})
+    ask: Message = {"k": kind, "b": [10**9, 1, "d3"], "h": b"", "s": HELD.encode()}
+    told = [deed.message for deed in new.on_message(1.0, "d3", ask | {"d": 5}) if isinstance(deed, Send)]
+    assert [message["k"] for message in told] == ["decided"] and new.acceptor.accepted == made.decided
+    ask["s"] = made.state.encode()
+    told = [d.message for d in old.on_message(1.0, "d9", ask | {"d": made.version}) if isinstance(d, Send)]
+    assert [message["k"] for message in told] == ["want"] and old.acceptor.is_superseded()
+    assert old.on_message(1.1, "d3", ask | {"d": 4}) == []  # nor does it vote by what it knows to be over,
+    later = ControlState(6, SEATS, SEATS, 3)
+    old.on_message(1.2, "d3", {"k": "decided", "b": [99, 1, "d3"], "s": later.encode()})
     assert old.state == HELD  # or learn from it
 
 
 def test_of_disks_of_format_1_each_item_is_taken_as_the_highest_stamp_has_it() -> None:
     one: Items = {"word": ((3, b"b"), b"w3"), "zone/a": ((2, b"x"), b"1"), "zone/b": ((1, b"x"), b"1")}
     two: Items = {"word": ((3, b"a"), b"other"), "zone/a": ((2, b"y"), b"0")}
-    assert newest([one, two]) == newest([two, one]) == {**one, "zone/a": ((2, b"y"), b"0")}
-    with pytest.raises(Unfit, match="ever kept"):
-        of_items({})
+    assert newest_items([one, two]) == newest_items([two, one]) == {**one, "zone/a": ((2, b"y"), b"0")}
+    with pytest.raises(UnrecoverableError, match="ever kept"):
+        source_from_items({})
--- a/tests/test_rescue_command.py
+++ b/tests/test_rescue_command.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from hazelspring.configuration.model import digest
-from hazelspring.consensus.acceptor import Register, load
-from hazelspring.consensus.control_state import Member, State
+from hazelspring.configuration.model import configuration_digest
+from hazelspring.consensus.acceptor import Acceptor, load_acceptor
+from hazelspring.consensus.control_state import ControlState, Member
 from hazelspring.consensus.disaster_recovery import Items
 from hazelspring.daemon.__main__ import main
-from hazelspring.storage.offline import item_sum, look
-from hazelspring.storage.replica_store import Store, StoreError
+from hazelspring.storage.offline import inspect_store, item_checksum
+from hazelspring.storage.replica_store import ReplicaStore, StoreError
 
 from .test_rescue import BODY, SEATS, WORD, held
 
@@ -28,7 +28,7 @@
         "create table item (key text primary key, number integer, tie blob, body blob, sum blob);"
         "create table mark (name text primary key, body blob); pragma user_version=1"
     )
-    rows = [(key, n, tie, body, item_sum(key, n, tie, body)) for key, ((n, tie), body) in items.items()]
+    rows = [(key, n, tie, body, item_checksum(key, n, tie, body)) for key, ((n, tie), body) in items.items()]
     base.executemany("insert into item values (?, ?, ?, ?, ?)", rows)
     base.executemany("insert into mark values (?, ?)", [("doors", b"6"), ("voice", b"1")])
     base.commit()
@@ -49,9 +49,9 @@
     return str(path)
 
 
-def store_with(path: Path, register: Register) -> None:
-    store = Store(str(path))
-    store.save({**register.take_records(), "mark doors": b"6"})
+def store_with(path: Path, register: Acceptor) -> None:
+    store = ReplicaStore(str(path))
+    store.save({**register.take_dirty_records(), "mark doors": b"6"})
     store.close()
 
 
@@ -73,13 +73,19 @@
     }
     assert after == before
     assert main(["recover", "--settings", path, "--old-core-is-stopped", "--take", "decided"]) == 0
-    records = look(tmp_path / "disk" / "comb.sqlite").records
-    made = load(records, 0, False)
-    assert made.state is not None and made.state.closed == {"z1"} and made.word() == WORD
-    assert made.state.members == (Member("127.0.0.1", "z", "e", made.disk),) and records["mark doors"] == b"6"
+    records = inspect_store(tmp_path / "disk" / "comb.sqlite").records
+    made = load_acceptor(records, 0, False)
+    assert (
+        made.state is not None
+        and made.state.evacuated_zones == {"z1"}
+        and made.current_configuration() == WORD
+    )
+    assert (
+        made.state.members == (Member("127.0.0.1", "z", "e", made.disk_id),) and records["mark doors"] == b"6"
+    )
     (kept,) = (tmp_path / "disk").glob("comb.sqlite.before-*")
-    assert look(kept).records == {**held().take_records(), "mark doors": b"6"}
-    assert Store(str(tmp_path / "disk")).load() == records
+    assert inspect_store(kept).records == {**held().take_dirty_records(), "mark doors": b"6"}
+    assert ReplicaStore(str(tmp_path / "disk")).load() == records
 
 
 def test_the_command_puts_disks_of_format_1_together(
@@ -87,7 +93,7 @@
 ) -> None:
     path, files = settings(tmp_path), []
     disks: list[Items] = [
-        {"word": ((7, digest(BODY)), WORD), "zone/z1": ((1, b"a"), b"1")},
+        {"word": ((7, configuration_digest(BODY)), WORD), "zone/z1": ((1, b"a"), b"1")},
         {"word": ((6, b"6"), b"old"), "zone/z1": ((2, b"a"), b"0"), "zone/z2": ((1, b"a"), b"1")},
     ]
     for n, items in enumerate(disks):
@@ -98,9 +104,13 @@
     sure = ["recover", "--settings", path, "--old-core-is-stopped", *files]
     assert main(sure) == 2 and "--size" in capsys.readouterr().err
     assert main([*sure, "--size", "4"]) == 0
-    records = look(tmp_path / "disk" / "comb.sqlite").records
-    state = load(records, 0, False).state
-    assert state is not None and (state.number, state.closed, state.size) == (7, frozenset({"z2"}), 4)
+    records = inspect_store(tmp_path / "disk" / "comb.sqlite").records
+    state = load_acceptor(records, 0, False).state
+    assert state is not None and (state.configuration_version, state.evacuated_zones, state.target_size) == (
+        7,
+        frozenset({"z2"}),
+        4,
+    )
     assert records["mark doors"] == b"6"
 
 
@@ -109,10 +119,10 @@
     tmp_path: Path, damage: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path, file = settings(tmp_path), tmp_path / "disk" / "comb.sqlite"
-    register = held() if damage != "empty" else Register(3, False)
+    register = held() if damage != "empty" else Acceptor(3, False)
     if damage == "body":
         bad = zlib.compress(json.dumps({"versionNumber": "r8"}).encode())
-        register.learn((10, 1, "d1"), State(6, SEATS, SEATS, 3, 8, b"bad"), bad)
+        register.learn((10, 1, "d1"), ControlState(6, SEATS, SEATS, 3, 8, b"bad"), bad)
     store_with(tmp_path / "disk", register)
     base = sqlite3.connect(file)
     if damage == "sum":
@@ -131,4 +141,4 @@
     assert (file.read_bytes() if file.exists() else b"") == before
     if damage in ("foreign", "newer", "none"):
         with pytest.raises(StoreError):
-            look(file)
+            inspect_store(file)
--- a/tests/test_rescue_processes.py
+++ b/tests/test_rescue_processes.py
@@ -11,25 +11,25 @@
 
 import pytest
 
-from hazelspring.cli.control_client import order
-from hazelspring.consensus.acceptor import load
+from hazelspring.cli.control_client import call_until_settled
+from hazelspring.consensus.acceptor import load_acceptor
 from hazelspring.localfleet.__main__ import Background
-from hazelspring.localfleet.fleet import ROOT, Yard, configuration
-from hazelspring.localfleet.stand_ins import Stands
-from hazelspring.storage.offline import look
+from hazelspring.localfleet.fleet import ROOT, LocalFleet, configuration
+from hazelspring.localfleet.stand_ins import StandIns
+from hazelspring.storage.offline import inspect_store
 
 from .callers import number_in, put, read, told
 from .test_rescue_command import format_1
 
 
 @pytest.fixture
-def yard(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Yard]:
-    made = Yard(tmp_path_factory.mktemp("yard"), core=4, others=1)
-    background = Background(Stands(made.platform, made.servers))
+def yard(tmp_path_factory: pytest.TempPathFactory) -> Iterator[LocalFleet]:
+    made = LocalFleet(tmp_path_factory.mktemp("yard"), core=4, others=1)
+    background = Background(StandIns(made.platform, made.servers))
     try:
         made.start_all(first=True)
-        order(made.controls(), "PUT", "/-/configuration", configuration(5), 30.0)
-        order(made.controls(), "POST", "/-/evacuation/south-1", None, 30.0)
+        call_until_settled(made.controls(), "PUT", "/-/configuration", configuration(5), 30.0)
+        call_until_settled(made.controls(), "POST", "/-/evacuation/south-1", None, 30.0)
         whole(made)
         yield made
     finally:
@@ -37,7 +37,7 @@
         background.close()
 
 
-def whole(yard: Yard) -> None:
+def whole(yard: LocalFleet) -> None:
     """All doors are ready, and all that have a disk are members."""
     seats = {yard.ips[n] for n in yard.disks}
     for n in yard.there():
@@ -46,30 +46,33 @@
         yard.until(lambda n=n: told(yard, n).get("member"))
 
 
-def rescue(yard: Yard, n: int, *words: str) -> subprocess.CompletedProcess[str]:
+def rescue(yard: LocalFleet, n: int, *words: str) -> subprocess.CompletedProcess[str]:
     environment = {**os.environ, "HAZELSPRING_SETTINGS": str(yard.settings(n, False))}
     command = [sys.executable, "-m", "hazelspring.daemon", "recover", *words]
     return subprocess.run(command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=20)
 
 
-def unsettled(yard: Yard) -> None:
+def unsettled(yard: LocalFleet) -> None:
     """No door takes an order: each says so, once it has tried for its three seconds."""
     for _ in range(2):
         sent = [put(yard, n, configuration(6)) for n in yard.there()]
         assert [call.end().status for call in sent] == [503] * 5
 
 
-def holds_on(yard: Yard, number: int) -> None:
+def holds_on(yard: LocalFleet, number: int) -> None:
     """The configuration and the closed zone are read back at every door, and orders are taken again."""
     whole(yard)
     for n in yard.there():
         answer = read(yard, n).end()
         assert answer.status == 200 and answer.body == configuration(number)
         assert told(yard, n)["closedZones"] == ["south-1"] and told(yard, n)["lineage"] > 0
-    assert order(yard.controls(), "PUT", "/-/configuration", configuration(number + 2), 20.0).status == 200
+    assert (
+        call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(number + 2), 20.0).status
+        == 200
+    )
 
 
-def test_a_majority_of_the_disks_is_lost_and_the_core_goes_on_from_one(yard: Yard) -> None:
+def test_a_majority_of_the_disks_is_lost_and_the_core_goes_on_from_one(yard: LocalFleet) -> None:
     for n in yard.there():
         yard.kill(n)
     old = yard.folder / "old"
@@ -104,15 +107,15 @@
     assert number_in(read(yard, 1).end()) == 7
 
 
-def test_all_disks_are_of_format_1_and_the_core_goes_on_from_the_newest(yard: Yard) -> None:
+def test_all_disks_are_of_format_1_and_the_core_goes_on_from_the_newest(yard: LocalFleet) -> None:
     for n in yard.there():
         yard.kill(n)
     for n in yard.disks:
-        found = load(look(yard.folder / f"door-{n + 1}" / "comb.sqlite").records, 0, False)
-        word = found.word()
+        found = load_acceptor(inspect_store(yard.folder / f"door-{n + 1}" / "comb.sqlite").records, 0, False)
+        word = found.current_configuration()
         assert found.state is not None and word is not None
         yard.wipe(n)
-        old = {"word": ((5, found.state.digest), word), "zone/south-1": ((1, b"life"), b"1")}
+        old = {"word": ((5, found.state.configuration_digest), word), "zone/south-1": ((1, b"life"), b"1")}
         format_1(yard.folder / f"door-{n + 1}", "comb.sqlite", old if n in (0, 3) else {})
     for n in yard.there():
         yard.start(n)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -7,20 +7,20 @@
 
 import pytest
 
-from hazelspring.membership.peer_table import FAR_GONE, GONE, About, Peers
-from hazelspring.membership.roster import KEPT, Roster, Row, sum_of
-from hazelspring.node.actions import Deed, Save, Send
-from hazelspring.node.node import Core, Start
+from hazelspring.membership.peer_table import FAR_ROSTER_TIMEOUT, ROSTER_TIMEOUT, NodeInfo, PeerTable
+from hazelspring.membership.roster import MAX_REMEMBERED_CHANGES, Roster, RosterRow, rows_checksum
+from hazelspring.node.actions import Action, Save, Send
+from hazelspring.node.node import Node, NodeStart
 
 MEMBER, DOOR = "10.0.0.1", "10.0.0.2"
 
 
-def about(n: int, life: int = 1) -> About:
-    return About(f"10.1.{n >> 8}.{n & 255}", f"zone-{n % 4}", "west" if n % 2 else "east", 0, life)
+def about(n: int, life: int = 1) -> NodeInfo:
+    return NodeInfo(f"10.1.{n >> 8}.{n & 255}", f"zone-{n % 4}", "west" if n % 2 else "east", 0, life)
 
 
-def row(n: int, ready: bool = True, life: int = 1) -> Row:
-    return [*about(n, life).row(), ready]
+def row(n: int, ready: bool = True, life: int = 1) -> RosterRow:
+    return [*about(n, life).encode(), ready]
 
 
 class Pair:
@@ -30,20 +30,22 @@
         self.random, self.lost, self.now = random.Random(seed), lost, 100.0
         self.way: list[tuple[float, str, str, dict[str, Any]]] = []
         self.told: list[str] = []  # how the roster came: s whole, e by what changed
-        self.were: list[list[Row]] = [[]]  # the member's rosters
-        self.cores: dict[str, Core] = {}
+        self.were: list[list[RosterRow]] = [[]]  # the member's rosters
+        self.cores: dict[str, Node] = {}
         for ip, disk in ((MEMBER, 7), (DOOR, 0)):
             self.start(ip, disk, first=True)
         self.run(4.0)
-        assert self.cores[MEMBER].member()
+        assert self.cores[MEMBER].is_core_candidate()
 
     def start(self, ip: str, disk: int, first: bool) -> None:
         records = self.records if not first and disk else {}
         self.records: dict[str, bytes] = records
-        start = Start(About(ip, "zone-0", "east", disk, int(self.now * 1000)), [MEMBER], first, dict(records))
-        self.cores[ip] = Core(self.now, start, 0.2, lambda tenant: 1.0)
+        start = NodeStart(
+            NodeInfo(ip, "zone-0", "east", disk, int(self.now * 1000)), [MEMBER], first, dict(records)
+        )
+        self.cores[ip] = Node(self.now, start, 0.2, lambda tenant: 1.0)
 
-    def do(self, ip: str, deeds: list[Deed]) -> None:
+    def do(self, ip: str, deeds: list[Action]) -> None:
         for deed in deeds:
             if isinstance(deed, Send) and deed.to in self.cores:
                 self.told += [how for how in "se" if deed.message["k"] == "echo" and how in deed.message]
@@ -53,26 +55,29 @@
                         self.way.append((self.now + late, ip, deed.to, deed.message))
             elif isinstance(deed, Save):
                 self.records.update({name: body for name, body in deed.records.items() if body is not None})
-                self.do(ip, self.cores[ip].saved(self.now, deed.serial, True))
+                self.do(ip, self.cores[ip].on_saved(self.now, deed.serial, True))
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds * 20)):
             self.now += 0.05
             for ip, core in self.cores.items():
                 self.do(ip, core.tick(self.now))
-            self.were.append(self.cores[MEMBER].peers.roster)
+            self.were.append(self.cores[MEMBER].peers.roster_rows)
             while due := [each for each in self.way if each[0] <= self.now]:
                 self.way.remove(due[0])
                 _, source, to, message = due[0]
-                self.do(to, self.cores[to].heard(self.now, source, message))
+                self.do(to, self.cores[to].on_message(self.now, source, message))
 
-    def note(self, *rows: Row) -> None:
+    def note(self, *rows: RosterRow) -> None:
         for *who, ready in rows:
-            self.cores[MEMBER].peers.note(self.now, About(*who), ready)
+            self.cores[MEMBER].peers.record_heartbeat(self.now, NodeInfo(*who), ready)
 
     def same(self) -> bool:
         one, other = (self.cores[ip].peers for ip in (MEMBER, DOOR))
-        return one.roster == other.roster and one.roster_sum == other.roster_sum == sum_of(one.roster)
+        return (
+            one.roster_rows == other.roster_rows
+            and one.roster_checksum == other.roster_checksum == rows_checksum(one.roster_rows)
+        )
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -86,13 +91,15 @@
             doors.pop(n, None)
         pair.note(*doors.values())
         pair.run(0.05)
-        assert pair.cores[DOOR].peers.roster in pair.were
+        assert pair.cores[DOOR].peers.roster_rows in pair.were
     assert pair.told.count("e") > 5 and pair.told.count("s") > 1
     pair.lost, pair.way = 0.0, []
-    for _ in range(round(FAR_GONE * 20) + 20):  # and what is left comes as it should, who is gone has left
+    for _ in range(
+        round(FAR_ROSTER_TIMEOUT * 20) + 20
+    ):  # and what is left comes as it should, who is gone has left
         pair.note(*doors.values())
         pair.run(0.05)
-    assert pair.same() and len(pair.cores[DOOR].peers.roster) == len(doors) + 2
+    assert pair.same() and len(pair.cores[DOOR].peers.roster_rows) == len(doors) + 2
 
 
 def test_one_change_among_many_doors_travels_alone() -> None:
@@ -119,59 +126,63 @@
 
 def test_a_door_that_skipped_more_than_is_remembered_is_told_the_whole() -> None:
     roster = Roster()
-    roster.change([], [row(n) for n in range(300)])
-    first = roster.sum
-    for n in range(KEPT):
-        roster.change([], [row(n % 100, ready=False, life=n)])
-    assert roster.since(first) is not None
-    roster.change([], [row(200, ready=False)])
-    assert roster.since(first) is None and roster.since(12345) is None
-    assert len(roster.changes) == KEPT
+    roster.update([], [row(n) for n in range(300)])
+    first = roster.checksum
+    for n in range(MAX_REMEMBERED_CHANGES):
+        roster.update([], [row(n % 100, ready=False, life=n)])
+    assert roster.changes_since(first) is not None
+    roster.update([], [row(200, ready=False)])
+    assert roster.changes_since(first) is None and roster.changes_since(12345) is None
+    assert len(roster.changes) == MAX_REMEMBERED_CHANGES
     for n in range(3):  # and never more rows than the whole has
-        roster.change([], [row(m, life=100 + n) for m in range(0, 300, 2)])
+        roster.update([], [row(m, life=100 + n) for m in range(0, 300, 2)])
     assert sum(len(ips) for _, ips in roster.changes) <= 300
 
 
 def test_a_change_that_does_not_come_to_its_sum_is_not_taken_and_the_whole_is_asked_for() -> None:
     member, door = Roster(), Roster()
-    member.change([], [row(n) for n in range(9)])
-    door.take(member.rows)
+    member.update([], [row(n) for n in range(9)])
+    door.replace(member.rows)
     before = member.rows
-    member.change([about(3).ip], [row(1, ready=False)])
-    change = member.since(door.sum)
+    member.update([about(3).ip], [row(1, ready=False)])
+    change = member.changes_since(door.checksum)
     assert change is not None
-    door.follow([change[0], change[1], change[2], []])
-    assert door.rows == before and door.sum == 0
-    assert member.since(door.sum) is None  # so that it is told the whole
-    door.take(member.rows)
-    door.follow(change)  # late: of rows that it holds no more
-    assert door.rows == member.rows and door.sum == member.sum
+    door.apply_change([change[0], change[1], change[2], []])
+    assert door.rows == before and door.checksum == 0
+    assert member.changes_since(door.checksum) is None  # so that it is told the whole
+    door.replace(member.rows)
+    door.apply_change(change)  # late: of rows that it holds no more
+    assert door.rows == member.rows and door.checksum == member.checksum
 
 
 def test_a_sum_goes_by_rows_and_not_by_how_they_came() -> None:
     rows = sorted(row(n) for n in range(20))
     grown = Roster()
     for each in random.Random(1).sample(rows, 20):
-        grown.change([], [each])
-    assert grown.rows == rows and grown.sum == sum_of(rows)
+        grown.update([], [each])
+    assert grown.rows == rows and grown.checksum == rows_checksum(rows)
     swapped = [row(0, ready=False), row(1), *rows[2:]], [row(0), row(1, ready=False), *rows[2:]]
-    assert sum_of(swapped[0]) != sum_of(swapped[1])
+    assert rows_checksum(swapped[0]) != rows_checksum(swapped[1])
     for whole in (rows[:5], [row(0, life=2), *rows[9:]], [], rows):
-        grown.take(whole)
-        assert grown.rows == whole and grown.sum == sum_of(whole)
-    grown.change([each[0] for each in rows], [])
-    assert grown.rows == [] and grown.sum == 0
+        grown.replace(whole)
+        assert grown.rows == whole and grown.checksum == rows_checksum(whole)
+    grown.update([each[0] for each in rows], [])
+    assert grown.rows == [] and grown.checksum == 0
 
 
 def test_rows_go_after_as_long_a_silence_as_when_all_were_looked_at_each_time() -> None:
-    peers, chance = Peers(About(MEMBER, "zone-0", "east", 7, 1), 0.0), random.Random(3)
-    heard: dict[str, tuple[float, About]] = {}
+    peers, chance = PeerTable(NodeInfo(MEMBER, "zone-0", "east", 7, 1), 0.0), random.Random(3)
+    heard: dict[str, tuple[float, NodeInfo]] = {}
     for step in range(1, 2000):
         now = step * 0.05
         for n in chance.sample(range(30), chance.choice((0, 1, 5))):
             heard[about(n).ip] = now, about(n)
-            peers.note(now, about(n), True)
-        peers.make_roster(now)
-        gone = {ip for ip, (at, a) in heard.items() if now - at > (GONE if a.region == "east" else FAR_GONE)}
+            peers.record_heartbeat(now, about(n), True)
+        peers.update_roster(now)
+        gone = {
+            ip
+            for ip, (at, a) in heard.items()
+            if now - at > (ROSTER_TIMEOUT if a.region == "east" else FAR_ROSTER_TIMEOUT)
+        }
         heard = {ip: of for ip, of in heard.items() if ip not in gone}
-        assert [each[0] for each in peers.roster] == sorted(heard)
+        assert [each[0] for each in peers.roster_rows] == sorted(heard)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -11,9 +11,9 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from hazelspring.membership.rendezvous import shard
-from hazelspring.node.node import SHARDS
-from hazelspring.quota.credits import Granted
-from hazelspring.registry.list_reader_role import LIST
+from hazelspring.node.node import TENANT_SHARDS
+from hazelspring.quota.credits import CreditsGranted
+from hazelspring.registry.list_reader_role import LIST_READER
 
 from .world import Call, Disk, World
 
@@ -40,14 +40,14 @@
     def calls(self, number: int) -> list[Call]:
         return [self.world.calls[token] for token in self.tokens[number]]
 
-    def holder(self, duty: int = LIST) -> str | None:
+    def holder(self, duty: int = LIST_READER) -> str | None:
         return next((name for name in self.world.up() if self.world.holds(name, duty)), None)
 
     def numbers(self) -> dict[str, int]:
         found = {}
         for name in self.world.up():
             core: Any = self.world.doors[name].core
-            found[name] = core.control.state.number if core.control.state is not None else -1
+            found[name] = core.control.state.configuration_version if core.control.state is not None else -1
         return found
 
 
@@ -139,7 +139,7 @@
 
 def cut_off(world: World, name: str, ways: str = "both") -> None:
     for other, door in world.doors.items():
-        if door.about.disk and other != name:
+        if door.about.disk_id and other != name:
             world.cut.add((other, name))
             if ways == "both":
                 world.cut.add((name, other))
@@ -164,10 +164,10 @@
 
 @when("the holder of a tenant's counter is cut off from the core doors alone")
 def counter_cut(stage: Stage) -> None:
-    held = {stage.holder(1 + shard(f"t{n}", SHARDS)): f"t{n}" for n in range(40)}
+    held = {stage.holder(1 + shard(f"t{n}", TENANT_SHARDS)): f"t{n}" for n in range(40)}
     holder = max(name for name in held if name is not None)  # where doors disagree they believe the last name
     stage.tenant = held[holder]
-    for other in [name for name, door in stage.world.doors.items() if door.about.disk and name != holder]:
+    for other in [name for name, door in stage.world.doors.items() if door.about.disk_id and name != holder]:
         stage.world.cut |= {(holder, other), (other, holder)}
     stage.lost = holder
 
@@ -178,13 +178,13 @@
         names = [name for name in stage.world.up() if name != stage.lost]
         for name in names:
             core: Any = stage.world.doors[name].core
-            stage.world.deeds(name, core.lease(stage.world.now, stage.tenant, number, 1.0))
+            stage.world.deeds(name, core.lease_credits(stage.world.now, stage.tenant, number, 1.0))
         stage.world.run(0.3)
         for name in names:
             heard = [
                 deed
-                for deed in stage.world.doors[name].heard
-                if isinstance(deed, Granted) and deed.number == number
+                for deed in stage.world.doors[name].on_message
+                if isinstance(deed, CreditsGranted) and deed.number == number
             ]
             assert len(heard) == 1, name
 
@@ -231,7 +231,7 @@
 
     for n, name in enumerate(world.doors):
         world.at(world.now + n * gap, partial(leave, name))
-    held = dict.fromkeys(range(SHARDS + 1), world.now)
+    held = dict.fromkeys(range(TENANT_SHARDS + 1), world.now)
 
     def look() -> None:
         for duty, since in held.items():
@@ -310,9 +310,9 @@
 def one_of_two(stage: Stage, number: int) -> None:
     ends = [call.done for call in stage.calls(number)]
     assert len(ends) == 2 and all(end is not None for end in ends)
-    assert sorted(end.good for end in ends if end) == [False, True]
-    assert [end.conflict for end in ends if end and not end.good] == [True]
-    assert all(end.state is not None and end.state.number == number for end in ends if end)
+    assert sorted(end.succeeded for end in ends if end) == [False, True]
+    assert [end.conflict for end in ends if end and not end.succeeded] == [True]
+    assert all(end.state is not None and end.state.configuration_version == number for end in ends if end)
 
 
 @then(parsers.parse("the one that was acknowledged is acknowledged again at every door"))
@@ -335,7 +335,7 @@
 @then(parsers.re(r"every door holds the same configuration \d+|all core doors hold the same"))
 def same(stage: Stage) -> None:
     cores: list[Any] = [stage.world.doors[name].core for name in stage.world.up()]
-    assert len({core.control.state.digest for core in cores}) == 1
+    assert len({core.control.state.configuration_digest for core in cores}) == 1
 
 
 @then(parsers.re(r"reading at door (?P<door>\d+) gives (?P<what>nothing|configuration (?P<number>\d+))"))
@@ -351,7 +351,7 @@
 @then(parsers.re(r"door (?P<door>\d+) has (?P<what>no|its) seat"))
 def seat(stage: Stage, door: str, what: str) -> None:
     core: Any = stage.world.doors[f"d{door}"].core
-    assert core.control.seated() is (what == "its")
+    assert core.control.is_member() is (what == "its")
 
 
 @then(parsers.re(r"door (?P<door>\d+) lets (?P<no>no )?keyed requests in"))
@@ -361,21 +361,21 @@
 
 @then("every duty has a holder")
 def all_held(stage: Stage) -> None:
-    assert all(stage.holder(duty) is not None for duty in range(SHARDS + 1))
+    assert all(stage.holder(duty) is not None for duty in range(TENANT_SHARDS + 1))
 
 
 @then(parsers.parse("door {door:d} sends clients of the {region} to doors of {count:d} zones"))
 def sends(stage: Stage, door: int, region: str, count: int) -> None:
     core = stage.world.doors[f"d{door}"].core
     assert core is not None
-    found = [stage.world.doors[ip].about for ip in core.peers.for_clients(region)]
+    found = [stage.world.doors[ip].about for ip in core.peers.nodes_for_clients(region)]
     assert len({about.zone for about in found}) == count
     assert count > 2 or {about.region for about in found} == {region}
 
 
 @then(parsers.parse("no duty was without a holder for longer than {seconds:f} seconds"))
 def few_gaps(stage: Stage, seconds: float) -> None:
-    assert len(stage.without) == SHARDS + 1 and max(stage.without.values()) <= seconds
+    assert len(stage.without) == TENANT_SHARDS + 1 and max(stage.without.values()) <= seconds
 
 
 @then("every door has had a new life")
@@ -392,7 +392,7 @@
 def closed(stage: Stage, zone: str | None) -> None:
     for name in stage.world.up():
         core: Any = stage.world.doors[name].core
-        assert core.control.state.closed == (frozenset((zone,)) if zone else frozenset())
+        assert core.control.state.evacuated_zones == (frozenset((zone,)) if zone else frozenset())
 
 
 @then("every door knows that it is drained")
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -9,10 +9,16 @@
 
 import pytest
 
-from hazelspring.configuration.model import Route, read
-from hazelspring.daemon.client_listener import Carrier, Front, Visitor, encode, flow_head
-from hazelspring.daemon.upstream_servers import Line, Reply, Servers, Try, promise_kept
-from hazelspring.routing.request_router import Asked, Forager, Told
+from hazelspring.configuration.model import Route, parse_configuration
+from hazelspring.daemon.client_listener import ClientConnection, ClientListener, RouterHost, encode, flow_head
+from hazelspring.daemon.upstream_servers import (
+    UpstreamAttempt,
+    UpstreamConnection,
+    UpstreamReply,
+    UpstreamServers,
+    client_status,
+)
+from hazelspring.routing.request_router import RequestArrived, RequestRouter, RouterSettings
 from ivymux.caller import BadRequest, Exchange
 from ivymux.config import Address
 from ivymux.host import Answer
@@ -76,11 +82,11 @@
         return sink
 
     async def run() -> tuple[list[Result], Wire]:
-        servers = Servers(0.3, 9.0, 100, Counts())
+        servers = UpstreamServers(0.3, 9.0, 100, Counts())
         servers.place(1, Address("127.0.0.1", 9), 0.0)
-        line, wire, results = Line(servers.pools[1]), Wire(), list[Result]()
+        line, wire, results = UpstreamConnection(servers.pools[1]), Wire(), list[Result]()
         line.connection_made(wire)
-        attempt = Try(b"me", b"GET / HTTP/1.1\r\n\r\n", results.append, begun if sink else None)
+        attempt = UpstreamAttempt(b"me", b"GET / HTTP/1.1\r\n\r\n", results.append, begun if sink else None)
         line.carry(attempt)
         if unsent:
             line.pause_writing()
@@ -101,7 +107,7 @@
 
 def test_its_own_answer_is_passed_on_unchanged_and_the_connection_kept() -> None:
     (reply,), wire = play(answer(200)[:30], answer(200)[30:])
-    assert isinstance(reply, Reply) and (reply.outcome, reply.status, reply.body) == (
+    assert isinstance(reply, UpstreamReply) and (reply.outcome, reply.status, reply.body) == (
         Outcome.OK,
         200,
         b"body",
@@ -117,7 +123,7 @@
         (late[:50], late[50:] + answer(200)[:9], answer(200)[9:]),
     ):
         (reply,), wire = play(*pieces)
-        assert isinstance(reply, Reply) and reply.body == b"body"
+        assert isinstance(reply, UpstreamReply) and reply.body == b"body"
         assert wire.closed  # out of step once: not used again
 
 
@@ -135,22 +141,26 @@
 )
 def test_what_is_not_whole_or_not_ours_is_no_answer(pieces: tuple[bytes, ...]) -> None:
     (result,), _ = play(*pieces, ends=True)
-    assert result.outcome is Outcome.RESET and not isinstance(result, Reply)
+    assert result.outcome is Outcome.RESET and not isinstance(result, UpstreamReply)
 
 
 def test_an_answer_too_many_ends_the_connection_and_spoils_nothing() -> None:
     (reply,), wire = play(answer(200) + answer(200, body=b"more"))
-    assert isinstance(reply, Reply) and reply.body == b"body" and wire.closed
+    assert isinstance(reply, UpstreamReply) and reply.body == b"body" and wire.closed
 
 
 def test_only_a_servers_word_makes_a_promise() -> None:
     for status in (408, 421, 429, 503):
         (reply,), _ = play(answer(status, seal=False))
-        assert isinstance(reply, Reply) and reply.outcome is Outcome.ERROR and promise_kept(reply) == 502
+        assert (
+            isinstance(reply, UpstreamReply)
+            and reply.outcome is Outcome.ERROR
+            and client_status(reply) == 502
+        )
         (reply,), _ = play(answer(status, seal=False, more="X-Hazelspring-Not-Executed: 1\r\n"))
         assert reply.outcome is Outcome.FULL
     (reply,), _ = play(answer(500))
-    assert isinstance(reply, Reply) and reply.outcome is Outcome.ERROR and promise_kept(reply) == 500
+    assert isinstance(reply, UpstreamReply) and reply.outcome is Outcome.ERROR and client_status(reply) == 500
 
 
 def test_a_part_that_went_out_may_have_run() -> None:
@@ -175,7 +185,7 @@
 
 def test_a_failure_too_large_to_hold_is_not_passed_on_as_if_it_were_whole() -> None:
     (result,), _ = play(*pieces(answer(500, body=b"y" * (SMALL + 1))))
-    assert result.outcome is Outcome.ERROR and not isinstance(result, Reply)
+    assert result.outcome is Outcome.ERROR and not isinstance(result, UpstreamReply)
 
 
 @pytest.mark.parametrize("status", [503, 421, 400])
@@ -202,7 +212,7 @@
     host = SimpleNamespace(left=lambda request: None, counts=Counts())
     loop = SimpleNamespace(call_later=lambda *_: None)
     front = SimpleNamespace(held=0, host=host, loop=loop, encode=encode, keeps_none=lambda: False)
-    visitor, wire = Visitor(cast(Any, front)), Wire()
+    visitor, wire = ClientConnection(cast(Any, front)), Wire()
     visitor.transport = wire
     exchange = visitor.exchange = Exchange(visitor, keep_alive=True)
     exchange.request = cast(Any, SimpleNamespace(sent=tries))
@@ -222,9 +232,11 @@
 
     async def ask(fresh: bool) -> bytes:
         host = SimpleNamespace(left=lambda request: None, counts=Counts())
-        front = Front(Address("127.0.0.1", 0), cast(Any, host), 9, lambda: fresh)
-        front.take_word(read(json.dumps({"versionNumber": "r1", "resourceList": rows}).encode()))
-        visitor, wire = Visitor(front), Wire()
+        front = ClientListener(Address("127.0.0.1", 0), cast(Any, host), 9, lambda: fresh)
+        front.use_configuration(
+            parse_configuration(json.dumps({"versionNumber": "r1", "resourceList": rows}).encode())
+        )
+        visitor, wire = ClientConnection(front), Wire()
         visitor.connection_made(wire)
         visitor.parser.feed_data(text.encode())
         return bytes(wire.sent)
@@ -236,8 +248,8 @@
 
 def test_a_connection_stands_idle_no_longer_than_its_server_says() -> None:
     async def run() -> None:
-        servers = Servers(0.3, 9.0, 100, Counts())
-        line = Line(cast(Any, SimpleNamespace(owner=servers)))
+        servers = UpstreamServers(0.3, 9.0, 100, Counts())
+        line = UpstreamConnection(cast(Any, SimpleNamespace(owner=servers)))
         before = line.age_part
         line.on_header(b"Keep-Alive", b"max=5, timeout=2")
         assert line.age_part * servers.keep_idle <= 1.0 < before * servers.keep_idle
@@ -251,7 +263,7 @@
 
 def test_a_request_whose_decision_fails_is_answered_at_once_and_promised_truly() -> None:
     class Broken:
-        settings, actions = Told(i.Limits(2, True, True, False, True, 1.0, 0.3)), list[Any]()
+        settings, actions = RouterSettings(i.Limits(2, True, True, False, True, 1.0, 0.3)), list[Any]()
 
         def handle(self, now: float, event: object) -> list[Any]:
             raise ZeroDivisionError
@@ -264,11 +276,11 @@
 
     async def run() -> None:
         counts = Counts()
-        servers = Servers(0.3, 9.0, 100, counts)
-        carrier = Carrier(cast(Forager, Broken()), servers, counts, lambda call: None)
+        servers = UpstreamServers(0.3, 9.0, 100, counts)
+        carrier = RouterHost(cast(RequestRouter, Broken()), servers, counts, lambda call: None)
 
         def make(request: int) -> Any:
-            return Asked(request, cast(Route, None), None, 9.0)
+            return RequestArrived(request, cast(Route, None), None, 9.0)
 
         carrier.request(make, "read_only", 9.0, lambda left, backend: b"", cast(Any, Waits()))
         assert [answer.status for answer in answers] == [503] and not carrier.table
@@ -281,24 +293,24 @@
     class Sends:
         """Offers its second request to a server."""
 
-        settings, actions = Told(i.Limits(2, True, True, False, True, 1.0, 0.3)), list[Any]()
+        settings, actions = RouterSettings(i.Limits(2, True, True, False, True, 1.0, 0.3)), list[Any]()
 
         def handle(self, now: float, event: object) -> list[Any]:
-            return [i.Send(2, 1, 0.0)] if isinstance(event, Asked) and event.request == 2 else []
+            return [i.Send(2, 1, 0.0)] if isinstance(event, RequestArrived) and event.request == 2 else []
 
     answers: dict[str, int] = {}
 
     async def run() -> None:
         counts = Counts()
-        servers = Servers(0.3, 9.0, 100, counts)
+        servers = UpstreamServers(0.3, 9.0, 100, counts)
         servers.place(1, Address("127.0.0.1", 9), 0.0)
-        line = Line(servers.pools[1])
+        line = UpstreamConnection(servers.pools[1])
         line.connection_made(Wire())
         servers.pools[1].put(line)
-        carrier = Carrier(cast(Forager, Sends()), servers, counts, lambda call: None)
+        carrier = RouterHost(cast(RequestRouter, Sends()), servers, counts, lambda call: None)
 
         def make(request: int) -> Any:
-            return Asked(request, cast(Route, None), None, 9.0)
+            return RequestArrived(request, cast(Route, None), None, 9.0)
 
         for name in ("held", "offered"):
             caller = SimpleNamespace(reply=lambda final, name=name: answers.update({name: final.status}))
--- a/tests/test_teller.py
+++ b/tests/test_teller.py
@@ -8,45 +8,45 @@
 import cbor2
 import pytest
 
-from hazelspring.daemon.settings import Limits
-from hazelspring.membership.peer_table import About, Peers
+from hazelspring.daemon.settings import LimitsSchema
+from hazelspring.membership.peer_table import NodeInfo, PeerTable
 from hazelspring.membership.rendezvous import owner
-from hazelspring.node.actions import Deed, Send
+from hazelspring.node.actions import Action, Send
 from hazelspring.node.load_reporter import (
-    CONTROL,
-    LASTS,
-    LEASE,
-    LEAST_PART,
-    MOST_NAMES,
-    REST,
-    ROW,
-    STALE,
-    WORD,
-    Outs,
-    Teller,
-    budget,
-    hearers,
+    CONTROL_BANDWIDTH,
+    IDLE_BANDWIDTH,
+    LEASE_CALL_BYTES,
+    MAX_ROUND_TIME,
+    MAX_SERVERS_PER_REPORT,
+    MESSAGE_BYTES,
+    MIN_BUDGET_PART,
+    REPORT_LIFETIME,
+    SERVER_BYTES,
+    InFlightByTag,
+    LoadReporter,
+    recipient_count,
+    report_budget,
 )
 from hazelspring.registry.tables import server_tag
-from hazelspring.routing.endpoints import HEARSAY, Fleet
+from hazelspring.routing.endpoints import LOAD_REPORT_LIFETIME, EndpointSet
 
 TICK = 0.05
 CALLS = 142  # a second of a door to counters at the peak,
 AT_SERVERS = 36  # and requests that a door has out at the peak
 SERVERS = [server_tag(f"i-{n:05d}") for n in range(180)]
-ALLOWED = budget(250_000.0)  # of a link of 2 Mbit/s, the narrowest that a door has
+ALLOWED = report_budget(250_000.0)  # of a link of 2 Mbit/s, the narrowest that a door has
 
 
 class Region:
     """Two zones of so many doors each; what one tells arrives at once.  Bytes are those of encoded messages."""
 
     def __init__(self, doors: int, awake: int | None = None) -> None:
-        self.abouts = [About(f"10.0.{n >> 8}.{n & 255}", f"z{n % 2}", "r", 0, 1) for n in range(2 * doors)]
-        self.roster = [[*about.row(), True] for about in self.abouts]
+        self.abouts = [NodeInfo(f"10.0.{n >> 8}.{n & 255}", f"z{n % 2}", "r", 0, 1) for n in range(2 * doors)]
+        self.roster = [[*about.encode(), True] for about in self.abouts]
         here = self.abouts[:awake]  # those that are played
-        self.tellers = {about.ip: Teller(Peers(about, 0.0), ALLOWED) for about in here}
-        self.fleets = {about.ip: Fleet(about.zone, "r", {}, random.Random(1)) for about in here}
-        self.outs: dict[str, Outs] = {about.ip: {} for about in here}
+        self.tellers = {about.ip: LoadReporter(PeerTable(about, 0.0), ALLOWED) for about in here}
+        self.fleets = {about.ip: EndpointSet(about.zone, "r", {}, random.Random(1)) for about in here}
+        self.outs: dict[str, InFlightByTag] = {about.ip: {} for about in here}
         self.out, self.came = dict.fromkeys(self.tellers, 0), dict.fromkeys(self.tellers, 0)
         self.rounds: dict[str, list[float]] = {ip: [] for ip in self.tellers}  # when each came in its zone
         self.now = 10.0
@@ -54,7 +54,7 @@
 
     def name_doors(self, roster: list[list[object]]) -> None:
         for teller in self.tellers.values():
-            teller.peers.take_roster(roster)
+            teller.peers.replace_roster(roster)
 
     def run(self, seconds: float, chance: random.Random | None = None) -> None:
         """Time passes; with `chance` it is the peak: all requests are at other servers with each tick."""
@@ -63,20 +63,20 @@
             for ip, teller in self.tellers.items():
                 if chance is not None:
                     self.outs[ip] = dict.fromkeys(chance.sample(SERVERS, AT_SERVERS), 1)
-                    teller.spend(CALLS * LEASE * TICK)
-                self.fleets[ip].forget(self.now)
-                self.arrive(ip, teller.tell(self.now, self.outs[ip], self.fleets[ip].dances))
-                if teller.zone_at == self.now:
+                    teller.record_other_bytes(CALLS * LEASE_CALL_BYTES * TICK)
+                self.fleets[ip].expire_load_reports(self.now)
+                self.arrive(ip, teller.report(self.now, self.outs[ip], self.fleets[ip].load_reports))
+                if teller.zone_reported_at == self.now:
                     self.rounds[ip].append(self.now)
 
-    def arrive(self, source: str, deeds: list[Deed]) -> None:
+    def arrive(self, source: str, deeds: list[Action]) -> None:
         for deed in deeds:
             assert isinstance(deed, Send)
             size = len(cbor2.dumps(deed.message))
             self.out[source] += size
             if deed.to in self.tellers:
                 self.came[deed.to] += size
-                self.fleets[deed.to].danced(self.now, source, deed.message["o"])
+                self.fleets[deed.to].on_load_report(self.now, source, deed.message["o"])
 
     def beside(self, ip: str) -> list[str]:
         zone = self.tellers[ip].peers.me.zone
@@ -89,32 +89,34 @@
 ) -> None:
     """The doors of a zone where a fleet over 34 zones has 30, 100, 300, 1,000 and 4,500."""
     region, chance = Region(doors, awake), random.Random(doors)
-    region.run(3 * LASTS, chance)
+    region.run(3 * REPORT_LIFETIME, chance)
     region.out, region.came = dict.fromkeys(region.out, 0), dict.fromkeys(region.came, 0)
     region.rounds = {ip: [] for ip in region.rounds}
     region.run(4.0, chance)
-    left = 4.0 * (CONTROL - REST - 2 * CALLS * LEASE) / 2
+    left = 4.0 * (CONTROL_BANDWIDTH - IDLE_BANDWIDTH - 2 * CALLS * LEASE_CALL_BYTES) / 2
     assert max(region.out.values()) <= left * 1.15  # a round may begin just before the four seconds
     assert max(region.came.values()) <= left * 2  # servers are spread by chance over those who hear
     assert sum(region.out.values()) > 0
     gaps = [b - a for times in region.rounds.values() for a, b in itertools.pairwise(times)]
-    assert max(gaps) <= 2 * STALE + 2 * TICK < LASTS  # each word counts until the next
+    assert max(gaps) <= 2 * MAX_ROUND_TIME + 2 * TICK < REPORT_LIFETIME  # each word counts until the next
 
 
 def test_no_more_are_told_than_fit_and_one_at_least_and_their_number_follows_smoothly() -> None:
-    room = LEAST_PART * ALLOWED * STALE  # where calls to counters take the rest
-    for names in (1, 2, 5, 14, AT_SERVERS, MOST_NAMES):
-        counts = [hearers(names, doors, room) for doors in range(1, 400)]
+    room = MIN_BUDGET_PART * ALLOWED * MAX_ROUND_TIME  # where calls to counters take the rest
+    for names in (1, 2, 5, 14, AT_SERVERS, MAX_SERVERS_PER_REPORT):
+        counts = [recipient_count(names, doors, room) for doors in range(1, 400)]
         for doors, count in enumerate(counts, 1):
-            cost = min(doors, names * count) * WORD + names * count * ROW
+            cost = min(doors, names * count) * MESSAGE_BYTES + names * count * SERVER_BYTES
             assert 1 <= count <= doors and (cost <= room or count == 1)
         steps = [abs(b - a) for a, b in itertools.pairwise(counts)]
-        assert max(steps) <= 1 + WORD / (names * ROW)
+        assert max(steps) <= 1 + MESSAGE_BYTES / (names * SERVER_BYTES)
         assert (
-            names * (WORD + ROW) / (LEAST_PART * ALLOWED) < LASTS
+            names * (MESSAGE_BYTES + SERVER_BYTES) / (MIN_BUDGET_PART * ALLOWED) < REPORT_LIFETIME
         )  # where one is told, the next round comes in time
-    assert hearers(0, 9, room) == 9 and hearers(9, 0, room) == 0
-    assert [hearers(6, doors, room) for doors in range(1, 21)] == list(range(1, 21))  # of today's sizes: all
+    assert recipient_count(0, 9, room) == 9 and recipient_count(9, 0, room) == 0
+    assert [recipient_count(6, doors, room) for doors in range(1, 21)] == list(
+        range(1, 21)
+    )  # of today's sizes: all
 
 
 def test_few_doors_tell_each_other_with_each_tick() -> None:
@@ -124,7 +126,7 @@
             region.outs[ip] = dict.fromkeys(chance.sample(SERVERS, 3), 1)
         region.run(TICK)
         for ip in region.outs:
-            told = region.fleets[ip].dances
+            told = region.fleets[ip].load_reports
             assert all(told[other][1] == region.outs[other] for other in region.beside(ip))
 
 
@@ -132,7 +134,7 @@
     region, chance = Region(40), random.Random(5)
     for ip in region.outs:
         region.outs[ip] = dict.fromkeys(chance.sample(SERVERS, AT_SERVERS), 1)
-    region.run(3 * LASTS)
+    region.run(3 * REPORT_LIFETIME)
 
     def check() -> None:
         for name in SERVERS:
@@ -142,19 +144,30 @@
                 assert first is not None
                 others = sum(name in region.outs[ip] for ip in doors if ip != first)
                 fleet = region.fleets[first]
-                assert sum(name in fleet.dances[ip][1] for ip in doors if ip in fleet.dances) == others
+                assert (
+                    sum(name in fleet.load_reports[ip][1] for ip in doors if ip in fleet.load_reports)
+                    == others
+                )
 
     check()
     for gone in [a.ip for a in region.abouts[:6]]:
         del region.tellers[gone], region.outs[gone], region.fleets[gone]
-    region.run(HEARSAY + 2 * TICK)  # the words of those who were lost count no more,
+    region.run(LOAD_REPORT_LIFETIME + 2 * TICK)  # the words of those who were lost count no more,
     for fleet in region.fleets.values():
-        assert not fleet.dances.keys() & {a.ip for a in region.abouts[:6]}
+        assert not fleet.load_reports.keys() & {a.ip for a in region.abouts[:6]}
     region.name_doors(region.roster[6:])
-    region.run(STALE + LASTS)  # and once they have left the roster others hear what they heard
+    region.run(
+        MAX_ROUND_TIME + REPORT_LIFETIME
+    )  # and once they have left the roster others hear what they heard
     check()
 
 
 def test_the_budget_is_a_part_of_what_a_door_may_use_and_of_its_link() -> None:
-    assert budget(250_000.0) == ALLOWED == (CONTROL - REST) / 2 and budget(20_000.0) == 1000.0
-    assert Limits().load({"linkMbps": "2.0"})["linkMbps"] == 2.0 and Limits().load({})["linkMbps"] == 1000.0
+    assert (
+        report_budget(250_000.0) == ALLOWED == (CONTROL_BANDWIDTH - IDLE_BANDWIDTH) / 2
+        and report_budget(20_000.0) == 1000.0
+    )
+    assert (
+        LimitsSchema().load({"linkMbps": "2.0"})["linkMbps"] == 2.0
+        and LimitsSchema().load({})["linkMbps"] == 1000.0
+    )
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from hazelspring.consensus.proposal import Done
-from hazelspring.daemon.__main__ import Watched
-from hazelspring.daemon.node_process import Door
-from hazelspring.daemon.settings import Settings, load
-from hazelspring.localfleet.fleet import Yard, configuration
-from hazelspring.localfleet.stand_ins import Stands
-from hazelspring.node.actions import Changed
-from hazelspring.storage.replica_store import Store
+from hazelspring.consensus.proposal import ProposalOutcome
+from hazelspring.daemon.__main__ import SettingsWatcher
+from hazelspring.daemon.node_process import NodeProcess
+from hazelspring.daemon.settings import Settings, load_settings
+from hazelspring.localfleet.fleet import LocalFleet, configuration
+from hazelspring.localfleet.stand_ins import StandIns
+from hazelspring.node.actions import StateChanged
+from hazelspring.storage.replica_store import ReplicaStore
 from ivymux.caller import Client, Listener
 from ivymux.config import parse_address
 from ivymux.counter import LINES, Counter
@@ -165,17 +165,17 @@
     run(test())
 
 
-def with_door(folder: Path, play: Callable[[Door], Awaitable[None]]) -> None:
+def with_door(folder: Path, play: Callable[[NodeProcess], Awaitable[None]]) -> None:
     """Play something at a door that is alone, on loopback, with a disk and a stand-in platform."""
 
     async def test() -> None:
-        yard = Yard(folder, core=1, others=0, servers=1, nth=9)
-        stands = Stands(yard.platform, yard.servers)
+        yard = LocalFleet(folder, core=1, others=0, servers=1, nth=9)
+        stands = StandIns(yard.platform, yard.servers)
         await stands.start()
-        door = Door(load(str(yard.settings(0, first=True))))
+        door = NodeProcess(load_settings(str(yard.settings(0, first=True))))
         await door.start()
         try:
-            await until(door.core.settled)
+            await until(door.node.core_agreed)
             await play(door)
         finally:
             await door.close()
@@ -184,7 +184,7 @@
     run(test())
 
 
-def store_of(door: Door) -> Store:
+def store_of(door: NodeProcess) -> ReplicaStore:
     assert door.disk is not None
     return door.disk.store
 
@@ -192,32 +192,32 @@
 def test_a_door_goes_on_ticking_whatever_fails_in_a_tick(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: Door) -> None:
+    async def play(door: NodeProcess) -> None:
         def failed_again(what: str, before: int) -> bool:
             return door.supervisor.failures[what] > before + 1
 
         for owner, name, what in (
-            (door.core, "tick", "core tick"),
-            (door.core.disseminator, "tell_load", "tick"),
-            (door, "freshen", "core tick"),
+            (door.node, "tick", "core tick"),
+            (door.node.disseminator, "report_load", "tick"),
+            (door, "update_confirmed_at", "core tick"),
         ):
             with monkeypatch.context() as patch:
                 patch.setattr(owner, name, fail)
                 before = door.supervisor.failures[what]
                 await until(partial(failed_again, what, before))
-        ticked = door.core_ticked
-        await until(lambda: door.core_ticked > ticked)
+        ticked = door.node_ticked_at
+        await until(lambda: door.node_ticked_at > ticked)
         assert f'what="tick"}} {door.supervisor.failures["tick"]}' in door.metrics().decode()
 
     with_door(tmp_path, play)
 
 
 def test_what_a_core_wants_done_is_done_whatever_fails_before_it(tmp_path: Path) -> None:
-    async def play(door: Door) -> None:
+    async def play(door: NodeProcess) -> None:
         ends = list[bool]()
-        door.calls.replies[77] = lambda settled: ends.append(settled.good)
-        door.carry_out([Changed("service:unknown"), Done(77, True, "")])
-        assert ends == [True] and door.supervisor.failures["Changed"] == 1
+        door.operator_calls.replies[77] = lambda settled: ends.append(settled.succeeded)
+        door.execute_all([StateChanged("service:unknown"), ProposalOutcome(77, True, "")])
+        assert ends == [True] and door.supervisor.failures["StateChanged"] == 1
 
     with_door(tmp_path, play)
 
@@ -225,15 +225,17 @@
 def test_a_save_that_fails_in_a_new_way_is_made_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: Door) -> None:
+    async def play(door: NodeProcess) -> None:
         ends = list[bool]()
         with monkeypatch.context() as patch:
             patch.setattr(store_of(door), "save", fail)
-            door.calls.put(configuration(3), lambda settled: ends.append(settled.good))
+            door.operator_calls.put_configuration(
+                configuration(3), lambda settled: ends.append(settled.succeeded)
+            )
             await until(lambda: door.supervisor.failures["save"] > 1)
             assert not ends
         await until(lambda: ends)
-        assert ends == [True] and door.word is not None and door.word.number == 3
+        assert ends == [True] and door.configuration is not None and door.configuration.version == 3
 
     with_door(tmp_path, play)
 
@@ -241,12 +243,12 @@
 def test_an_order_that_cannot_be_begun_is_not_waited_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: Door) -> None:
+    async def play(door: NodeProcess) -> None:
         with monkeypatch.context() as patch:
-            patch.setattr(door.core, "put", fail)
+            patch.setattr(door.node, "put_configuration", fail)
             with pytest.raises(Unforeseen):
-                door.calls.put(configuration(3), lambda settled: None)
-        assert not door.calls.replies
+                door.operator_calls.put_configuration(configuration(3), lambda settled: None)
+        assert not door.operator_calls.replies
 
     with_door(tmp_path, play)
 
@@ -254,7 +256,7 @@
 def test_a_disk_that_cannot_be_read_in_a_new_way_is_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: Door) -> None:
+    async def play(door: NodeProcess) -> None:
         with monkeypatch.context() as patch:
             patch.setattr(store_of(door), "load", fail)
             assert await door.read_disk() is None
@@ -266,18 +268,18 @@
 def test_a_socket_for_datagrams_that_the_loop_closes_is_opened_anew(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: Door) -> None:
+    async def play(door: NodeProcess) -> None:
         heard = list[Any]()
-        door.mesh.heard = lambda source, message: heard.append(message)
-        first = door.mesh.transport
+        door.transport.on_message = lambda source, message: heard.append(message)
+        first = door.transport.transport
         assert first is not None
         with monkeypatch.context() as patch:
-            patch.setattr(door.mesh, "open_socket", busy)
+            patch.setattr(door.transport, "open_socket", busy)
             first.abort()
-            await until(lambda: door.mesh.transport is None and tries)
-        await until(lambda: door.mesh.transport is not None)
-        assert door.mesh.transport is not first
-        door.mesh.send(door.settings.ip, {"k": "beat"})
+            await until(lambda: door.transport.transport is None and tries)
+        await until(lambda: door.transport.transport is not None)
+        assert door.transport.transport is not first
+        door.transport.send(door.settings.ip, {"k": "beat"})
         await until(lambda: heard)
 
     tries = list[int]()
@@ -295,19 +297,21 @@
 ) -> None:
     path, taken = tmp_path / "settings", list[Settings]()
     path.write_text("")
-    watched = Watched(str(path), taken.append)
-    path.write_text(Yard(tmp_path, core=1, others=0, servers=1, nth=8).settings(0, first=True).read_text())
+    watched = SettingsWatcher(str(path), taken.append)
+    path.write_text(
+        LocalFleet(tmp_path, core=1, others=0, servers=1, nth=8).settings(0, first=True).read_text()
+    )
     with monkeypatch.context() as patch:
         if where == "taken":
             patch.setattr(watched, "take", fail)
             with pytest.raises(Unforeseen):
-                watched.look()
+                watched.check()
         else:
             patch.setattr(Path, "read_text", out_of_descriptors)
-            watched.look()
+            watched.check()
     assert not taken
-    watched.look()
-    watched.look()
+    watched.check()
+    watched.check()
     assert len(taken) == 1
 
 
@@ -318,20 +322,20 @@
 def test_settings_that_are_no_text_are_refused_once(tmp_path: Path) -> None:
     path = tmp_path / "settings"
     path.write_text("")
-    watched = Watched(str(path), fail)
+    watched = SettingsWatcher(str(path), fail)
     path.write_bytes(b"thisDoor.nodeName=\xff\n")
-    watched.look()
-    assert watched.seen == watched.stamp()
+    watched.check()
+    assert watched.last_seen == watched.stamp()
 
 
 def test_a_door_that_cannot_give_up_its_duties_still_answers_what_it_holds(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: Door) -> None:
-        monkeypatch.setattr("hazelspring.daemon.node_process.LINGER", 0.01)
-        monkeypatch.setattr(door.core, "drain", fail)
+    async def play(door: NodeProcess) -> None:
+        monkeypatch.setattr("hazelspring.daemon.node_process.LINGER_TIME", 0.01)
+        monkeypatch.setattr(door.node, "drain", fail)
         await door.drain()
-        assert door.front.stopping and door.supervisor.failures["give duties up"] == 1
+        assert door.client_listener.stopping and door.supervisor.failures["give duties up"] == 1
 
     with_door(tmp_path, play)
 
@@ -339,19 +343,19 @@
 def test_a_socket_for_datagrams_is_opened_anew_after_an_error_of_a_new_kind(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: Door) -> None:
-        assert door.mesh.transport is not None
+    async def play(door: NodeProcess) -> None:
+        assert door.transport.transport is not None
         with monkeypatch.context() as patch:
-            patch.setattr(door.mesh, "open_socket", fail)
-            door.mesh.transport.abort()
+            patch.setattr(door.transport, "open_socket", fail)
+            door.transport.transport.abort()
             await until(lambda: door.supervisor.failures["open a socket"])
-        await until(lambda: door.mesh.transport is not None)
+        await until(lambda: door.transport.transport is not None)
 
     with_door(tmp_path, play)
 
 
 def test_an_error_in_a_callback_of_the_loop_is_counted(tmp_path: Path) -> None:
-    async def play(door: Door) -> None:
+    async def play(door: NodeProcess) -> None:
         door.loop.call_soon(fail)
         await until(lambda: door.supervisor.failures["callback"])
 
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from hazelspring.configuration.model import read
-from hazelspring.daemon.client_listener import Carrier, Front, Visitor
-from hazelspring.daemon.upstream_servers import Line, Servers
-from hazelspring.routing.endpoints import Fleet
-from hazelspring.routing.request_router import Forager, Rule
+from hazelspring.configuration.model import parse_configuration
+from hazelspring.daemon.client_listener import ClientConnection, ClientListener, RouterHost
+from hazelspring.daemon.upstream_servers import UpstreamConnection, UpstreamServers
+from hazelspring.routing.endpoints import EndpointSet
+from hazelspring.routing.request_router import RequestRouter, SharedLimits
 from ivymux.config import Address
 from ivymux.link import READ, SMALL
 from ivymux.metrics import Counts
@@ -21,7 +21,7 @@
 from .test_forage import ZONES, document, servers
 from .test_servers import Wire
 
-WORD = read(json.dumps(document()).encode())
+WORD = parse_configuration(json.dumps(document()).encode())
 HEAD = b"POST /w/1 HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer k2\r\nX-Hazelspring-Attempt-Id: me\r\n"
 BODY = b"y" * (SMALL + 9)
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(BODY), BODY)
@@ -36,35 +36,35 @@
     def resume_reading(self) -> None: ...
 
 
-def door() -> Front:
+def door() -> ClientListener:
     """A front whose connections to servers never come up by themselves."""
     counts = Counts()
-    fleet = Fleet("a1", "a", ZONES, random.Random(1))
-    forager, upstream = Forager(Rule(), fleet, 1), Servers(0.3, 9.0, 100, counts)
-    carrier = Carrier(forager, upstream, counts, lambda call: None)
-    front = Front(Address("127.0.0.1", 9), carrier, 100, lambda: True)
-    front.take_word(WORD)
-    forager.take_word(WORD)
+    fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
+    forager, upstream = RequestRouter(SharedLimits(), fleet, 1), UpstreamServers(0.3, 9.0, 100, counts)
+    carrier = RouterHost(forager, upstream, counts, lambda call: None)
+    front = ClientListener(Address("127.0.0.1", 9), carrier, 100, lambda: True)
+    front.use_configuration(WORD)
+    forager.use_configuration(WORD)
     forager.fresh_until = 1e18
-    forager.listed(carrier.clock(), "shop", servers("a1-0", "a1-1"))
+    forager.update_endpoints(carrier.clock(), "shop", servers("a1-0", "a1-1"))
     for number in fleet.servers:
         upstream.place(number, Address("127.0.0.1", 9), 0.0)
     return front
 
 
-def feed(visitor: Visitor, data: bytes) -> None:
+def feed(visitor: ClientConnection, data: bytes) -> None:
     for n in range(0, len(data), SMALL):
         piece = data[n : n + SMALL]
         READ[: len(piece)] = piece
         visitor.buffer_updated(len(piece))
 
 
-def connect(front: Front) -> list[bytes]:
+def connect(front: ClientListener) -> list[bytes]:
     """What servers get on the connections that are waited for, once they have come up."""
     sent = []
-    for pool in cast(Servers, front.host.upstream).pools.values():
+    for pool in cast(UpstreamServers, front.host.upstream).pools.values():
         while pool.waiting:
-            line, wire = Line(pool), Held()
+            line, wire = UpstreamConnection(pool), Held()
             line.connection_made(wire)
             if pool.give(line):
                 sent.append(wire.sent)
@@ -76,7 +76,7 @@
 def test_a_large_request_that_nobody_waits_for_is_not_sent_without_its_body(data: bytes, end: str) -> None:
     async def run() -> None:
         front = door()
-        visitor, wire = Visitor(cast(Any, front)), Held()
+        visitor, wire = ClientConnection(cast(Any, front)), Held()
         visitor.connection_made(wire)
         feed(visitor, data)
         (request,) = front.host.table.values()
@@ -89,9 +89,9 @@
         assert connect(front) == []
         await asyncio.sleep(0)
         assert not front.host.table and front.host.waiting == 0 and front.held == 0
-        assert [server.out for server in front.host.gateway.fleet.servers.values()] == [0, 0]
+        assert [server.in_flight for server in front.host.gateway.fleet.servers.values()] == [0, 0]
         front.close()
-        cast(Servers, front.host.upstream).close()
+        cast(UpstreamServers, front.host.upstream).close()
 
     asyncio.run(run())
 
@@ -100,12 +100,12 @@
 def test_a_large_request_that_waited_for_a_connection_is_sent_whole(data: bytes) -> None:
     async def run() -> None:
         front = door()
-        visitor = Visitor(cast(Any, front))
+        visitor = ClientConnection(cast(Any, front))
         visitor.connection_made(Held())
         feed(visitor, data)
         (sent,) = connect(front)
         assert BODY in sent and sent.endswith(b"0\r\n\r\n" if data is CHUNKED else BODY)
         front.close()
-        cast(Servers, front.host.upstream).close()
+        cast(UpstreamServers, front.host.upstream).close()
 
     asyncio.run(run())
--- a/tests/world.py
+++ b/tests/world.py
@@ -13,17 +13,25 @@
 import zlib
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
-
-from hazelspring.configuration.model import digest
-from hazelspring.consensus.control_state import State, lineage
-from hazelspring.consensus.proposal import Done
-from hazelspring.membership.peer_table import About
-from hazelspring.node.actions import Changed, Danced, Deed, Message, Poll, Save, Send, Violated
-from hazelspring.node.node import Core, Start
-from hazelspring.quota.credits import Granted, Lapsed
-from hazelspring.quota.limits import QuotaRule
-from hazelspring.registry.list_reader_role import LIST
+
+from hazelspring.configuration.model import configuration_digest
+from hazelspring.consensus.control_state import ControlState, lineage
+from hazelspring.consensus.proposal import ProposalOutcome
+from hazelspring.membership.peer_table import NodeInfo
+from hazelspring.node.actions import (
+    Action,
+    InvariantViolated,
+    LoadReported,
+    Message,
+    ReadList,
+    Save,
+    Send,
+    StateChanged,
+)
+from hazelspring.node.node import Node, NodeStart
+from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
+from hazelspring.quota.limits import QuotaLimits
+from hazelspring.registry.list_reader_role import LIST_READER
 from hazelspring.registry.tables import ServerEntry
 
 TICK, SYNC, REVOCATION = 0.05, 0.002, 5.0
@@ -50,12 +58,12 @@
 
 @dataclass
 class Door:
-    about: About
+    about: NodeInfo
     disk: Disk | None
-    core: Core | None = None
+    core: Node | None = None
     lives: int = 0
     seen: int = -1  # the highest version in this life
-    heard: list[Deed] = field(default_factory=list)
+    on_message: list[Action] = field(default_factory=list)
     seeds: list[str] = field(default_factory=lambda: ["d1", "d2", "d3"])
     frozen: list[Callable[[], None]] | None = None  # what came while it was stopped
 
@@ -72,11 +80,11 @@
     zone: str = ""
     closed: bool = False
     ended: float = 1e9
-    done: Done | None = None
+    done: ProposalOutcome | None = None
 
     @property
     def good(self) -> bool:
-        return self.done is not None and self.done.good
+        return self.done is not None and self.done.succeeded
 
     @property
     def version(self) -> int:
@@ -110,7 +118,7 @@
         self.cut: set[tuple[str, str]] = set()
         self.calls: dict[int, Call] = {}
         self.tokens = itertools.count(1)
-        self.decided: dict[int, State] = {}  # by version, as doors came to know of it
+        self.decided: dict[int, ControlState] = {}  # by version, as doors came to know of it
         self.listing: dict[str, dict[str, ServerEntry]] | None = {
             "shop": {"i-1": ServerEntry("i-1", "s:1", "z0", True, 2, "v1")}
         }
@@ -118,7 +126,7 @@
         for n in range(core + others):
             zone = n % zones
             disk = n < core and f"d{n + 1}" not in bare
-            about = About(f"d{n + 1}", f"z{zone}", "east" if zone % 2 else "west", int(disk), 0)
+            about = NodeInfo(f"d{n + 1}", f"z{zone}", "east" if zone % 2 else "west", int(disk), 0)
             self.doors[about.ip] = Door(about, Disk() if disk else None)
         for name in self.doors:
             self.start(name, first=True)
@@ -142,16 +150,18 @@
         door = self.doors[name]
         door.lives += 1
         life = 100_000 + door.lives * 100 + (door.disk is not None) - clock
-        door.about = About(name, door.about.zone, door.about.region, self.disk_number(), life)
+        door.about = NodeInfo(name, door.about.zone, door.about.region, self.disk_number(), life)
         if door.disk is None:
-            door.about = About(name, door.about.zone, door.about.region, 0, life)
-        start = Start(door.about, door.seeds, first, dict(door.disk.records) if door.disk is not None else {})
+            door.about = NodeInfo(name, door.about.zone, door.about.region, 0, life)
+        start = NodeStart(
+            door.about, door.seeds, first, dict(door.disk.records) if door.disk is not None else {}
+        )
         door.core = core = self.make(start)
-        core.ready, door.seen, door.frozen = True, core.control.register.version, None
+        core.ready, door.seen, door.frozen = True, core.control.acceptor.version, None
         self.tick(name, core)
 
-    def make(self, start: Start) -> Core:
-        return Core(self.now, start, QuotaRule().window, lambda tenant: 30.0)
+    def make(self, start: NodeStart) -> Node:
+        return Node(self.now, start, QuotaLimits().window, lambda tenant: 30.0)
 
     def disk_number(self) -> int:
         return next(self.tokens) + 1_000_000  # as a disk's number is drawn: no two are alike
@@ -188,11 +198,11 @@
 
     def add(self, name: str, zone: int = 1, seeds: list[str] | None = None) -> None:
         """A machine with an empty disk that was not there before."""
-        about = About(name, f"z{zone}", "east" if zone % 2 else "west", 1, 0)
+        about = NodeInfo(name, f"z{zone}", "east" if zone % 2 else "west", 1, 0)
         self.doors[name] = Door(about, Disk(), seeds=seeds or ["d1", "d2", "d3"])
         self.start(name)
 
-    def unless_frozen(self, name: str, core: Core, what: Callable[[], None]) -> None:
+    def unless_frozen(self, name: str, core: Node, what: Callable[[], None]) -> None:
         """Do something at a door now, or once it goes on; nothing where its life has ended."""
         door = self.doors.get(name)
         if door is None or door.core is not core:
@@ -205,7 +215,7 @@
     def up(self) -> list[str]:
         return [name for name, door in self.doors.items() if door.core is not None]
 
-    def tick(self, name: str, core: Core) -> None:
+    def tick(self, name: str, core: Node) -> None:
         def go() -> None:
             self.deeds(name, core.tick(self.now))
             self.watch(name, core)
@@ -215,7 +225,7 @@
 
     # --- deeds ---------------------------------------------------------------------------------------------
 
-    def deeds(self, name: str, deeds: list[Deed]) -> None:
+    def deeds(self, name: str, deeds: list[Action]) -> None:
         door, core = self.doors[name], self.doors[name].core
         assert core is not None
         for deed in deeds:
@@ -224,17 +234,19 @@
                     self.send(name, deed.to, deed.message)
                 case Save():
                     self.save(name, core, deed)
-                case Poll():
-                    self.deeds(name, core.listed(self.now, int(self.now * 1000), self.listing, deed.number))
-                case Changed():
+                case ReadList():
+                    self.deeds(
+                        name, core.on_list_read(self.now, int(self.now * 1000), self.listing, deed.number)
+                    )
+                case StateChanged():
                     if not deed.what.startswith("service:"):
                         self.saw(name, core)
-                case Done():
+                case ProposalOutcome():
                     self.done(deed)
-                case Violated():
+                case InvariantViolated():
                     self.breaches.append(f"{self.now:.2f} {name}: invariant {deed.name} is violated")
-                case Granted() | Lapsed() | Danced():
-                    door.heard.append(deed)
+                case CreditsGranted() | CounterUnavailable() | LoadReported():
+                    door.on_message.append(deed)
 
     def send(self, source: str, to: str, message: Message) -> None:
         if to not in self.doors or self.random.random() < self.drop:
@@ -245,7 +257,9 @@
         def arrive() -> None:
             core = self.doors[to].core if to in self.doors else None
             if core is not None and (source, to) not in self.cut:
-                self.unless_frozen(to, core, lambda: self.deeds(to, core.heard(self.now, source, message)))
+                self.unless_frozen(
+                    to, core, lambda: self.deeds(to, core.on_message(self.now, source, message))
+                )
 
         if self.odd and self.random.random() < self.odd:
             delay += self.random.random() * LATE
@@ -253,11 +267,11 @@
         if self.odd and self.random.random() < self.odd:
             self.at(self.now + delay + self.random.random() * LATE, arrive)
 
-    def delay(self, here: About, there: About) -> float:
+    def delay(self, here: NodeInfo, there: NodeInfo) -> float:
         """Seconds that a message takes at least."""
         return 0.02 if here.region != there.region else 0.001
 
-    def save(self, name: str, core: Core, save: Save) -> None:
+    def save(self, name: str, core: Node, save: Save) -> None:
         disk = self.doors[name].disk
         assert disk is not None
         disk.under_way.append(save)
@@ -269,13 +283,15 @@
             good = not disk.full
             if good:
                 disk.keep(save)
-            self.unless_frozen(name, core, lambda: self.deeds(name, core.saved(self.now, save.serial, good)))
+            self.unless_frozen(
+                name, core, lambda: self.deeds(name, core.on_saved(self.now, save.serial, good))
+            )
 
         self.at(self.now + disk.sync, synced)
 
     # --- the operator ---------------------------------------------------------------------------------------
 
-    def call(self, call: Call, begin: Callable[[Core, int], list[Deed]]) -> int:
+    def call(self, call: Call, begin: Callable[[Node, int], list[Action]]) -> int:
         core, token = self.doors[call.door].core, next(self.tokens)
         self.calls[token] = call
         if core is not None:
@@ -285,29 +301,29 @@
     def put(self, name: str, number: int, mark: str = "") -> int:
         body = body_of(number, mark)
         call = Call("put", self.now, name, number, mark.encode())
-        return self.call(call, lambda core, token: core.put(self.now, token, body))
+        return self.call(call, lambda core, token: core.put_configuration(self.now, token, body))
 
     def evacuate(self, name: str, zone: str, closed: bool) -> int:
         call = Call("evacuate", self.now, name, zone=zone, closed=closed)
-        return self.call(call, lambda core, token: core.evacuate(self.now, token, zone, closed))
+        return self.call(call, lambda core, token: core.set_evacuation(self.now, token, zone, closed))
 
     def read(self, name: str) -> int:
         call = Call("read", self.now, name)
-        return self.call(call, lambda core, token: core.read(self.now, token))
+        return self.call(call, lambda core, token: core.read_configuration(self.now, token))
 
     def retire(self, name: str, member: str) -> int:
         """An operator's order at one door that takes a member out of the core."""
         call = Call("retire", self.now, name)
-        return self.call(call, lambda core, token: core.retire(self.now, token, member))
+        return self.call(call, lambda core, token: core.retire_member(self.now, token, member))
 
-    def done(self, done: Done) -> None:
+    def done(self, done: ProposalOutcome) -> None:
         """A call has ended; those that came after it must be settled by no older state."""
         call = self.calls[done.token]
         call.ended, call.done = self.now, done
         if done.state is None:
             return
         core = self.doors[call.door].core
-        if core is not None and lineage(done.state.version) < core.control.register.fence:
+        if core is not None and lineage(done.state.version) < core.control.acceptor.highest_lineage:
             self.breaches.append(
                 f"{self.now:.2f} {call.kind} was settled by a lineage that is known to be over"
             )
@@ -317,41 +333,49 @@
             self.breaches.append(
                 f"{self.now:.2f} {call.kind} was settled by {call.version} after {before[0]}"
             )
-        if call.kind == "put" and done.good and done.state.number < call.number:
+        if call.kind == "put" and done.succeeded and done.state.configuration_version < call.number:
             self.breaches.append(f"{self.now:.2f} {call.number} was acknowledged by {done.state}")
         same = [
             c
             for c in self.calls.values()
-            if c.kind == "put" and c.good and c.number == call.number == self.number(c) == done.state.number
+            if c.kind == "put"
+            and c.good
+            and c.number == call.number == self.number(c) == done.state.configuration_version
         ]
-        if call.kind == "put" and done.good and len({c.digest for c in same}) > 1:
+        if call.kind == "put" and done.succeeded and len({c.digest for c in same}) > 1:
             self.breaches.append(f"{self.now:.2f} two bodies were acknowledged as {call.number}")
 
     @staticmethod
-    def lasts(call: Call, state: State | None) -> bool:
+    def lasts(call: Call, state: ControlState | None) -> bool:
         """Whether what a confirmed put was told is so in another state, too: a higher number is in force there, or its
         very body.  The order has changed nothing then, and came after that state as well as before it."""
         if call.kind != "put" or not call.good or state is None:
             return False
-        same = state.digest == digest(body_of(call.number, call.digest.decode()))
-        return state.number > call.number or (state.number == call.number and same)
+        same = state.configuration_digest == configuration_digest(body_of(call.number, call.digest.decode()))
+        return state.configuration_version > call.number or (
+            state.configuration_version == call.number and same
+        )
 
     @staticmethod
     def number(call: Call) -> int:
         """Of the configuration in force when a call was settled."""
-        return call.done.state.number if call.done is not None and call.done.state is not None else -1
+        return (
+            call.done.state.configuration_version
+            if call.done is not None and call.done.state is not None
+            else -1
+        )
 
     def mark_read(self, token: int) -> str:
         """What the body that was read is marked with."""
         done = self.calls[token].done
-        assert done is not None and done.word is not None
-        return str(json.loads(zlib.decompress(done.word))["mark"])
+        assert done is not None and done.configuration is not None
+        return str(json.loads(zlib.decompress(done.configuration))["mark"])
 
     # --- what must always hold ----------------------------------------------------------------------------------
 
-    def saw(self, name: str, core: Core) -> None:
+    def saw(self, name: str, core: Node) -> None:
         """No door goes back within one life, and no two doors know two states of one version."""
-        state, door = core.control.register.state, self.doors[name]
+        state, door = core.control.acceptor.state, self.doors[name]
         assert state is not None
         if state.version < door.seen:
             self.breaches.append(f"{self.now:.2f} {name} went back to {state.version} from {door.seen}")
@@ -365,18 +389,18 @@
 
     def fresh(self, name: str) -> bool:
         core = self.doors[name].core
-        return core is not None and self.now <= core.fresh_at(self.now) + STALE * REVOCATION
+        return core is not None and self.now <= core.confirmed_at(self.now) + STALE * REVOCATION
 
-    def watch(self, name: str, core: Core) -> None:
+    def watch(self, name: str, core: Node) -> None:
         """A door that lets keyed requests in sees all that was acknowledged a revocation's time ago, and a duty
         has one holder."""
-        if self.fresh(name) and core.control.register.version < self.newest(self.now - REVOCATION):
+        if self.fresh(name) and core.control.acceptor.version < self.newest(self.now - REVOCATION):
             self.breaches.append(f"{self.now:.2f} {name} lets in by an old configuration")
-        for duty in (LIST, 1, 2):
+        for duty in (LIST_READER, 1, 2):
             holding = [d for d in self.up() if self.holds(d, duty)]
             if len(holding) > 1:
                 self.breaches.append(f"{self.now:.2f} duty {duty} is held by {holding}")
 
     def holds(self, name: str, duty: int) -> bool:
-        core: Any = self.doors[name].core
-        return core is not None and self.doors[name].frozen is None and core.duties.until(duty) > self.now
+        core = self.doors[name].core
+        return core is not None and self.doors[name].frozen is None and core.roles.held_until(duty) > self.now
