--- a/hazelspring/cli/__main__.py
+++ b/hazelspring/cli/__main__.py
@@ -40,20 +40,20 @@
     return sys.stdin.buffer.read() if path == "-" else Path(path).read_bytes()
 
 
-def statuses(doors: Sequence[str]) -> int:
+def statuses(nodes: Sequence[str]) -> int:
     """One line a door; the exit status tells whether all are ready."""
     bad = 0
-    for door in doors:
+    for node in nodes:
         try:
-            said = json.loads(call_once(door, "GET", "/-/status", None, 1.0).body)
+            said = json.loads(call_once(node, "GET", "/-/status", None, 1.0).body)
         except (OSError, ValueError) as error:
-            print(f"{door}  does not answer: {error}")
+            print(f"{node}  does not answer: {error}")
             bad = 1
             continue
         core = sum(said["core"].values())
         away = [address for address, answers in said["core"].items() if not answers]
         print(
-            f"{door}  {said['name']}  {'ready' if said['ready'] else 'NOT READY'}"
+            f"{node}  {said['name']}  {'ready' if said['ready'] else 'NOT READY'}"
             f"  configuration {said['configuration']}  core {core}/{len(said['core'])}"
             f"{' without ' + ','.join(away) if away else ''}"
             f"  doors {len(said['doors'])}  closed {','.join(said['closedZones']) or 'none'}"
@@ -73,7 +73,7 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     chosen = parser().parse_args(arguments)
     named = os.environ.get("HAZELSPRING_NODES") or os.environ.get("HAZELSPRING_DOORS", "")  # the name before
-    doors = chosen.nodes or [address for address in named.split(",") if address]
+    nodes = chosen.nodes or [address for address in named.split(",") if address]
     try:
         if chosen.call == "check":
             from hazelspring.configuration.validation import InvalidConfigurationError, validate_configuration
@@ -84,19 +84,19 @@
                 print(f"{chosen.file}: {error}", file=sys.stderr)
                 return 1
             return 0
-        if not doors:
+        if not nodes:
             print("hazelspringctl: no node: use --node HOST:PORT, or HAZELSPRING_NODES", file=sys.stderr)
             return 2
         answer: Answer
         match chosen.call:
             case "status":
-                return statuses(doors)
+                return statuses(nodes)
             case "put":
                 answer = call_until_settled(
-                    doors, "PUT", "/-/configuration", read(chosen.file), chosen.patience
+                    nodes, "PUT", "/-/configuration", read(chosen.file), chosen.patience
                 )
             case "get":
-                answer = call_until_settled(doors, "GET", "/-/configuration", None, chosen.patience)
+                answer = call_until_settled(nodes, "GET", "/-/configuration", None, chosen.patience)
                 if chosen.out:
                     write(chosen.out, answer.body)
                 else:
@@ -104,14 +104,14 @@
                 return 0
             case "retire":
                 answer = call_until_settled(
-                    doors, "DELETE", f"/-/core/{chosen.address}", None, chosen.patience
+                    nodes, "DELETE", f"/-/core/{chosen.address}", None, chosen.patience
                 )
             case "evacuate" | "return":
                 method = "POST" if chosen.call == "evacuate" else "DELETE"
                 answer = call_until_settled(
-                    doors, method, f"/-/evacuation/{chosen.zone}", None, chosen.patience
+                    nodes, method, f"/-/evacuation/{chosen.zone}", None, chosen.patience
                 )
-        print(f"acknowledged by {answer.door}")
+        print(f"acknowledged by {answer.node}")
         return 0
     except CallError as error:
         print(f"hazelspringctl: {error.code}: {error}", file=sys.stderr)
--- a/hazelspring/cli/control_client.py
+++ b/hazelspring/cli/control_client.py
@@ -27,30 +27,30 @@
 class Answer:
     status: int
     body: bytes
-    door: str
+    node: str
 
 
-def call_once(door: str, method: str, path: str, body: bytes | None, patience: float) -> Answer:
+def call_once(node: str, method: str, path: str, body: bytes | None, patience: float) -> Answer:
     """One call to one door, following its redirects; raises OSError or HTTPException."""
     for _ in range(MAX_REDIRECTS + 1):
-        host, _, port = door.rpartition(":")
+        host, _, port = node.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=patience)
         try:
             headers = {"Content-Type": "application/json"} if body is not None else {}
             connection.request(method, path, body, headers)
             answer = connection.getresponse()
-            found = Answer(answer.status, answer.read(), door)
+            found = Answer(answer.status, answer.read(), node)
             target = answer.getheader("Location")
         finally:
             connection.close()
         if found.status != 307 or not target:
             return found
-        door, path = urlsplit(target).netloc, urlsplit(target).path
+        node, path = urlsplit(target).netloc, urlsplit(target).path
     return found
 
 
 def call_until_settled(
-    doors: Sequence[str],
+    nodes: Sequence[str],
     method: str,
     path: str,
     body: bytes | None = None,
@@ -67,15 +67,15 @@
     last = "no door was asked"
     tries = 0
     while time.monotonic() < end:
-        door = doors[tries % len(doors)]
+        node = nodes[tries % len(nodes)]
         try:
-            answer = call_once(door, method, path, body, silence)
+            answer = call_once(node, method, path, body, silence)
         except (OSError, http.client.HTTPException) as error:
-            last = f"{method} {path} at {door}: {str(error) or type(error).__name__}"
+            last = f"{method} {path} at {node}: {str(error) or type(error).__name__}"
         else:
             if answer.status < 300:
                 return answer
-            last = f"{method} {path} at {door}: {answer.status} {problem_of(answer.body)}"
+            last = f"{method} {path} at {node}: {answer.status} {problem_of(answer.body)}"
             if answer.status < 500 and answer.status not in (408, 429):
                 raise CallError("refused", last)
         sleep(min(BACKOFF_DELAYS[min(tries, len(BACKOFF_DELAYS) - 1)], max(0.0, end - time.monotonic())))
--- a/hazelspring/daemon/__main__.py
+++ b/hazelspring/daemon/__main__.py
@@ -62,20 +62,20 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    door = NodeProcess(settings, metrics_port)
-    watched = SettingsWatcher(path, door.reload)
+    node = NodeProcess(settings, metrics_port)
+    watched = SettingsWatcher(path, node.reload)
     loop.add_signal_handler(signal.SIGHUP, watched.check, True)
-    await door.start()
+    await node.start()
     Periodic(
         loop,
         SETTINGS_CHECK_INTERVAL,
         watched.check,
-        lambda error: door.supervisor.failed("look at the settings", error),
+        lambda error: node.supervisor.failed("look at the settings", error),
     )
     gc.collect()
     gc.freeze()  # what lives as long as the process need not be looked at again
     await stop.wait()
-    await door.drain()
+    await node.drain()
 
 
 def port(text: str) -> int:
--- a/hazelspring/daemon/client_listener.py
+++ b/hazelspring/daemon/client_listener.py
@@ -84,12 +84,12 @@
 
     def __init__(
         self,
-        forager: RequestRouter,
+        router: RequestRouter,
         servers: UpstreamServers,
         counts: Counts,
         lease: Callable[[CounterCall], None],
     ) -> None:
-        super().__init__(forager, servers, counts)
+        super().__init__(router, servers, counts)
         self.lease = lease
 
     def clock(self) -> float:
--- a/hazelspring/daemon/http_api.py
+++ b/hazelspring/daemon/http_api.py
@@ -72,14 +72,14 @@
         self.body.append(body)
 
     def take(self, exchange: Exchange) -> None:
-        desk = cast(HttpApi, self.server)
+        api = cast(HttpApi, self.server)
         try:
             url = httptools.parse_url(self.url)
         except httptools.HttpParserInvalidURLError:
             raise BadRequest("malformed target") from None
         path, query = (url.path or b"/").decode("latin-1"), (url.query or b"").decode("latin-1")
         segments = [part for part in path.split("/") if part]
-        desk.dispatch(self.parser.get_method().decode(), segments, query, b"".join(self.body), exchange.reply)
+        api.dispatch(self.parser.get_method().decode(), segments, query, b"".join(self.body), exchange.reply)
 
 
 class HttpApi(Listener):
@@ -89,9 +89,9 @@
     most_body = MAX_BODY_BYTES
     head_timeout, idle_timeout = 3.0, 15.0
 
-    def __init__(self, listen: Address, door: NodeInterface, roles: frozenset[str]) -> None:
+    def __init__(self, listen: Address, node: NodeInterface, roles: frozenset[str]) -> None:
         super().__init__(listen, None, self, MAX_CONNECTIONS)
-        self.make, self.node, self.roles = ApiConnection, door, roles
+        self.make, self.node, self.roles = ApiConnection, node, roles
 
     @property
     def counts(self) -> Counts:
@@ -104,35 +104,35 @@
         pass
 
     def dispatch(self, method: str, segments: list[str], query: str, body: bytes, reply: Reply) -> None:
-        door = self.node
+        node = self.node
         match (method, segments):
             case ("GET", ["-", "readiness"]):
                 reply(
                     answer(200, {"ready": True})
-                    if door.is_ready()
+                    if node.is_ready()
                     else problem(503, "not_ready", "not ready", RETRY_AFTER)
                 )
             case ("GET", ["-", "lookup"]) if "directory" in self.roles:
-                addresses = door.lookup(parse_qs(query).get("answerRegion", [""])[0])
+                addresses = node.lookup(parse_qs(query).get("answerRegion", [""])[0])
                 if addresses:
-                    reply(answer(200, {"addresses": addresses, "lifetimeS": door.lookup_lifetime}))
+                    reply(answer(200, {"addresses": addresses, "lifetimeS": node.lookup_lifetime}))
                 else:
                     reply(problem(503, "no_door", "no door is ready", RETRY_AFTER))
             case ("GET", ["-", "status"]):
-                reply(answer(200, door.status()))
+                reply(answer(200, node.status()))
             case ("GET", ["-", "metrics"]):
-                reply(FinalAnswer(200, door.metrics(), headers=METRICS_HEADERS))
+                reply(FinalAnswer(200, node.metrics(), headers=METRICS_HEADERS))
             case ("PUT", ["-", "configuration"]) if "control" in self.roles:
                 self.put_configuration(body, reply)
             case ("GET", ["-", "configuration"]) if "control" in self.roles:
-                door.operator_calls.read_configuration(self.result_handler(reply, read=True))
+                node.operator_calls.read_configuration(self.result_handler(reply, read=True))
             case ("POST" | "DELETE", ["-", "evacuation", zone]) if "control" in self.roles:
-                if not door.is_zone_known(zone):
+                if not node.is_zone_known(zone):
                     reply(problem(404, "no_such_zone", f"zone {zone} is none of the settings"))
                     return
-                door.operator_calls.set_evacuation(zone, method == "POST", self.result_handler(reply))
+                node.operator_calls.set_evacuation(zone, method == "POST", self.result_handler(reply))
             case ("DELETE", ["-", "core", ip]) if "control" in self.roles:
-                door.operator_calls.retire_member(ip, self.result_handler(reply))
+                node.operator_calls.retire_member(ip, self.result_handler(reply))
             case (
                 _,
                 [
--- a/hazelspring/daemon/node_metrics.py
+++ b/hazelspring/daemon/node_metrics.py
@@ -40,36 +40,36 @@
     return "".join(f"{sample.line()}\n" for sample in samples).encode()
 
 
-def collect(door: NodeProcess, now: float) -> Iterator[Sample]:
+def collect(node: NodeProcess, now: float) -> Iterator[Sample]:
     """Every figure of a node; `now` in the seconds of its event loop."""
-    yield Sample("ready", door.is_ready())
-    yield Sample("configuration", door.configuration.version if door.configuration is not None else -1)
-    yield Sample("configuration_fresh_seconds", door.router.fresh_until - now)
-    yield Sample("core_member", door.node.control.is_member())
-    yield from server_list(door, now)
+    yield Sample("ready", node.is_ready())
+    yield Sample("configuration", node.configuration.version if node.configuration is not None else -1)
+    yield Sample("configuration_fresh_seconds", node.router.fresh_until - now)
+    yield Sample("core_member", node.node.control.is_member())
+    yield from server_list(node, now)
     for name in (LIST_READ, LIST_KNOWN):
-        count = door.node.invariants.violations[name]
+        count = node.node.invariants.violations[name]
         yield Sample("invariant_violations_total", count, (("name", name),))
-    yield Sample("requests_on_old_list_total", door.router.on_old_list)
-    for reason, count in door.router.ends.items():
+    yield Sample("requests_on_old_list_total", node.router.on_old_list)
+    for reason, count in node.router.ends.items():
         yield Sample("requests_not_served_total", count, (("reason", reason),))
-    for kind, count in door.node.dropped.items():
+    for kind, count in node.node.dropped.items():
         yield Sample("messages_dropped_total", count, (("kind", kind),))
-    for name, count in (door.supervisor.failures + door.counts.failures).items():
+    for name, count in (node.supervisor.failures + node.counts.failures).items():
         yield Sample("failures_total", count, (("what", name),))
 
 
-def server_list(door: NodeProcess, now: float) -> Iterator[Sample]:
+def server_list(node: NodeProcess, now: float) -> Iterator[Sample]:
     """Who reads the platform's list, when it was last read, and what is known of each service's servers."""
-    reader = door.list_reader
-    yield Sample("list_reader", door.node.list_reader_role.holds(now))
-    yield Sample("list_age_seconds", door.node.freshness.age(now))
+    reader = node.list_reader
+    yield Sample("list_reader", node.node.list_reader_role.holds(now))
+    yield Sample("list_age_seconds", node.node.freshness.age(now))
     yield Sample("list_reads_total", reader.reads, (("result", "read"),))
     yield Sample("list_reads_total", reader.failures, (("result", "failed"),))
     yield Sample("list_malformed_entries", len(reader.malformed))
     if reader.read_at is not None:
         yield Sample("list_read_ago_seconds", now - reader.read_at)
-    for service, table in door.node.registry.tables.items():
+    for service, table in node.node.registry.tables.items():
         labels = (("service", service),)
         accepting = sum(server.accepting for server in table.servers.values())
         yield Sample("server_table_version", table.version, labels)
--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -251,8 +251,8 @@
 
     def on_message(self, source: str, message: dict[str, Any]) -> None:
         now = self.loop.time()
-        deeds = self.node.on_message(now, source, message)
-        self.execute_all(deeds)
+        actions = self.node.on_message(now, source, message)
+        self.execute_all(actions)
         if message["k"] != "dance":  # the most frequent, and it tells nothing about the word
             self.update_confirmed_at(now)
 
@@ -269,32 +269,32 @@
         known = self.configuration is not None and bool(self.node.registry.tables)
         return known and not self.draining and self.loop.time() <= sure
 
-    def execute_all(self, deeds: list[Action]) -> None:
+    def execute_all(self, actions: list[Action]) -> None:
         """One that fails does not keep the others from being carried out: a save or an answer may be among them."""
-        for deed in deeds:
+        for action in actions:
             try:
-                self.execute(deed)
+                self.execute(action)
             except Exception as error:
-                self.supervisor.failed(type(deed).__name__, error)
+                self.supervisor.failed(type(action).__name__, error)
 
-    def execute(self, deed: Action) -> None:
-        match deed:
+    def execute(self, action: Action) -> None:
+        match action:
             case Send():
-                self.transport.send(deed.to, deed.message)
+                self.transport.send(action.to, action.message)
             case Save():
-                self.supervisor.start("save", self.save(deed))
+                self.supervisor.start("save", self.save(action))
             case StateChanged():
-                self.on_state_changed(deed.what)
+                self.on_state_changed(action.what)
             case ReadList():
-                self.supervisor.start("read the list", self.read_list(deed.number))
+                self.supervisor.start("read the list", self.read_list(action.number))
             case CreditsGranted() | CounterUnavailable():
-                self.router_host.post(deed)  # type: ignore[arg-type]
+                self.router_host.post(action)  # type: ignore[arg-type]
             case ProposalOutcome():
-                self.operator_calls.on_outcome(deed)
+                self.operator_calls.on_outcome(action)
             case LoadReported():
-                self.router.fleet.on_load_report(self.loop.time(), deed.node, deed.in_flight_by_tag)
+                self.router.fleet.on_load_report(self.loop.time(), action.node, action.in_flight_by_tag)
             case InvariantViolated():
-                log.write("daemon", "an invariant is violated", name=deed.name)
+                log.write("daemon", "an invariant is violated", name=action.name)
 
     # --- the operator's word -----------------------------------------------------------------------------------
 
@@ -413,9 +413,9 @@
         self.ticker.cancel()
         self.router_host.answer_all()
         self.client_listener.close()
-        for desk in self.apis:
-            desk.stop_listening()
-            desk.close()
+        for api in self.apis:
+            api.stop_listening()
+            api.close()
         await asyncio.sleep(0.05)  # the last answers leave
         self.transport.close()
         self.list_reader.close()
--- a/hazelspring/daemon/operator_calls.py
+++ b/hazelspring/daemon/operator_calls.py
@@ -83,8 +83,8 @@
         self.token += 1
         self.replies[self.token] = reply
         try:
-            deeds = begin(self.token)
+            actions = begin(self.token)
         except Exception:
             del self.replies[self.token]  # its caller hears of the error
             raise
-        self.execute(deeds)
+        self.execute(actions)
--- a/hazelspring/daemon/recovery_command.py
+++ b/hazelspring/daemon/recovery_command.py
@@ -102,9 +102,9 @@
     if wrong:
         raise UnrecoverableError(f"the sum of {', '.join(wrong)} is wrong")
     if {one.format for one in found} == {1}:
-        doors = max(int(one.marks.get("doors", b"0")) for one in found)
+        nodes = max(int(one.marks.get("doors", b"0")) for one in found)
         return source_from_items(newest_items(one.items for one in found)), {
-            "mark doors": str(doors).encode()
+            "mark doors": str(nodes).encode()
         }
     if len(found) > 1:
         raise UnrecoverableError("only files of format 1 can be put together: name one")
--- a/hazelspring/daemon/settings.py
+++ b/hazelspring/daemon/settings.py
@@ -158,8 +158,8 @@
 
     @post_load
     def settle(self, found: dict[str, Any], **kwargs: Any) -> Settings:
-        door, net, bounds = found["thisDoor"], found["network"], found["timingTerms"]["ruleBounds"]
-        limits = door["limits"] or LimitsSchema().load({})
+        node, net, bounds = found["thisDoor"], found["network"], found["timingTerms"]["ruleBounds"]
+        limits = node["limits"] or LimitsSchema().load({})
         cloud, listen = found["platformSettings"]["cloudInterface"], net["listenAddresses"]
         if not net["internalPorts"]:
             raise ValidationError("none is named", "internalPorts")
@@ -170,12 +170,12 @@
             bounds["budgetWindowS"],
         )
         return Settings(
-            door["nodeName"],
-            door["internetAddress"],
-            door["zone"],
-            door["answerRegion"],
-            door["firstStart"],
-            door["dataDirectory"],
+            node["nodeName"],
+            node["internetAddress"],
+            node["zone"],
+            node["answerRegion"],
+            node["firstStart"],
+            node["dataDirectory"],
             limits["fileDescriptors"],
             limits["linkMbps"] * 125_000,
             listen["front"],
--- a/hazelspring/leases/singleton_roles.py
+++ b/hazelspring/leases/singleton_roles.py
@@ -34,45 +34,45 @@
         self.silent_until = now if first else now + LEASE_TERM
         self.grants: dict[str, Grant] = {}
 
-    def request(self, now: float, duty: str, who: NodeIdentity, asked: float) -> bool:
+    def request(self, now: float, role: str, who: NodeIdentity, asked: float) -> bool:
         """Whether the duty is this asker's for a term from now on; `asked` by its clock."""
-        grant = self.grants.get(duty)
+        grant = self.grants.get(role)
         if now < self.silent_until:
             return False
         if grant is not None and grant.holder != who and now < grant.expires_at:
             return False
         known = grant.requested_at if grant is not None and grant.holder == who else None
-        self.grants[duty] = Grant(who, now + LEASE_TERM, asked if known is None else max(asked, known))
+        self.grants[role] = Grant(who, now + LEASE_TERM, asked if known is None else max(asked, known))
         return True
 
     def withdraw_unrequested(self, who: NodeIdentity, wants: list[int], asked: float) -> None:
         """What an asker has no more in its beat it counts on no more: these promises end, a late beat ends none."""
-        for duty, grant in list(self.grants.items()):
+        for role, grant in list(self.grants.items()):
             if (
                 grant.holder == who
-                and int(duty) not in wants
+                and int(role) not in wants
                 and grant.requested_at is not None
                 and grant.requested_at < asked
             ):
-                del self.grants[duty]
+                del self.grants[role]
 
     def restore(self, now: float, told: dict[NodeIdentity, list[int]]) -> None:
         """All other core doors have told what they count on: that is promised again, and silence ends."""
         if now >= self.silent_until:
             return
         self.silent_until = now
-        for who, duties in told.items():
-            for duty in duties:
-                self.grants[str(duty)] = Grant(who, now + LEASE_TERM)
+        for who, roles in told.items():
+            for role in roles:
+                self.grants[str(role)] = Grant(who, now + LEASE_TERM)
 
-    def release(self, duty: str, who: NodeIdentity) -> None:
-        grant = self.grants.get(duty)
+    def release(self, role: str, who: NodeIdentity) -> None:
+        grant = self.grants.get(role)
         if grant is not None and grant.holder == who:
-            del self.grants[duty]
+            del self.grants[role]
 
     def holders(self, now: float) -> dict[str, str]:
         """Who holds what, as far as this door granted it."""
-        return {duty: grant.holder[0] for duty, grant in self.grants.items() if now < grant.expires_at}
+        return {role: grant.holder[0] for role, grant in self.grants.items() if now < grant.expires_at}
 
 
 @dataclass(slots=True)
@@ -116,9 +116,9 @@
     def identity(self) -> NodeIdentity:
         return self.peers.me.ip, self.peers.me.incarnation
 
-    def held_until(self, duty: int) -> float:
+    def held_until(self, role: int) -> float:
         """Until when this door may do a duty; in the past where it may not."""
-        hold = self.leases.get(duty)
+        hold = self.leases.get(role)
         return hold.expires_at(self.peers.core_nodes) if hold is not None else 0.0
 
     def holder_reports(self, now: float) -> list[dict[str, str]]:
@@ -126,13 +126,13 @@
         peers = ((ip, self.peers.peers.get(ip)) for ip in self.peers.core_nodes)
         return [peer.role_holders for ip, peer in peers if peer is not None and self.peers.is_alive(now, ip)]
 
-    def holder(self, now: float, duty: int, words: list[dict[str, str]] | None = None) -> str | None:
+    def holder(self, now: float, role: int, words: list[dict[str, str]] | None = None) -> str | None:
         """Who holds a duty, as the core tells; the one of whom most say so."""
-        if self.held_until(duty) > now:
+        if self.held_until(role) > now:
             return self.peers.me.ip
         says: dict[str, int] = {}
         for holders in self.holder_reports(now) if words is None else words:
-            who = holders.get(str(duty))
+            who = holders.get(str(role))
             if who is not None and who != self.peers.me.ip:
                 says[who] = says.get(who, 0) + 1
         return max(says, key=lambda who: (says[who], who)) if says else None
@@ -153,53 +153,53 @@
         alive = [ip for ip in self.peers.core_nodes if self.can_hold(now, ip)]
         enough = len(alive) > len(self.peers.core_nodes) // 2  # with fewer, who is first in line is not known
         found, words = [], self.holder_reports(now)
-        for duty in range(self.role_count):
-            holder = self.holder(now, duty, words)
+        for role in range(self.role_count):
+            holder = self.holder(now, role, words)
             if holder == self.peers.me.ip:
-                found.append(duty)
+                found.append(role)
                 continue
-            free = holder is None or not self.peers.is_alive(now, holder) or self.declines(now, holder, duty)
+            free = holder is None or not self.peers.is_alive(now, holder) or self.declines(now, holder, role)
             if (
                 free
                 and enough
-                and owner(f"duty {duty}", self.willing_nodes(now, duty, alive)) == self.peers.me.ip
+                and owner(f"duty {role}", self.willing_nodes(now, role, alive)) == self.peers.me.ip
             ):
-                found.append(duty)
+                found.append(role)
         return found
 
-    def declines(self, now: float, ip: str, duty: int) -> bool:
+    def declines(self, now: float, ip: str, role: int) -> bool:
         """Whether a door of the core has said that it can't do a duty just now."""
         if ip == self.peers.me.ip:
-            return now < self.declined_until.get(duty, now)
+            return now < self.declined_until.get(role, now)
         peer = self.peers.peers.get(ip)
-        return peer is not None and duty in peer.declined_roles
+        return peer is not None and role in peer.declined_roles
 
-    def willing_nodes(self, now: float, duty: int, candidates: list[str]) -> list[str]:
+    def willing_nodes(self, now: float, role: int, candidates: list[str]) -> list[str]:
         """Of these doors those that don't decline a duty; all where each of them does."""
-        return [ip for ip in candidates if not self.declines(now, ip, duty)] or candidates
+        return [ip for ip in candidates if not self.declines(now, ip, role)] or candidates
 
-    def others_willing(self, now: float, duty: int) -> bool:
+    def others_willing(self, now: float, role: int) -> bool:
         """Whether another door could take a duty and doesn't decline it."""
         others = self.peers.other_core_nodes()
-        return any(self.can_hold(now, ip) and not self.declines(now, ip, duty) for ip in others)
+        return any(self.can_hold(now, ip) and not self.declines(now, ip, role) for ip in others)
 
-    def decline(self, now: float, duty: int) -> None:
+    def decline(self, now: float, role: int) -> None:
         """This door can't do a duty that it holds: it ceases to hold it, and others go first for a while."""
-        self.declined_until[duty] = now + DECLINE_TIME
-        self.leases.pop(duty, None)
-        self.granter.release(str(duty), self.identity())
+        self.declined_until[role] = now + DECLINE_TIME
+        self.leases.pop(role, None)
+        self.granter.release(str(role), self.identity())
 
     def declined_roles(self, now: float) -> list[int]:
         """The duties that this door leaves to others."""
-        return [duty for duty, until in self.declined_until.items() if now < until]
+        return [role for role, until in self.declined_until.items() if now < until]
 
-    def on_declined(self, who: NodeIdentity, duties: list[int]) -> None:
+    def on_declined(self, who: NodeIdentity, roles: list[int]) -> None:
         """Another door declines duties that it held: its promises end."""
-        for duty in duties:
-            self.granter.release(str(duty), who)
+        for role in roles:
+            self.granter.release(str(role), who)
         peer = self.peers.peers.get(who[0])
         if peer is not None and peer.info.incarnation == who[1]:
-            peer.declined_roles |= frozenset(duties)
+            peer.declined_roles |= frozenset(roles)
 
     def can_hold(self, now: float, ip: str) -> bool:
         """Whether a door of the core can take a duty: it answers, its seat is its own, and it isn't leaving."""
@@ -211,13 +211,13 @@
         """What a beat that goes out now asks for.  On a promise of what it leaves out this door counts no more, so
         whoever promised it is free: what two doors wanted at once is held up by a beat, not by a term."""
         wants = self.wanted_roles(now) if settled else []
-        for duty, hold in self.leases.items():
-            if duty not in wants and hold.requested_since is not None:
+        for role, hold in self.leases.items():
+            if role not in wants and hold.requested_since is not None:
                 hold.requested_since = None
                 hold.grants.clear()
-                self.granter.release(str(duty), self.identity())
-        for duty in wants:
-            hold = self.leases.setdefault(duty, RoleLease())
+                self.granter.release(str(role), self.identity())
+        for role in wants:
+            hold = self.leases.setdefault(role, RoleLease())
             if hold.requested_since is None:
                 hold.requested_since = max(now, self.grants_valid_from)
         self.requested = wants
@@ -225,14 +225,14 @@
 
     def grant_to_self(self, now: float) -> None:
         """This door's own grants for what it has asked for last."""
-        for duty in self.requested:
-            if self.granter.request(now, str(duty), self.identity(), now):
-                self.on_granted(duty, self.peers.me.ip, now, self.peers.me.incarnation)
+        for role in self.requested:
+            if self.granter.request(now, str(role), self.identity(), now):
+                self.on_granted(role, self.peers.me.ip, now, self.peers.me.incarnation)
 
-    def on_granted(self, duty: int, ip: str, asked_at: float, life: int) -> None:
+    def on_granted(self, role: int, ip: str, asked_at: float, life: int) -> None:
         """A core door's yes to a beat; one from before this door last began to ask counts for nothing, nor does that of
         an earlier life which comes after the new one was told that it isn't counted on."""
-        hold = self.leases.get(duty)
+        hold = self.leases.get(role)
         told_at, told = self.disclaimed.get(ip, (-1e9, life))
         if life != told and asked_at <= told_at:
             return
@@ -264,30 +264,30 @@
     def disclaim_previous(self, now: float, who: NodeIdentity) -> list[int]:
         """What a new life is told: the duties for which a promise of an earlier one counts here."""
         self.disclaimed[who[0]] = (now, who[1])
-        return [duty for duty, hold in self.leases.items() if hold.relies_on_previous(now, who)]
+        return [role for role, hold in self.leases.items() if hold.relies_on_previous(now, who)]
 
     def restore_grants(self, now: float) -> None:
         """End the silence of a new life once every other core door has told what it counts on."""
         others = [self.peers.peers.get(ip) for ip in self.peers.other_core_nodes()]
         told = {(p.info.ip, p.info.incarnation): p.relied_on_roles for p in others if p is not None}
-        if len(told) == len(others) and all(duties is not None for duties in told.values()):
-            self.granter.restore(now, {who: duties or [] for who, duties in told.items()})
+        if len(told) == len(others) and all(roles is not None for roles in told.values()):
+            self.granter.restore(now, {who: roles or [] for who, roles in told.items()})
 
     def release_all(self, now: float) -> list[int]:
         """What this door held; from now on it holds nothing, and wants nothing."""
-        held = [duty for duty in range(self.role_count) if self.held_until(duty) > now]
+        held = [role for role in range(self.role_count) if self.held_until(role) > now]
         self.has_left = True
         self.leases.clear()
         self.on_released(self.identity(), held)
         return held
 
-    def on_released(self, who: NodeIdentity, duties: list[int]) -> None:
+    def on_released(self, who: NodeIdentity, roles: list[int]) -> None:
         """A holder has left in order."""
-        for duty in duties:
-            self.granter.release(str(duty), who)
+        for role in roles:
+            self.granter.release(str(role), who)
         for peer in self.peers.peers.values():
             peer.role_holders = {
-                duty: holder for duty, holder in peer.role_holders.items() if holder != who[0]
+                role: holder for role, holder in peer.role_holders.items() if holder != who[0]
             }
         if (left := self.peers.peers.get(who[0])) is not None and left.info.incarnation == who[1]:
             left.leaving = True
--- a/hazelspring/localfleet/__main__.py
+++ b/hazelspring/localfleet/__main__.py
@@ -45,19 +45,19 @@
     if chosen.core < 1 or chosen.others < 0:
         parser.error("there must be a door with a disk")
     with tempfile.TemporaryDirectory(prefix="hazelspring-") as folder:
-        yard = LocalFleet(Path(folder), chosen.core, chosen.others)
-        background = Background(StandIns(yard.platform, yard.servers))
+        fleet = LocalFleet(Path(folder), chosen.core, chosen.others)
+        background = Background(StandIns(fleet.platform, fleet.servers))
         try:
-            yard.start_all(first=True)
-            call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
-            yard.until(lambda: all(yard.is_ready(n) for n in range(len(yard.ips))))
-            doors = ",".join(yard.controls())
-            print(f"export HAZELSPRING_NODES={doors}\nlogs and disks: {folder}\n")
-            statuses(yard.controls())
-            yard.until(lambda: yard.ask(0, "GET", "/read/first", "first")[0] == 200)
+            fleet.start_all(first=True)
+            call_until_settled(fleet.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
+            fleet.until(lambda: all(fleet.is_ready(n) for n in range(len(fleet.ips))))
+            nodes = ",".join(fleet.controls())
+            print(f"export HAZELSPRING_NODES={nodes}\nlogs and disks: {folder}\n")
+            statuses(fleet.controls())
+            fleet.until(lambda: fleet.ask(0, "GET", "/read/first", "first")[0] == 200)
             for n, (method, path) in enumerate((("GET", "/read/a"), ("POST", "/write/a"))):
-                status, body = yard.ask(n, method, path, f"try-{n}")
-                print(f"{method} {path} at {yard.ips[n]}:{yard.front} -> {status} {body.decode().strip()}")
+                status, body = fleet.ask(n, method, path, f"try-{n}")
+                print(f"{method} {path} at {fleet.ips[n]}:{fleet.front} -> {status} {body.decode().strip()}")
             print(f"\nas a client: Host: shop.example, Authorization: Bearer {KEY}; Ctrl-C ends it")
             end = time.monotonic() + chosen.seconds if chosen.seconds else float("inf")
             while time.monotonic() < end:
@@ -65,7 +65,7 @@
         except KeyboardInterrupt:
             pass
         finally:
-            yard.close()
+            fleet.close()
             background.close()
     return 0
 
--- a/hazelspring/node/dissemination.py
+++ b/hazelspring/node/dissemination.py
@@ -23,17 +23,17 @@
         self, now: float, wall_ms: int, found: dict[str, dict[str, ServerEntry]]
     ) -> list[Action]:
         """A list has come: what it changes goes to the core, and to the home node of each service and zone."""
-        deeds: list[Action] = []
+        actions: list[Action] = []
         me = self.peers.me.ip
         for service in self.registry.update_from_list(now, wall_ms, found):
-            deeds.append(StateChanged(f"service:{service}"))
+            actions.append(StateChanged(f"service:{service}"))
             message = TableUpdate(self.registry.encode_change(now, service)).encode()
             zones = sorted({row[1] for row in self.peers.roster_rows})
             homes = {home_node(service, zone, self.peers.ready_nodes(zone=zone)) for zone in zones}
             for ip in sorted({*self.peers.other_core_nodes(), *(h for h in homes if h is not None)} - {me}):
-                deeds.append(Send(ip, message))
-            deeds += self.forward_to_zone(service, message)
-        return deeds
+                actions.append(Send(ip, message))
+            actions += self.forward_to_zone(service, message)
+        return actions
 
     def apply_update(self, now: float, news: TableUpdate) -> list[Action]:
         """What another node told; where it can't be applied, the whole table is asked for."""
@@ -48,10 +48,10 @@
     def forward_to_zone(self, service: str, message: Message) -> list[Action]:
         """The home node tells the others of its zone."""
         me = self.peers.me
-        doors = self.peers.ready_nodes(zone=me.zone)
-        if home_node(service, me.zone, doors) != me.ip:
+        nodes = self.peers.ready_nodes(zone=me.zone)
+        if home_node(service, me.zone, nodes) != me.ip:
             return []
-        return [Send(ip, message) for ip in doors if ip != me.ip]
+        return [Send(ip, message) for ip in nodes if ip != me.ip]
 
     def report_load(
         self, now: float, outs: InFlightByTag, heard: Mapping[str, tuple[float, InFlightByTag]]
--- a/hazelspring/node/heartbeats.py
+++ b/hazelspring/node/heartbeats.py
@@ -33,7 +33,7 @@
         self,
         peers: PeerTable,
         control: ControlReplica,
-        duties: SingletonRoles,
+        roles: SingletonRoles,
         news: ServerRegistry,
         freshness: ListFreshness,
         began: float,
@@ -41,7 +41,7 @@
         self.peers, self.control, self.roles, self.registry, self.started_at = (
             peers,
             control,
-            duties,
+            roles,
             news,
             began,
         )
@@ -160,7 +160,7 @@
             self.roles.granter.withdraw_unrequested(who, wants, asked)
             if not self.may_grant_leases(message["c"]):
                 wants = []
-            granted = [duty for duty in wants if self.roles.granter.request(now, str(duty), who, asked)]
+            granted = [role for role in wants if self.roles.granter.request(now, str(role), who, asked)]
             if granted:
                 echo["g"] = granted
         if (age := self.freshness.encode_age(now)) is not None:
@@ -216,8 +216,8 @@
             self.control.observe_version(about.ip, peer.control_versions[0])
             if max(peer.control_versions) <= self.control.acceptor.version:
                 peer.caught_up_at = asked_at
-        for duty in message.get("g", ()):
-            self.roles.on_granted(duty, about.ip, asked_at, about.incarnation)
+        for role in message.get("g", ()):
+            self.roles.on_granted(role, about.ip, asked_at, about.incarnation)
         if "s" in message and message["s"] != self.peers.roster_rows:
             self.peers.replace_roster(message["s"])
         if "e" in message:
--- a/hazelspring/node/invariants.py
+++ b/hazelspring/node/invariants.py
@@ -44,11 +44,11 @@
         bounds: InvariantBounds,
         peers: PeerTable,
         beats: Heartbeats,
-        list_duty: ListReaderRole,
+        list_role: ListReaderRole,
         freshness: ListFreshness,
     ) -> None:
         self.bounds, self.peers, self.heartbeats = bounds, peers, beats
-        self.list_reader_role, self.freshness = list_duty, freshness
+        self.list_reader_role, self.freshness = list_role, freshness
         self.violations: Counter[str] = Counter()
         self.violated: set[str] = set()  # those that don't hold now
         self.checked_at = -1e9
--- a/hazelspring/node/load_reporter.py
+++ b/hazelspring/node/load_reporter.py
@@ -39,14 +39,14 @@
     return min((CONTROL_BANDWIDTH - IDLE_BANDWIDTH) / 2, MAX_LINK_PART * link)
 
 
-def recipient_count(names: int, doors: int, room: float) -> int:
+def recipient_count(names: int, nodes: int, room: float) -> int:
     """How many doors, of so many others in the zone, are told of each of `names` servers, so that a round takes no
     more bytes than `room`: all, where that fits; fewer as it does not; one at least."""
-    if not names or not doors:
-        return doors
-    all_told = (room - doors * MESSAGE_BYTES) / (names * SERVER_BYTES)  # each door has one message,
+    if not names or not nodes:
+        return nodes
+    all_told = (room - nodes * MESSAGE_BYTES) / (names * SERVER_BYTES)  # each door has one message,
     few_told = room / (names * (MESSAGE_BYTES + SERVER_BYTES))  # or each row has its own
-    return max(1, min(doors, int(max(all_told, few_told))))
+    return max(1, min(nodes, int(max(all_told, few_told))))
 
 
 class LoadReporter:
@@ -100,7 +100,7 @@
         A round comes once the budget has made up for those before it."""
         self.update_recipients()
         self.refill(now)
-        deeds: list[Action] = []
+        actions: list[Action] = []
         rounds = [
             (self.zone_reported_at, MIN_ZONE_INTERVAL, True),
             (self.region_reported_at, max(MIN_REGION_INTERVAL, self.zone_interval), False),
@@ -110,13 +110,13 @@
                 continue
             if zone:
                 self.zone_interval, self.zone_reported_at = min(REPORT_LIFETIME, now - at), now
-                deeds += self.report_to_zone(now, busiest(outs, MAX_SERVERS_PER_REPORT))
+                actions += self.report_to_zone(now, busiest(outs, MAX_SERVERS_PER_REPORT))
             elif self.region_nodes and (
                 told := self.report_to_region(now, outs, heard)
             ):  # what is new next goes at once
                 self.region_reported_at = now
-                deeds += told
-        return deeds
+                actions += told
+        return actions
 
     def record_other_bytes(self, size: float) -> None:
         """Bytes of other kinds have been sent that the budget is for."""
@@ -143,12 +143,12 @@
         count = recipient_count(len(outs), len(self.zone_nodes), self.byte_rate() * MAX_ROUND_TIME)
         if count == len(self.zone_nodes):
             message = {"k": "dance", "o": outs}
-            return [deed for ip in self.zone_nodes for deed in self.send(now, ip, message)]
+            return [action for ip in self.zone_nodes for action in self.send(now, ip, message)]
         rows: dict[str, InFlightByTag] = {ip: {} for ip in self.zone_nodes}
         for name, out in outs.items():
             for ip in self.recipients_of(name)[:count]:
                 rows[ip][name] = out
-        return [deed for ip, row in rows.items() for deed in self.send(now, ip, {"k": "dance", "o": row})]
+        return [action for ip, row in rows.items() for action in self.send(now, ip, {"k": "dance", "o": row})]
 
     def recipients_of(self, name: int) -> list[str]:
         """The zone's other doors in the order, the same for all, in which they hear of a server."""
@@ -171,7 +171,7 @@
             self.zone_totals(outs, heard), max(1, min(MAX_SERVERS_PER_REPORT, int(room / SERVER_BYTES)))
         )
         message = {"k": "dance", "o": total}
-        return [deed for ip in self.region_nodes for deed in self.send(now, ip, message)]
+        return [action for ip in self.region_nodes for action in self.send(now, ip, message)]
 
     def zone_totals(
         self, outs: InFlightByTag, heard: Mapping[str, tuple[float, InFlightByTag]]
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -246,10 +246,10 @@
         ):
             self.actions.append(ReadList(number))
 
-    def decline_role(self, now: float, duty: int) -> None:
+    def decline_role(self, now: float, role: int) -> None:
         """Leave a duty that this door can't do to another one, at once."""
-        self.roles.decline(now, duty)
-        message = RolesDeclined(self.me, [duty]).encode()
+        self.roles.decline(now, role)
+        message = RolesDeclined(self.me, [role]).encode()
         self.actions += [Send(ip, message) for ip in self.peers.other_core_nodes()]
 
     def may_read_list(self, now: float) -> bool:
@@ -273,9 +273,9 @@
         newest = self.list_reader_role.end_read(number, found is not None)
         if found is None or not newest or not self.may_read_list(now):
             return []
-        deeds = self.disseminator.publish_list(now, wall_ms, found)
+        actions = self.disseminator.publish_list(now, wall_ms, found)
         self.freshness.confirm(self.list_reader_role.read_at)
-        return deeds
+        return actions
 
     # --- quotas -----------------------------------------------------------------------------------------------
 
--- a/hazelspring/quota/credits.py
+++ b/hazelspring/quota/credits.py
@@ -91,11 +91,11 @@
         self.verdicts: list[AdmissionVerdict] = []
 
     def request_credit(
-        self, now: float, tenant: str, rate: float, burst: float, request: int, doors: int
+        self, now: float, tenant: str, rate: float, burst: float, request: int, nodes: int
     ) -> None:
         """A request asks for one credit; its verdict is put down now or once the lease in flight has ended."""
-        lease = self.lease_for(now, tenant, self.limits.window_limit(rate, burst, doors), doors)
-        lease.reserve = self.limits.reserve(rate, burst, doors)
+        lease = self.lease_for(now, tenant, self.limits.window_limit(rate, burst, nodes), nodes)
+        lease.reserve = self.limits.reserve(rate, burst, nodes)
         if lease.credits >= 1 and not lease.waiters:
             self.spend(lease, request)
         elif now < lease.denied_until:
@@ -105,12 +105,12 @@
             if not lease.call_in_flight:
                 self.call_counter(now, lease)
 
-    def lease_for(self, now: float, tenant: str, limit: float, doors: int) -> CreditLease:
+    def lease_for(self, now: float, tenant: str, limit: float, nodes: int) -> CreditLease:
         lease = self.leases.get(tenant)
         if lease is None:
             # A new tenant's first lease splits its limit over the doors.
             lease = self.leases[tenant] = CreditLease(
-                tenant, limit, math.log(max(1.0, limit / max(1, doors)))
+                tenant, limit, math.log(max(1.0, limit / max(1, nodes)))
             )
             lease.expires_at = now + self.limits.window
         lease.limit, lease.last_used_at = limit, now
--- a/hazelspring/quota/limits.py
+++ b/hazelspring/quota/limits.py
@@ -28,11 +28,11 @@
     def span_limit(self, rate: float, burst: float) -> float:
         return (rate * self.span + burst) * (1 + self.overage) + self.slack
 
-    def reserve(self, rate: float, burst: float, doors: int) -> int:
+    def reserve(self, rate: float, burst: float, nodes: int) -> int:
         """Requests that each of so many doors may let in by itself in any span; none where doors are not counted."""
-        return int(RESERVED_PART * self.span_limit(rate, burst) / doors) if doors > 0 else 0
+        return int(RESERVED_PART * self.span_limit(rate, burst) / nodes) if nodes > 0 else 0
 
-    def window_limit(self, rate: float, burst: float, doors: int) -> float:
+    def window_limit(self, rate: float, burst: float, nodes: int) -> float:
         """Requests that a window may grant.  A span touches one window more than fit into it."""
-        shared = doors * self.reserve(rate, burst, doors)
+        shared = nodes * self.reserve(rate, burst, nodes)
         return float(int((GRANTED_PART * self.span_limit(rate, burst) - shared) / (WINDOWS_PER_SPAN + 1)))
--- a/hazelspring/registry/list_reader_role.py
+++ b/hazelspring/registry/list_reader_role.py
@@ -52,8 +52,8 @@
 class ListReaderRole:
     """When this node reads the list, and when it leaves that to another."""
 
-    def __init__(self, duties: SingletonRoles, timing: ListTiming) -> None:
-        self.roles, self.timing = duties, timing
+    def __init__(self, roles: SingletonRoles, timing: ListTiming) -> None:
+        self.roles, self.timing = roles, timing
         self.number = 0  # of the read that was begun last
         self.started_at = NEVER
         self.under_way = False
--- a/hazelspring/routing/endpoints.py
+++ b/hazelspring/routing/endpoints.py
@@ -106,22 +106,22 @@
             server_tag(server.id): server.in_flight for server in self.servers.values() if server.in_flight
         }
 
-    def on_load_report(self, now: float, door: str, outs: dict[int, int]) -> None:
+    def on_load_report(self, now: float, node: str, outs: dict[int, int]) -> None:
         """Another door has told where its requests are: only what differs from its last word is summed up."""
-        change = {name: -out for name, out in self.load_reports.get(door, (now, {}))[1].items()}
+        change = {name: -out for name, out in self.load_reports.get(node, (now, {}))[1].items()}
         for name, out in outs.items():
             change[name] = change.get(name, 0) + out
-        self.load_reports.pop(door, None)
-        self.load_reports[door] = (now, outs)
+        self.load_reports.pop(node, None)
+        self.load_reports[node] = (now, outs)
         self.add_in_flight_elsewhere(change)
 
     def expire_load_reports(self, now: float) -> None:
         """What doors told counts no more once they have been silent for a while."""
         while self.load_reports:
-            door, (at, outs) = next(iter(self.load_reports.items()))
+            node, (at, outs) = next(iter(self.load_reports.items()))
             if now - at <= LOAD_REPORT_LIFETIME:
                 return
-            del self.load_reports[door]
+            del self.load_reports[node]
             self.add_in_flight_elsewhere({name: -out for name, out in outs.items()})
 
     def add_in_flight_elsewhere(self, change: dict[int, int]) -> None:
--- a/hazelspring/routing/retry_budget.py
+++ b/hazelspring/routing/retry_budget.py
@@ -24,10 +24,10 @@
             while times and times[0] < now - self.window:
                 times.popleft()
 
-    def try_spend(self, now: float, doors: int) -> bool:
+    def try_spend(self, now: float, nodes: int) -> bool:
         """Whether one more try may go out; of the slack nothing, where the doors that share it are not counted."""
         self.expire(now)
-        slack = self.slack / doors if doors > 0 else 0.0
+        slack = self.slack / nodes if nodes > 0 else 0.0
         if len(self.retry_times) + 1 > self.ratio * len(self.request_times) + slack:
             return False
         self.retry_times.append(now)
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -119,13 +119,13 @@
         """By node, the load that others told it, and when."""
         return {}
 
-    def deeds(self, name: str, deeds: list[Action]) -> None:
-        for deed in deeds:
-            if type(deed) in LABELS:
-                self.recorder.add(self.now, name, deed)
-            if isinstance(deed, LoadReported):
-                self.loads.setdefault(name, {})[deed.node] = (self.now, deed.in_flight_by_tag)
-        super().deeds(name, deeds)
+    def actions(self, name: str, actions: list[Action]) -> None:
+        for action in actions:
+            if type(action) in LABELS:
+                self.recorder.add(self.now, name, action)
+            if isinstance(action, LoadReported):
+                self.loads.setdefault(name, {})[action.node] = (self.now, action.in_flight_by_tag)
+        super().actions(name, actions)
 
     def send(self, source: str, to: str, message: Message) -> None:
         self.recorder.add(self.now, "message", source, to, wire_bytes(message))
@@ -195,7 +195,7 @@
     chance, changes, number = random.Random(seed), dict[int, int](), 1
     world.run(3.0)
     for step in range(72):
-        name, act = chance.choice(list(world.doors)), chance.randrange(12)
+        name, act = chance.choice(list(world.machines)), chance.randrange(12)
         if step % 18 == 0:
             number += 1
             changes[chance.randrange(600)] = 1000 + number
@@ -213,13 +213,13 @@
             listed = draw_servers(chance, "shop")
             world.listing = {"shop": {entry.id: entry for entry in listed}, "cart": {}}
         for each in world.up():
-            node = world.doors[each].core
+            node = world.machines[each].core
             assert node is not None
             outs = {server_tag(chance.choice(SERVERS)): chance.randrange(4) for _ in range(3)}
-            world.deeds(each, node.disseminator.report_load(world.now, outs, world.loads.get(each, {})))
+            world.actions(each, node.disseminator.report_load(world.now, outs, world.loads.get(each, {})))
             if chance.random() < 0.3:
                 tenant, units = f"tenant-{chance.randrange(4)}", float(chance.randrange(-3, 12))
-                world.deeds(each, node.lease_credits(world.now, tenant, step + 1, units))
+                world.actions(each, node.lease_credits(world.now, tenant, step + 1, units))
         world.run(chance.choice([0.02, 0.1, 0.1, 0.4]))
     world.run(4.0)
     world.recorder.add("breaches", len(world.breaches))
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -17,16 +17,16 @@
 numbers = itertools.count(10)
 
 
-def core_doors(yard: LocalFleet) -> list[int]:
+def core_nodes(yard: LocalFleet) -> list[int]:
     return [n for n in yard.there() if n in yard.disks]
 
 
-def other_doors(yard: LocalFleet) -> list[int]:
+def other_nodes(yard: LocalFleet) -> list[int]:
     return [n for n in yard.there() if n not in yard.disks]
 
 
-def controls(yard: LocalFleet, doors: Sequence[int] | None = None, but: Sequence[int] = ()) -> list[str]:
-    return [yard.controls()[n] for n in (yard.there() if doors is None else doors) if n not in but]
+def controls(yard: LocalFleet, nodes: Sequence[int] | None = None, but: Sequence[int] = ()) -> list[str]:
+    return [yard.controls()[n] for n in (yard.there() if nodes is None else nodes) if n not in but]
 
 
 # --- calls that wait in a door's socket ---------------------------------------------------------------------------
@@ -165,13 +165,13 @@
             self.yard.until(lambda n=n: told(self.yard, n).get("closedZones") == [])
 
 
-def give_keys(yard: LocalFleet, doors: Sequence[int]) -> None:
+def give_keys(yard: LocalFleet, nodes: Sequence[int]) -> None:
     """Both doors let the key `leaving` in."""
     call_until_settled(
         controls(yard), "PUT", "/-/configuration", configuration(next(numbers), keys=(KEY, "leaving"))
     )
     marks = itertools.count()
-    for n in doors:
+    for n in nodes:
         yard.until(
             lambda n=n: ask(yard, n, "GET", "/read/a", f"g{n}-{next(marks)}", "leaving").end().status == 200
         )
@@ -184,10 +184,10 @@
     return number
 
 
-def settle(doors: Sequence[str], body: bytes) -> bool:
+def settle(nodes: Sequence[str], body: bytes) -> bool:
     """Whether a body is confirmed; else its number is taken, and nothing else is said."""
     try:
-        return call_until_settled(doors, "PUT", "/-/configuration", body).status == 200
+        return call_until_settled(nodes, "PUT", "/-/configuration", body).status == 200
     except CallError as error:
         assert error.code == "refused" and "409 number_taken" in str(error), error
         return False
@@ -217,8 +217,8 @@
 class Operators:
     """Orders one after another from several threads until told to stop; each must be confirmed."""
 
-    def __init__(self, doors: Callable[[], list[str]], count: int = 3) -> None:
-        self.doors, self.stopped = doors, threading.Event()
+    def __init__(self, nodes: Callable[[], list[str]], count: int = 3) -> None:
+        self.nodes, self.stopped = nodes, threading.Event()
         self.highest, self.confirmed, self.failed = 0, 0, list[str]()
         self.threads = [threading.Thread(target=self.run, args=(n,)) for n in range(count)]
         for thread in self.threads:
@@ -226,11 +226,11 @@
 
     def run(self, n: int) -> None:
         while not self.stopped.is_set():
-            doors, number = self.doors(), next(numbers)
+            nodes, number = self.nodes(), next(numbers)
             n += 1
             try:
                 call_until_settled(
-                    doors[n % len(doors) :] + doors[: n % len(doors)],
+                    nodes[n % len(nodes) :] + nodes[: n % len(nodes)],
                     "PUT",
                     "/-/configuration",
                     configuration(number),
@@ -257,7 +257,7 @@
     def __init__(self, yard: LocalFleet, count: int = 8) -> None:
         self.yard, self.stopped = yard, threading.Event()
         self.ends: dict[str, int] = {}  # status by attempt id
-        self.doors: dict[str, int] = {}  # the door that was asked, by attempt id
+        self.nodes: dict[str, int] = {}  # the door that was asked, by attempt id
         self.foreign: list[str] = []
         self.ids = itertools.count()
         self.threads = [threading.Thread(target=self.run, args=(n,)) for n in range(count)]
@@ -265,30 +265,30 @@
             thread.start()
 
     def run(self, n: int) -> None:
-        doors = self.yard.there()
+        nodes = self.yard.there()
         wires: dict[int, http.client.HTTPConnection] = {}
         while not self.stopped.is_set():
             n += 1
-            door, id_ = doors[n % len(doors)], f"c-{next(self.ids)}"
-            self.doors[id_] = door
+            node, id_ = nodes[n % len(nodes)], f"c-{next(self.ids)}"
+            self.nodes[id_] = node
             method = "POST" if is_write(id_) else "GET"
             path = f"/{'read' if method == 'GET' else 'write'}/{id_}"
-            if door not in wires:
-                wires[door] = http.client.HTTPConnection(self.yard.ips[door], self.yard.front, timeout=6)
+            if node not in wires:
+                wires[node] = http.client.HTTPConnection(self.yard.ips[node], self.yard.front, timeout=6)
             headers = {
                 "Host": "shop.example", "X-Hazelspring-Attempt-Id": id_, "Authorization": f"Bearer {KEY}",
                 "X-Hazelspring-Remaining-Milliseconds": "800",
             }  # fmt: skip
             try:
-                wires[door].request(method, path, b"" if method == "POST" else None, headers)
-                answer = wires[door].getresponse()
+                wires[node].request(method, path, b"" if method == "POST" else None, headers)
+                answer = wires[node].getresponse()
                 body, status = answer.read().decode(), answer.status
                 given = answer.getheader("X-Hazelspring-Attempt-Id", id_ if status != 200 else "")
                 if given != id_ or (status == 200 and body.split()[1:3] != [method, path]):
                     self.foreign.append(f"{status} {given} {body} for {method} {path}")
             except (OSError, http.client.HTTPException):
                 status = 0
-                wires.pop(door).close()
+                wires.pop(node).close()
             self.ends[id_] = status
         for wire in wires.values():
             wire.close()
--- a/tests/chaos_days.py
+++ b/tests/chaos_days.py
@@ -39,14 +39,14 @@
     odd: float
     drop: float
     clocks: bool  # each life has a steady clock of its own, of its own speed
-    deeds: tuple[Act, ...]
+    actions: tuple[Act, ...]
 
     def __str__(self) -> str:
         head = f"seed {self.seed}: core {self.core}+{self.others}{' bare' * self.bare}{' early' * self.early}"
         head += (
             f"{' tame' if self.tame else ' wild'}{' clocks' * self.clocks} odd {self.odd} drop {self.drop}"
         )
-        return "\n".join([head, *(f"  {d.what} {d.which} {d.more} {d.pause}" for d in self.deeds)])
+        return "\n".join([head, *(f"  {d.what} {d.which} {d.more} {d.pause}" for d in self.actions)])
 
 
 def draw(seed: int) -> Day:
@@ -59,7 +59,7 @@
     for kind, cure in CURES.items():
         if kind in some:
             weights[kinds.index(cure)] = KINDS[cure]
-    deeds = tuple(
+    actions = tuple(
         Act(lot.choices(kinds, weights)[0], lot.randrange(24), lot.randrange(24), lot.choice(PAUSES))
         for _ in range(lot.randint(8, 45))
     )
@@ -67,16 +67,16 @@
     odd, drop = lot.choice((0.0, 0.0, 0.05, 0.2)), lot.choice((0.0, 0.0, 0.05))
     flags = [lot.random() < part for part in (0.15, 0.5, 0.25, 0.5)]
     bare, tame, early, clocks = flags
-    return Day(seed, core, lot.choice((1, 1, 2)), bare and core > 3, tame, early, odd, drop, clocks, deeds)
+    return Day(seed, core, lot.choice((1, 1, 2)), bare and core > 3, tame, early, odd, drop, clocks, actions)
 
 
 def shrink(day: Day, fails: Callable[[Day], bool]) -> Day:
     """The fewest deeds that still fail: halves, quarters and single ones are left out in turn."""
-    size = max(1, len(day.deeds) // 2)
+    size = max(1, len(day.actions) // 2)
     while True:
         at = 0
-        while at < len(day.deeds):
-            less = replace(day, deeds=day.deeds[:at] + day.deeds[at + size :])
+        while at < len(day.actions):
+            less = replace(day, actions=day.actions[:at] + day.actions[at + size :])
             if fails(less):
                 day = less
             else:
--- a/tests/chaos_rules.py
+++ b/tests/chaos_rules.py
@@ -16,9 +16,9 @@
 from hazelspring.node.node import Node, NodeStart
 
 from .chaos_days import Day
-from .world import Call, Door, World
+from .world import Call, Machine, World
 
-DUTIES = 3  # one of them that of asking the platform; what each tick costs goes by their number
+ROLES = 3  # one of them that of asking the platform; what each tick costs goes by their number
 TIMED = [
     "tick",
     "on_message",
@@ -62,7 +62,7 @@
         self.bodies: dict[int, bytes] = {}  # digests of what was put, by token
         self.acked: dict[tuple[int, bytes], float] = {}  # since when a body under its number is acknowledged
         self.puts: list[tuple[int, str]] = []
-        self.gone: dict[str, Door] = {}  # machines that were taken away, with their disks
+        self.gone: dict[str, Machine] = {}  # machines that were taken away, with their disks
         self.troubled: dict[str, float] = {}  # machines that are lost, or back for less than `CATCH_UP`
         self.top, self.new = 5, 40
         bare = frozenset({f"d{1 + day.seed % 3}"} if day.bare else ())
@@ -72,12 +72,12 @@
 
     def make(self, start: NodeStart) -> Node:
         core = super().make(start)
-        core.roles.role_count = DUTIES
+        core.roles.role_count = ROLES
         if not self.day.clocks:
             return core
         local, rate = self.clock.choice((7.0, 100.0, 5e5)), self.clock.uniform(0.98, 1.02)
         begun = Node(local, start, core.quota_counter.length, core.tenant_limit)
-        begun.roles.role_count = DUTIES
+        begun.roles.role_count = ROLES
         return Clocked(begun, self.now, local, rate)  # type: ignore[return-value]
 
     def delay(self, here: NodeInfo, there: NodeInfo) -> float:
@@ -89,17 +89,17 @@
         if self.late and self.random.random() < self.late:  # once more, much later
 
             def again() -> None:
-                if source in self.doors:
+                if source in self.machines:
                     World.send(self, source, to, message)
 
             self.at(self.now + 8 * self.random.random(), again)
 
-    def holds(self, name: str, duty: int) -> bool:
-        core: Any = self.doors[name].core
-        if core is None or self.doors[name].frozen is not None:
+    def holds(self, name: str, role: int) -> bool:
+        core: Any = self.machines[name].core
+        if core is None or self.machines[name].frozen is not None:
             return False
         now = core.local(self.now) if isinstance(core, Clocked) else self.now
-        return bool(core.roles.held_until(duty) > now)
+        return bool(core.roles.held_until(role) > now)
 
     # --- what must hold -------------------------------------------------------------------------------------------
 
@@ -167,15 +167,15 @@
         if core.control.acceptor.version < self.newest(core.confirmed_at(self.now)):
             self.breach(f"{name} takes itself for fresh at {core.confirmed_at(self.now):.3f} and is not")
         self.seen_by(name, core)
-        for duty in range(DUTIES):
-            if self.holds(name, duty):
-                holding = [d for d in self.up() if d != name and self.holds(d, duty)]
+        for role in range(ROLES):
+            if self.holds(name, role):
+                holding = [d for d in self.up() if d != name and self.holds(d, role)]
                 if holding:
-                    self.breach(f"duty {duty} is held by {[name, *holding]}")
+                    self.breach(f"duty {role} is held by {[name, *holding]}")
 
     def seen_by(self, name: str, core: Node) -> None:
         state = core.control.acceptor.state
-        if state is None or state.version == self.doors[name].seen:
+        if state is None or state.version == self.machines[name].seen:
             return
         self.saw(name, core)
         old = self.decided.get(state.version - 1)
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -24,7 +24,7 @@
 from hazelspring.membership.peer_table import NodeInfo, PeerTable
 from hazelspring.node.actions import Action, Message, Save, Send
 
-from .control_door import NEVER, Door, Event, once, spent_at
+from .control_node import NEVER, Event, ModelNode, once, spent_at
 from .control_rules import Disk, chain, copies, kept, undone, unread
 
 T = TypeVar("T")
@@ -35,7 +35,7 @@
 class Case:
     """Doors as they begin, what may come once, and the bounds."""
 
-    doors: list[Door]
+    nodes: list[ModelNode]
     events: list[Event]
     counts: dict[str, tuple[int, ...]]  # those of the ballots that a door may begin a round with
     rounds: int  # of all doors together
@@ -96,8 +96,8 @@
     def __init__(self, case: Case, keep_all: bool = False) -> None:
         """`keep_all`: also messages that can do nothing any more make a difference between two states."""
         self.case, self.keep_all, self.told_only = case, keep_all, False
-        self.ips = [door.peers.me.ip for door in case.doors]
-        self.doors: Numbers[Door] = Numbers()
+        self.ips = [node.peers.me.ip for node in case.nodes]
+        self.nodes: Numbers[ModelNode] = Numbers()
         self.letters: Numbers[tuple[str, str, bytes]] = Numbers()  # from, to, message
         self.states: Numbers[ControlState] = Numbers()
         self.ends: Numbers[tuple[Proposal, ProposalOutcome]] = Numbers()
@@ -127,28 +127,28 @@
 
     # --- steps of one door ---------------------------------------------------------------------------------
 
-    def finish(self, door: Door, deeds: Iterable[Action]) -> Step:
+    def finish(self, node: ModelNode, actions: Iterable[Action]) -> Step:
         """Carry out what a door wants done, and number what came of it."""
         sent = ended = 0
-        todo = list(deeds)
+        todo = list(actions)
         while todo:
-            deed = todo.pop(0)
-            if isinstance(deed, Save):
-                if door.peers.me.ip not in self.case.slow:
-                    todo += self.save(door)
-            elif isinstance(deed, Send):
-                kind, pair = deed.message["k"], (door.peers.me.ip, deed.to)
+            action = todo.pop(0)
+            if isinstance(action, Save):
+                if node.peers.me.ip not in self.case.slow:
+                    todo += self.save(node)
+            elif isinstance(action, Send):
+                kind, pair = action.message["k"], (node.peers.me.ip, action.to)
                 lost = kind in UNHEARD or (kind == "hand" and pair not in self.case.hands)
-                if not lost and deed.to in self.ips:
-                    sent |= 1 << self.letter(*pair, deed.message)
-            elif isinstance(deed, ProposalOutcome):
-                end = (deed.token, deed.succeeded, deed.conflict, deed.state)
-                ended |= 1 << self.ends.of(end, (self.orders[deed.token], deed))
-        door.replies_after_current_save, door.replies_after_next_save = (
-            once(door.replies_after_current_save),
-            once(door.replies_after_next_save),
+                if not lost and action.to in self.ips:
+                    sent |= 1 << self.letter(*pair, action.message)
+            elif isinstance(action, ProposalOutcome):
+                end = (action.token, action.succeeded, action.conflict, action.state)
+                ended |= 1 << self.ends.of(end, (self.orders[action.token], action))
+        node.replies_after_current_save, node.replies_after_next_save = (
+            once(node.replies_after_current_save),
+            once(node.replies_after_next_save),
         )
-        orders, answering = door.proposer, door.peers.me.ip not in self.case.deaf
+        orders, answering = node.proposer, node.peers.me.ip not in self.case.deaf
         orders.is_responsive = lambda now, member: answering
         orders.backoff_until, orders.failed_rounds = (
             NEVER,
@@ -158,18 +158,18 @@
             order.started_at <= orders.confirmed_since and not order.confirmed for order in orders.proposals
         ):
             orders.confirmed_since = -1e9  # it says nothing of orders that come later
-        state = door.acceptor.state
+        state = node.acceptor.state
         decided = 1 << self.states.of(state, state) if state is not None else 0
-        return self.doors.of(door.key(), door), sent, decided, ended
+        return self.nodes.of(node.key(), node), sent, decided, ended
 
     @staticmethod
-    def save(door: Door) -> list[Action]:
-        for name, body in (door.records_being_saved or {}).items():
+    def save(node: ModelNode) -> list[Action]:
+        for name, body in (node.records_being_saved or {}).items():
             if body is None:
-                door.records.pop(name, None)
+                node.records.pop(name, None)
             else:
-                door.records[name] = body
-        return list(door.on_saved(door.now, door.save_number, True))
+                node.records[name] = body
+        return list(node.on_saved(node.now, node.save_number, True))
 
     def letter(self, source: str, to: str, message: Message) -> int:
         packed = (source, to, cbor2.dumps(message))
@@ -180,55 +180,55 @@
     def take(self, number: int, letter: int) -> Step:
         """A message comes."""
         source, _, body = self.letters.values[letter]
-        door = self.doors.values[number].twin()
-        return self.finish(door, door.on_message(door.now, source, cbor2.loads(body)))
+        node = self.nodes.values[number].twin()
+        return self.finish(node, node.on_message(node.now, source, cbor2.loads(body)))
 
     def move(self, number: int, what: Any) -> Step | None:
         """What a door does by itself, or None where it cannot."""
-        old = self.doors.values[number]
-        door, me = old.twin(), old.peers.me
+        old = self.nodes.values[number]
+        node, me = old.twin(), old.peers.me
         if what == "save":
-            return self.finish(door, self.save(door)) if old.records_being_saved is not None else None
+            return self.finish(node, self.save(node)) if old.records_being_saved is not None else None
         if isinstance(what, int):  # a round, by its count
-            held, orders = door.acceptor, door.proposer
+            held, orders = node.acceptor, node.proposer
             highest = max(orders.highest_count, held.promised[0], (held.decided or (NO_BALLOT,))[0][0])
             wanted = orders.proposals or (held.state and orders.forwarded.applicable(held.state))
             if not wanted or held.state is None or what <= highest:
                 return None
-            orders.back_off(door.now)
+            orders.back_off(node.now)
             orders.highest_count, orders.backoff_until = what - 1, -1e9
-            deeds = door.proceed(door.now)
-            return self.finish(door, deeds) if orders.round is not None else None
+            actions = node.proceed(node.now)
+            return self.finish(node, actions) if orders.round is not None else None
         if isinstance(what, str):  # word of a newer state at another door
             if old.acceptor.state is not None:
                 return None  # it has been told
-            peer = door.peers.peer(NodeInfo(what, "", "", 0, 1))
+            peer = node.peers.peer(NodeInfo(what, "", "", 0, 1))
             peer.control_versions = (1 << 30, -1)
-            door.actions, door.last_state_request = [], (-1e9, 0)
-            door.catch_up(door.now)
-            deeds, door.last_state_request = door.actions, (-1e9, 0)
-            door.peers = PeerTable(me, 0.0)
-            return self.finish(door, deeds)
+            node.actions, node.last_state_request = [], (-1e9, 0)
+            node.catch_up(node.now)
+            actions, node.last_state_request = node.actions, (-1e9, 0)
+            node.peers = PeerTable(me, 0.0)
+            return self.finish(node, actions)
         if isinstance(what, tuple):  # it hands its orders to another door
-            door.actions = []
-            door.proposer.forward(what[1])
-            return self.finish(door, door.advance(door.now)) if door.proposer.outbox else None
+            node.actions = []
+            node.proposer.forward(what[1])
+            return self.finish(node, node.advance(node.now)) if node.proposer.outbox else None
         event: Event = what
         if not event.ready(old):
             return None
         if event.order is not None:
-            door.clock += 1
-            order = replace(event.order, started_at=float(door.clock))
-            return self.finish(door, door.propose(float(door.clock), order))
+            node.clock += 1
+            order = replace(event.order, started_at=float(node.clock))
+            return self.finish(node, node.propose(float(node.clock), order))
         if event.what == "fail":
             if old.records_being_saved is None:
                 return None
-            deeds = door.on_saved(door.now, door.save_number, False)
-            door.save_failed = False  # as the next tick has it
-            return self.finish(door, [*deeds, *door.proceed(door.now)])
+            actions = node.on_saved(node.now, node.save_number, False)
+            node.save_failed = False  # as the next tick has it
+            return self.finish(node, [*actions, *node.proceed(node.now)])
         wiped = event.what == "wipe"
         about = replace(me, incarnation=me.incarnation + 1, disk_id=me.disk_id + 10 if wiped else me.disk_id)
-        new = Door(about, {} if wiped else dict(old.records), old.first and not wiped, [])
+        new = ModelNode(about, {} if wiped else dict(old.records), old.first and not wiped, [])
         return self.finish(new, new.proceed(new.now))
 
     def effects(self, number: int, letters: int) -> tuple[int, int]:
@@ -252,9 +252,9 @@
 
     def then(self, now: Now, at: int, step: Step, left: int, rounds: int) -> Now:
         """What a step of one door leads to, without what was sent and can do nothing any more."""
-        doors, sent, decided, ended, _, _ = now
+        nodes, sent, decided, ended, _, _ = now
         new, out, news, ends = step
-        moved = (*doors[:at], new, *doors[at + 1 :])
+        moved = (*nodes[:at], new, *nodes[at + 1 :])
         out &= ~sent
         sent |= out
         for n, number in enumerate(moved if not self.keep_all else ()):
@@ -266,16 +266,16 @@
         """Messages to a door that can do nothing any more."""
         tried, spent = self.spent.get((number, fragile), (0, 0))
         if new := letters & ~tried:
-            door, idle = self.doors.values[number], ~self.effects(number, new)[0]
+            node, idle = self.nodes.values[number], ~self.effects(number, new)[0]
             for letter in bits(new & idle):
-                if spent_at(door, cbor2.loads(self.letters.values[letter][2]), fragile):
+                if spent_at(node, cbor2.loads(self.letters.values[letter][2]), fragile):
                     spent |= 1 << letter
             self.spent[number, fragile] = (tried | new, spent)
         return spent
 
     def after(self, now: Now) -> Iterator[tuple[Any, Now]]:
-        doors, sent, _, ended, left, rounds = now
-        for at, number in enumerate(doors):
+        nodes, sent, _, ended, left, rounds = now
+        for at, number in enumerate(nodes):
             for letter in bits(sent & self.effects(number, sent & self.to[at])[1]):
                 step = self.taken[number, letter]
                 if step[0] != number or step[1] & ~sent or step[3] & ~ended:
@@ -321,9 +321,9 @@
     def spread(self, found: Found, most: int) -> None:
         numbers: list[int] = []
         sent = decided = 0
-        for door in self.case.doors:
-            door.proceed(door.now)
-            number, out, news, _ = self.finish(door, self.save(door))
+        for node in self.case.nodes:
+            node.proceed(node.now)
+            number, out, news, _ = self.finish(node, self.save(node))
             numbers, sent, decided = [*numbers, number], sent | out, decided | news
         first: Now = (tuple(numbers), sent, decided, 0, (1 << len(self.case.events)) - 1, self.case.rounds)
         self.parents[first] = None
@@ -347,7 +347,7 @@
 
     def fault(self, now: Now) -> str:
         """What is wrong with a state, or nothing."""
-        doors, _, decided, ended, *_ = now
+        nodes, _, decided, ended, *_ = now
         if (decided, ended) not in self.sound:
             states = [self.states.values[n] for n in bits(decided)]
             ends = [self.ends.values[n] for n in bits(ended)]
@@ -355,7 +355,7 @@
             self.sound[decided, ended] = told or ("" if self.told_only else chain(states))
         if self.told_only or self.sound[decided, ended]:
             return self.sound[decided, ended]
-        held = tuple(self.on_disk(number) for number in doors)
+        held = tuple(self.on_disk(number) for number in nodes)
         if (decided, held) not in self.sound:
             newest = max((self.states.values[n] for n in bits(decided)), key=lambda state: state.version)
             disks = {ip: self.disks.values[n] for ip, n in zip(self.ips, held, strict=True)}
@@ -365,7 +365,7 @@
     def on_disk(self, number: int) -> int:
         """The number of what a door has on disk."""
         if number not in self.held:
-            there = load_acceptor(self.doors.values[number].records, 0, False)
+            there = load_acceptor(self.nodes.values[number].records, 0, False)
             states = tuple(pair[1] for pair in (there.accepted, there.decided) if pair is not None)
             disk = (there.disk_id, there.may_bootstrap, states)
             self.held[number] = self.disks.of(disk, disk)
@@ -402,7 +402,7 @@
         return lines
 
     def tell(self, number: int) -> str:
-        held = self.doors.values[number].acceptor
+        held = self.nodes.values[number].acceptor
 
         def short(pair: tuple[Any, ControlState] | None) -> str:
             if pair is None:
--- a/tests/control_door.py
+++ b/tests/control_node.py
@@ -24,7 +24,7 @@
 LOOKED = 0.5  # seconds after an order: long enough that it takes a round, too short to end for want of one
 
 
-class Door(ControlReplica):
+class ModelNode(ControlReplica):
     """A control whose rounds begin when the schedule says so."""
 
     def __init__(self, about: NodeInfo, records: dict[str, bytes], first: bool, seeds: list[str]) -> None:
@@ -43,7 +43,7 @@
     def now(self) -> float:
         return self.clock + LOOKED
 
-    def twin(self) -> Door:
+    def twin(self) -> ModelNode:
         """A door in the same state, that can be changed without it."""
         new = copy.copy(self)
         new.peers = PeerTable(self.peers.me, 0.0)
@@ -120,7 +120,7 @@
     what: str
     ip: str
     order: Proposal | None = None
-    ready: Callable[[Door], bool] = lambda door: True  # as its door knows the state
+    ready: Callable[[ModelNode], bool] = lambda node: True  # as its door knows the state
     name: str = ""
     after: int = 0
 
@@ -130,10 +130,10 @@
     return [answer for _, answer in sorted({repr(answer): answer for answer in answers}.items())]
 
 
-def spent_at(door: Door, message: Message, fragile: bool) -> bool:
+def spent_at(node: ModelNode, message: Message, fragile: bool) -> bool:
     """Whether a message can do nothing at a door any more: it would be refused, was answered, or nobody waits.
     What a refusal tells besides, the newest state, is told by whoever decided it, too."""
-    held, current = door.acceptor, door.proposer.round
+    held, current = node.acceptor, node.proposer.round
     if message["k"] == "decided":
         return not fragile and bool(message["s"][0] <= held.version)
     if message["k"] == "hand":
--- a/tests/cut_history.py
+++ b/tests/cut_history.py
@@ -24,7 +24,7 @@
     """One call and its answer; times are those of one clock.  `away`: its door was cut off or stopped throughout."""
 
     what: str
-    door: int
+    node: int
     sent: float
     body: bytes = b""  # of an order
     number: int = -1  # of an order, or as it was read
@@ -37,7 +37,7 @@
 
     def __str__(self) -> str:
         about = self.key or self.zone or f"r{self.number}"
-        return f"{self.what} {about} at door {self.door}, {self.sent:.3f} to {self.ended:.3f}: {self.status}"
+        return f"{self.what} {about} at door {self.node}, {self.sent:.3f} to {self.ended:.3f}: {self.status}"
 
 
 @dataclass
--- a/tests/disk.py
+++ b/tests/disk.py
@@ -15,7 +15,7 @@
 
 
 @dataclass
-class Deed:
+class Action:
     """What reached the disk: a write, a length (`data` is None), a sync or a removal of one file."""
 
     what: str
@@ -26,11 +26,11 @@
 
 @dataclass
 class Disk:
-    deeds: list[Deed] = field(default_factory=list)
+    actions: list[Action] = field(default_factory=list)
     said: list[tuple[int, Any]] = field(default_factory=list)  # what was promised, and after how many deeds
 
     def promise(self, what: Any) -> None:
-        self.said.append((len(self.deeds), what))
+        self.said.append((len(self.actions), what))
 
     def connect(self, path: Path, **_: Any) -> Base:
         """As `sqlite3.connect`.  Nothing waits for the real disk."""
@@ -42,11 +42,11 @@
     def after_loss(self, count: int, rand: random.Random) -> Iterator[dict[str, bytes]]:
         """What the files may hold when power is lost after so many deeds.  What a sync has covered is there; of the
         rest each write is there or missing, in every combination, and each in turn is torn beside a random one."""
-        done = self.deeds[:count]
-        last = {deed.name: n for n, deed in enumerate(done) if deed.what == "sync"}
-        open_ = [n for n, deed in enumerate(done) if deed.what != "sync" and n > last.get(deed.name, -1)][
-            -MOST:
-        ]
+        done = self.actions[:count]
+        last = {action.name: n for n, action in enumerate(done) if action.what == "sync"}
+        open_ = [
+            n for n, action in enumerate(done) if action.what != "sync" and n > last.get(action.name, -1)
+        ][-MOST:]
         for lost in itertools.chain.from_iterable(
             itertools.combinations(open_, size) for size in range(len(open_) + 1)
         ):
@@ -55,22 +55,22 @@
             yield self.files(done, {n for n in open_ if rand.random() < 0.5}, torn)
 
     @staticmethod
-    def files(done: list[Deed], lost: set[int], torn: int) -> dict[str, bytes]:
+    def files(done: list[Action], lost: set[int], torn: int) -> dict[str, bytes]:
         files: dict[str, bytearray] = {}
-        for n, deed in enumerate(done):
-            if deed.what == "sync" or (n in lost and n != torn):
+        for n, action in enumerate(done):
+            if action.what == "sync" or (n in lost and n != torn):
                 continue
-            if deed.what == "remove":
-                files.pop(deed.name, None)
+            if action.what == "remove":
+                files.pop(action.name, None)
                 continue
-            file = files.setdefault(deed.name, bytearray())
-            if deed.data is None:
-                del file[deed.offset :]
-                file.extend(bytes(max(0, deed.offset - len(file))))
+            file = files.setdefault(action.name, bytearray())
+            if action.data is None:
+                del file[action.offset :]
+                file.extend(bytes(max(0, action.offset - len(file))))
                 continue
-            data = deed.data if n != torn else deed.data[: len(deed.data) // 2]
-            file.extend(bytes(max(0, deed.offset - len(file))))
-            file[deed.offset : deed.offset + len(data)] = data
+            data = action.data if n != torn else action.data[: len(action.data) // 2]
+            file.extend(bytes(max(0, action.offset - len(file))))
+            file[action.offset : action.offset + len(data)] = data
         return {name: bytes(file) for name, file in files.items()}
 
 
@@ -90,9 +90,11 @@
         return File(name, flags, self.disk)
 
     def xDelete(self, name: str, sync: bool) -> None:
-        self.disk.deeds.append(Deed("remove", Path(name).name))
+        self.disk.actions.append(Action("remove", Path(name).name))
         if sync:
-            self.disk.deeds.append(Deed("sync", Path(name).name))  # of the folder: the name is gone for good
+            self.disk.actions.append(
+                Action("sync", Path(name).name)
+            )  # of the folder: the name is gone for good
         super().xDelete(name, sync)
 
 
@@ -105,12 +107,12 @@
         )
 
     def xWrite(self, data: Any, offset: int) -> None:
-        self.disk.deeds.append(Deed("write", self.name, offset, bytes(data)))
+        self.disk.actions.append(Action("write", self.name, offset, bytes(data)))
         super().xWrite(data, offset)
 
     def xTruncate(self, size: int) -> None:
-        self.disk.deeds.append(Deed("length", self.name, size))
+        self.disk.actions.append(Action("length", self.name, size))
         super().xTruncate(size)
 
     def xSync(self, flags: int) -> None:
-        self.disk.deeds.append(Deed("sync", self.name))
+        self.disk.actions.append(Action("sync", self.name))
--- a/tests/golden/recording.py
+++ b/tests/golden/recording.py
@@ -87,7 +87,7 @@
         super().save(name, core, save)
 
     def node(self, name: str) -> Node:
-        core = self.doors[name].core
+        core = self.machines[name].core
         assert core is not None
         return core
 
@@ -143,7 +143,7 @@
     world.thaw("d6")
     world.start("d3")
     world.run(1.5)
-    for name in world.doors:
+    for name in world.machines:
         world.node(name).control.acceptor.deltas.clear()  # as after a restart: no differences are held
     world.freeze("d6")
     world.freeze("d4")
@@ -169,14 +169,14 @@
         world.run(1.1)
         if step == 3:
             world.thaw("d6")
-    for number, name in enumerate(world.doors, 1):
+    for number, name in enumerate(world.machines, 1):
         for tenant in ("acme", "globex", "initech"):
-            world.deeds(name, world.node(name).lease_credits(world.now, tenant, number, 3 * number))
+            world.actions(name, world.node(name).lease_credits(world.now, tenant, number, 3 * number))
             lease = {"k": "lease", "n": tenant, "q": 7, "u": 2, "y": 9}
-            world.deeds(name, world.node(name).on_message(world.now, "d1", from_wire(cbor2.dumps(lease))))
+            world.actions(name, world.node(name).on_message(world.now, "d1", from_wire(cbor2.dumps(lease))))
         for step, load in enumerate(({1: 2, 70000: 1}, {})):
             at = world.now + 1.0 + step
-            world.deeds(name, world.node(name).disseminator.report_load(at, load, {}))
+            world.actions(name, world.node(name).disseminator.report_load(at, load, {}))
     world.run(0.5)
     world.cut = {("d1", "d2"), ("d2", "d1"), ("d1", "d3")}
     world.run(1.5)
@@ -184,7 +184,7 @@
     world.listing = None
     world.run(4.0)
     world.list_servers(5)
-    world.deeds("d2", world.node("d2").drain(world.now))
+    world.actions("d2", world.node("d2").drain(world.now))
     world.run(1.0)
 
 
@@ -211,7 +211,9 @@
     member, found = world.node("d2"), {}
     for key, body in messages.items():
         core = copy.deepcopy(member)  # so that no message is heard after another
-        found[key] = [act(deed) for deed in core.on_message(world.now, "d1", from_wire(bytes.fromhex(body)))]
+        found[key] = [
+            act(action) for action in core.on_message(world.now, "d1", from_wire(bytes.fromhex(body)))
+        ]
     return found
 
 
@@ -266,7 +268,7 @@
     }
     world = Recording(3, 2, 5)
     world.run(4.0)
-    disk = world.doors["d1"].disk
+    disk = world.machines["d1"].disk
     assert disk is not None
     return found | {"settled member": {name: body.hex() for name, body in sorted(disk.records.items())}}
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -38,7 +38,7 @@
 BACK = 40.0  # seconds for all doors to be whole again
 KILL, STOP, CUT, HANG, FAIL, RESET, LOST = "kill", "stop", "cut", "hang", "fail", "reset", "answer lost"
 KINDS = (KILL, KILL, STOP, CUT, HANG, FAIL, RESET, LOST)
-AT_DOORS = frozenset((KILL, STOP, CUT))  # those after which a door must first be in touch again
+AT_NODES = frozenset((KILL, STOP, CUT))  # those after which a door must first be in touch again
 AT_PLATFORM = frozenset((HANG, FAIL))
 
 Turn = Callable[[], object]  # begins or ends a trouble
@@ -50,28 +50,28 @@
     reader where there is one.  Times in seconds of the episode."""
 
     kind: str
-    door: int
+    node: int
     begins: float
     ends: float
     ways: str = ""  # of a cut
 
     def strikes_core(self) -> bool:
-        return self.kind in AT_DOORS and self.door < CORE
+        return self.kind in AT_NODES and self.node < CORE
 
 
 def draw(chance: random.Random) -> list[Trouble]:
     """Two or three troubles of an episode, at least two of which overlap; no door has two at once."""
-    doors = chance.sample(range(CORE + OTHERS), chance.choice((2, 3)))
+    nodes = chance.sample(range(CORE + OTHERS), chance.choice((2, 3)))
     middle = TROUBLE / 2
     return [
         Trouble(
             chance.choice(KINDS),
-            door,
+            node,
             chance.uniform(0.0, middle - 0.2),
             chance.uniform(middle + 0.2, TROUBLE),
             chance.choice(("both", "in", "out")),
         )
-        for door in doors
+        for node in nodes
     ]
 
 
@@ -80,9 +80,9 @@
 
     def __init__(self, folder: Path, seed: int, nth: int = 0) -> None:
         self.chance = random.Random(seed)
-        program = ("-m", "tests.cut_door", "serve")
-        self.yard = LocalFleet(folder, CORE, OTHERS, SERVERS, program, nth=nth)
-        self.stands = StandIns(self.yard.platform, self.yard.servers)
+        program = ("-m", "tests.cut_node", "serve")
+        self.fleet = LocalFleet(folder, CORE, OTHERS, SERVERS, program, nth=nth)
+        self.stands = StandIns(self.fleet.platform, self.fleet.servers)
         self.background = Background(self.stands)
         self.faults: list[str] = []
         self.seen: dict[Path, int] = {}  # how far each log was read
@@ -90,15 +90,15 @@
         self.lives = 0
         self.cuts: dict[int, str] = {}  # doors that are cut off, and which ways
         self.deaf: dict[Trouble, int] = {}  # doors that the platform does not answer
-        for server in self.yard.servers:
+        for server in self.fleet.servers:
             server.slots = 4
 
     def play(self, episodes: int) -> list[str]:
         """The faults of so many episodes and of a loss at their end."""
-        yard = self.yard
+        fleet = self.fleet
         try:
-            yard.start_all(first=True)
-            call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(1), BACK)
+            fleet.start_all(first=True)
+            call_until_settled(fleet.controls(), "PUT", "/-/configuration", configuration(1), BACK)
             self.wait_until_whole()
             for _ in range(episodes):
                 self.episode(draw(self.chance))
@@ -106,16 +106,16 @@
         except TimeoutError as error:
             self.faults.append(f"RECOVER: {error}")
         finally:
-            yard.close()
+            fleet.close()
             self.background.close()
         return self.faults
 
     # --- an episode ---------------------------------------------------------------------------------------
 
     def episode(self, troubles: list[Trouble]) -> None:
-        clients = Clients(self.yard, 4)
-        operators = Operators(lambda: self.yard.controls(), 1)
-        leaving = self.chance.choice(self.yard.servers)
+        clients = Clients(self.fleet, 4)
+        operators = Operators(lambda: self.fleet.controls(), 1)
+        leaving = self.chance.choice(self.fleet.servers)
         actions: list[tuple[float, Turn]] = [(self.chance.uniform(0.0, TROUBLE), leaving.drain)]
         for trouble in troubles:
             begin, end = self.turns(trouble)
@@ -141,12 +141,12 @@
 
     def turns(self, trouble: Trouble) -> tuple[Turn, Turn]:
         """What begins a trouble, and what ends it."""
-        yard, n = self.yard, trouble.door
+        fleet, n = self.fleet, trouble.node
         deafen, answer = partial(self.deafen, trouble), partial(self.answer, trouble)
         reset = partial(self.background.loop.call_soon_threadsafe, self.stands.reset_platform)
-        lose_answers = partial(setattr, yard.servers[n], "cut")
+        lose_answers = partial(setattr, fleet.servers[n], "cut")
         turns: dict[str, tuple[Turn, Turn]] = {
-            KILL: (partial(yard.kill, n), partial(yard.start, n)),
+            KILL: (partial(fleet.kill, n), partial(fleet.start, n)),
             STOP: (
                 partial(self.send_signal, n, signal.SIGSTOP),
                 partial(self.send_signal, n, signal.SIGCONT),
@@ -160,7 +160,7 @@
         return turns[trouble.kind]
 
     def send_signal(self, n: int, number: signal.Signals) -> None:
-        self.yard.processes[n].send_signal(number)
+        self.fleet.processes[n].send_signal(number)
 
     def cut_off(self, n: int, ways: str) -> None:
         self.cuts[n] = ways
@@ -172,7 +172,7 @@
 
     def deafen(self, trouble: Trouble) -> None:
         """The platform answers the list's reader no more, in the trouble's way."""
-        self.deaf[trouble] = self.reader(trouble.door)
+        self.deaf[trouble] = self.reader(trouble.node)
         self.platform_file(self.deaf[trouble]).write_text(trouble.kind)
 
     def answer(self, trouble: Trouble) -> None:
@@ -181,34 +181,34 @@
     def draw_cuts(self) -> None:
         """What each door hears nothing of, by all the cuts there are now."""
         mute = {n for n, ways in self.cuts.items() if ways in ("both", "out")}
-        for n in self.yard.there():
+        for n in self.fleet.there():
             deaf = self.cuts.get(n) in ("both", "in")
-            unheard = [other for other in self.yard.there() if other != n and (deaf or other in mute)]
-            links(self.yard, n, {self.yard.ips[other]: "" for other in unheard})
+            unheard = [other for other in self.fleet.there() if other != n and (deaf or other in mute)]
+            links(self.fleet, n, {self.fleet.ips[other]: "" for other in unheard})
 
     def reader(self, otherwise: int) -> int:
         """The door that reads the list now, where one that answers says so."""
         for n in range(CORE):
             with contextlib.suppress(OSError, http.client.HTTPException):
-                got = call_once(self.yard.controls()[n], "GET", "/-/metrics", None, ASKING)
+                got = call_once(self.fleet.controls()[n], "GET", "/-/metrics", None, ASKING)
                 if b"hazelspring_list_reader 1\n" in got.body:
                     return n
         return otherwise
 
     def platform_file(self, n: int) -> Path:
-        return self.yard.folder / f"door-{n + 1}.platform"
+        return self.fleet.folder / f"door-{n + 1}.platform"
 
     def wait_until_whole(self) -> None:
         """Every door is ready, and each member of the core has its seat and hears the others."""
 
         def is_whole(n: int) -> bool:
-            said = told(self.yard, n)
+            said = told(self.fleet, n)
             return bool(
-                said.get("ready") and said["member"] is (n in self.yard.disks) and all(said["core"].values())
+                said.get("ready") and said["member"] is (n in self.fleet.disks) and all(said["core"].values())
             )
 
-        for n in self.yard.there():
-            self.yard.until(lambda n=n: is_whole(n), BACK)
+        for n in self.fleet.there():
+            self.fleet.until(lambda n=n: is_whole(n), BACK)
 
     # --- what is judged ------------------------------------------------------------------------------------
 
@@ -223,22 +223,22 @@
     def judge_drain(self, clients: Clients, troubles: list[Trouble], began: float) -> None:
         late = self.time_to_know(troubles)
         core = max((began + one.ends for one in troubles if one.strikes_core()), default=-math.inf)
-        for server in self.yard.servers:
+        for server in self.fleet.servers:
             for at, attempt in server.after_drain:
-                door = clients.doors[attempt]
-                own = (began + one.ends for one in troubles if one.kind in AT_DOORS and one.door == door)
+                node = clients.nodes[attempt]
+                own = (began + one.ends for one in troubles if one.kind in AT_NODES and one.node == node)
                 in_touch = max(core, *own, -math.inf) + IN_TOUCH
                 bound = max(server.drained_at + late, in_touch + late - DRAIN_CUTOFF) + MARGIN
                 if at > bound:
                     after = at - server.drained_at
                     self.faults.append(
-                        f"DRAIN: {attempt} reached {server.id} by door {door} {after:.2f} s after"
+                        f"DRAIN: {attempt} reached {server.id} by door {node} {after:.2f} s after"
                     )
 
     def judge_clients(self, clients: Clients) -> None:
         self.faults += [f"MIXED: {text}" for text in clients.foreign]
         for id_, status in clients.ends.items():
-            ran = sum(server.ran[id_] for server in self.yard.servers)
+            ran = sum(server.ran[id_] for server in self.fleet.servers)
             if is_write(id_) and ran > 1:
                 self.faults.append(f"TWICE: {id_} ran {ran} times")
             if is_write(id_) and ran and status in PROMISES:
@@ -247,7 +247,7 @@
                 self.faults.append(f"MIXED: {id_} got 200 and never ran")
         if not any(status == 200 for status in clients.ends.values()):
             self.faults.append("RECOVER: no request was served")
-        for server in self.yard.servers:
+        for server in self.fleet.servers:
             server.ran.clear()
 
     def judge_operators(self, operators: Operators) -> None:
@@ -256,7 +256,7 @@
         self.read_back()
 
     def read_back(self) -> None:
-        answer = call_until_settled(self.yard.controls(), "GET", "/-/configuration", patience=BACK)
+        answer = call_until_settled(self.fleet.controls(), "GET", "/-/configuration", patience=BACK)
         number = int(json.loads(answer.body)["versionNumber"][1:])
         if number < self.number:
             self.faults.append(f"LOST: r{number} is in force, r{self.number} was acknowledged")
@@ -264,7 +264,7 @@
     def judge_logs(self, troubles: list[Trouble]) -> None:
         """Invariants and errors, of lives that have ended too."""
         excused = self.time_to_know(troubles) > DRAIN_CUTOFF  # the list can be known no sooner
-        for path in sorted(self.yard.folder.glob("*.log")):
+        for path in sorted(self.fleet.folder.glob("*.log")):
             text = path.read_text(errors="replace")
             new, self.seen[path] = text[self.seen.get(path, 0) :], len(text)
             for line in new.splitlines():
@@ -275,12 +275,12 @@
     def lose_a_disk_and_all_processes(self) -> None:
         """All processes end at the same moment, those that don't count too, and a member's disk is lost."""
         lost = self.chance.randrange(CORE)
-        for process in self.yard.processes.values():
+        for process in self.fleet.processes.values():
             process.kill()
-        for n in self.yard.there():
-            self.yard.kill(n)
-        self.yard.wipe(lost)
-        self.yard.start_all()
+        for n in self.fleet.there():
+            self.fleet.kill(n)
+        self.fleet.wipe(lost)
+        self.fleet.start_all()
         self.wait_until_whole()
         self.read_back()
 
--- a/tests/test_bringing.py
+++ b/tests/test_bringing.py
@@ -64,21 +64,21 @@
         super().send(source, to, message)
 
     def change(self, number: int, wait: float = 2.0) -> None:
-        call = put(self, f"d{1 + number % len(self.doors)}", number, body(number))
+        call = put(self, f"d{1 + number % len(self.machines)}", number, body(number))
         self.run(wait)
         assert call.good and not self.breaches
 
     def everywhere(self, number: int) -> bool:
         return all(
-            (packed := door.core.control.acceptor.current_configuration()) is not None
+            (packed := machine.core.control.acceptor.current_configuration()) is not None
             and unpack(packed) == body(number)
-            for door in self.doors.values()
-            if door.core is not None
+            for machine in self.machines.values()
+            if machine.core is not None
         )
 
 
 @pytest.mark.parametrize("others", [3, 40])
-def test_a_change_of_one_route_costs_each_door_some_hundred_bytes(others: int) -> None:
+def test_a_change_of_one_route_costs_each_node_some_hundred_bytes(others: int) -> None:
     world = Bringing(4, others)
     world.change(1)
     whole = len(pack(body(1)))
@@ -91,12 +91,12 @@
     assert sum(world.bytes.values()) < 2000 * (4 + others)
 
 
-def test_a_door_that_skipped_changes_gets_them_one_after_another_or_the_whole() -> None:
+def test_a_node_that_skipped_changes_gets_them_one_after_another_or_the_whole() -> None:
     world = Bringing(4, 2)
     world.change(1)
     for name, upto in (("d3", 9), ("d6", 9)):
         world.kill(name) if name == "d3" else world.freeze(name)
-        held = world.doors["d1"].core.control.acceptor.state.configuration_version  # type: ignore[union-attr]
+        held = world.machines["d1"].core.control.acceptor.state.configuration_version  # type: ignore[union-attr]
         for number in range(held + 1, upto + 1):
             put(world, "d1", number, body(number))
             world.run(0.3)
@@ -104,17 +104,17 @@
         world.start("d3") if name == "d3" else world.thaw(name)
         world.run(2.5)
         assert world.everywhere(upto) and world.wholes == 0 and not world.breaches
-    for door in world.doors.values():
-        assert door.core is not None
-        door.core.control.acceptor.deltas.clear()  # as after a restart of all
+    for machine in world.machines.values():
+        assert machine.core is not None
+        machine.core.control.acceptor.deltas.clear()  # as after a restart of all
     world.freeze("d6")
     put(world, "d1", 10, body(10))
     world.run(0.5)
     put(world, "d2", 11, body(11))
     world.run(0.5)
-    world.doors["d6"].core.control.acceptor.deltas.clear()  # type: ignore[union-attr]
+    world.machines["d6"].core.control.acceptor.deltas.clear()  # type: ignore[union-attr]
     for n in (1, 2, 3, 4):
-        world.doors[f"d{n}"].core.control.acceptor.deltas.clear()  # type: ignore[union-attr]
+        world.machines[f"d{n}"].core.control.acceptor.deltas.clear()  # type: ignore[union-attr]
     world.thaw("d6")
     world.run(2.5)
     assert world.everywhere(11) and world.wholes >= 1 and not world.breaches
@@ -156,8 +156,8 @@
             world.kill("d1")  # in the midst of sending
         if number == 8:
             world.start("d1")
-        for door in world.doors.values():
-            held = door.core.control.acceptor if door.core is not None else None
+        for machine in world.machines.values():
+            held = machine.core.control.acceptor if machine.core is not None else None
             for of, packed in held.configurations.items() if held is not None else ():
                 assert configuration_digest(unpack(packed)) == of
     world.drop = 0.0
@@ -176,18 +176,18 @@
 ) -> None:
     monkeypatch.setattr(hazelspring.consensus.acceptor, "MIN_BYTES_FOR_DELTA", 0)
     draw = random.Random(seed)
-    deeds = [(draw.choice(KINDS), draw.randrange(8)) for _ in range(16)]
-    assert play(3 + seed, 1 + (seed > 1), seed, deeds, odd=0.05 * (seed % 2)).breaches == []
+    actions = [(draw.choice(KINDS), draw.randrange(8)) for _ in range(16)]
+    assert play(3 + seed, 1 + (seed > 1), seed, actions, odd=0.05 * (seed % 2)).breaches == []
 
 
 def test_an_asker_that_says_nothing_of_differences_gets_the_whole() -> None:
     world = Bringing(4, 1)
     for number in (1, 2):
         world.change(number)
-    core: Any = world.doors["d1"].core
+    core: Any = world.machines["d1"].core
     assert isinstance(core, Node)
     old = {"k": "want", "v": 1, "h": configuration_digest(body(1))}
-    (said,) = [deed.message for deed in core.on_message(world.now, "d5", old) if isinstance(deed, Send)]
+    (said,) = [action.message for action in core.on_message(world.now, "d5", old) if isinstance(action, Send)]
     assert unpack(said["w"]) == body(2) and "x" not in said
     (said,) = [d.message for d in core.on_message(world.now, "d5", old | {"e": 1}) if isinstance(d, Send)]
     assert "w" not in said and len(cbor2.dumps(said)) < 900
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -40,7 +40,7 @@
 
 
 def storm(world: World) -> list[int]:
-    names = list(world.doors)
+    names = list(world.machines)
     tokens = [world.put(names[-1 - n], 10 + n) for n in range(6)]
     return tokens + [world.evacuate(names[n], f"z{n}", True) for n in (0, 1)]
 
@@ -76,7 +76,7 @@
         carried.add(0.0, "d2", 4, [["retire", -1, b"", None, "", False]])
 
 
-def test_a_door_is_handed_an_order_once_and_only_what_an_operator_wants_to_change() -> None:
+def test_a_node_is_handed_an_order_once_and_only_what_an_operator_wants_to_change() -> None:
     hands, closing = ProposalForwarder(), Proposal(1, 0.0, "evacuate", zone="z1", evacuate=True)
     orders = [
         closing,
@@ -135,7 +135,7 @@
     assert max(took) < 1.2
 
 
-def test_a_door_goes_alone_when_the_one_that_it_handed_its_order_is_lost() -> None:
+def test_a_node_goes_alone_when_the_one_that_it_handed_its_order_is_lost() -> None:
     for seed in range(6):
         world = settled_world(seed=seed)
         handed = noted(world, "hand")
@@ -145,20 +145,20 @@
         _, carrier, _ = handed[0]
         world.kill(carrier)
         world.run(3.5)
-        left = [world.calls[token] for token in tokens if world.calls[token].door != carrier]
+        left = [world.calls[token] for token in tokens if world.calls[token].machine != carrier]
         assert all(call.good and call.ended - call.at < 1.5 for call in left) and not world.breaches
 
 
 def test_a_round_that_is_dropped_before_its_promises_come_keeps_nobody_out() -> None:
     world = settled_world()
     world.put("d1", 6)
-    core = world.doors["d1"].core
+    core = world.machines["d1"].core
     assert core is not None and core.control.proposer.round is not None
     core.control.proposer.proposals.clear()  # as where what others tell settles an order at once
-    world.deeds("d1", core.control.proceed(world.now))
+    world.actions("d1", core.control.proceed(world.now))
     world.run(0.08)
     for name in ("d1", "d2", "d3", "d4"):
-        member = world.doors[name].core
+        member = world.machines[name].core
         assert member is not None and not member.control.must_yield_to(
             world.now, "d6", member.control.acceptor.version
         )
@@ -201,4 +201,4 @@
     world.run(1.0)
     assert world.calls[token].good and not world.breaches
     for name in ("d2", "d4"):
-        assert world.doors[name].core.control.acceptor.state.configuration_version == 6  # type: ignore[union-attr]
+        assert world.machines[name].core.control.acceptor.state.configuration_version == 6  # type: ignore[union-attr]
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -29,6 +29,6 @@
 def test_a_day_is_drawn_from_its_number_alone_and_cut_to_what_fails() -> None:
     day = draw(11)
     assert day == draw(11) and play(day).now == play(draw(11)).now
-    needed = {day.deeds[2], day.deeds[-1]}
-    less = shrink(day, lambda some: needed <= set(some.deeds))
-    assert set(less.deeds) == needed and all(isinstance(deed, Act) for deed in less.deeds)
+    needed = {day.actions[2], day.actions[-1]}
+    less = shrink(day, lambda some: needed <= set(some.actions))
+    assert set(less.actions) == needed and all(isinstance(action, Act) for action in less.actions)
--- a/tests/test_comb_crash.py
+++ b/tests/test_comb_crash.py
@@ -73,11 +73,11 @@
 def test_what_was_said_survives_a_loss_of_power_at_every_write(tmp_path: Path) -> None:
     (tmp_path / "then").mkdir()
     disk = played(tmp_path)
-    assert len(disk.deeds) > 80
-    assert list(wrong_after(disk, tmp_path / "then", range(len(disk.deeds) + 1))) == []
+    assert len(disk.actions) > 80
+    assert list(wrong_after(disk, tmp_path / "then", range(len(disk.actions) + 1))) == []
 
 
 def test_a_store_that_does_not_sync_is_found_out(tmp_path: Path) -> None:
     (tmp_path / "then").mkdir()
     disk = played(tmp_path, "pragma synchronous=off")
-    assert next(wrong_after(disk, tmp_path / "then", [len(disk.deeds)]))
+    assert next(wrong_after(disk, tmp_path / "then", [len(disk.actions)]))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -23,7 +23,7 @@
 
 def alone(world: World, name: str, ways: str = "both") -> None:
     """Cut a door off from all others, or only from what they say."""
-    for other in world.doors:
+    for other in world.machines:
         if other != name:
             world.cut |= {(other, name)} | ({(name, other)} if ways == "both" else set())
 
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("ways", ["both", "in"])
 @pytest.mark.parametrize("name", ["d2", "d6"])  # a member, and a door without a disk
-def test_a_door_that_is_cut_off_hands_out_nothing_and_neither_confirms_nor_refuses(
+def test_a_node_that_is_cut_off_hands_out_nothing_and_neither_confirms_nor_refuses(
     name: str, ways: str
 ) -> None:
     world = settled_world()
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("name", ["d2", "d6"])
-def test_a_door_that_was_stopped_for_twenty_seconds_answers_by_what_it_hears_then(name: str) -> None:
+def test_a_node_that_was_stopped_for_twenty_seconds_answers_by_what_it_hears_then(name: str) -> None:
     world = settled_world()
     early = world.read(name)
     world.run(0.004)
@@ -132,13 +132,13 @@
 def test_machines_are_lost_for_good_one_after_the_other_and_each_next_loss_is_borne(core: int) -> None:
     world, new, number = settled_world(core), 20, 5
     for _ in range(core + 2):
-        seats = sorted(name for name, door in world.doors.items() if door.disk is not None)
+        seats = sorted(name for name, machine in world.machines.items() if machine.disk is not None)
         world.remove(seats[0])
         world.run(0.5)
         world.add(f"d{new}", new % 4, seeds=[seats[0], seats[1], f"d{core + 1}"])
         new, number = new + 1, number + 1
         world.run(4.0)  # `catchUpS`: from now on the next one may go
-        state = world.doors[seats[1]].core.control.state  # type: ignore[union-attr]
+        state = world.machines[seats[1]].core.control.state  # type: ignore[union-attr]
         assert (
             state is not None and len(state.members) == core and seats[0] not in [m.ip for m in state.members]
         )
@@ -161,12 +161,12 @@
         world.start("d1")
         for _ in range(40):
             world.run(0.1)
-            core = world.doors["d1"].core
+            core = world.machines["d1"].core
             if core is not None and core.control.is_member():
                 break
-        for name in world.doors:
+        for name in world.machines:
             world.wipe(name) if name == f"d{2 + seed % 3}" else world.kill(name)
-        for name in world.doors:
+        for name in world.machines:
             world.start(name)
         world.run(3.0)
         read = world.read("d1")
@@ -176,7 +176,7 @@
 
 def test_a_leaver_is_kept_until_others_hold_what_it_holds() -> None:
     world = settled_world()
-    core = world.doors["d1"].core
+    core = world.machines["d1"].core
     assert core is not None and not core.control.must_stay_up()
     alone(world, "d1")  # it settles nothing alone, so it cannot hold the only copy
     token = world.put("d1", 6)
@@ -208,7 +208,9 @@
         world.cut.clear()
         world.run(7.0)
         assert len({state.version for state in world.decided.values()}) == len(world.decided)
-        states = [door.core.control.state for door in world.doors.values() if door.core is not None]
+        states = [
+            machine.core.control.state for machine in world.machines.values() if machine.core is not None
+        ]
         assert len({state.version if state else 0 for state in states}) == 1 and states[0] is not None
         assert len(states[0].members) == 5 and not world.breaches
 
@@ -227,7 +229,7 @@
         world.evacuate("d2", f"z{number % 2}", number % 4 < 2)
         world.run(0.15)
     world.run(1.0)
-    disk = world.doors["d3"].disk
+    disk = world.machines["d3"].disk
     assert disk is not None
     disk.full = trouble == "full"
     world.start("d3")
@@ -240,7 +242,7 @@
         world.run(0.002)
         world.kill("d1")
     world.run(2.0)
-    core = world.doors["d3"].core
+    core = world.machines["d3"].core
     assert core is not None and core.control.acceptor.version == max(world.decided)
     assert world.fresh("d3") and not world.breaches
     if trouble == "full":
@@ -359,9 +361,9 @@
         send(source, to, message)
 
     world.send = slow  # type: ignore[method-assign]
-    old = world.doors["d6"].core
+    old = world.machines["d6"].core
     assert old is not None
-    world.deeds("d6", old.lease_credits(world.now, "t1", 1, 2.0))
+    world.actions("d6", old.lease_credits(world.now, "t1", 1, 2.0))
     world.run(0.5)
     assert {message["k"] for _, message in held} == {"grant", "echo"}
     world.kill("d6")
@@ -369,19 +371,19 @@
     world.run(1.0)
     alone(world, "d6")
     world.run(5.0)
-    core, door = world.doors["d6"].core, world.doors["d6"]
+    core, machine = world.machines["d6"].core, world.machines["d6"]
     assert core is not None and not world.fresh("d6")
-    door.on_message.clear()
+    machine.on_message.clear()
     for source, message in held:
-        world.deeds("d6", core.on_message(world.now, source, message))
-    assert not door.on_message and core.dropped["grant"] and core.dropped["echo"]
+        world.actions("d6", core.on_message(world.now, source, message))
+    assert not machine.on_message and core.dropped["grant"] and core.dropped["echo"]
     asked = {ip: peer.latest_request_at for ip, peer in core.peers.peers.items()}
     # the fence bites: were numbers of beats not each life's own, the old answers would count
     renumbered = {number: (world.now, known) for number, (_, known) in old.heartbeats.sent.items()}
     monkeypatch.setattr(core.heartbeats, "sent", renumbered)
     for source, message in held:
         if message["k"] == "echo":
-            world.deeds("d6", core.on_message(world.now, source, message))
+            world.actions("d6", core.on_message(world.now, source, message))
     assert any(peer.latest_request_at > asked[ip] for ip, peer in core.peers.peers.items())
 
 
@@ -448,7 +450,7 @@
     world.run(2.0)
     token = world.put("d1", 6)
     world.run(0.5)
-    core = world.doors["d1"].core
+    core = world.machines["d1"].core
     assert core is not None and (current := core.control.proposer.round) is not None and current.value is None
     world.cut = {(a, b) for a, b in world.cut if "d4" not in (a, b)}
     world.cut |= {("d4", "d3"), ("d3", "d4")}
@@ -463,10 +465,10 @@
     assert world.calls[token].good and not world.breaches
 
 
-def test_a_core_door_that_answers_is_not_told_as_away() -> None:
+def test_a_core_node_that_answers_is_not_told_as_away() -> None:
     """A door without a disk asks members of another region each two seconds only."""
     world = settled_world()
-    core, away = world.doors["d6"].core, set()
+    core, away = world.machines["d6"].core, set()
     assert core is not None
     for _ in range(60):
         world.run(0.1)
@@ -478,7 +480,7 @@
     ] == ["d1"]
 
 
-def test_an_order_is_not_settled_by_what_another_door_that_is_cut_off_still_holds() -> None:
+def test_an_order_is_not_settled_by_what_another_node_that_is_cut_off_still_holds() -> None:
     """Zone z1 was closed and opened again; two doors that are cut off together know of the closing only."""
     world = settled_world()
     alone(world, "d6")
@@ -513,7 +515,7 @@
         world.start("d4")  # with its full disk, its old view, and two of those that it takes for members
         reads = [world.read("d4"), world.put("d4", 6, "other"), world.read("d4")]
         world.run(2.5)
-        core = world.doors["d4"].core
+        core = world.machines["d4"].core
         assert core is not None and not world.breaches
         shown = [world.number(world.calls[token]) for token in reads if world.calls[token].good]
         assert all(number == 6 for number in shown)
@@ -527,9 +529,9 @@
         assert world.calls[token].good and not world.breaches
 
 
-def test_a_door_that_cannot_take_a_change_of_a_table_is_sent_the_table() -> None:
+def test_a_node_that_cannot_take_a_change_of_a_table_is_sent_the_table() -> None:
     world = settled_world()
-    core, told = world.doors["d6"].core, []
+    core, told = world.machines["d6"].core, []
     assert core is not None
     version, send = core.registry.tables["shop"].version, world.send
 
@@ -539,7 +541,7 @@
 
     world.send = noted  # type: ignore[method-assign]
     change = ["shop", version + 5, [], version + 4, ["i-1"], 0]  # of a table that this door never had
-    world.deeds("d6", core.on_message(world.now, "d1", {"k": "news", "n": change}))
+    world.actions("d6", core.on_message(world.now, "d1", {"k": "news", "n": change}))
     world.run(0.1)
     (asked,) = [to for source, to, kind in told if source == "d6" and kind == "ask"]
     assert (asked, "d6", "news") in told
@@ -549,7 +551,7 @@
     """An echo leaves out what its beat named as known.  Between the two a late echo tells of an older state: the door
     is not to take that for what is held there now, or a read would show what an acknowledged order has replaced."""
     world = settled_world(3, 1)
-    reader, member = world.doors["d4"].core, world.doors["d1"].core
+    reader, member = world.machines["d4"].core, world.machines["d1"].core
     assert reader is not None and member is not None
     alone(world, "d4")
     world.run(0.5)
@@ -557,12 +559,14 @@
     def beat() -> Message:
         reader.actions = []
         reader.send_heartbeat(world.now, "d1")
-        (sent,) = [deed.message for deed in reader.actions if isinstance(deed, Send)]
+        (sent,) = [action.message for action in reader.actions if isinstance(action, Send)]
         return sent
 
     def echo(message: Message) -> Message:
         (sent,) = [
-            deed.message for deed in member.on_message(world.now, "d4", message) if isinstance(deed, Send)
+            action.message
+            for action in member.on_message(world.now, "d4", message)
+            if isinstance(action, Send)
         ]
         return sent
 
@@ -580,7 +584,7 @@
     assert reader.peers.peers["d1"].caught_up_at == before < reader.heartbeats.sent[third["t"]][0]
 
 
-def test_a_body_that_was_acknowledged_below_a_higher_number_is_not_refused_by_a_door_behind() -> None:
+def test_a_body_that_was_acknowledged_below_a_higher_number_is_not_refused_by_a_node_behind() -> None:
     """d4 lags by two versions.  It learns of the first of them, in which another body has the order's number, only
     after the order came: that does not say that the order is refused now, when others have acknowledged it since."""
     world = settled_world(3, 1)
@@ -603,10 +607,10 @@
     world.run(1.0)
     assert world.calls[other].good
     again = world.put("d4", 6, "other")
-    core = world.doors["d4"].core
+    core = world.machines["d4"].core
     assert core is not None
     decided = {"k": "decided", "b": taken["b"], "s": taken["s"], "w": taken["w"]}
-    world.deeds("d4", core.on_message(world.now, "d1", decided))
+    world.actions("d4", core.on_message(world.now, "d1", decided))
     world.run(0.1)
     assert core.control.acceptor.version == max(world.decided) - 1 and world.calls[again].done is None
     world.cut.clear()
@@ -614,13 +618,13 @@
     assert world.calls[again].good and not world.breaches
 
 
-def test_no_duty_has_two_holders_after_two_changes_of_members_at_once() -> None:
+def test_no_role_has_two_holders_after_two_changes_of_members_at_once() -> None:
     """The holder still counts on members that are taken out one right after the other: majorities of the core before
     the first change and after the second need not meet."""
     for seed in range(4):
         world = settled_world(5, 1, seed=seed)
         holder = next(name for name in world.up() if world.holds(name, LIST_READER))
-        others = [name for name in sorted(world.doors) if name not in (holder, "d6")]
+        others = [name for name in sorted(world.machines) if name not in (holder, "d6")]
         for name in others[:2]:
             world.cut |= {(holder, name), (name, holder)}
         world.run(4.0)
@@ -635,7 +639,7 @@
         assert not world.breaches and any(world.holds(name, LIST_READER) for name in others[:2])
 
 
-def test_a_member_that_accepted_other_members_promises_itself_no_duty_either() -> None:
+def test_a_member_that_accepted_other_members_promises_itself_no_role_either() -> None:
     """The holder accepts two changes of members, and hears of no decision; one that was taken out still grants it."""
     world = settled_world(3, 1)
     holder = next(name for name in world.up() if world.holds(name, LIST_READER))
@@ -663,11 +667,11 @@
         world = settled_world(4, 3, seed=seed)
         world.put("d1", 6)
         world.run(0.5)
-        for name in list(world.doors):
+        for name in list(world.machines):
             world.kill(name)
         world.wipe(f"d{1 + seed % 4}")
         world.run(1.0)
-        for name in list(world.doors):
+        for name in list(world.machines):
             world.start(name)
         world.run(1.5)
         held = [d for d in range(9) if any(world.holds(name, d) for name in world.up())]
--- a/tests/test_control_cut.py
+++ b/tests/test_control_cut.py
@@ -40,9 +40,9 @@
     def __init__(self, folder: Path, nth: int, ways: str, *words: str) -> None:
         self.ways = ways
         settings = {"timingTerms.ruleBounds.revocationMs": str(int(REVOCATION * 1000))}
-        program = ("-m", "tests.cut_door", *words, "serve")
-        self.yard = LocalFleet(folder, CORE, 1, 2, program, settings, nth=nth)
-        self.background = Background(StandIns(self.yard.platform, self.yard.servers))
+        program = ("-m", "tests.cut_node", *words, "serve")
+        self.fleet = LocalFleet(folder, CORE, 1, 2, program, settings, nth=nth)
+        self.background = Background(StandIns(self.fleet.platform, self.fleet.servers))
         self.history = History(REVOCATION, EVACUATION)
         self.numbers, self.ids = itertools.count(13), itertools.count()
         self.is_cut, self.rush, self.tasks = False, False, set[asyncio.Task[None]]()
@@ -51,12 +51,12 @@
 
     async def call(self, call: Call, method: str, path: str, port: int, *headers: str) -> Call:
         """Send it and take its answer, if any comes in time."""
-        ip = self.yard.ips[call.door]
-        call.away = self.is_cut and call.door in AWAY
+        ip = self.fleet.ips[call.node]
+        call.away = self.is_cut and call.node in AWAY
         with contextlib.suppress(OSError, ValueError, TimeoutError, asyncio.IncompleteReadError):
             async with asyncio.timeout(PATIENCE):
                 reader, writer = await asyncio.open_connection(
-                    ip, port, local_addr=(f"{self.yard.net}.250", 0)
+                    ip, port, local_addr=(f"{self.fleet.net}.250", 0)
                 )
                 try:
                     lines = (
@@ -80,26 +80,26 @@
             call.number = int(json.loads(call.answer)["versionNumber"][1:])
         return call
 
-    async def order(self, what: str, door: int, number: int = -1, body: bytes = b"", zone: str = "") -> Call:
+    async def order(self, what: str, node: int, number: int = -1, body: bytes = b"", zone: str = "") -> Call:
         method = {PUT: "PUT", READ: "GET", STATUS: "GET", CLOSE: "POST", OPEN: "DELETE"}[what]
         path = {PUT: "/-/configuration", READ: "/-/configuration", STATUS: "/-/status"}.get(
             what, f"/-/evacuation/{zone}"
         )
-        call = Call(what, door, time.monotonic(), body, number, zone)
-        return await self.call(call, method, path, self.yard.control, "Host: door")
+        call = Call(what, node, time.monotonic(), body, number, zone)
+        return await self.call(call, method, path, self.fleet.control, "Host: door")
 
     async def put(
-        self, door: int, number: int | None = None, timeout_ms: int = 4000, key: str = "coming"
+        self, node: int, number: int | None = None, timeout_ms: int = 4000, key: str = "coming"
     ) -> Call:
         number = next(self.numbers) if number is None else number
-        return await self.order(PUT, door, number, configuration(number, timeout_ms, (KEY, key)))
+        return await self.order(PUT, node, number, configuration(number, timeout_ms, (KEY, key)))
 
-    async def ask(self, door: int, key: str) -> Call:
+    async def ask(self, node: int, key: str) -> Call:
         id_ = f"{self.ways}-{next(self.ids)}"
         headers = ("Host: shop.example", f"X-Hazelspring-Attempt-Id: {id_}", f"Authorization: Bearer {key}")
-        call = Call(KEYED, door, time.monotonic(), key=key)
+        call = Call(KEYED, node, time.monotonic(), key=key)
         left = "X-Hazelspring-Remaining-Milliseconds: 1500"
-        return await self.call(call, "GET", f"/read/{id_}", self.yard.front, *headers, left)
+        return await self.call(call, "GET", f"/read/{id_}", self.fleet.front, *headers, left)
 
     async def until(self, what: Callable[[], Awaitable[bool]]) -> None:
         async with asyncio.timeout(SETTLED):
@@ -152,45 +152,45 @@
 
     async def begin(self) -> None:
         """All doors run, let the key `leaving` in, and know that a zone is closed."""
-        self.yard.start_all(first=True)
+        self.fleet.start_all(first=True)
         await self.settle(lambda: self.put(0, 10, key="leaving"))
         await self.settle(lambda: self.order(CLOSE, 0, zone=BACK))
         for n in (*WELL, *AWAY):
             await self.until(lambda n=n: self.serves(n, "leaving"))  # type: ignore[misc]
             await self.until(lambda n=n: self.shows(n, {BACK}))  # type: ignore[misc]
 
-    async def serves(self, door: int, key: str) -> bool:
-        return (await self.ask(door, key)).status == 200
+    async def serves(self, node: int, key: str) -> bool:
+        return (await self.ask(node, key)).status == 200
 
-    async def shows(self, door: int, zones: set[str]) -> bool:
-        status = await self.order(STATUS, door)
+    async def shows(self, node: int, zones: set[str]) -> bool:
+        status = await self.order(STATUS, node)
         return status.status == 200 and set(json.loads(status.answer)["closedZones"]) == zones
 
     async def go_away(self) -> None:
         self.is_cut = True
-        for n in range(len(self.yard.ips)):
+        for n in range(len(self.fleet.ips)):
             if self.ways == "stopped":
                 break
             unheard = [
-                self.yard.ips[other]
-                for other in range(len(self.yard.ips))
+                self.fleet.ips[other]
+                for other in range(len(self.fleet.ips))
                 if other != n
                 and ((n in AWAY and self.ways != "out") or (other in AWAY and self.ways != "in"))
             ]
-            path = self.yard.folder / f"door-{n + 1}.cut"
+            path = self.fleet.folder / f"door-{n + 1}.cut"
             path.with_suffix(".new").write_text("".join(f"{ip}\n" for ip in unheard))
             path.with_suffix(".new").rename(path)
         for n in AWAY if self.ways == "stopped" else ():
-            self.yard.processes[n].send_signal(signal.SIGSTOP)
+            self.fleet.processes[n].send_signal(signal.SIGSTOP)
 
     def come_back(self) -> None:
         self.rush = (
             True  # callers whose calls wait at a stopped door get their answers, and call at once again
         )
-        for path in self.yard.folder.glob("*.cut"):
+        for path in self.fleet.folder.glob("*.cut"):
             path.unlink()
         for n in AWAY if self.ways == "stopped" else ():
-            self.yard.processes[n].send_signal(signal.SIGCONT)
+            self.fleet.processes[n].send_signal(signal.SIGCONT)
         self.is_cut = False
 
     def keep_asking(self) -> None:
@@ -239,9 +239,9 @@
         for n in (*WELL, *AWAY):
             await self.until(lambda n=n: self.shows_confirmed(n))  # type: ignore[misc]
 
-    async def shows_confirmed(self, door: int) -> bool:
+    async def shows_confirmed(self, node: int) -> bool:
         """What nobody asked the contrary of meanwhile; what was left unclear may hold or not."""
-        status = await self.order(STATUS, door)
+        status = await self.order(STATUS, node)
         if status.status != 200:
             return False
         good, closed = self.history.good(CLOSE, OPEN), json.loads(status.answer)["closedZones"]
@@ -252,17 +252,17 @@
     def disks(self) -> str:
         """What is wrong with the disks in the end: the newest state is on a majority of them."""
         held = dict[str, Disk]()
-        for n in self.yard.disks:
-            self.yard.kill(n)
-            register = load_acceptor(ReplicaStore(str(self.yard.folder / f"door-{n + 1}")).load(), 0, False)
+        for n in self.fleet.disks:
+            self.fleet.kill(n)
+            register = load_acceptor(ReplicaStore(str(self.fleet.folder / f"door-{n + 1}")).load(), 0, False)
             states = tuple(pair[1] for pair in (register.accepted, register.decided) if pair is not None)
-            held[self.yard.ips[n]] = (register.disk_id, register.may_bootstrap, states)
+            held[self.fleet.ips[n]] = (register.disk_id, register.may_bootstrap, states)
         decided = [states[-1] for _, _, states in held.values()]
         newest = max(decided, key=lambda state: state.version)
         return chain([s for s in decided if s.version == newest.version]) or copies(newest, held, 0)
 
     def close(self) -> None:
-        self.yard.close()
+        self.fleet.close()
         self.background.close()
 
 
@@ -329,7 +329,7 @@
 
 
 @pytest.mark.parametrize("ways", CASES)
-def test_doors_that_are_away_for_twenty_seconds_say_nothing_old_and_confirm_nothing_of_their_own(
+def test_nodes_that_are_away_for_twenty_seconds_say_nothing_old_and_confirm_nothing_of_their_own(
     played: dict[str, tuple[Case, list[str] | BaseException]], ways: str
 ) -> None:
     case, found = played[ways]
@@ -339,7 +339,7 @@
     assert min(asked[what] for what in (PUT, READ, CLOSE, OPEN, KEYED)) >= 4, asked
 
 
-def test_doors_that_take_what_they_know_for_all_there_is_are_caught(
+def test_nodes_that_take_what_they_know_for_all_there_is_are_caught(
     played: dict[str, tuple[Case, list[str] | BaseException]],
 ) -> None:
     _, found = played["credulous"]
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -24,8 +24,8 @@
 from hazelspring.membership.peer_table import NodeInfo
 from hazelspring.node.control_replica import ControlReplica
 
-from .control_door import Door, Event
 from .control_model import Case, Explorer, Found
+from .control_node import Event, ModelNode
 
 MOST = 1_000_000  # states: no case comes near, and what memory holds
 
@@ -36,15 +36,15 @@
     return tuple(Member(ip, "", "", int(ip[1:])) for ip in ips)
 
 
-def core(*ips: str, new: str = "", bare: str = "") -> list[Door]:
+def core(*ips: str, new: str = "", bare: str = "") -> list[ModelNode]:
     """Members who agree on version 1, a door beside them with an empty disk, and one without a disk."""
     members = seats(*ips)
-    state, doors = ControlState(1, members, members, len(members)), []
+    state, nodes = ControlState(1, members, members, len(members)), []
     for ip in (*ips, *([new] if new else ()), *([bare] if bare else ())):
         disk = 0 if ip == bare else int(ip[1:])
-        doors.append(Door(NodeInfo(ip, "", "", disk, 1), {}, ip in ips, []))
-        doors[-1].acceptor.learn(NO_BALLOT, state)
-    return doors
+        nodes.append(ModelNode(NodeInfo(ip, "", "", disk, 1), {}, ip in ips, []))
+        nodes[-1].acceptor.learn(NO_BALLOT, state)
+    return nodes
 
 
 def upto(count: int, *ips: str) -> dict[str, tuple[int, ...]]:
@@ -62,9 +62,9 @@
 def join(ip: str, token: int, disk: int) -> Event:
     order = Proposal(token, 0.0, "join", member=Member(ip, "", "", disk))
 
-    def ready(door: Door) -> bool:  # as Membership.tick asks
-        state = door.acceptor.state
-        return door.acceptor.disk_id == disk and state is not None and not state.is_member(ip, disk)
+    def ready(node: ModelNode) -> bool:  # as Membership.tick asks
+        state = node.acceptor.state
+        return node.acceptor.disk_id == disk and state is not None and not state.is_member(ip, disk)
 
     return Event("order", ip, order, ready, f"disk {disk} joins")
 
@@ -94,8 +94,8 @@
 def change(leaver: str, by: str, rounds: int, **counts: tuple[int, ...]) -> Case:
     """A fourth door joins and a member retires, as a core of three has one too many, while an order races."""
 
-    def ready(door: Door) -> bool:  # as Membership.retire asks
-        state = door.acceptor.state
+    def ready(node: ModelNode) -> bool:  # as Membership.retire asks
+        state = node.acceptor.state
         return state is not None and len(state.members) > state.target_size
 
     order = Proposal(4, 0.0, "retire", member=seats(leaver)[0])
@@ -124,8 +124,8 @@
 def reader(count: int, rounds: int) -> Case:
     """Once an order is confirmed, a door without a disk reads."""
     read = Event("order", "d4", Proposal(9, 0.0, "read"), name="reads", after=1)
-    doors = core("d1", "d2", "d3", bare="d4")
-    return Case(doors, [put("d1", 1, b"a"), read], upto(count, "d1", "d4"), rounds)
+    nodes = core("d1", "d2", "d3", bare="d4")
+    return Case(nodes, [put("d1", 1, b"a"), read], upto(count, "d1", "d4"), rounds)
 
 
 def evacuate(ip: str, token: int, closed: bool, after: int = 0) -> Event:
@@ -148,13 +148,13 @@
 def founding(count: int, rounds: int) -> Case:
     """Two of three seeds choose the first members, each itself alone: the widest that two choices differ."""
     ips = ("d1", "d2", "d3")
-    doors = [Door(NodeInfo(ip, "", "", int(ip[1:]), 1), {}, True, list(ips)) for ip in ips]
+    nodes = [ModelNode(NodeInfo(ip, "", "", int(ip[1:]), 1), {}, True, list(ips)) for ip in ips]
     chosen = [
         BootstrapProposal(5, 0.0, "found", members=seats("d1")),
         BootstrapProposal(6, 0.0, "found", members=seats("d2")),
     ]
     return Case(
-        doors,
+        nodes,
         [Event("order", ip, o) for ip, o in zip(ips, chosen, strict=False)],
         upto(count, "d1", "d2"),
         rounds,
@@ -196,12 +196,12 @@
     assert found.confirmed == len(orders)  # each of them in some schedule
 
 
-def test_no_door_is_kept_from_a_state_by_leaving_out_messages_that_can_do_nothing() -> None:
+def test_no_node_is_kept_from_a_state_by_leaving_out_messages_that_can_do_nothing() -> None:
     seen = []
     for keep_all in (False, True):
         explorer = Explorer(race("d1", "d2", "d3", count=1, rounds=2), keep_all)
         assert explorer.explore(MOST).whole
-        keys = [door.key() for door in explorer.doors.values]
+        keys = [node.key() for node in explorer.nodes.values]
         seen.append({tuple(keys[number] for number in now[0]) for now in explorer.parents})
     assert seen[0] == seen[1]
 
@@ -301,7 +301,7 @@
 
 def spans(patch: Patch, versions: int) -> None:
     patch.setattr("hazelspring.consensus.forwarding.VALID_VERSIONS", versions)
-    patch.setattr("tests.control_door.VALID_VERSIONS", versions)
+    patch.setattr("tests.control_node.VALID_VERSIONS", versions)
 
 
 def handed_for_ever(patch: Patch) -> None:
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -25,7 +25,7 @@
     ask,
     change_keys,
     controls,
-    core_doors,
+    core_nodes,
     cut,
     give_keys,
     is_write,
@@ -34,7 +34,7 @@
     number_in,
     numbers,
     other_body,
-    other_doors,
+    other_nodes,
     put,
     read,
     settle,
@@ -51,7 +51,7 @@
 def founded(tmp_path_factory: pytest.TempPathFactory) -> Iterator[LocalFleet]:
     made = LocalFleet(
         tmp_path_factory.mktemp("yard"),
-        program=("-m", "tests.cut_door", "serve"),
+        program=("-m", "tests.cut_node", "serve"),
         settings={"timingTerms.ruleBounds.revocationMs": str(int(REVOCATION * 1000))},
         apart=True,
     )
@@ -68,7 +68,7 @@
 
 
 @pytest.fixture
-def yard(founded: LocalFleet) -> LocalFleet:
+def fleet(founded: LocalFleet) -> LocalFleet:
     """All doors run, the core is whole, and nothing is cut or closed, also after a test that failed."""
     mend(founded)
     for n in founded.there():
@@ -77,7 +77,7 @@
         founded.processes[n].send_signal(signal.SIGCONT)
     for zone in ZONES:
         call_until_settled(controls(founded), "DELETE", f"/-/evacuation/{zone}", patience=40)
-    seats = {founded.ips[n] for n in core_doors(founded)}
+    seats = {founded.ips[n] for n in core_nodes(founded)}
     for n in founded.there():
         founded.until(
             lambda n=n: (
@@ -94,72 +94,72 @@
 
 
 @pytest.mark.parametrize(("at", "late"), [(0, 0.0), (2, 0.15)])
-def test_a_door_that_was_stopped_says_nothing_old_and_nothing_of_its_own(
-    yard: LocalFleet, at: int, late: float
+def test_a_node_that_was_stopped_says_nothing_old_and_nothing_of_its_own(
+    fleet: LocalFleet, at: int, late: float
 ) -> None:
     """`late`: seconds to a far region, so that there is time to ask it between one answer to it and the next; orders,
     which bring it up to date, come afterwards there."""
-    away = [core_doors(yard)[at], other_doors(yard)[at % 2]]
-    give_keys(yard, away)
-    early = {n: read(yard, n) for n in away}  # may be under way when it stops
+    away = [core_nodes(fleet)[at], other_nodes(fleet)[at % 2]]
+    give_keys(fleet, away)
+    early = {n: read(fleet, n) for n in away}  # may be under way when it stops
     began = time.monotonic()
     for n in away:
-        yard.processes[n].send_signal(signal.SIGSTOP)
+        fleet.processes[n].send_signal(signal.SIGSTOP)
         if late:
-            links(yard, n, {yard.ips[other]: str(late) for other in yard.there() if other != n})
-    number = change_keys(yard, away)
-    waiting = [Questions(yard, n, number, f"w{at}").send_read() for n in away]
+            links(fleet, n, {fleet.ips[other]: str(late) for other in fleet.there() if other != n})
+    number = change_keys(fleet, away)
+    waiting = [Questions(fleet, n, number, f"w{at}").send_read() for n in away]
     for questions in () if late else waiting:
         questions.send_orders()
-    yard.until(lambda: time.monotonic() - began > STOPPED)
+    fleet.until(lambda: time.monotonic() - began > STOPPED)
     for questions in waiting:
         questions.send_keys()  # so long after the acknowledgement that none may get in by an older configuration
     for n in away:
-        yard.processes[n].send_signal(signal.SIGCONT)
+        fleet.processes[n].send_signal(signal.SIGCONT)
     marks, asked = itertools.count(), waiting
-    while any(ask(yard, n, "GET", "/read/a", f"b{at}-{next(marks)}").end().status != 200 for n in away):
-        asked += [Questions(yard, n, number, f"a{at}-{next(marks)}").send_read().send_keys() for n in away]
+    while any(ask(fleet, n, "GET", "/read/a", f"b{at}-{next(marks)}").end().status != 200 for n in away):
+        asked += [Questions(fleet, n, number, f"a{at}-{next(marks)}").send_read().send_keys() for n in away]
         if not late:
-            asked += [Questions(yard, n, number, f"o{at}-{next(marks)}").send_orders() for n in away]
+            asked += [Questions(fleet, n, number, f"o{at}-{next(marks)}").send_orders() for n in away]
         assert time.monotonic() - began < STOPPED + CATCH_UP
-    asked += [Questions(yard, n, number, f"o{at}-{next(marks)}").send() for n in away]
+    asked += [Questions(fleet, n, number, f"o{at}-{next(marks)}").send() for n in away]
     for questions in asked:
         questions.judge()
     assert all(sent.end().status in (200, *UNCLEAR) for sent in early.values())
-    mend(yard)
+    mend(fleet)
     newest = next(numbers)
     for n in away:
         assert (
-            call_until_settled([yard.controls()[n]], "PUT", "/-/configuration", configuration(newest)).status
+            call_until_settled([fleet.controls()[n]], "PUT", "/-/configuration", configuration(newest)).status
             == 200
         )
-    for n in yard.there():
-        answer = call_until_settled([yard.controls()[n]], "GET", "/-/configuration")
+    for n in fleet.there():
+        answer = call_until_settled([fleet.controls()[n]], "GET", "/-/configuration")
         assert json.loads(answer.body)["versionNumber"] == f"r{newest}"
     asked[0].reopen()
 
 
 @pytest.mark.parametrize("ways", ["both", "in", "out"])
-def test_a_core_door_that_is_cut_off_says_nothing_old_and_settles_nothing(
-    yard: LocalFleet, ways: str
+def test_a_core_node_that_is_cut_off_says_nothing_old_and_settles_nothing(
+    fleet: LocalFleet, ways: str
 ) -> None:
-    n = core_doors(yard)[1]
-    give_keys(yard, [n])
-    cut(yard, n, ways)
-    number = change_keys(yard, [n])
+    n = core_nodes(fleet)[1]
+    give_keys(fleet, [n])
+    cut(fleet, n, ways)
+    number = change_keys(fleet, [n])
     acknowledged = time.monotonic()
-    questions = Questions(yard, n, number, f"cut-{ways}").send_read().send_orders()
-    yard.until(lambda: time.monotonic() - acknowledged > REVOCATION)
+    questions = Questions(fleet, n, number, f"cut-{ways}").send_read().send_orders()
+    fleet.until(lambda: time.monotonic() - acknowledged > REVOCATION)
     questions.send_keys()  # a key that has just come may be refused for `configurationMs` after
-    passed_on = [yard.controls()[n], *controls(yard, but=[n])]
+    passed_on = [fleet.controls()[n], *controls(fleet, but=[n])]
     began = time.monotonic()
     call_until_settled(passed_on, "POST", "/-/evacuation/south-1")  # another door takes it up
     assert time.monotonic() - began < ACKNOWLEDGE
     questions.judge(settles=False, hears=ways == "out")
-    mend(yard)
-    after = Questions(yard, n, number, f"after-{ways}").send()
+    mend(fleet)
+    after = Questions(fleet, n, number, f"after-{ways}").send()
     after.judge()
-    call_until_settled([yard.controls()[n]], "DELETE", "/-/evacuation/south-1")
+    call_until_settled([fleet.controls()[n]], "DELETE", "/-/evacuation/south-1")
     after.reopen()
 
 
@@ -169,138 +169,138 @@
 @pytest.mark.parametrize("trouble", [signal.SIGKILL, signal.SIGSTOP])
 @pytest.mark.parametrize(("one", "two", "moment"), [(0, 3, 0.0), (1, 4, 0.004), (2, 0, 0.012), (5, 1, 0.03)])
 def test_of_two_bodies_under_one_number_one_is_confirmed_for_ever(
-    yard: LocalFleet, trouble: signal.Signals, one: int, two: int, moment: float
+    fleet: LocalFleet, trouble: signal.Signals, one: int, two: int, moment: float
 ) -> None:
-    doors = [*core_doors(yard), *other_doors(yard)]
-    hit, well, number = doors[one], doors[two], next(numbers)
+    nodes = [*core_nodes(fleet), *other_nodes(fleet)]
+    hit, well, number = nodes[one], nodes[two], next(numbers)
     bodies = [configuration(number), other_body(number)]
-    sent = [put(yard, n, body) for n, body in zip((hit, well), bodies, strict=True)]
+    sent = [put(fleet, n, body) for n, body in zip((hit, well), bodies, strict=True)]
     time.sleep(moment)  # which step it hits; what is asserted holds whichever it is
-    yard.processes[hit].send_signal(trouble)
+    fleet.processes[hit].send_signal(trouble)
     if trouble is signal.SIGKILL:
-        yard.kill(hit)
-    good = [settle(controls(yard, but=[hit]), body) for body in bodies]
+        fleet.kill(hit)
+    good = [settle(controls(fleet, but=[hit]), body) for body in bodies]
     assert sum(good) == 1
     if trouble is signal.SIGKILL:
-        yard.start(hit)
+        fleet.start(hit)
     else:
-        yard.processes[hit].send_signal(signal.SIGCONT)
+        fleet.processes[hit].send_signal(signal.SIGCONT)
     for answer, won in zip([call.end() for call in sent], good, strict=True):
         assert answer.status in UNCLEAR or (answer.status == 200 if won else taken(answer)), (answer, won)
-    for n in yard.there():
-        door = [yard.controls()[n]]
-        assert [settle(door, body) for body in bodies] == good
-        assert call_until_settled(door, "GET", "/-/configuration").body == bodies[good.index(True)]
+    for n in fleet.there():
+        node = [fleet.controls()[n]]
+        assert [settle(node, body) for body in bodies] == good
+        assert call_until_settled(node, "GET", "/-/configuration").body == bodies[good.index(True)]
 
 
 # --- 3: losses one after another -------------------------------------------------------------------------------------
 
 
-def test_core_doors_are_lost_for_good_one_after_the_other_and_each_next_loss_is_borne(
-    founded: LocalFleet, yard: LocalFleet
+def test_core_nodes_are_lost_for_good_one_after_the_other_and_each_next_loss_is_borne(
+    founded: LocalFleet, fleet: LocalFleet
 ) -> None:
     for _ in range(3):  # none of the seeds is left then
-        lost, next_lost, *_ = core_doors(yard)
+        lost, next_lost, *_ = core_nodes(fleet)
         body = configuration(next(numbers))
-        call_until_settled(controls(yard), "PUT", "/-/configuration", body)
-        new = yard.replace(lost)
-        yard.start(new)
-        yard.until(lambda new=new: told(yard, new))
+        call_until_settled(controls(fleet), "PUT", "/-/configuration", body)
+        new = fleet.replace(lost)
+        fleet.start(new)
+        fleet.until(lambda new=new: told(fleet, new))
         began = time.monotonic()
-        yard.until(lambda new=new: told(yard, new).get("member"))
+        fleet.until(lambda new=new: told(fleet, new).get("member"))
         assert time.monotonic() - began < CATCH_UP
-        yard.kill(next_lost)
+        fleet.kill(next_lost)
         number = next(numbers)
-        call_until_settled(controls(yard, but=[next_lost]), "PUT", "/-/configuration", configuration(number))
-        assert number_in(read(yard, new).end()) == number
-        yard.start(next_lost)
-        seats = {yard.ips[n] for n in core_doors(yard)}
-        yard.until(lambda seats=seats, n=next_lost: set(told(yard, n).get("core", ())) == seats)
-        yard.until(lambda n=next_lost: told(yard, n).get("member"))
+        call_until_settled(controls(fleet, but=[next_lost]), "PUT", "/-/configuration", configuration(number))
+        assert number_in(read(fleet, new).end()) == number
+        fleet.start(next_lost)
+        seats = {fleet.ips[n] for n in core_nodes(fleet)}
+        fleet.until(lambda seats=seats, n=next_lost: set(told(fleet, n).get("core", ())) == seats)
+        fleet.until(lambda n=next_lost: told(fleet, n).get("member"))
 
 
-def test_a_core_door_leaves_in_the_midst_of_orders_and_none_is_lost(yard: LocalFleet) -> None:
-    leaver = core_doors(yard)[0]
-    operators = Operators(lambda: controls(yard))
+def test_a_core_node_leaves_in_the_midst_of_orders_and_none_is_lost(fleet: LocalFleet) -> None:
+    leaver = core_nodes(fleet)[0]
+    operators = Operators(lambda: controls(fleet))
     try:
-        yard.until(lambda: operators.confirmed > 10)
-        process = yard.processes.pop(leaver)
+        fleet.until(lambda: operators.confirmed > 10)
+        process = fleet.processes.pop(leaver)
         process.terminate()
         assert process.wait(10) == 0
         confirmed = operators.confirmed
-        yard.until(lambda: operators.confirmed > confirmed + 10)
+        fleet.until(lambda: operators.confirmed > confirmed + 10)
     finally:
         operators.stop()
     assert not operators.failed
-    for n in yard.there():
+    for n in fleet.there():
         if n != leaver:
-            assert number_in(read(yard, n).end()) >= operators.highest
-    yard.start(leaver)
-    yard.until(lambda: told(yard, leaver).get("member") and told(yard, leaver)["ready"])
-    assert number_in(read(yard, leaver).end()) >= operators.highest
+            assert number_in(read(fleet, n).end()) >= operators.highest
+    fleet.start(leaver)
+    fleet.until(lambda: told(fleet, leaver).get("member") and told(fleet, leaver)["ready"])
+    assert number_in(read(fleet, leaver).end()) >= operators.highest
 
 
 # --- 4: catching up -----------------------------------------------------------------------------------------------
 
 
-def test_a_core_door_behind_by_two_hundred_changes_catches_up_whole_and_shows_nothing_old(
-    yard: LocalFleet,
+def test_a_core_node_behind_by_two_hundred_changes_catches_up_whole_and_shows_nothing_old(
+    fleet: LocalFleet,
 ) -> None:
-    late, *others = core_doors(yard)
-    version = told(yard, others[0])["version"]
-    yard.kill(late)
+    late, *others = core_nodes(fleet)
+    version = told(fleet, others[0])["version"]
+    fleet.kill(late)
     for step in range(100):  # two at a time, as operators may have eight under way
-        door = yard.controls()[others[step % 3]]
+        node = fleet.controls()[others[step % 3]]
         number = next(numbers)
         zone = ("DELETE" if step % 2 else "POST", "/-/evacuation/south-1")
-        early = Sent(door, *zone)
-        call_until_settled([door], "PUT", "/-/configuration", configuration(number))
+        early = Sent(node, *zone)
+        call_until_settled([node], "PUT", "/-/configuration", configuration(number))
         if early.end().status != 200:
-            call_until_settled([door], *zone)
-    last = number_in(read(yard, others[0]).end())
-    newest = told(yard, others[0])["version"]
+            call_until_settled([node], *zone)
+    last = number_in(read(fleet, others[0]).end())
+    newest = told(fleet, others[0])["version"]
     assert newest >= version + 100  # one round may carry two orders
-    log = yard.folder / f"door-{late + 1}.log"
+    log = fleet.folder / f"door-{late + 1}.log"
     for line in (
         "daemon: started",
         f"number={last}",
     ):  # killed at its start, and when it has just learnt the last one
         seen = log.read_text().count(line)
-        yard.start(late)
-        yard.until(lambda seen=seen, line=line: log.read_text().count(line) > seen)
-        yard.kill(late)
-    yard.start(late)
+        fleet.start(late)
+        fleet.until(lambda seen=seen, line=line: log.read_text().count(line) > seen)
+        fleet.kill(late)
+    fleet.start(late)
     answers: list[Sent] = []
     while not answers or answers[-1].status != 200:
-        answers.append(read(yard, late).end())
+        answers.append(read(fleet, late).end())
         assert answers[-1].status in (200, *UNCLEAR)
     assert number_in(answers[-1]) == last
-    yard.until(lambda: told(yard, late).get("member"))
-    assert told(yard, late)["version"] >= newest and told(yard, late)["configuration"] == last
+    fleet.until(lambda: told(fleet, late).get("member"))
+    assert told(fleet, late)["version"] >= newest and told(fleet, late)["configuration"] == last
 
 
 # --- 5: one call, one run; one answer, one caller -----------------------------------------------------------------
 
 
 def test_writes_run_once_and_answers_belong_to_their_calls_while_servers_are_stopped_and_killed(
-    yard: LocalFleet,
+    fleet: LocalFleet,
 ) -> None:
-    clients = Clients(yard)
+    clients = Clients(fleet)
 
     def go_on(count: int = 80) -> None:
         goal = len(clients.ends) + count
-        yard.until(lambda: len(clients.ends) >= goal)
+        fleet.until(lambda: len(clients.ends) >= goal)
 
     def new_life(n: int) -> None:
-        yard.lives[n].kill()
-        yard.lives[n].wait(10)
+        fleet.lives[n].kill()
+        fleet.lives[n].wait(10)
         go_on()
-        yard.servers[n].id += "-again"
-        yard.start_server(n)
+        fleet.servers[n].id += "-again"
+        fleet.start_server(n)
         go_on()
 
     def ran() -> Counter[str]:
-        return Counter(line for n in range(4) for line in yard.ran_file(n).read_text().split())
+        return Counter(line for n in range(4) for line in fleet.ran_file(n).read_text().split())
 
     def torn() -> bool:
         """Whether a write was at work at a server that was killed: it has run, and nobody was told."""
@@ -310,24 +310,24 @@
     try:
         go_on()
         for n in (0, 1):
-            yard.lives[n].send_signal(signal.SIGSTOP)
+            fleet.lives[n].send_signal(signal.SIGSTOP)
             go_on()
-            yard.lives[n].send_signal(signal.SIGCONT)
+            fleet.lives[n].send_signal(signal.SIGCONT)
             go_on()
-        yard.lives[3].send_signal(signal.SIGSTOP)
+        fleet.lives[3].send_signal(signal.SIGSTOP)
         go_on()
         new_life(3)
         began, tries = time.monotonic(), 0
         while not torn() or tries < 2:
-            had = yard.ran_file(2).stat().st_size
-            while yard.ran_file(2).stat().st_size == had:
+            had = fleet.ran_file(2).stat().st_size
+            while fleet.ran_file(2).stat().st_size == had:
                 assert time.monotonic() - began < 20
             new_life(2)  # it has just begun with one
             tries += 1
     finally:
         clients.stop()
-    for server in yard.servers:  # what waits at a server has run once it answers on connections opened later
-        yard.until(lambda a=server.address: Sent(a, "GET", "/health").end().status == 200)
+    for server in fleet.servers:  # what waits at a server has run once it answers on connections opened later
+        fleet.until(lambda a=server.address: Sent(a, "GET", "/health").end().status == 200)
     seen = ran()
     writes = {id_: status for id_, status in clients.ends.items() if is_write(id_)}
     assert not clients.foreign
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -16,7 +16,7 @@
 ABOUTS = [NodeInfo(f"d{n}", f"z{n % 3}", "south" if n % 3 == 2 else "north", False, n) for n in range(12)]
 
 
-class Doors:
+class Machines:
     """Doors in three zones, two of them of one region; what one tells arrives at once, unless it is lost."""
 
     def __init__(self) -> None:
@@ -25,9 +25,9 @@
         self.fleets = {a.ip: EndpointSet(a.zone, a.region, {}, random.Random(1)) for a in ABOUTS}
         self.outs: dict[str, InFlightByTag] = {about.ip: {} for about in ABOUTS}
         self.told: list[tuple[str, str]] = []
-        self.name_doors(self.roster)
+        self.name_machines(self.roster)
 
-    def name_doors(self, roster: list[list[object]]) -> None:
+    def name_machines(self, roster: list[list[object]]) -> None:
         for node in self.nodes.values():
             node.peers.replace_roster(roster)
 
@@ -35,11 +35,11 @@
         for ip, node in self.nodes.items():
             self.arrive(now, ip, node.report_load(now, self.outs[ip], self.fleets[ip].load_reports))
 
-    def arrive(self, now: float, source: str, deeds: list[Action]) -> None:
-        for deed in deeds:
-            assert isinstance(deed, Send)
-            self.told.append((source, deed.to))
-            self.fleets[deed.to].on_load_report(now, source, deed.message["o"])
+    def arrive(self, now: float, source: str, actions: list[Action]) -> None:
+        for action in actions:
+            assert isinstance(action, Send)
+            self.told.append((source, action.to))
+            self.fleets[action.to].on_load_report(now, source, action.message["o"])
 
     def out(self, zones: set[str], but: str) -> InFlightByTag:
         total: InFlightByTag = {}
@@ -50,54 +50,54 @@
         return total
 
 
-def test_every_door_knows_the_requests_of_its_region_and_hears_of_each_other_zone_from_one_door() -> None:
-    doors, chance = Doors(), random.Random(2)
+def test_every_node_knows_the_requests_of_its_region_and_hears_of_each_other_zone_from_one_node() -> None:
+    machines, chance = Machines(), random.Random(2)
     for n in range(40):
-        doors.outs = {a.ip: {chance.randrange(5): chance.randrange(1, 4)} for a in ABOUTS}
+        machines.outs = {a.ip: {chance.randrange(5): chance.randrange(1, 4)} for a in ABOUTS}
         for step in range(12):  # over the time between two tellings in a region, twice
-            doors.tick(n + step / 20)
+            machines.tick(n + step / 20)
         for about in ABOUTS:
             zones = {"z2"} if about.zone == "z2" else {"z0", "z1"}
-            assert doors.fleets[about.ip].in_flight_elsewhere == doors.out(zones, about.ip)
-    tellers = {(to, doors.nodes[source].peers.me.zone): source for source, to in doors.told}
-    assert set(doors.told) == {(source, to) for (to, _), source in tellers.items()} | {
+            assert machines.fleets[about.ip].in_flight_elsewhere == machines.out(zones, about.ip)
+    tellers = {(to, machines.nodes[source].peers.me.zone): source for source, to in machines.told}
+    assert set(machines.told) == {(source, to) for (to, _), source in tellers.items()} | {
         (a.ip, b.ip) for a in ABOUTS for b in ABOUTS if a.zone == b.zone and a != b
     }
 
 
-def test_another_door_tells_for_one_that_has_left_the_roster() -> None:
-    doors = Doors()
-    doors.outs = {about.ip: {1: 1} for about in ABOUTS}
-    doors.tick(1.0)
-    gone = next(source for source, to in doors.told if to == "d0" and source in {"d1", "d4", "d7", "d10"})
-    del doors.nodes[gone]
-    doors.outs[gone] = {}
-    doors.name_doors([row for row in doors.roster if row[0] != gone])
-    doors.told.clear()
+def test_another_node_tells_for_one_that_has_left_the_roster() -> None:
+    machines = Machines()
+    machines.outs = {about.ip: {1: 1} for about in ABOUTS}
+    machines.tick(1.0)
+    gone = next(source for source, to in machines.told if to == "d0" and source in {"d1", "d4", "d7", "d10"})
+    del machines.nodes[gone]
+    machines.outs[gone] = {}
+    machines.name_machines([row for row in machines.roster if row[0] != gone])
+    machines.told.clear()
     for step in range(1, 60):
-        doors.tick(1.0 + step / 20)
-        doors.fleets["d0"].expire_load_reports(1.0 + step / 20)
-    assert doors.fleets["d0"].in_flight_elsewhere == {
+        machines.tick(1.0 + step / 20)
+        machines.fleets["d0"].expire_load_reports(1.0 + step / 20)
+    assert machines.fleets["d0"].in_flight_elsewhere == {
         1: 6
     }  # three others of its zone, three of the other one
-    assert len({source for source, to in doors.told if to == "d0"} - {"d3", "d6", "d9"}) == 1
+    assert len({source for source, to in machines.told if to == "d0"} - {"d3", "d6", "d9"}) == 1
 
 
 def test_who_has_nothing_out_says_so_once_and_what_is_told_fits_a_datagram() -> None:
-    doors = Doors()
-    doors.nodes["d0"].load_reporter.byte_budget = 1e6  # bytes are no matter here
-    doors.outs["d0"] = {n: 1 + (n < 10) for n in range(3 * MAX_SERVERS_PER_REPORT)}
-    doors.tick(1.0)
-    heard = doors.fleets["d3"].in_flight_elsewhere
+    machines = Machines()
+    machines.nodes["d0"].load_reporter.byte_budget = 1e6  # bytes are no matter here
+    machines.outs["d0"] = {n: 1 + (n < 10) for n in range(3 * MAX_SERVERS_PER_REPORT)}
+    machines.tick(1.0)
+    heard = machines.fleets["d3"].in_flight_elsewhere
     assert len(heard) == MAX_SERVERS_PER_REPORT and set(range(10)) <= heard.keys()
-    doors.outs["d0"] = {}
+    machines.outs["d0"] = {}
     for step in range(1, 20):
-        doors.tick(1.0 + step / 20)
-    assert not doors.fleets["d3"].in_flight_elsewhere
-    doors.told.clear()
+        machines.tick(1.0 + step / 20)
+    assert not machines.fleets["d3"].in_flight_elsewhere
+    machines.told.clear()
     for step in range(20, 60):
-        doors.tick(1.0 + step / 20)
-    assert not doors.told
+        machines.tick(1.0 + step / 20)
+    assert not machines.told
 
 
 def listing(chance: random.Random, old: dict[str, ServerEntry]) -> dict[str, ServerEntry]:
@@ -111,11 +111,11 @@
     return new
 
 
-def test_changes_of_a_table_bring_every_door_what_the_list_says_whatever_is_lost() -> None:
+def test_changes_of_a_table_bring_every_node_what_the_list_says_whatever_is_lost() -> None:
     chance, reader = random.Random(5), Disseminator(PeerTable(replace(ABOUTS[0], disk_id=True), 0.0))
-    doors = [Disseminator(PeerTable(about, 0.0)) for about in ABOUTS[1:4]]
-    for door in doors:
-        door.peers.observe(0.0, reader.peers.me)
+    machines = [Disseminator(PeerTable(about, 0.0)) for about in ABOUTS[1:4]]
+    for machine in machines:
+        machine.peers.observe(0.0, reader.peers.me)
     found = {f"i-{n}": ServerEntry(f"i-{n}", f"s{n}:1", "z0", True, 2, "v1") for n in range(40)}
     sizes, wants = [], 0
     for step in range(300):
@@ -123,16 +123,19 @@
         reader.publish_list(1.0, 1000 + step, {"shop": found})
         told = reader.registry.encode_change(1.0, "shop")
         sizes.append(len(told[2]))
-        for n, door in enumerate(doors):
+        for n, machine in enumerate(machines):
             if chance.random() < 0.1:
                 continue  # lost on its way
-            for deed in door.apply_update(1.0, TableUpdate(told)):
-                if isinstance(deed, Send) and deed.message["k"] == "ask":
+            for action in machine.apply_update(1.0, TableUpdate(told)):
+                if isinstance(action, Send) and action.message["k"] == "ask":
                     wants += 1
-                    assert deed.to == "d0" and door.apply_update(
+                    assert action.to == "d0" and machine.apply_update(
                         1.0, TableUpdate(reader.registry.encode(1.0, "shop"))
                     )
-            assert door.registry.tables["shop"].servers == reader.registry.tables["shop"].servers, (step, n)
+            assert machine.registry.tables["shop"].servers == reader.registry.tables["shop"].servers, (
+                step,
+                n,
+            )
         for name, server in reader.registry.tables["shop"].servers.items():
             assert found[name].same(server)  # less time to go until it is warm is no news
         assert reader.registry.tables["shop"].servers.keys() == found.keys()
@@ -148,12 +151,12 @@
         ServerEntry("i-3", "s:3", "z0", True, 2, "v1"),
         ServerEntry("i-4", "s:4", "z0", True, 2, "v1"),
     )
-    reader, door = (
+    reader, machine = (
         Disseminator(PeerTable(replace(ABOUTS[0], disk_id=True), 0.0)),
         Disseminator(PeerTable(ABOUTS[1], 0.0)),
     )
-    door.peers.observe(0.0, reader.peers.me)
-    door.publish_list(
+    machine.peers.observe(0.0, reader.peers.me)
+    machine.publish_list(
         1.0, 1000, {"shop": {"i-1": one, "i-3": third, "i-4": fourth}}
     )  # another list, one version
     reader.publish_list(1.0, 1000, {"shop": {"i-1": one, "i-2": other, "i-3": third}})
@@ -162,14 +165,14 @@
     )
     change = reader.registry.encode_change(1.0, "shop")
     assert len(change) == 6 and len(change[2]) == 1
-    asked = door.apply_update(1.0, TableUpdate(change))
+    asked = machine.apply_update(1.0, TableUpdate(change))
     assert asked == [Send("d0", {"k": "ask", "s": "shop"})]
-    assert door.registry.tables["shop"].servers.keys() == {"i-1", "i-3", "i-4"}
+    assert machine.registry.tables["shop"].servers.keys() == {"i-1", "i-3", "i-4"}
     assert (
-        door.apply_update(1.0, TableUpdate(reader.registry.encode(1.0, "shop")))
-        and door.apply_update(1.0, TableUpdate(change)) == []
+        machine.apply_update(1.0, TableUpdate(reader.registry.encode(1.0, "shop")))
+        and machine.apply_update(1.0, TableUpdate(change)) == []
     )
-    assert door.registry.tables["shop"].servers == reader.registry.tables["shop"].servers
+    assert machine.registry.tables["shop"].servers == reader.registry.tables["shop"].servers
 
 
 def test_two_readers_that_go_on_from_one_version_make_no_common_one_and_the_newer_list_wins() -> None:
@@ -178,32 +181,34 @@
         ServerEntry("i-1", "s:1", "z0", True, 2, "v1"),
         ServerEntry("i-2", "s:2", "z0", True, 2, "v1"),
     )
-    first, second, door = (Disseminator(PeerTable(replace(about, disk_id=True), 0.0)) for about in ABOUTS[:3])
+    first, second, machine = (
+        Disseminator(PeerTable(replace(about, disk_id=True), 0.0)) for about in ABOUTS[:3]
+    )
     first.publish_list(1.0, 9000, {"shop": {"i-1": one, "i-2": other}})
-    for node in (second, door):
+    for node in (second, machine):
         node.apply_update(1.0, TableUpdate(first.registry.encode(1.0, "shop")))
     first.publish_list(2.0, 1000, {"shop": {"i-1": one, "i-2": replace(other, accepting=False)}})
-    door.apply_update(2.0, TableUpdate(first.registry.encode(2.0, "shop")))
+    machine.apply_update(2.0, TableUpdate(first.registry.encode(2.0, "shop")))
     newest = {"i-1": replace(one, accepting=False), "i-2": replace(other, accepting=False)}
     for step in range(
         2
     ):  # it may take the other's table first, and sees at its next look that the list is another
         second.publish_list(3.0 + step, 1100, {"shop": dict(newest)})
-        for source, to in ((second, door), (door, second)):
+        for source, to in ((second, machine), (machine, second)):
             if to.registry.outdated(source.registry.versions()):
                 to.apply_update(3.0 + step, TableUpdate(source.registry.encode(3.0 + step, "shop")))
-    for node in (second, door):
+    for node in (second, machine):
         assert not any(server.accepting for server in node.registry.tables["shop"].servers.values())
 
 
 def test_two_readers_of_one_millisecond_make_no_common_version_and_all_come_to_the_newer_list() -> None:
     one = ServerEntry("i-1", "s:1", "z0", True, 2, "v1")
     nodes = [Disseminator(PeerTable(replace(about, disk_id=True), 0.0)) for about in ABOUTS[:3]]
-    first, second, door = nodes
+    first, second, machine = nodes
     first.publish_list(1.0, 5000, {"shop": {"i-1": one}})
     second.publish_list(1.0, 5000, {"shop": {"i-1": replace(one, accepting=False)}})
     for source in (first, second):
-        door.apply_update(1.0, TableUpdate(source.registry.encode(1.0, "shop")))
+        machine.apply_update(1.0, TableUpdate(source.registry.encode(1.0, "shop")))
     for step in range(2):  # the newest list is read again, by whoever reads it from then on
         second.publish_list(2.0 + step, 5500 + 500 * step, {"shop": {"i-1": replace(one, accepting=False)}})
         for source in nodes:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -45,51 +45,51 @@
 
 
 def test_a_yes_to_an_earlier_asking_counts_for_nothing() -> None:
-    duties = core_of_three()
-    wants = duties.update_requests(10.0, settled=True)
-    duty = wants[0]
+    roles = core_of_three()
+    wants = roles.update_requests(10.0, settled=True)
+    role = wants[0]
     for ip in ("d2", "d3"):
-        duties.on_granted(duty, ip, 10.0, 1)
-    assert duties.held_until(duty) > 10.0
-    assert duties.update_requests(10.1, settled=False) == [] and duties.held_until(duty) <= 10.1
+        roles.on_granted(role, ip, 10.0, 1)
+    assert roles.held_until(role) > 10.0
+    assert roles.update_requests(10.1, settled=False) == [] and roles.held_until(role) <= 10.1
     for ip in ("d2", "d3"):
-        duties.on_granted(duty, ip, 10.0, 1)  # the answers come a second time
-    assert duties.held_until(duty) <= 10.1
-    assert duty in duties.update_requests(10.2, settled=True)
+        roles.on_granted(role, ip, 10.0, 1)  # the answers come a second time
+    assert roles.held_until(role) <= 10.1
+    assert role in roles.update_requests(10.2, settled=True)
     for ip in ("d2", "d3"):
-        duties.on_granted(duty, ip, 10.0, 1)
-    assert duties.held_until(duty) <= 10.2
+        roles.on_granted(role, ip, 10.0, 1)
+    assert roles.held_until(role) <= 10.2
     for ip in ("d2", "d3"):
-        duties.on_granted(duty, ip, 10.2, 1)
-    assert 10.2 < duties.held_until(duty) < 10.2 + LEASE_TERM
+        roles.on_granted(role, ip, 10.2, 1)
+    assert 10.2 < roles.held_until(role) < 10.2 + LEASE_TERM
 
 
 def test_who_hears_less_than_half_of_the_core_wants_nothing_new() -> None:
-    duties = core_of_three()
-    assert duties.update_requests(10.0, settled=True)
-    assert duties.update_requests(20.0, settled=True) == []  # the others were last heard ten seconds ago
+    roles = core_of_three()
+    assert roles.update_requests(10.0, settled=True)
+    assert roles.update_requests(20.0, settled=True) == []  # the others were last heard ten seconds ago
 
 
 def test_a_late_promise_of_a_life_that_is_no_more_counted_on_counts_for_nothing() -> None:
     """The new life was told that nothing is counted on, so it may promise the duty to another."""
-    duties = core_of_three()
-    duty = duties.update_requests(10.1, settled=True)[0]
-    duties.on_granted(duty, "d1", 10.1, 1)
-    assert duties.disclaim_previous(10.5, ("d2", 2)) == []
-    duties.on_granted(duty, "d2", 10.4, 1)  # asked for and promised before that, late on its way
-    assert duties.held_until(duty) == 0.0
-    duties.on_granted(duty, "d2", 10.6, 2)
-    assert duties.held_until(duty) > 11.0
+    roles = core_of_three()
+    role = roles.update_requests(10.1, settled=True)[0]
+    roles.on_granted(role, "d1", 10.1, 1)
+    assert roles.disclaim_previous(10.5, ("d2", 2)) == []
+    roles.on_granted(role, "d2", 10.4, 1)  # asked for and promised before that, late on its way
+    assert roles.held_until(role) == 0.0
+    roles.on_granted(role, "d2", 10.6, 2)
+    assert roles.held_until(role) > 11.0
 
 
 def test_a_tick_looks_once_at_what_its_beats_ask_for(monkeypatch: pytest.MonkeyPatch) -> None:
     world = World(8, 0)
     world.run(4.0)
-    core, looks, wanted = world.doors["d1"].core, [], SingletonRoles.wanted_roles
+    core, looks, wanted = world.machines["d1"].core, [], SingletonRoles.wanted_roles
 
-    def counted(duties: SingletonRoles, now: float) -> list[int]:
-        looks.append(duties)
-        return wanted(duties, now)
+    def counted(roles: SingletonRoles, now: float) -> list[int]:
+        looks.append(roles)
+        return wanted(roles, now)
 
     monkeypatch.setattr(SingletonRoles, "wanted_roles", counted)
     assert core is not None
@@ -97,6 +97,6 @@
     for _ in range(20):
         world.now += TICK
         looks.clear()
-        beats += sum(getattr(deed, "message", {}).get("k") == "beat" for deed in core.tick(world.now))
+        beats += sum(getattr(action, "message", {}).get("k") == "beat" for action in core.tick(world.now))
         assert len(looks) == 1
     assert beats >= 14
--- a/tests/test_forage.py
+++ b/tests/test_forage.py
@@ -72,11 +72,11 @@
 class Gate:
     def __init__(self, *names: str) -> None:
         fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
-        self.forager, self.now, self.number = RequestRouter(SharedLimits(), fleet, 1), 10.0, 0
-        self.forager.use_configuration(WORD)
-        self.forager.update_endpoints(self.now, "shop", servers(*names))
-        self.forager.fresh_until = 1e9
-        self.forager.node_count = (
+        self.router, self.now, self.number = RequestRouter(SharedLimits(), fleet, 1), 10.0, 0
+        self.router.use_configuration(WORD)
+        self.router.update_endpoints(self.now, "shop", servers(*names))
+        self.router.fresh_until = 1e9
+        self.router.node_count = (
             31  # whose shares of a small quota's reserve are none, and of further tries one
         )
 
@@ -87,14 +87,14 @@
         return self.handle(RequestArrived(self.number, route, WORD.tenants[tenant], left))
 
     def handle(self, event: Any) -> list[Any]:
-        return list(self.forager.handle(self.now, event))
+        return list(self.router.handle(self.now, event))
 
     def ends(self, send: i.Send, outcome: Outcome, spent: float = 0.2) -> list[Any]:
         self.now += spent
         return self.handle(i.Finished(send.request, 0, send.backend, outcome, False, spent, 0, 0, ()))
 
     def name(self, send: i.Send) -> str:
-        return self.forager.fleet.servers[send.backend].id
+        return self.router.fleet.servers[send.backend].id
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR, Outcome.TIMEOUT])
@@ -120,7 +120,7 @@
     (again,) = gate.ends(send, Outcome.RESET)
     assert isinstance(again, i.Send)
     assert gate.ends(again, Outcome.RESET) == [i.Fail(send.request)]
-    gate.forager.node_count, further = 1, 0
+    gate.router.node_count, further = 1, 0
     for _ in range(200):  # all fail: further tries stay within half of the rule's ratio and slack
         (send,) = [a for a in gate.ask("/r/1") if isinstance(a, i.Send)]
         further += any(isinstance(a, i.Send) for a in gate.ends(send, Outcome.RESET, 0.0))
@@ -142,7 +142,7 @@
     assert send.timeout == 0  # its server is told all the time that is left
     (leave,) = silent(gate, 2.0)
     assert leave == AbandonAttempt(send.request, 0)
-    gate.forager.node_count = 1000  # whose shares are none: the try is taken already
+    gate.router.node_count = 1000  # whose shares are none: the try is taken already
     (again,) = gate.ends(send, Outcome.TIMEOUT)
     assert isinstance(again, i.Send) and gate.name(again) != gate.name(send)
     assert silent(gate, 1.0) == []  # its last attempt
@@ -154,11 +154,11 @@
 def test_a_server_at_work_is_not_broken_off_where_nothing_could_follow(why: str) -> None:
     gate = Gate("a1-0", *(["a1-1"] if why != "no other server" else []))
     if why == "no allowance":
-        gate.forager.node_count = 1000
-    gate.forager.leaving = why == "it ends soon"
+        gate.router.node_count = 1000
+    gate.router.leaving = why == "it ends soon"
     (send,) = gate.ask("/r/1", left=1.3 if why == "no time" else 4.0)
     if why == "no time":
-        gate.forager.fleet.route_latencies["reads"] = RouteLatency(1.5)
+        gate.router.fleet.route_latencies["reads"] = RouteLatency(1.5)
     assert isinstance(send, i.Send) and send.timeout == 0 and silent(gate, 3.5) == []
 
 
@@ -172,7 +172,7 @@
     (again,) = gate.ends(read_, Outcome.RESET)
     assert gate.handle(i.Left(again.request)) == [i.Cancel(again.request, 1)]
     gate.ends(again, Outcome.CANCELLED)
-    ill = [server.failures or server.in_flight for server in gate.forager.fleet.servers.values()]
+    ill = [server.failures or server.in_flight for server in gate.router.fleet.servers.values()]
     assert sum(ill) == 1  # by the reset; nothing is counted as out, and who was left is not taken for ill
     assert isinstance(gate.ask("/r/3")[0], i.Send)
 
@@ -181,29 +181,29 @@
     gate = Gate("a1-0", "b1-0")
     (send,) = gate.ask("/h/1")
     assert gate.name(send) == "b1-0"
-    gate.forager.set_evacuated_zones(gate.now, frozenset(("b1",)))
+    gate.router.set_evacuated_zones(gate.now, frozenset(("b1",)))
     assert isinstance(gate.ask("/h/1")[0], i.Refuse)
-    gate.forager.set_evacuated_zones(gate.now, frozenset())
+    gate.router.set_evacuated_zones(gate.now, frozenset())
     assert isinstance(gate.ask("/h/1")[0], i.Refuse)  # taken back: its servers may be cold
     gate.now += 4.0
     assert isinstance(gate.ask("/h/1")[0], i.Send)
-    gate.forager.update_endpoints(gate.now, "shop", servers("a1-0", "b1-9"))  # a new life is cold
+    gate.router.update_endpoints(gate.now, "shop", servers("a1-0", "b1-9"))  # a new life is cold
     assert isinstance(gate.ask("/h/1")[0], i.Refuse)
-    gate.forager.update_endpoints(gate.now, "shop", servers("a1-0", "b1-9", accepting=False))
+    gate.router.update_endpoints(gate.now, "shop", servers("a1-0", "b1-9", accepting=False))
     gate.now += 9.0
     assert isinstance(gate.ask("/h/1")[0], i.Refuse) and isinstance(gate.ask("/r/1")[0], i.Refuse)
 
 
-def test_a_door_that_heard_nothing_fresh_refuses_keyed_requests_at_once() -> None:
+def test_a_node_that_heard_nothing_fresh_refuses_keyed_requests_at_once() -> None:
     gate = Gate("a1-0")
-    gate.forager.fresh_until = gate.now - 0.01
+    gate.router.fresh_until = gate.now - 0.01
     (refused,) = gate.ask("/w/1")
     assert isinstance(refused, i.Refuse) and refused.retry_after > 0
 
 
 def test_load_that_others_tell_of_sends_requests_elsewhere() -> None:
     gate = Gate("a1-0", "a1-1")
-    gate.forager.fleet.on_load_report(gate.now, "d2", {server_tag("a1-0"): 6})
+    gate.router.fleet.on_load_report(gate.now, "d2", {server_tag("a1-0"): 6})
     assert {gate.name(gate.ask("/r/1")[0]) for _ in range(3)} == {"a1-1"}
     gate.now += 2.0
     gate.handle(TimerTick())
@@ -215,19 +215,19 @@
     gate, told = Gate(*names), dict[str, tuple[float, dict[int, int]]]()
     for _ in range(400):
         gate.now += chance.choice([0.0, 0.05, 0.7])
-        door, outs = (
+        machine, outs = (
             f"d{chance.randrange(5)}",
             {server_tag(n): chance.randrange(4) for n in chance.sample(names, 3)},
         )
-        told[door] = (gate.now, outs)
-        gate.forager.fleet.on_load_report(gate.now, door, outs)
+        told[machine] = (gate.now, outs)
+        gate.router.fleet.on_load_report(gate.now, machine, outs)
         if chance.random() < 0.2:
-            gate.forager.update_endpoints(gate.now, "shop", servers(*chance.sample(names, 4)))
+            gate.router.update_endpoints(gate.now, "shop", servers(*chance.sample(names, 4)))
         if chance.random() < 0.5:
             with pytest.raises((AttributeError, TypeError)):
-                gate.forager.fleet.on_load_report(gate.now, door, {server_tag(names[0]): "x"})  # type: ignore[dict-item]
+                gate.router.fleet.on_load_report(gate.now, machine, {server_tag(names[0]): "x"})  # type: ignore[dict-item]
         gate.handle(TimerTick())
-        for server in gate.forager.fleet.servers.values():
+        for server in gate.router.fleet.servers.values():
             heard = [outs for at, outs in told.values() if gate.now - at <= LOAD_REPORT_LIFETIME]
             assert server.in_flight_elsewhere == sum(outs.get(server_tag(server.id), 0) for outs in heard)
 
@@ -255,22 +255,22 @@
     assert ended  # a counter that does not answer is given up on
 
 
-def test_a_door_lets_its_even_share_in_alone_where_no_counter_answers() -> None:
+def test_a_node_lets_its_even_share_in_alone_where_no_counter_answers() -> None:
     gate = Gate("a1-0")
-    gate.forager.node_count = 5
+    gate.router.node_count = 5
     sent = 0
     for _ in range(100):  # ten seconds
         gate.now += 0.1
         for action in gate.ask("/r/1", "green"):
             if isinstance(action, LeaseCredits):
                 sent += sum(isinstance(a, i.Send) for a in gate.handle(CounterUnavailable("green")))
-    assert sent == 2 * gate.forager.rule.quota.reserve(10, 10, 5) > 0  # in each span of five
+    assert sent == 2 * gate.router.rule.quota.reserve(10, 10, 5) > 0  # in each span of five
 
 
-def test_no_span_sees_more_than_the_rule_whatever_doors_and_owners_do() -> None:
+def test_no_span_sees_more_than_the_rule_whatever_nodes_and_owners_do() -> None:
     """Eleven doors ask as fast as they can, calls are lost, and the counter moves to a new owner twice."""
     rule, rate, burst, dice = QuotaLimits(), 10.0, 10.0, random.Random(5)
-    doors = [CreditLeases(rule) for _ in range(11)]
+    machines = [CreditLeases(rule) for _ in range(11)]
     served: list[float] = []
     counter, until, now = QuotaCounter(rule.window), 0.0, 50.0
     flying: list[tuple[float, CreditLeases, CounterCall]] = []
@@ -280,19 +280,19 @@
             counter, dead = QuotaCounter(rule.window), until
         owner = tick < 900 or now >= dead
         until = now + 1.0 if owner else until
-        for door in doors:
-            door.request_credit(now, "green", rate, burst, tick, 11)
-            door.tick(now)
-            flying += [(now + dice.choice((0.001, 0.02, 0.04)), door, call) for call in door.calls]
-            door.calls = []
-            served += [now for verdict in door.verdicts if verdict.admitted]
-            door.verdicts = []
+        for machine in machines:
+            machine.request_credit(now, "green", rate, burst, tick, 11)
+            machine.tick(now)
+            flying += [(now + dice.choice((0.001, 0.02, 0.04)), machine, call) for call in machine.calls]
+            machine.calls = []
+            served += [now for verdict in machine.verdicts if verdict.admitted]
+            machine.verdicts = []
         due, flying = [f for f in flying if f[0] <= now], [f for f in flying if f[0] > now]
-        for _, door, call in due:
+        for _, machine, call in due:
             if owner and dice.random() > 0.1:
-                limit, caller = rule.window_limit(rate, burst, 11), ("door", doors.index(door))
+                limit, caller = rule.window_limit(rate, burst, 11), ("door", machines.index(machine))
                 granted = counter.grant(now, until, "green", call.units, limit, caller, call.number)
-                door.on_granted(now, CreditsGranted("green", call.number, *granted))
+                machine.on_granted(now, CreditsGranted("green", call.number, *granted))
     most = max(
         sum(start <= t < start + rule.span for t in served) for start in [50 + n * 0.1 for n in range(250)]
     )
--- a/tests/test_front_stress.py
+++ b/tests/test_front_stress.py
@@ -73,16 +73,16 @@
             server.ways = {name: server.ways[name] for name in ways}
         counts = Counts()
         fleet = EndpointSet("a1", "a", {"a1": "a", "a2": "a"}, random.Random(seed))
-        self.forager = RequestRouter(SharedLimits(retry_ratio=1.0, retry_slack=1e6), fleet, 1)
+        self.router = RequestRouter(SharedLimits(retry_ratio=1.0, retry_slack=1e6), fleet, 1)
         self.upstream = UpstreamServers(1.0, pick.choice((0.4, 9.0)), 800, counts)
         self.upstream.per_backend = pick.choice((12, 60))
-        self.carrier = RouterHost(self.forager, self.upstream, counts, self.lease)
+        self.carrier = RouterHost(self.router, self.upstream, counts, self.lease)
         self.front = ClientListener(Address("127.0.0.1", 0), self.carrier, 400, lambda: True)
         self.leaves = pick.random() < 0.3  # the door is told to end, some time before the last client
         word = parse_configuration(configuration())
         self.front.use_configuration(word)
-        self.forager.use_configuration(word)
-        self.forager.fresh_until = 1e18
+        self.router.use_configuration(word)
+        self.router.fresh_until = 1e18
         self.addresses: list[str] = []
 
     def lease(self, call: CounterCall) -> None:
@@ -101,9 +101,9 @@
             ServerEntry(server.id, address, server.zone, True, 40, "v1")
             for server, address in zip(self.servers, self.addresses, strict=True)
         ]
-        for gone in self.forager.update_endpoints(now, "shop", listed):
+        for gone in self.router.update_endpoints(now, "shop", listed):
             self.upstream.remove(gone.number)
-        for server in self.forager.fleet.services["shop"].values():
+        for server in self.router.fleet.services["shop"].values():
             self.upstream.place(server.number, parse_address(server.address), 0.0)
 
     async def tick(self) -> None:
@@ -116,7 +116,7 @@
             if count % round(RESTART / 0.05) == 0:
                 self.list_servers()
                 pick.choice(self.servers).lives += 1
-                self.forager.set_evacuated_zones(
+                self.router.set_evacuated_zones(
                     self.carrier.clock(), frozenset(("a2",) if count // 20 % 4 == 1 else ())
                 )
 
@@ -141,13 +141,13 @@
             for server in self.servers:
                 await server.close()
             self.upstream.close()
-        self.ledger.ways.update({f"ended {why}": count for why, count in self.forager.ends.items()})
+        self.ledger.ways.update({f"ended {why}": count for why, count in self.router.ends.items()})
         return self.ledger
 
     async def leave(self, crowd: Crowd) -> None:
         """As `Door.drain`, with little time: what is under way then ends by `answer_all`."""
         await asyncio.sleep(0.3 + self.ledger.random.random())
-        crowd.ends = self.forager.leaving = True
+        crowd.ends = self.router.leaving = True
         self.front.stop_listening()
         self.front.close_idle()
         end = self.carrier.clock() + self.ledger.random.choice((0.0, 0.1, 0.4))
@@ -172,8 +172,8 @@
         pools = self.upstream.pools.values()
         found = {
             "open requests": len(self.carrier.table), "waiting": self.carrier.waiting, "held": self.front.held,
-            "jobs": len(self.forager.pending), "clients": len(self.front.clients),
-            "out": sum(server.in_flight for server in self.forager.fleet.servers.values()),
+            "jobs": len(self.router.pending), "clients": len(self.front.clients),
+            "out": sum(server.in_flight for server in self.router.fleet.servers.values()),
             "busy": sum(link.attempt is not None for pool in pools for link in pool.links),
             "waiting attempts": sum(not attempt.over for pool in pools for attempt in pool.waiting),
         }  # fmt: skip
@@ -259,7 +259,7 @@
         (mixes_up_its_turns, "MIXED", 0.0, ("answers_twice",)),
     ],
 )
-def test_a_door_without_a_fence_is_caught(
+def test_a_node_without_a_fence_is_caught(
     monkeypatch: pytest.MonkeyPatch,
     wrong: Callable[[pytest.MonkeyPatch], None],
     rule: str,
--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -43,7 +43,7 @@
 from hazelspring.registry.tables import ServerEntry, ServiceTable
 from ivymux.caller import Client
 from ivymux.config import Address
-from ivymux.config import parse as parse_front_door
+from ivymux.config import parse as parse_front_node
 from ivymux.generations import Confirm, Generation, Generations, read_kept
 from ivymux.handover import Handover
 from ivymux.host import Answer
@@ -146,7 +146,7 @@
     methods = {"put_configuration": "put", "read_configuration": "read", "set_evacuation": "evacuate"}
     methods["retire_member"] = "retire"
     node: Any = SimpleNamespace(**{name: partial(order, kind) for name, kind in methods.items()})
-    process.operator_calls = OperatorCalls(lambda: 0.0, lambda: node, lambda: None, lambda deeds: None)
+    process.operator_calls = OperatorCalls(lambda: 0.0, lambda: node, lambda: None, lambda actions: None)
 
     def call(request: str, roles: list[str], end: Record) -> str:
         api = HttpApi(Address("127.0.0.1", 0), process, frozenset(roles))
@@ -240,11 +240,11 @@
     return found
 
 
-async def front_door() -> Record:
+async def front_node() -> Record:
     text = (FOLDER / "node_config.json").read_text()
     with tempfile.TemporaryDirectory() as folder:
         env = {"TMPDIR": folder, "NODE_MANAGEMENT": "127.0.0.1:9"}
-        config = parse_front_door(text, env)
+        config = parse_front_node(text, env)
         generations, path = Generations(config, env, []), Path(folder) / "generations"
         generations.path, generations.basis = path, "0123456789abcdef"
         earlier = Generation(6, "fedcba9876543210", 1700000000.25, "start", zlib.compress(b"{}", 1))
@@ -347,7 +347,7 @@
 
 GROUPS: dict[str, Callable[[], Any]] = {
     "settings": settings, "answers": lambda: asyncio.run(answers()), "traffic": lambda: asyncio.run(traffic()),
-    "front_door": lambda: asyncio.run(front_door()), "configuration": configuration,
+    "front_door": lambda: asyncio.run(front_node()), "configuration": configuration,
 }  # fmt: skip
 
 
--- a/tests/test_list_duty.py
+++ b/tests/test_list_duty.py
@@ -27,22 +27,22 @@
         self.reads: list[str] = []
         super().__init__(core, others, seed)
 
-    def deeds(self, name: str, deeds: list[Action]) -> None:
-        core = self.doors[name].core
+    def actions(self, name: str, actions: list[Action]) -> None:
+        core = self.machines[name].core
         assert core is not None
-        polls = [deed for deed in deeds if isinstance(deed, ReadList)]
+        polls = [action for action in actions if isinstance(action, ReadList)]
         self.reads += [name for _ in polls]
         if name in self.stuck | self.cut_off:
-            deeds = [deed for deed in deeds if not isinstance(deed, ReadList)]
+            actions = [action for action in actions if not isinstance(action, ReadList)]
         for poll in polls if name in self.cut_off else ():
             self.at(
                 self.now + core.list_reader_role.timing.timeout, partial(self.fail, name, core, poll.number)
             )
-        super().deeds(name, deeds)
+        super().actions(name, actions)
 
     def fail(self, name: str, core: Node, number: int) -> None:
         def failed() -> None:
-            self.deeds(name, core.on_list_read(self.now, int(self.now * 1000), None, number))
+            self.actions(name, core.on_list_read(self.now, int(self.now * 1000), None, number))
 
         self.unless_frozen(name, core, failed)
 
@@ -64,7 +64,7 @@
 
     def unaware(self) -> list[str]:
         """Doors that still take a server for accepting."""
-        tables = {name: self.doors[name].core.registry.tables for name in self.up()}  # type: ignore[union-attr]
+        tables = {name: self.machines[name].core.registry.tables for name in self.up()}  # type: ignore[union-attr]
         return [
             name
             for name, known in tables.items()
@@ -72,7 +72,7 @@
         ]
 
 
-def test_a_read_of_the_list_that_ends_without_a_word_does_not_keep_doors_from_news() -> None:
+def test_a_read_of_the_list_that_ends_without_a_word_does_not_keep_nodes_from_news() -> None:
     for seed in range(5):
         world = ListWorld(4, 3, seed)
         world.run(4.0)
@@ -95,7 +95,7 @@
         assert world.unaware() == [] and not world.breaches
 
 
-def test_a_holder_that_the_platform_does_not_answer_hands_the_reading_to_another_door() -> None:
+def test_a_holder_that_the_platform_does_not_answer_hands_the_reading_to_another_node() -> None:
     for seed in range(5):
         world = ListWorld(4, 3, seed)
         world.run(4.0)
@@ -108,7 +108,7 @@
         assert world.unaware() == [] and not world.breaches
 
 
-def test_the_only_door_that_may_read_begins_anew_after_a_read_without_an_end() -> None:
+def test_the_only_node_that_may_read_begins_anew_after_a_read_without_an_end() -> None:
     world = ListWorld(1, 2)
     world.run(4.0)
     world.stuck = {"d1"}
@@ -124,7 +124,7 @@
     world = ListWorld(4, 0)
     world.run(4.0)
     reader = world.reader()
-    core = world.doors[reader].core
+    core = world.machines[reader].core
     assert core is not None
     world.stuck = {reader}
     late = core.list_reader_role.number
@@ -136,7 +136,7 @@
     assert world.unaware() == []
 
 
-def test_while_the_platform_answers_nobody_the_duty_goes_round_and_news_come_once_it_does() -> None:
+def test_while_the_platform_answers_nobody_the_role_goes_round_and_news_come_once_it_does() -> None:
     for seed in range(2):
         world = ListWorld(4, 3, seed)
         world.run(4.0)
@@ -157,10 +157,10 @@
         assert not world.breaches
 
 
-def test_the_invariants_bite_where_a_holder_that_reads_nothing_keeps_the_duty(
+def test_the_invariants_bite_where_a_holder_that_reads_nothing_keeps_the_role(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(ListReaderRole, "must_decline", lambda duty, now: False)
+    monkeypatch.setattr(ListReaderRole, "must_decline", lambda role, now: False)
     world = ListWorld(4, 3)
     world.run(8.0)
     assert not world.breaches
@@ -171,12 +171,12 @@
     assert all(LIST_KNOWN in one for one in broken) and sum(LIST_READ in one for one in broken) == 1
 
 
-def test_nothing_is_violated_while_doors_end_and_come_back() -> None:
+def test_nothing_is_violated_while_nodes_end_and_come_back() -> None:
     for seed in range(3):
         world = ListWorld(4, 3, seed)
         world.run(8.0)
         for name in (world.reader(), "d2", "d6", world.reader()):
-            if world.doors[name].core is not None:
+            if world.machines[name].core is not None:
                 world.kill(name)
             world.run(2.0 + seed)
             world.start(name)
@@ -185,7 +185,7 @@
 
 
 def cores(world: World) -> list[Node]:
-    return [door.core for door in world.doors.values() if door.core is not None]
+    return [machine.core for machine in world.machines.values() if machine.core is not None]
 
 
 def violated(world: World) -> set[str]:
