--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture(scope="module")
-def yard(tmp_path_factory: pytest.TempPathFactory) -> Iterator[LocalFleet]:
+def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[LocalFleet]:
     made = LocalFleet(tmp_path_factory.mktemp("yard"))
     background = Background(StandIns(made.platform, made.servers))
     try:
@@ -35,51 +35,51 @@
         background.close()
 
 
-def status(yard: LocalFleet, n: int) -> Any:
+def status(fleet: LocalFleet, n: int) -> Any:
     """What a door says of itself; nothing while it does not answer."""
     try:
-        return json.loads(call_once(yard.controls()[n], "GET", "/-/status", None, 2).body)
+        return json.loads(call_once(fleet.controls()[n], "GET", "/-/status", None, 2).body)
     except OSError:
         return {}
 
 
-def number_at(yard: LocalFleet, n: int) -> int:
-    answer = call_until_settled([yard.controls()[n]], "GET", "/-/configuration")
+def number_at(fleet: LocalFleet, n: int) -> int:
+    answer = call_until_settled([fleet.controls()[n]], "GET", "/-/configuration")
     return int(json.loads(answer.body)["versionNumber"][1:])
 
 
-def test_a_killed_door_with_a_wiped_disk_catches_up_and_has_its_seat_again(yard: LocalFleet) -> None:
-    yard.kill(1)
-    yard.wipe(1)
-    call_until_settled([yard.controls()[4]], "PUT", "/-/configuration", configuration(7))
-    yard.start(1)
-    yard.until(lambda: status(yard, 1).get("member"))
-    assert number_at(yard, 1) == 7
-    yard.until(lambda: yard.ask(1, "GET", "/read/a", "after-wipe")[0] == 200)
+def test_a_killed_node_with_a_wiped_disk_catches_up_and_has_its_seat_again(fleet: LocalFleet) -> None:
+    fleet.kill(1)
+    fleet.wipe(1)
+    call_until_settled([fleet.controls()[4]], "PUT", "/-/configuration", configuration(7))
+    fleet.start(1)
+    fleet.until(lambda: status(fleet, 1).get("member"))
+    assert number_at(fleet, 1) == 7
+    fleet.until(lambda: fleet.ask(1, "GET", "/read/a", "after-wipe")[0] == 200)
 
 
-def figures(yard: LocalFleet, n: int) -> dict[str, float]:
+def figures(fleet: LocalFleet, n: int) -> dict[str, float]:
     """A door's own figures by name and labels."""
-    text = call_once(yard.controls()[n], "GET", "/-/metrics", None, 2).body.decode()
+    text = call_once(fleet.controls()[n], "GET", "/-/metrics", None, 2).body.decode()
     return {name: float(value) for name, value in (line.rsplit(" ", 1) for line in text.splitlines())}
 
 
-def test_the_metrics_name_the_one_reader_of_the_list_and_what_each_door_knows_of_servers(
-    yard: LocalFleet,
+def test_the_metrics_name_the_one_reader_of_the_list_and_what_each_node_knows_of_servers(
+    fleet: LocalFleet,
 ) -> None:
     def readers() -> list[dict[str, float]]:
         """Those that have the duty and have read the list: one that has just taken it has yet to."""
-        found = [figures(yard, n) for n in range(6)]
+        found = [figures(fleet, n) for n in range(6)]
         return [
             one
             for one in found
             if one["hazelspring_list_reader"] and one['hazelspring_list_reads_total{result="read"}']
         ]
 
-    yard.until(lambda: len(readers()) == 1)
+    fleet.until(lambda: len(readers()) == 1)
     (reader,) = readers()
     assert reader["hazelspring_list_read_ago_seconds"] < 5
-    for one in [figures(yard, n) for n in range(6)]:
+    for one in [figures(fleet, n) for n in range(6)]:
         assert one['hazelspring_servers{service="shop",state="accepting"}'] == 4
         assert one['hazelspring_server_table_version{service="shop"}'] > 0
 
@@ -89,82 +89,84 @@
 ) -> None:
     (wanted,) = free_ports(1)
     program = ("-m", "hazelspring.daemon", "serve", "--metrics-port", str(wanted))
-    yard = LocalFleet(tmp_path, core=1, others=1, servers=1, program=program, nth=5)
-    background = Background(StandIns(yard.platform, yard.servers))
+    fleet = LocalFleet(tmp_path, core=1, others=1, servers=1, program=program, nth=5)
+    background = Background(StandIns(fleet.platform, fleet.servers))
     with socket.socket() as taken:
-        taken.bind((yard.ips[1], wanted))
+        taken.bind((fleet.ips[1], wanted))
         taken.listen()
         try:
-            yard.start_all(first=True)
-            call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
-            yard.until(lambda: yard.is_ready(0) and yard.is_ready(1))
-            found = call_once(f"{yard.ips[0]}:{wanted}", "GET", "/-/metrics", None, 2)
+            fleet.start_all(first=True)
+            call_until_settled(fleet.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
+            fleet.until(lambda: fleet.is_ready(0) and fleet.is_ready(1))
+            found = call_once(f"{fleet.ips[0]}:{wanted}", "GET", "/-/metrics", None, 2)
             assert found.status == 200 and b"hazelspring_list_reader 1" in found.body
-            assert call_once(f"{yard.ips[0]}:{wanted}", "PUT", "/-/configuration", b"", 2).status == 405
+            assert call_once(f"{fleet.ips[0]}:{wanted}", "PUT", "/-/configuration", b"", 2).status == 405
         finally:
-            yard.close()
+            fleet.close()
             background.close()
 
 
-def test_a_disk_that_cannot_be_read_is_not_taken_for_an_empty_one(yard: LocalFleet) -> None:
-    yard.until(lambda: status(yard, 1).get("member"))
-    before = status(yard, 1)["version"]
-    file = yard.folder / "door-2" / "comb.sqlite"
-    yard.kill(1)
+def test_a_disk_that_cannot_be_read_is_not_taken_for_an_empty_one(fleet: LocalFleet) -> None:
+    fleet.until(lambda: status(fleet, 1).get("member"))
+    before = status(fleet, 1)["version"]
+    file = fleet.folder / "door-2" / "comb.sqlite"
+    fleet.kill(1)
     file.rename(file.with_name("kept"))
     file.mkdir()  # nothing can be opened there
-    yard.start(1)
-    yard.until(lambda: yard.ask(1, "GET", "/read/a", "without-disk")[0] == 200)
-    assert not status(yard, 1)["member"]
+    fleet.start(1)
+    fleet.until(lambda: fleet.ask(1, "GET", "/read/a", "without-disk")[0] == 200)
+    assert not status(fleet, 1)["member"]
     file.rmdir()
     file.with_name("kept").rename(file)
-    yard.until(lambda: status(yard, 1).get("member"))
-    assert status(yard, 1)["version"] == before  # its seat is its own still: nothing had to be agreed on
+    fleet.until(lambda: status(fleet, 1).get("member"))
+    assert status(fleet, 1)["version"] == before  # its seat is its own still: nothing had to be agreed on
 
 
-def test_all_processes_are_killed_at_once_and_nothing_is_lost(yard: LocalFleet) -> None:
-    call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(9))
-    call_until_settled(yard.controls(), "POST", "/-/evacuation/south-1")
+def test_all_processes_are_killed_at_once_and_nothing_is_lost(fleet: LocalFleet) -> None:
+    call_until_settled(fleet.controls(), "PUT", "/-/configuration", configuration(9))
+    call_until_settled(fleet.controls(), "POST", "/-/evacuation/south-1")
     for n in range(6):
-        yard.kill(n)
-    yard.start_all()
-    yard.until(lambda: all(yard.is_ready(n) for n in range(6)))
-    said = status(yard, 5)
+        fleet.kill(n)
+    fleet.start_all()
+    fleet.until(lambda: all(fleet.is_ready(n) for n in range(6)))
+    said = status(fleet, 5)
     assert said["configuration"] == 9 and said["closedZones"] == ["south-1"]
-    call_until_settled(yard.controls(), "DELETE", "/-/evacuation/south-1")
-    yard.until(lambda: all(yard.ask(n, "GET", "/read/a", f"back-{n}")[0] == 200 for n in range(6)))
+    call_until_settled(fleet.controls(), "DELETE", "/-/evacuation/south-1")
+    fleet.until(lambda: all(fleet.ask(n, "GET", "/read/a", f"back-{n}")[0] == 200 for n in range(6)))
 
 
-def test_a_door_that_was_stopped_lets_no_key_in_that_went_meanwhile(yard: LocalFleet) -> None:
-    call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(11, keys=(KEY, "leaving")))
-    yard.until(lambda: yard.ask(5, "GET", "/read/a", "before", "leaving")[0] == 200)
-    process = yard.processes[5]
+def test_a_node_that_was_stopped_lets_no_key_in_that_went_meanwhile(fleet: LocalFleet) -> None:
+    call_until_settled(fleet.controls(), "PUT", "/-/configuration", configuration(11, keys=(KEY, "leaving")))
+    fleet.until(lambda: fleet.ask(5, "GET", "/read/a", "before", "leaving")[0] == 200)
+    process = fleet.processes[5]
     process.send_signal(signal.SIGSTOP)
-    call_until_settled(yard.controls()[:5], "PUT", "/-/configuration", configuration(12))
-    yard.until(lambda: all(yard.ask(n, "GET", "/read/a", f"gone-{n}", "leaving")[0] == 401 for n in range(5)))
+    call_until_settled(fleet.controls()[:5], "PUT", "/-/configuration", configuration(12))
+    fleet.until(
+        lambda: all(fleet.ask(n, "GET", "/read/a", f"gone-{n}", "leaving")[0] == 401 for n in range(5))
+    )
     process.send_signal(signal.SIGCONT)
-    yard.until(lambda: yard.ask(5, "GET", "/read/a", "after", "leaving")[0] == 401)
-    assert yard.ask(5, "GET", "/read/a", "after", KEY)[0] == 200
+    fleet.until(lambda: fleet.ask(5, "GET", "/read/a", "after", "leaving")[0] == 401)
+    assert fleet.ask(5, "GET", "/read/a", "after", KEY)[0] == 200
 
 
-def test_a_write_whose_answer_is_lost_runs_once_and_gets_no_promise(yard: LocalFleet) -> None:
-    for server in yard.servers:
+def test_a_write_whose_answer_is_lost_runs_once_and_gets_no_promise(fleet: LocalFleet) -> None:
+    for server in fleet.servers:
         server.cut = True
-    found, _ = yard.ask(0, "POST", "/write/a", "lost-1")
-    for server in yard.servers:
+    found, _ = fleet.ask(0, "POST", "/write/a", "lost-1")
+    for server in fleet.servers:
         server.cut = False
     assert found == 502
-    assert sum(server.ran["lost-1"] for server in yard.servers) == 1
+    assert sum(server.ran["lost-1"] for server in fleet.servers) == 1
 
 
-def raw(yard: LocalFleet, n: int, *lines: str) -> int:
+def raw(fleet: LocalFleet, n: int, *lines: str) -> int:
     """The status that a request of these lines gets."""
-    with socket.create_connection((yard.ips[n], yard.front), 5) as wire:
+    with socket.create_connection((fleet.ips[n], fleet.front), 5) as wire:
         wire.sendall("\r\n".join((*lines, "Connection: close", "", "")).encode())
         return int(wire.makefile("rb").readline().split()[1])
 
 
-def test_what_goes_on_to_a_server_and_what_does_not(yard: LocalFleet) -> None:
+def test_what_goes_on_to_a_server_and_what_does_not(fleet: LocalFleet) -> None:
     good = ("Host: shop.example:80", "X-Hazelspring-Attempt-Id: raw-1", f"Authorization: Bearer {KEY}")
     forged = (
         "X-Hazelspring-Tenant-Name: other",
@@ -173,56 +175,56 @@
         "Connection: x-hop",
         "X-Hop: 1",
     )
-    assert raw(yard, 0, "GET /read/a/../b?q=%20 HTTP/1.1", *good, *forged) == 200
+    assert raw(fleet, 0, "GET /read/a/../b?q=%20 HTTP/1.1", *good, *forged) == 200
     (seen,) = [
-        server.last for server in yard.servers if server.last.get("x-hazelspring-attempt-id") == "raw-1"
+        server.last for server in fleet.servers if server.last.get("x-hazelspring-attempt-id") == "raw-1"
     ]
     assert seen[""] == "GET /read/a/../b?q=%20 " and seen["x-hazelspring-tenant-name"] == "green"
     assert seen["x-mine"] == "kept" and not {"authorization", "x-hop", "connection"} & set(seen)
-    assert raw(yard, 0, "GET /read/a HTTP/1.1", *good, good[1]) == 400  # a header that counts stands twice
-    assert raw(yard, 0, "GET /none/a HTTP/1.1", *good) == 404
-    assert raw(yard, 0, "GET /read/a HTTP/1.1", *good[:2], "Authorization: Bearer wrong") == 401
-    assert raw(yard, 0, "GET /read/a HTTP/1.1", good[0], good[2]) == 400  # no attempt id
-    assert raw(yard, 0, "GET /read/a HTTP/1.1", *good, "X-Hazelspring-Remaining-Milliseconds: soon") == 400
-    assert raw(yard, 0, "GET /read/a HTTP/1.1", *good, "X-Big: " + "x" * 20_000) == 431
+    assert raw(fleet, 0, "GET /read/a HTTP/1.1", *good, good[1]) == 400  # a header that counts stands twice
+    assert raw(fleet, 0, "GET /none/a HTTP/1.1", *good) == 404
+    assert raw(fleet, 0, "GET /read/a HTTP/1.1", *good[:2], "Authorization: Bearer wrong") == 401
+    assert raw(fleet, 0, "GET /read/a HTTP/1.1", good[0], good[2]) == 400  # no attempt id
+    assert raw(fleet, 0, "GET /read/a HTTP/1.1", *good, "X-Hazelspring-Remaining-Milliseconds: soon") == 400
+    assert raw(fleet, 0, "GET /read/a HTTP/1.1", *good, "X-Big: " + "x" * 20_000) == 431
 
 
-def test_a_door_leaves_in_order_and_answers_what_it_holds(yard: LocalFleet) -> None:
-    process = yard.processes[4]
+def test_a_node_leaves_in_order_and_answers_what_it_holds(fleet: LocalFleet) -> None:
+    process = fleet.processes[4]
     process.send_signal(signal.SIGTERM)
-    yard.until(lambda: not yard.is_ready(4))
-    assert yard.ask(4, "GET", "/read/a", "late")[0] in (200, 0)
+    fleet.until(lambda: not fleet.is_ready(4))
+    assert fleet.ask(4, "GET", "/read/a", "late")[0] in (200, 0)
     assert process.wait(10) == 0
-    yard.start(4)
-    yard.until(lambda: yard.is_ready(4))
+    fleet.start(4)
+    fleet.until(lambda: fleet.is_ready(4))
 
 
-def test_what_a_server_is_at_work_on_when_its_door_is_stopped_is_answered_and_runs_once(
-    yard: LocalFleet,
+def test_what_a_server_is_at_work_on_when_its_node_is_stopped_is_answered_and_runs_once(
+    fleet: LocalFleet,
 ) -> None:
-    for server in yard.servers:
+    for server in fleet.servers:
         server.work = 2.0  # longer than the door listens on
     found: list[tuple[int, bytes]] = []
     calls = [
-        threading.Thread(target=lambda call=call: found.append(yard.ask(4, *call)))
+        threading.Thread(target=lambda call=call: found.append(fleet.ask(4, *call)))
         for call in (("POST", "/write/a", "held-w"), ("POST", "/write/b", "held-v"))
     ]
     for one in calls:
         one.start()
-    yard.until(lambda: sum(server.busy for server in yard.servers) == 2)
-    for server in yard.servers:
+    fleet.until(lambda: sum(server.busy for server in fleet.servers) == 2)
+    for server in fleet.servers:
         server.work = 0.01
-    yard.processes[4].send_signal(signal.SIGTERM)
+    fleet.processes[4].send_signal(signal.SIGTERM)
     for one in calls:
         one.join()
-    assert [answered for answered, _ in found] == [200, 200] and yard.processes[4].wait(10) == 0
-    assert sum(server.ran[name] for server in yard.servers for name in ("held-w", "held-v")) == 2
-    yard.start(4)
-    yard.until(lambda: yard.is_ready(4))
+    assert [answered for answered, _ in found] == [200, 200] and fleet.processes[4].wait(10) == 0
+    assert sum(server.ran[name] for server in fleet.servers for name in ("held-w", "held-v")) == 2
+    fleet.start(4)
+    fleet.until(lambda: fleet.is_ready(4))
 
 
-def test_a_stopped_door_ends_only_when_its_last_answer_has_been_read(yard: LocalFleet) -> None:
-    for server in yard.servers:
+def test_a_stopped_node_ends_only_when_its_last_answer_has_been_read(fleet: LocalFleet) -> None:
+    for server in fleet.servers:
         server.bulk = 100_000
     with socket.socket() as wire:
         wire.settimeout(10)
@@ -230,16 +232,16 @@
         wire.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536
         )  # the door's machine holds little of it, too
-        wire.connect((yard.ips[4], yard.front))
+        wire.connect((fleet.ips[4], fleet.front))
         head = f"GET /read/a HTTP/1.1\r\nHost: shop.example\r\nAuthorization: Bearer {KEY}\r\n"
         wire.sendall(f"{head}X-Hazelspring-Attempt-Id: slow-1\r\n\r\n".encode())
         answer = wire.makefile("rb")
         assert answer.readline().split()[1] == b"200"
-        for server in yard.servers:
+        for server in fleet.servers:
             server.bulk = 0
-        process = yard.processes[4]
+        process = fleet.processes[4]
         process.send_signal(signal.SIGTERM)
-        yard.until(lambda: yard.ask(4, "GET", "/read/a", "refused")[0] == 0)  # it listens no more
+        fleet.until(lambda: fleet.ask(4, "GET", "/read/a", "refused")[0] == 0)  # it listens no more
         with pytest.raises(subprocess.TimeoutExpired):
             process.wait(0.5)
         length = 0
@@ -247,35 +249,35 @@
             length = int(line.split()[1]) if line.startswith(b"content-length") else length
         assert len(answer.read(length)) == length > 100_000
     assert process.wait(10) == 0
-    yard.start(4)
-    yard.until(lambda: yard.is_ready(4))
+    fleet.start(4)
+    fleet.until(lambda: fleet.is_ready(4))
 
 
-def test_settings_are_read_again_with_and_without_a_signal(yard: LocalFleet) -> None:
-    log, path = yard.folder / "door-6.log", yard.folder / "door-6.conf"
+def test_settings_are_read_again_with_and_without_a_signal(fleet: LocalFleet) -> None:
+    log, path = fleet.folder / "door-6.log", fleet.folder / "door-6.conf"
     text = path.read_text()
-    seeds = f"network.seedNodes={yard.controls()[3]}"
+    seeds = f"network.seedNodes={fleet.controls()[3]}"
     path.write_text(text + seeds + "\n")
-    yard.until(lambda: f"uses new settings seeds={yard.ips[3]}" in log.read_text())
+    fleet.until(lambda: f"uses new settings seeds={fleet.ips[3]}" in log.read_text())
     path.write_text(text.replace("thisDoor.zone=", "thisDoor.zoned="))
-    yard.processes[5].send_signal(signal.SIGHUP)
-    yard.until(lambda: "cannot be used problem=thisDoor.zone" in log.read_text())
+    fleet.processes[5].send_signal(signal.SIGHUP)
+    fleet.until(lambda: "cannot be used problem=thisDoor.zone" in log.read_text())
     path.write_text(text)
-    assert yard.ask(5, "GET", "/read/a", "after-settings")[0] == 200
+    assert fleet.ask(5, "GET", "/read/a", "after-settings")[0] == 200
 
 
-def test_the_operators_client(yard: LocalFleet, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    doors = [part for door in yard.controls() for part in ("--door", door)]
+def test_the_operators_client(fleet: LocalFleet, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    nodes = [part for node in fleet.controls() for part in ("--door", node)]
     good, bad, out = tmp_path / "good.json", tmp_path / "bad.json", tmp_path / "out.json"
     good.write_bytes(configuration(20))
     bad.write_bytes(configuration(21)[:-20])
-    assert hazelspringctl([*doors, "put", str(good)]) == 0
-    assert hazelspringctl([*doors, "put", str(bad)]) == 1 and "not JSON" in capsys.readouterr().err
-    assert hazelspringctl([*doors, "check", str(bad)]) == 1
-    assert hazelspringctl([*doors, "get", "--out", str(out)]) == 0 and out.read_bytes() == good.read_bytes()
-    assert hazelspringctl([*doors, "evacuate", "nowhere"]) == 1 and "no_such_zone" in capsys.readouterr().err
-    yard.until(lambda: hazelspringctl([*doors, "status"]) == 0)
+    assert hazelspringctl([*nodes, "put", str(good)]) == 0
+    assert hazelspringctl([*nodes, "put", str(bad)]) == 1 and "not JSON" in capsys.readouterr().err
+    assert hazelspringctl([*nodes, "check", str(bad)]) == 1
+    assert hazelspringctl([*nodes, "get", "--out", str(out)]) == 0 and out.read_bytes() == good.read_bytes()
+    assert hazelspringctl([*nodes, "evacuate", "nowhere"]) == 1 and "no_such_zone" in capsys.readouterr().err
+    fleet.until(lambda: hazelspringctl([*nodes, "status"]) == 0)
     assert "configuration 20" in capsys.readouterr().out
     with pytest.raises(CallError, match="not settled"):
-        call_until_settled([f"{yard.ips[0]}:1"], "GET", "/-/configuration", patience=0.2)
-    assert os.path.exists(yard.folder / "door-1" / "comb.sqlite")
+        call_until_settled([f"{fleet.ips[0]}:1"], "GET", "/-/configuration", patience=0.2)
+    assert os.path.exists(fleet.folder / "door-1" / "comb.sqlite")
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -57,7 +57,7 @@
     assert register.accepted == (HIGH, FIRST)
 
 
-def test_ballots_of_one_count_differ_by_the_life_and_then_the_door_of_their_proposer() -> None:
+def test_ballots_of_one_count_differ_by_the_life_and_then_the_node_of_their_proposer() -> None:
     register, ballots = Acceptor(1, True), [(3, 1, "d1"), (3, 1, "d2"), (3, 2, "d1"), (4, 1, "d1")]
     assert all(register.prepare(ballot) for ballot in ballots)
     assert not any(register.prepare(ballot) for ballot in ballots[:-1])
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -49,12 +49,12 @@
 def rescue(world: World, name: str, source: RecoverySource | None = None, size: int = 0) -> None:
     """As the operator does: the door is stopped, its disk gets the new records, the door starts."""
     world.kill(name)
-    door = world.doors[name]
-    assert door.disk is not None
-    source = source or source_from_acceptor(load_acceptor(door.disk.records, 0, False), True)
-    member = Member(name, door.about.zone, door.about.region, world.disk_number())
+    machine = world.machines[name]
+    assert machine.disk is not None
+    source = source or source_from_acceptor(load_acceptor(machine.disk.records, 0, False), True)
+    member = Member(name, machine.about.zone, machine.about.region, world.disk_number())
     made = recovered_acceptor(source, member, size, 10**12 + int(world.now * 1000))
-    door.disk.records = {k: body for k, body in made.take_dirty_records().items() if body is not None}
+    machine.disk.records = {k: body for k, body in made.take_dirty_records().items() if body is not None}
     world.start(name)
 
 
@@ -64,11 +64,11 @@
 
 
 def lineages(world: World) -> set[int]:
-    return {lineage(world.doors[name].core.control.acceptor.version) for name in world.up()}  # type: ignore[union-attr]
+    return {lineage(world.machines[name].core.control.acceptor.version) for name in world.up()}  # type: ignore[union-attr]
 
 
 def seats(world: World, name: str) -> list[str]:
-    core = world.doors[name].core
+    core = world.machines[name].core
     assert core is not None
     return [member.ip for member in core.peers.members]
 
@@ -92,12 +92,12 @@
 
 def test_after_an_upgrade_from_format_1_there_is_no_core_until_a_rescue() -> None:
     world = founded()
-    for name in world.doors:
+    for name in world.machines:
         world.wipe(name)
         world.start(name)
     for _ in range(10):  # the hole
         assert settle(world, world.put("d1", 6), world.read("d2")) == [False, False]
-        assert not any(world.doors[name].core.core_agreed() for name in world.up())  # type: ignore[union-attr]
+        assert not any(world.machines[name].core.core_agreed() for name in world.up())  # type: ignore[union-attr]
     rescue(world, "d4", source_from_items({"word": ((7, b""), WORD), "zone/z1": ((2, b""), b"1")}), size=4)
     world.run(2.0)
     assert seats(world, "d6") == ["d1", "d2", "d3", "d4"]
@@ -115,7 +115,7 @@
 def parted(seed: int = 1, odd: float = 0.0) -> World:
     """d1 was rescued and took 7, while the others, out of its reach, went on as the old core and took 8 to 12."""
     world = founded(seed, odd)
-    others = [name for name in world.doors if name != "d1"]
+    others = [name for name in world.machines if name != "d1"]
     world.cut |= {(a, b) for name in others for a, b in (("d1", name), (name, "d1"))}
     tokens = [world.put(f"d{2 + number % 3}", number) for number in range(8, 13)]
     assert True in settle(world, *tokens)
@@ -162,10 +162,10 @@
     monkeypatch.setattr(world, "send", some)
 
 
-def tried(world: World, doors: Sequence[str]) -> list[bool]:
+def tried(world: World, machines: Sequence[str]) -> list[bool]:
     """What each may do by the old state: a read, what it holds put again, and orders."""
     tokens = []
-    for name in doors:
+    for name in machines:
         tokens += [
             world.read(name),
             world.put(name, 5, "five"),
@@ -203,7 +203,9 @@
 
 def test_of_two_rescues_the_later_one_prevails() -> None:
     world = founded()
-    world.cut |= {(a, b) for a in world.doors for b in world.doors if (a in "d1 d2") is not (b in "d1 d2")}
+    world.cut |= {
+        (a, b) for a in world.machines for b in world.machines if (a in "d1 d2") is not (b in "d1 d2")
+    }
     rescue(world, "d1")
     assert settle(world, world.put("d1", 6, "first")) == [True]
     rescue(world, "d3")
@@ -219,13 +221,13 @@
 
 def test_a_rescued_disk_at_a_new_address_is_found_and_tells_the_old_members() -> None:
     world = founded()
-    disk = world.doors["d4"].disk
+    disk = world.machines["d4"].disk
     for name in ("d1", "d2", "d3", "d4"):
         world.kill(name)
     world.remove("d4")
     world.add("d9")
     world.kill("d9")
-    world.doors["d9"].disk = disk
+    world.machines["d9"].disk = disk
     rescue(world, "d9")
     world.start("d2")  # alone, it holds the old state and has no majority
     world.run(3.0)
@@ -299,7 +301,9 @@
     assert made.state is not None and made.decided is not None
     old, new = control(held(), "d2"), control(made, "d9")
     ask: Message = {"k": kind, "b": [10**9, 1, "d3"], "h": b"", "s": HELD.encode()}
-    told = [deed.message for deed in new.on_message(1.0, "d3", ask | {"d": 5}) if isinstance(deed, Send)]
+    told = [
+        action.message for action in new.on_message(1.0, "d3", ask | {"d": 5}) if isinstance(action, Send)
+    ]
     assert [message["k"] for message in told] == ["decided"] and new.acceptor.accepted == made.decided
     ask["s"] = made.state.encode()
     told = [d.message for d in old.on_message(1.0, "d9", ask | {"d": made.version}) if isinstance(d, Send)]
--- a/tests/test_rescue_processes.py
+++ b/tests/test_rescue_processes.py
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture
-def yard(tmp_path_factory: pytest.TempPathFactory) -> Iterator[LocalFleet]:
+def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[LocalFleet]:
     made = LocalFleet(tmp_path_factory.mktemp("yard"), core=4, others=1)
     background = Background(StandIns(made.platform, made.servers))
     try:
@@ -37,99 +37,101 @@
         background.close()
 
 
-def whole(yard: LocalFleet) -> None:
+def whole(fleet: LocalFleet) -> None:
     """All doors are ready, and all that have a disk are members."""
-    seats = {yard.ips[n] for n in yard.disks}
-    for n in yard.there():
-        yard.until(lambda n=n: set(told(yard, n).get("core", ())) == seats and told(yard, n)["ready"], 30)
-    for n in yard.disks:
-        yard.until(lambda n=n: told(yard, n).get("member"))
+    seats = {fleet.ips[n] for n in fleet.disks}
+    for n in fleet.there():
+        fleet.until(lambda n=n: set(told(fleet, n).get("core", ())) == seats and told(fleet, n)["ready"], 30)
+    for n in fleet.disks:
+        fleet.until(lambda n=n: told(fleet, n).get("member"))
 
 
-def rescue(yard: LocalFleet, n: int, *words: str) -> subprocess.CompletedProcess[str]:
-    environment = {**os.environ, "HAZELSPRING_SETTINGS": str(yard.settings(n, False))}
+def rescue(fleet: LocalFleet, n: int, *words: str) -> subprocess.CompletedProcess[str]:
+    environment = {**os.environ, "HAZELSPRING_SETTINGS": str(fleet.settings(n, False))}
     command = [sys.executable, "-m", "hazelspring.daemon", "recover", *words]
     return subprocess.run(command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=20)
 
 
-def unsettled(yard: LocalFleet) -> None:
+def unsettled(fleet: LocalFleet) -> None:
     """No door takes an order: each says so, once it has tried for its three seconds."""
     for _ in range(2):
-        sent = [put(yard, n, configuration(6)) for n in yard.there()]
+        sent = [put(fleet, n, configuration(6)) for n in fleet.there()]
         assert [call.end().status for call in sent] == [503] * 5
 
 
-def holds_on(yard: LocalFleet, number: int) -> None:
+def holds_on(fleet: LocalFleet, number: int) -> None:
     """The configuration and the closed zone are read back at every door, and orders are taken again."""
-    whole(yard)
-    for n in yard.there():
-        answer = read(yard, n).end()
+    whole(fleet)
+    for n in fleet.there():
+        answer = read(fleet, n).end()
         assert answer.status == 200 and answer.body == configuration(number)
-        assert told(yard, n)["closedZones"] == ["south-1"] and told(yard, n)["lineage"] > 0
+        assert told(fleet, n)["closedZones"] == ["south-1"] and told(fleet, n)["lineage"] > 0
     assert (
-        call_until_settled(yard.controls(), "PUT", "/-/configuration", configuration(number + 2), 20.0).status
+        call_until_settled(
+            fleet.controls(), "PUT", "/-/configuration", configuration(number + 2), 20.0
+        ).status
         == 200
     )
 
 
-def test_a_majority_of_the_disks_is_lost_and_the_core_goes_on_from_one(yard: LocalFleet) -> None:
-    for n in yard.there():
-        yard.kill(n)
-    old = yard.folder / "old"
-    shutil.copytree(yard.folder / "door-2", old)
+def test_a_majority_of_the_disks_is_lost_and_the_core_goes_on_from_one(fleet: LocalFleet) -> None:
+    for n in fleet.there():
+        fleet.kill(n)
+    old = fleet.folder / "old"
+    shutil.copytree(fleet.folder / "door-2", old)
     for n in (1, 2, 3):
-        yard.wipe(n)
-    for n in yard.there():
-        yard.start(n)
-    for n in yard.there():
-        yard.until(lambda n=n: told(yard, n))
-    unsettled(yard)  # the hole
-    in_use = rescue(yard, 0, "--old-core-is-stopped")
-    assert in_use.returncode == 1 and "in use" in in_use.stderr and told(yard, 0)
-    assert rescue(yard, 0, "--list").returncode == 1
-    for n in yard.there():
-        yard.kill(n)
-    listed = rescue(yard, 0, "--list")
+        fleet.wipe(n)
+    for n in fleet.there():
+        fleet.start(n)
+    for n in fleet.there():
+        fleet.until(lambda n=n: told(fleet, n))
+    unsettled(fleet)  # the hole
+    in_use = rescue(fleet, 0, "--old-core-is-stopped")
+    assert in_use.returncode == 1 and "in use" in in_use.stderr and told(fleet, 0)
+    assert rescue(fleet, 0, "--list").returncode == 1
+    for n in fleet.there():
+        fleet.kill(n)
+    listed = rescue(fleet, 0, "--list")
     assert listed.returncode == 0 and "lineage 0" in listed.stdout and " r5 " in listed.stdout
-    assert rescue(yard, 0).returncode == 2
-    done = rescue(yard, 0, "--old-core-is-stopped")
-    assert done.returncode == 0 and f"core of 4: {yard.ips[0]}/" in done.stdout
-    for n in yard.there():
-        yard.start(n)
-    holds_on(yard, 5)
+    assert rescue(fleet, 0).returncode == 2
+    done = rescue(fleet, 0, "--old-core-is-stopped")
+    assert done.returncode == 0 and f"core of 4: {fleet.ips[0]}/" in done.stdout
+    for n in fleet.there():
+        fleet.start(n)
+    holds_on(fleet, 5)
     # a disk of the old core that was not lost after all
-    yard.kill(1)
-    yard.wipe(1)
-    shutil.copytree(old, yard.folder / "door-2")
-    assert "lineage 0" in rescue(yard, 1, "--list").stdout
-    yard.start(1)
-    whole(yard)
-    assert number_in(read(yard, 1).end()) == 7
-
-
-def test_all_disks_are_of_format_1_and_the_core_goes_on_from_the_newest(yard: LocalFleet) -> None:
-    for n in yard.there():
-        yard.kill(n)
-    for n in yard.disks:
-        found = load_acceptor(inspect_store(yard.folder / f"door-{n + 1}" / "comb.sqlite").records, 0, False)
+    fleet.kill(1)
+    fleet.wipe(1)
+    shutil.copytree(old, fleet.folder / "door-2")
+    assert "lineage 0" in rescue(fleet, 1, "--list").stdout
+    fleet.start(1)
+    whole(fleet)
+    assert number_in(read(fleet, 1).end()) == 7
+
+
+def test_all_disks_are_of_format_1_and_the_core_goes_on_from_the_newest(fleet: LocalFleet) -> None:
+    for n in fleet.there():
+        fleet.kill(n)
+    for n in fleet.disks:
+        found = load_acceptor(inspect_store(fleet.folder / f"door-{n + 1}" / "comb.sqlite").records, 0, False)
         word = found.current_configuration()
         assert found.state is not None and word is not None
-        yard.wipe(n)
+        fleet.wipe(n)
         old = {"word": ((5, found.state.configuration_digest), word), "zone/south-1": ((1, b"life"), b"1")}
-        format_1(yard.folder / f"door-{n + 1}", "comb.sqlite", old if n in (0, 3) else {})
-    for n in yard.there():
-        yard.start(n)
-    for n in yard.disks:
-        yard.until(
-            lambda n=n: told(yard, n) and (yard.folder / f"door-{n + 1}" / "comb.sqlite.aside").exists()
+        format_1(fleet.folder / f"door-{n + 1}", "comb.sqlite", old if n in (0, 3) else {})
+    for n in fleet.there():
+        fleet.start(n)
+    for n in fleet.disks:
+        fleet.until(
+            lambda n=n: told(fleet, n) and (fleet.folder / f"door-{n + 1}" / "comb.sqlite.aside").exists()
         )
-    unsettled(yard)  # the hole
-    assert all(told(yard, n)["configuration"] is None for n in yard.there())
-    yard.kill(3)
-    aside = str(yard.folder / "door-4" / "comb.sqlite.aside")
-    listed = rescue(yard, 3, "--list")
+    unsettled(fleet)  # the hole
+    assert all(told(fleet, n)["configuration"] is None for n in fleet.there())
+    fleet.kill(3)
+    aside = str(fleet.folder / "door-4" / "comb.sqlite.aside")
+    listed = rescue(fleet, 3, "--list")
     assert "format 1" in listed.stdout and "zone/south-1 closed" in listed.stdout
-    assert rescue(yard, 3, "--old-core-is-stopped", "--from", aside, "--size", "4").returncode == 0
-    yard.start(3)
-    holds_on(yard, 5)
-    assert json.loads(read(yard, 4).end().body)["versionNumber"] == "r7"
+    assert rescue(fleet, 3, "--old-core-is-stopped", "--from", aside, "--size", "4").returncode == 0
+    fleet.start(3)
+    holds_on(fleet, 5)
+    assert json.loads(read(fleet, 4).end().body)["versionNumber"] == "r7"
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -12,7 +12,7 @@
 from hazelspring.node.actions import Action, Save, Send
 from hazelspring.node.node import Node, NodeStart
 
-MEMBER, DOOR = "10.0.0.1", "10.0.0.2"
+MEMBER, MACHINE = "10.0.0.1", "10.0.0.2"
 
 
 def about(n: int, life: int = 1) -> NodeInfo:
@@ -32,7 +32,7 @@
         self.told: list[str] = []  # how the roster came: s whole, e by what changed
         self.were: list[list[RosterRow]] = [[]]  # the member's rosters
         self.cores: dict[str, Node] = {}
-        for ip, disk in ((MEMBER, 7), (DOOR, 0)):
+        for ip, disk in ((MEMBER, 7), (MACHINE, 0)):
             self.start(ip, disk, first=True)
         self.run(4.0)
         assert self.cores[MEMBER].is_core_candidate()
@@ -45,17 +45,17 @@
         )
         self.cores[ip] = Node(self.now, start, 0.2, lambda tenant: 1.0)
 
-    def do(self, ip: str, deeds: list[Action]) -> None:
-        for deed in deeds:
-            if isinstance(deed, Send) and deed.to in self.cores:
-                self.told += [how for how in "se" if deed.message["k"] == "echo" and how in deed.message]
+    def do(self, ip: str, actions: list[Action]) -> None:
+        for action in actions:
+            if isinstance(action, Send) and action.to in self.cores:
+                self.told += [how for how in "se" if action.message["k"] == "echo" and how in action.message]
                 for _ in range(1 + (self.random.random() < self.lost)):
                     if self.random.random() >= self.lost:
                         late = self.random.choice((0.001, 0.02, 0.9)) if self.lost else 0.001
-                        self.way.append((self.now + late, ip, deed.to, deed.message))
-            elif isinstance(deed, Save):
-                self.records.update({name: body for name, body in deed.records.items() if body is not None})
-                self.do(ip, self.cores[ip].on_saved(self.now, deed.serial, True))
+                        self.way.append((self.now + late, ip, action.to, action.message))
+            elif isinstance(action, Save):
+                self.records.update({name: body for name, body in action.records.items() if body is not None})
+                self.do(ip, self.cores[ip].on_saved(self.now, action.serial, True))
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds * 20)):
@@ -73,7 +73,7 @@
             self.cores[MEMBER].peers.record_heartbeat(self.now, NodeInfo(*who), ready)
 
     def same(self) -> bool:
-        one, other = (self.cores[ip].peers for ip in (MEMBER, DOOR))
+        one, other = (self.cores[ip].peers for ip in (MEMBER, MACHINE))
         return (
             one.roster_rows == other.roster_rows
             and one.roster_checksum == other.roster_checksum == rows_checksum(one.roster_rows)
@@ -81,28 +81,28 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_door_holds_only_rosters_that_were_and_comes_to_the_last(seed: int) -> None:
+def test_a_node_holds_only_rosters_that_were_and_comes_to_the_last(seed: int) -> None:
     pair, chance = Pair(seed, lost=0.3), random.Random(seed)
-    doors = {n: row(n) for n in range(60)}
+    machines = {n: row(n) for n in range(60)}
     for step in range(300):
         for n in chance.sample(range(60), 40 if step % 50 == 0 else chance.choice((0, 0, 1, 2))):
-            doors[n] = row(n, chance.random() < 0.7, chance.randrange(3))
+            machines[n] = row(n, chance.random() < 0.7, chance.randrange(3))
         for n in chance.sample(range(60), chance.choice((0, 0, 0, 0, 1))):
-            doors.pop(n, None)
-        pair.note(*doors.values())
+            machines.pop(n, None)
+        pair.note(*machines.values())
         pair.run(0.05)
-        assert pair.cores[DOOR].peers.roster_rows in pair.were
+        assert pair.cores[MACHINE].peers.roster_rows in pair.were
     assert pair.told.count("e") > 5 and pair.told.count("s") > 1
     pair.lost, pair.way = 0.0, []
     for _ in range(
         round(FAR_ROSTER_TIMEOUT * 20) + 20
     ):  # and what is left comes as it should, who is gone has left
-        pair.note(*doors.values())
+        pair.note(*machines.values())
         pair.run(0.05)
-    assert pair.same() and len(pair.cores[DOOR].peers.roster_rows) == len(doors) + 2
+    assert pair.same() and len(pair.cores[MACHINE].peers.roster_rows) == len(machines) + 2
 
 
-def test_one_change_among_many_doors_travels_alone() -> None:
+def test_one_change_among_many_nodes_travels_alone() -> None:
     pair = Pair(1)
     for step in range(40):
         pair.note(*(row(n, ready=n != 7 or step < 20) for n in range(200)))
@@ -124,7 +124,7 @@
     assert pair.same() and pair.told[0] == "s"
 
 
-def test_a_door_that_skipped_more_than_is_remembered_is_told_the_whole() -> None:
+def test_a_node_that_skipped_more_than_is_remembered_is_told_the_whole() -> None:
     roster = Roster()
     roster.update([], [row(n) for n in range(300)])
     first = roster.checksum
@@ -140,19 +140,19 @@
 
 
 def test_a_change_that_does_not_come_to_its_sum_is_not_taken_and_the_whole_is_asked_for() -> None:
-    member, door = Roster(), Roster()
+    member, machine = Roster(), Roster()
     member.update([], [row(n) for n in range(9)])
-    door.replace(member.rows)
+    machine.replace(member.rows)
     before = member.rows
     member.update([about(3).ip], [row(1, ready=False)])
-    change = member.changes_since(door.checksum)
+    change = member.changes_since(machine.checksum)
     assert change is not None
-    door.apply_change([change[0], change[1], change[2], []])
-    assert door.rows == before and door.checksum == 0
-    assert member.changes_since(door.checksum) is None  # so that it is told the whole
-    door.replace(member.rows)
-    door.apply_change(change)  # late: of rows that it holds no more
-    assert door.rows == member.rows and door.checksum == member.checksum
+    machine.apply_change([change[0], change[1], change[2], []])
+    assert machine.rows == before and machine.checksum == 0
+    assert member.changes_since(machine.checksum) is None  # so that it is told the whole
+    machine.replace(member.rows)
+    machine.apply_change(change)  # late: of rows that it holds no more
+    assert machine.rows == member.rows and machine.checksum == member.checksum
 
 
 def test_a_sum_goes_by_rows_and_not_by_how_they_came() -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -40,13 +40,13 @@
     def calls(self, number: int) -> list[Call]:
         return [self.world.calls[token] for token in self.tokens[number]]
 
-    def holder(self, duty: int = LIST_READER) -> str | None:
-        return next((name for name in self.world.up() if self.world.holds(name, duty)), None)
+    def holder(self, role: int = LIST_READER) -> str | None:
+        return next((name for name in self.world.up() if self.world.holds(name, role)), None)
 
     def numbers(self) -> dict[str, int]:
         found = {}
         for name in self.world.up():
-            core: Any = self.world.doors[name].core
+            core: Any = self.world.machines[name].core
             found[name] = core.control.state.configuration_version if core.control.state is not None else -1
         return found
 
@@ -58,8 +58,8 @@
     assert made.world.breaches == []
 
 
-@given(parsers.re(r"(?P<core>\d+) core doors and (?P<others>\d+) others"))
-def doors(stage: Stage, core: str, others: str) -> None:
+@given(parsers.re(r"(?P<core>\d+) core nodes and (?P<others>\d+) others"))
+def machines(stage: Stage, core: str, others: str) -> None:
     stage.world = World(int(core), int(others))
     stage.world.run(4.0)
 
@@ -71,12 +71,12 @@
     assert stage.acknowledged(number) == [True] and set(stage.numbers().values()) == {number}
 
 
-@when(parsers.parse("the operator sends configuration {number:d} to door {door:d}"))
-def put(stage: Stage, number: int, door: int) -> None:
-    stage.tokens.setdefault(number, []).append(stage.world.put(f"d{door}", number))
+@when(parsers.parse("the operator sends configuration {number:d} to node {machine:d}"))
+def put(stage: Stage, number: int, machine: int) -> None:
+    stage.tokens.setdefault(number, []).append(stage.world.put(f"d{machine}", number))
 
 
-@when(parsers.parse("two operators send configuration {number:d} to doors {one:d} and {other:d} at once"))
+@when(parsers.parse("two operators send configuration {number:d} to nodes {one:d} and {other:d} at once"))
 def race(stage: Stage, number: int, one: int, other: int) -> None:
     stage.tokens[number] = [
         stage.world.put(f"d{one}", number, "one"),
@@ -89,44 +89,44 @@
     stage.world.run(float(seconds))
 
 
-@when(parsers.parse("door {door:d} is killed"))
-def kill(stage: Stage, door: int) -> None:
-    stage.world.kill(f"d{door}")
+@when(parsers.parse("node {machine:d} is killed"))
+def kill(stage: Stage, machine: int) -> None:
+    stage.world.kill(f"d{machine}")
 
 
-@when(parsers.re(r"doors (?P<which>[\d, and]+) are killed"))
+@when(parsers.re(r"nodes (?P<which>[\d, and]+) are killed"))
 def kill_all(stage: Stage, which: str) -> None:
     for name in stage.names(which):
         stage.world.kill(name)
 
 
-@when(parsers.parse("door {door:d} loses its disk"))
-def wipe(stage: Stage, door: int) -> None:
-    stage.world.wipe(f"d{door}")
+@when(parsers.parse("node {machine:d} loses its disk"))
+def wipe(stage: Stage, machine: int) -> None:
+    stage.world.wipe(f"d{machine}")
 
 
-@when(parsers.parse("door {door:d} comes back"))
-def back(stage: Stage, door: int) -> None:
-    stage.world.start(f"d{door}")
+@when(parsers.parse("node {machine:d} comes back"))
+def back(stage: Stage, machine: int) -> None:
+    stage.world.start(f"d{machine}")
 
 
-@when(parsers.re(r"every door loses power, and (?P<which>none|door \d+) its disk"))
+@when(parsers.re(r"every node loses power, and (?P<which>none|node \d+) its disk"))
 def power(stage: Stage, which: str) -> None:
     for name in stage.world.up():
         stage.world.wipe(name) if name in stage.names(which) else stage.world.kill(name)
 
 
-@when("every door comes back")
+@when("every node comes back")
 def all_back(stage: Stage) -> None:
-    for name, door in stage.world.doors.items():
-        if door.core is None:
+    for name, machine in stage.world.machines.items():
+        if machine.core is None:
             stage.world.start(name)
 
 
-@when(parsers.parse("every door comes back within {seconds:f} seconds"))
+@when(parsers.parse("every node comes back within {seconds:f} seconds"))
 def all_back_by_and_by(stage: Stage, seconds: float) -> None:
     world = stage.world
-    for name in world.doors:
+    for name in world.machines:
         world.at(world.now + seconds * world.random.random(), partial(world.start, name))
 
 
@@ -138,21 +138,21 @@
 
 
 def cut_off(world: World, name: str, ways: str = "both") -> None:
-    for other, door in world.doors.items():
-        if door.about.disk_id and other != name:
+    for other, machine in world.machines.items():
+        if machine.about.disk_id and other != name:
             world.cut.add((other, name))
             if ways == "both":
                 world.cut.add((name, other))
 
 
-@when(parsers.parse("door {door:d} is cut off from the core"))
-def door_cut(stage: Stage, door: int) -> None:
-    cut_off(stage.world, f"d{door}")
+@when(parsers.parse("node {machine:d} is cut off from the core"))
+def machine_cut(stage: Stage, machine: int) -> None:
+    cut_off(stage.world, f"d{machine}")
 
 
-@when(parsers.parse("door {door:d} hears nothing from the core"))
-def deaf(stage: Stage, door: int) -> None:
-    cut_off(stage.world, f"d{door}", "in")
+@when(parsers.parse("node {machine:d} hears nothing from the core"))
+def deaf(stage: Stage, machine: int) -> None:
+    cut_off(stage.world, f"d{machine}", "in")
 
 
 @when("the holder of the list is cut off from the core")
@@ -162,36 +162,38 @@
     cut_off(stage.world, holder)
 
 
-@when("the holder of a tenant's counter is cut off from the core doors alone")
+@when("the holder of a tenant's counter is cut off from the core nodes alone")
 def counter_cut(stage: Stage) -> None:
     held = {stage.holder(1 + shard(f"t{n}", TENANT_SHARDS)): f"t{n}" for n in range(40)}
     holder = max(name for name in held if name is not None)  # where doors disagree they believe the last name
     stage.tenant = held[holder]
-    for other in [name for name, door in stage.world.doors.items() if door.about.disk_id and name != holder]:
+    for other in [
+        name for name, machine in stage.world.machines.items() if machine.about.disk_id and name != holder
+    ]:
         stage.world.cut |= {(holder, other), (other, holder)}
     stage.lost = holder
 
 
-@then("every door gets a lease from that tenant's counter, whenever it asks")
+@then("every node gets a lease from that tenant's counter, whenever it asks")
 def all_lease(stage: Stage) -> None:
     for number in range(12):
         names = [name for name in stage.world.up() if name != stage.lost]
         for name in names:
-            core: Any = stage.world.doors[name].core
-            stage.world.deeds(name, core.lease_credits(stage.world.now, stage.tenant, number, 1.0))
+            core: Any = stage.world.machines[name].core
+            stage.world.actions(name, core.lease_credits(stage.world.now, stage.tenant, number, 1.0))
         stage.world.run(0.3)
         for name in names:
             heard = [
-                deed
-                for deed in stage.world.doors[name].on_message
-                if isinstance(deed, CreditsGranted) and deed.number == number
+                action
+                for action in stage.world.machines[name].on_message
+                if isinstance(action, CreditsGranted) and action.number == number
             ]
             assert len(heard) == 1, name
 
 
-@when(parsers.parse("a spare door with a disk joins as door {door:d}"))
-def spare(stage: Stage, door: int) -> None:
-    stage.world.add(f"d{door}")
+@when(parsers.parse("a spare node with a disk joins as node {machine:d}"))
+def spare(stage: Stage, machine: int) -> None:
+    stage.world.add(f"d{machine}")
 
 
 @when("the links are mended")
@@ -210,12 +212,12 @@
 def holder_leaves(stage: Stage) -> None:
     holder = stage.holder()
     assert holder is not None
-    core: Any = stage.world.doors[holder].core
-    stage.world.deeds(holder, core.drain(stage.world.now))
+    core: Any = stage.world.machines[holder].core
+    stage.world.actions(holder, core.drain(stage.world.now))
 
 
 @when(
-    parsers.parse("every door leaves in order and is back {down:f} seconds later, one each {gap:f} seconds")
+    parsers.parse("every node leaves in order and is back {down:f} seconds later, one each {gap:f} seconds")
 )
 def roll(stage: Stage, down: float, gap: float) -> None:
     """As hazelspring.daemon.node_process
@@ -223,21 +225,21 @@
     world = stage.world
 
     def leave(name: str) -> None:
-        core: Any = world.doors[name].core
+        core: Any = world.machines[name].core
         core.ready = False
-        world.deeds(name, core.drain(world.now))
+        world.actions(name, core.drain(world.now))
         world.at(world.now + down / 2, partial(world.kill, name))
         world.at(world.now + down, partial(world.start, name))
 
-    for n, name in enumerate(world.doors):
+    for n, name in enumerate(world.machines):
         world.at(world.now + n * gap, partial(leave, name))
     held = dict.fromkeys(range(TENANT_SHARDS + 1), world.now)
 
     def look() -> None:
-        for duty, since in held.items():
-            if stage.holder(duty) is not None:
-                held[duty] = world.now
-            stage.without[duty] = max(stage.without.get(duty, 0.0), world.now - since)
+        for role, since in held.items():
+            if stage.holder(role) is not None:
+                held[role] = world.now
+            stage.without[role] = max(stage.without.get(role, 0.0), world.now - since)
         world.at(world.now + 0.05, look)
 
     look()
@@ -245,16 +247,16 @@
 
 @when(
     parsers.parse(
-        "meanwhile {seconds:f} seconds in the operator sends configuration {number:d} to door {door:d} "
+        "meanwhile {seconds:f} seconds in the operator sends configuration {number:d} to node {machine:d} "
         "and a server is drained"
     )
 )
-def meanwhile(stage: Stage, seconds: float, number: int, door: int) -> None:
-    stage.world.at(stage.world.now + seconds, lambda: put(stage, number, door))
+def meanwhile(stage: Stage, seconds: float, number: int, machine: int) -> None:
+    stage.world.at(stage.world.now + seconds, lambda: put(stage, number, machine))
     stage.world.at(stage.world.now + seconds, lambda: drained(stage))
 
 
-@when("the doors that do not hold the list are killed and come back while its holder is cut off from one")
+@when("the nodes that do not hold the list are killed and come back while its holder is cut off from one")
 def forgetful(stage: Stage) -> None:
     holder = stage.holder()
     others = [name for name in stage.world.up() if name != holder]
@@ -265,24 +267,24 @@
         stage.world.start(name)
 
 
-@when(parsers.parse("the disks of doors {one:d} and {other:d} are full"))
+@when(parsers.parse("the disks of nodes {one:d} and {other:d} are full"))
 def full(stage: Stage, one: int, other: int) -> None:
     for number in (one, other):
-        disk = stage.world.doors[f"d{number}"].disk
+        disk = stage.world.machines[f"d{number}"].disk
         assert isinstance(disk, Disk)
         disk.full = True
 
 
 @when("the disks have room again")
 def room(stage: Stage) -> None:
-    for door in stage.world.doors.values():
-        if door.disk is not None:
-            door.disk.full = False
+    for machine in stage.world.machines.values():
+        if machine.disk is not None:
+            machine.disk.full = False
 
 
-@when(parsers.re(r"the operator (?P<what>closes|opens) zone (?P<zone>\w+) at door (?P<door>\d+)"))
-def evacuate(stage: Stage, what: str, zone: str, door: str) -> None:
-    stage.world.evacuate(f"d{door}", zone, what == "closes")
+@when(parsers.re(r"the operator (?P<what>closes|opens) zone (?P<zone>\w+) at node (?P<machine>\d+)"))
+def evacuate(stage: Stage, what: str, zone: str, machine: str) -> None:
+    stage.world.evacuate(f"d{machine}", zone, what == "closes")
 
 
 @when("a server is drained")
@@ -315,7 +317,7 @@
     assert all(end.state is not None and end.state.configuration_version == number for end in ends if end)
 
 
-@then(parsers.parse("the one that was acknowledged is acknowledged again at every door"))
+@then(parsers.parse("the one that was acknowledged is acknowledged again at every node"))
 def again(stage: Stage) -> None:
     number = list(stage.tokens)[-1]
     (won,) = [call for call in stage.calls(number) if call.good]
@@ -327,20 +329,20 @@
     assert all((done := stage.world.calls[token].done) is not None and done.conflict for token in others)
 
 
-@then(parsers.parse("every door uses configuration {number:d}"))
+@then(parsers.parse("every node uses configuration {number:d}"))
 def all_use(stage: Stage, number: int) -> None:
     assert set(stage.numbers().values()) == {number}
 
 
-@then(parsers.re(r"every door holds the same configuration \d+|all core doors hold the same"))
+@then(parsers.re(r"every node holds the same configuration \d+|all core nodes hold the same"))
 def same(stage: Stage) -> None:
-    cores: list[Any] = [stage.world.doors[name].core for name in stage.world.up()]
+    cores: list[Any] = [stage.world.machines[name].core for name in stage.world.up()]
     assert len({core.control.state.configuration_digest for core in cores}) == 1
 
 
-@then(parsers.re(r"reading at door (?P<door>\d+) gives (?P<what>nothing|configuration (?P<number>\d+))"))
-def reading(stage: Stage, door: str, what: str, number: str | None) -> None:
-    token = stage.world.read(f"d{door}")
+@then(parsers.re(r"reading at node (?P<machine>\d+) gives (?P<what>nothing|configuration (?P<number>\d+))"))
+def reading(stage: Stage, machine: str, what: str, number: str | None) -> None:
+    token = stage.world.read(f"d{machine}")
     stage.world.run(3.5)
     call = stage.world.calls[token]
     assert call.good is (what != "nothing")
@@ -348,39 +350,39 @@
         assert stage.world.number(call) == int(number)
 
 
-@then(parsers.re(r"door (?P<door>\d+) has (?P<what>no|its) seat"))
-def seat(stage: Stage, door: str, what: str) -> None:
-    core: Any = stage.world.doors[f"d{door}"].core
+@then(parsers.re(r"node (?P<machine>\d+) has (?P<what>no|its) seat"))
+def seat(stage: Stage, machine: str, what: str) -> None:
+    core: Any = stage.world.machines[f"d{machine}"].core
     assert core.control.is_member() is (what == "its")
 
 
-@then(parsers.re(r"door (?P<door>\d+) lets (?P<no>no )?keyed requests in"))
-def lets_in(stage: Stage, door: str, no: str | None) -> None:
-    assert stage.world.fresh(f"d{door}") is (no is None)
+@then(parsers.re(r"node (?P<machine>\d+) lets (?P<no>no )?keyed requests in"))
+def lets_in(stage: Stage, machine: str, no: str | None) -> None:
+    assert stage.world.fresh(f"d{machine}") is (no is None)
 
 
-@then("every duty has a holder")
+@then("every role has a holder")
 def all_held(stage: Stage) -> None:
-    assert all(stage.holder(duty) is not None for duty in range(TENANT_SHARDS + 1))
+    assert all(stage.holder(role) is not None for role in range(TENANT_SHARDS + 1))
 
 
-@then(parsers.parse("door {door:d} sends clients of the {region} to doors of {count:d} zones"))
-def sends(stage: Stage, door: int, region: str, count: int) -> None:
-    core = stage.world.doors[f"d{door}"].core
+@then(parsers.parse("node {machine:d} sends clients of the {region} to nodes of {count:d} zones"))
+def sends(stage: Stage, machine: int, region: str, count: int) -> None:
+    core = stage.world.machines[f"d{machine}"].core
     assert core is not None
-    found = [stage.world.doors[ip].about for ip in core.peers.nodes_for_clients(region)]
+    found = [stage.world.machines[ip].about for ip in core.peers.nodes_for_clients(region)]
     assert len({about.zone for about in found}) == count
     assert count > 2 or {about.region for about in found} == {region}
 
 
-@then(parsers.parse("no duty was without a holder for longer than {seconds:f} seconds"))
+@then(parsers.parse("no role was without a holder for longer than {seconds:f} seconds"))
 def few_gaps(stage: Stage, seconds: float) -> None:
     assert len(stage.without) == TENANT_SHARDS + 1 and max(stage.without.values()) <= seconds
 
 
-@then("every door has had a new life")
+@then("every node has had a new life")
 def new_lives(stage: Stage) -> None:
-    assert {door.lives for door in stage.world.doors.values()} == {2}
+    assert {machine.lives for machine in stage.world.machines.values()} == {2}
 
 
 @then("the list has a holder")
@@ -388,15 +390,15 @@
     assert stage.holder() is not None
 
 
-@then(parsers.re(r"(zone (?P<zone>\w+)|no zone) is closed at (every|any) door"))
+@then(parsers.re(r"(zone (?P<zone>\w+)|no zone) is closed at (every|any) node"))
 def closed(stage: Stage, zone: str | None) -> None:
     for name in stage.world.up():
-        core: Any = stage.world.doors[name].core
+        core: Any = stage.world.machines[name].core
         assert core.control.state.evacuated_zones == (frozenset((zone,)) if zone else frozenset())
 
 
-@then("every door knows that it is drained")
+@then("every node knows that it is drained")
 def knows(stage: Stage) -> None:
     for name in stage.world.up():
-        core: Any = stage.world.doors[name].core
+        core: Any = stage.world.machines[name].core
         assert not core.registry.tables["shop"].servers["i-1"].accepting
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -222,7 +222,7 @@
 
 
 @pytest.mark.parametrize(("path", "key", "status"), [("/new/a", "key", 404), ("/old/a", "new", 401)])
-def test_what_a_door_does_not_know_is_denied_only_while_it_hears_the_core(
+def test_what_a_node_does_not_know_is_denied_only_while_it_hears_the_core(
     path: str, key: str, status: int
 ) -> None:
     spec = {"hostName": "h", "pathPrefix": "/old/", "routeKind": "read_only", "service": "s"}
--- a/tests/test_teller.py
+++ b/tests/test_teller.py
@@ -40,8 +40,10 @@
 class Region:
     """Two zones of so many doors each; what one tells arrives at once.  Bytes are those of encoded messages."""
 
-    def __init__(self, doors: int, awake: int | None = None) -> None:
-        self.abouts = [NodeInfo(f"10.0.{n >> 8}.{n & 255}", f"z{n % 2}", "r", 0, 1) for n in range(2 * doors)]
+    def __init__(self, machines: int, awake: int | None = None) -> None:
+        self.abouts = [
+            NodeInfo(f"10.0.{n >> 8}.{n & 255}", f"z{n % 2}", "r", 0, 1) for n in range(2 * machines)
+        ]
         self.roster = [[*about.encode(), True] for about in self.abouts]
         here = self.abouts[:awake]  # those that are played
         self.tellers = {about.ip: LoadReporter(PeerTable(about, 0.0), ALLOWED) for about in here}
@@ -50,9 +52,9 @@
         self.out, self.came = dict.fromkeys(self.tellers, 0), dict.fromkeys(self.tellers, 0)
         self.rounds: dict[str, list[float]] = {ip: [] for ip in self.tellers}  # when each came in its zone
         self.now = 10.0
-        self.name_doors(self.roster)
+        self.name_machines(self.roster)
 
-    def name_doors(self, roster: list[list[object]]) -> None:
+    def name_machines(self, roster: list[list[object]]) -> None:
         for teller in self.tellers.values():
             teller.peers.replace_roster(roster)
 
@@ -69,26 +71,26 @@
                 if teller.zone_reported_at == self.now:
                     self.rounds[ip].append(self.now)
 
-    def arrive(self, source: str, deeds: list[Action]) -> None:
-        for deed in deeds:
-            assert isinstance(deed, Send)
-            size = len(cbor2.dumps(deed.message))
+    def arrive(self, source: str, actions: list[Action]) -> None:
+        for action in actions:
+            assert isinstance(action, Send)
+            size = len(cbor2.dumps(action.message))
             self.out[source] += size
-            if deed.to in self.tellers:
-                self.came[deed.to] += size
-                self.fleets[deed.to].on_load_report(self.now, source, deed.message["o"])
+            if action.to in self.tellers:
+                self.came[action.to] += size
+                self.fleets[action.to].on_load_report(self.now, source, action.message["o"])
 
     def beside(self, ip: str) -> list[str]:
         zone = self.tellers[ip].peers.me.zone
         return [a.ip for a in self.abouts if a.zone == zone and a.ip != ip and a.ip in self.tellers]
 
 
-@pytest.mark.parametrize(("doors", "awake"), [(1, None), (3, None), (9, None), (30, None), (133, 4)])
-def test_what_a_door_tells_at_the_peak_is_bounded_however_many_there_are(
-    doors: int, awake: int | None
+@pytest.mark.parametrize(("machines", "awake"), [(1, None), (3, None), (9, None), (30, None), (133, 4)])
+def test_what_a_node_tells_at_the_peak_is_bounded_however_many_there_are(
+    machines: int, awake: int | None
 ) -> None:
     """The doors of a zone where a fleet over 34 zones has 30, 100, 300, 1,000 and 4,500."""
-    region, chance = Region(doors, awake), random.Random(doors)
+    region, chance = Region(machines, awake), random.Random(machines)
     region.run(3 * REPORT_LIFETIME, chance)
     region.out, region.came = dict.fromkeys(region.out, 0), dict.fromkeys(region.came, 0)
     region.rounds = {ip: [] for ip in region.rounds}
@@ -104,22 +106,22 @@
 def test_no_more_are_told_than_fit_and_one_at_least_and_their_number_follows_smoothly() -> None:
     room = MIN_BUDGET_PART * ALLOWED * MAX_ROUND_TIME  # where calls to counters take the rest
     for names in (1, 2, 5, 14, AT_SERVERS, MAX_SERVERS_PER_REPORT):
-        counts = [recipient_count(names, doors, room) for doors in range(1, 400)]
-        for doors, count in enumerate(counts, 1):
-            cost = min(doors, names * count) * MESSAGE_BYTES + names * count * SERVER_BYTES
-            assert 1 <= count <= doors and (cost <= room or count == 1)
+        counts = [recipient_count(names, machines, room) for machines in range(1, 400)]
+        for machines, count in enumerate(counts, 1):
+            cost = min(machines, names * count) * MESSAGE_BYTES + names * count * SERVER_BYTES
+            assert 1 <= count <= machines and (cost <= room or count == 1)
         steps = [abs(b - a) for a, b in itertools.pairwise(counts)]
         assert max(steps) <= 1 + MESSAGE_BYTES / (names * SERVER_BYTES)
         assert (
             names * (MESSAGE_BYTES + SERVER_BYTES) / (MIN_BUDGET_PART * ALLOWED) < REPORT_LIFETIME
         )  # where one is told, the next round comes in time
     assert recipient_count(0, 9, room) == 9 and recipient_count(9, 0, room) == 0
-    assert [recipient_count(6, doors, room) for doors in range(1, 21)] == list(
+    assert [recipient_count(6, machines, room) for machines in range(1, 21)] == list(
         range(1, 21)
     )  # of today's sizes: all
 
 
-def test_few_doors_tell_each_other_with_each_tick() -> None:
+def test_few_nodes_tell_each_other_with_each_tick() -> None:
     region, chance = Region(3), random.Random(4)
     for _ in range(40):
         for ip in region.outs:
@@ -139,13 +141,13 @@
     def check() -> None:
         for name in SERVERS:
             for zone in ("z0", "z1"):
-                doors = [a.ip for a in region.abouts if a.zone == zone and a.ip in region.tellers]
-                first = owner(str(name), doors)
+                machines = [a.ip for a in region.abouts if a.zone == zone and a.ip in region.tellers]
+                first = owner(str(name), machines)
                 assert first is not None
-                others = sum(name in region.outs[ip] for ip in doors if ip != first)
+                others = sum(name in region.outs[ip] for ip in machines if ip != first)
                 fleet = region.fleets[first]
                 assert (
-                    sum(name in fleet.load_reports[ip][1] for ip in doors if ip in fleet.load_reports)
+                    sum(name in fleet.load_reports[ip][1] for ip in machines if ip in fleet.load_reports)
                     == others
                 )
 
@@ -155,14 +157,14 @@
     region.run(LOAD_REPORT_LIFETIME + 2 * TICK)  # the words of those who were lost count no more,
     for fleet in region.fleets.values():
         assert not fleet.load_reports.keys() & {a.ip for a in region.abouts[:6]}
-    region.name_doors(region.roster[6:])
+    region.name_machines(region.roster[6:])
     region.run(
         MAX_ROUND_TIME + REPORT_LIFETIME
     )  # and once they have left the roster others hear what they heard
     check()
 
 
-def test_the_budget_is_a_part_of_what_a_door_may_use_and_of_its_link() -> None:
+def test_the_budget_is_a_part_of_what_a_node_may_use_and_of_its_link() -> None:
     assert (
         report_budget(250_000.0) == ALLOWED == (CONTROL_BANDWIDTH - IDLE_BANDWIDTH) / 2
         and report_budget(20_000.0) == 1000.0
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -80,7 +80,7 @@
 
 
 def test_a_client_that_cannot_be_looked_at_keeps_no_other_from_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Desk:
+    class Api:
         counts = Counts()
 
     class Seen:
@@ -94,11 +94,11 @@
 
     async def test() -> None:
         monkeypatch.setattr("ivymux.caller.SWEEP", 0.001)
-        listener = Listener(parse_address("127.0.0.1:1"), None, cast(Any, Desk()), 10)
+        listener = Listener(parse_address("127.0.0.1:1"), None, cast(Any, Api()), 10)
         good = [Seen() for _ in range(4)]
         listener.clients = cast("set[Client]", {*good, Bad()})
         await until(lambda: all(one.looks > 2 for one in good))
-        assert Desk.counts.failures["sweep of clients"] > 1
+        assert Api.counts.failures["sweep of clients"] > 1
         listener.sweeper.cancel()
 
     run(test())
@@ -165,121 +165,121 @@
     run(test())
 
 
-def with_door(folder: Path, play: Callable[[NodeProcess], Awaitable[None]]) -> None:
+def with_node(folder: Path, play: Callable[[NodeProcess], Awaitable[None]]) -> None:
     """Play something at a door that is alone, on loopback, with a disk and a stand-in platform."""
 
     async def test() -> None:
-        yard = LocalFleet(folder, core=1, others=0, servers=1, nth=9)
-        stands = StandIns(yard.platform, yard.servers)
+        fleet = LocalFleet(folder, core=1, others=0, servers=1, nth=9)
+        stands = StandIns(fleet.platform, fleet.servers)
         await stands.start()
-        door = NodeProcess(load_settings(str(yard.settings(0, first=True))))
-        await door.start()
+        node = NodeProcess(load_settings(str(fleet.settings(0, first=True))))
+        await node.start()
         try:
-            await until(door.node.core_agreed)
-            await play(door)
+            await until(node.node.core_agreed)
+            await play(node)
         finally:
-            await door.close()
+            await node.close()
             stands.close()
 
     run(test())
 
 
-def store_of(door: NodeProcess) -> ReplicaStore:
-    assert door.disk is not None
-    return door.disk.store
+def store_of(node: NodeProcess) -> ReplicaStore:
+    assert node.disk is not None
+    return node.disk.store
 
 
-def test_a_door_goes_on_ticking_whatever_fails_in_a_tick(
+def test_a_node_goes_on_ticking_whatever_fails_in_a_tick(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: NodeProcess) -> None:
+    async def play(node: NodeProcess) -> None:
         def failed_again(what: str, before: int) -> bool:
-            return door.supervisor.failures[what] > before + 1
+            return node.supervisor.failures[what] > before + 1
 
         for owner, name, what in (
-            (door.node, "tick", "core tick"),
-            (door.node.disseminator, "report_load", "tick"),
-            (door, "update_confirmed_at", "core tick"),
+            (node.node, "tick", "core tick"),
+            (node.node.disseminator, "report_load", "tick"),
+            (node, "update_confirmed_at", "core tick"),
         ):
             with monkeypatch.context() as patch:
                 patch.setattr(owner, name, fail)
-                before = door.supervisor.failures[what]
+                before = node.supervisor.failures[what]
                 await until(partial(failed_again, what, before))
-        ticked = door.node_ticked_at
-        await until(lambda: door.node_ticked_at > ticked)
-        assert f'what="tick"}} {door.supervisor.failures["tick"]}' in door.metrics().decode()
+        ticked = node.node_ticked_at
+        await until(lambda: node.node_ticked_at > ticked)
+        assert f'what="tick"}} {node.supervisor.failures["tick"]}' in node.metrics().decode()
 
-    with_door(tmp_path, play)
+    with_node(tmp_path, play)
 
 
 def test_what_a_core_wants_done_is_done_whatever_fails_before_it(tmp_path: Path) -> None:
-    async def play(door: NodeProcess) -> None:
+    async def play(node: NodeProcess) -> None:
         ends = list[bool]()
-        door.operator_calls.replies[77] = lambda settled: ends.append(settled.succeeded)
-        door.execute_all([StateChanged("service:unknown"), ProposalOutcome(77, True, "")])
-        assert ends == [True] and door.supervisor.failures["StateChanged"] == 1
+        node.operator_calls.replies[77] = lambda settled: ends.append(settled.succeeded)
+        node.execute_all([StateChanged("service:unknown"), ProposalOutcome(77, True, "")])
+        assert ends == [True] and node.supervisor.failures["StateChanged"] == 1
 
-    with_door(tmp_path, play)
+    with_node(tmp_path, play)
 
 
 def test_a_save_that_fails_in_a_new_way_is_made_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: NodeProcess) -> None:
+    async def play(node: NodeProcess) -> None:
         ends = list[bool]()
         with monkeypatch.context() as patch:
-            patch.setattr(store_of(door), "save", fail)
-            door.operator_calls.put_configuration(
+            patch.setattr(store_of(node), "save", fail)
+            node.operator_calls.put_configuration(
                 configuration(3), lambda settled: ends.append(settled.succeeded)
             )
-            await until(lambda: door.supervisor.failures["save"] > 1)
+            await until(lambda: node.supervisor.failures["save"] > 1)
             assert not ends
         await until(lambda: ends)
-        assert ends == [True] and door.configuration is not None and door.configuration.version == 3
+        assert ends == [True] and node.configuration is not None and node.configuration.version == 3
 
-    with_door(tmp_path, play)
+    with_node(tmp_path, play)
 
 
 def test_an_order_that_cannot_be_begun_is_not_waited_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: NodeProcess) -> None:
+    async def play(node: NodeProcess) -> None:
         with monkeypatch.context() as patch:
-            patch.setattr(door.node, "put_configuration", fail)
+            patch.setattr(node.node, "put_configuration", fail)
             with pytest.raises(Unforeseen):
-                door.operator_calls.put_configuration(configuration(3), lambda settled: None)
-        assert not door.operator_calls.replies
+                node.operator_calls.put_configuration(configuration(3), lambda settled: None)
+        assert not node.operator_calls.replies
 
-    with_door(tmp_path, play)
+    with_node(tmp_path, play)
 
 
 def test_a_disk_that_cannot_be_read_in_a_new_way_is_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: NodeProcess) -> None:
+    async def play(node: NodeProcess) -> None:
         with monkeypatch.context() as patch:
-            patch.setattr(store_of(door), "load", fail)
-            assert await door.read_disk() is None
-        assert await door.read_disk()
+            patch.setattr(store_of(node), "load", fail)
+            assert await node.read_disk() is None
+        assert await node.read_disk()
 
-    with_door(tmp_path, play)
+    with_node(tmp_path, play)
 
 
 def test_a_socket_for_datagrams_that_the_loop_closes_is_opened_anew(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: NodeProcess) -> None:
+    async def play(node: NodeProcess) -> None:
         heard = list[Any]()
-        door.transport.on_message = lambda source, message: heard.append(message)
-        first = door.transport.transport
+        node.transport.on_message = lambda source, message: heard.append(message)
+        first = node.transport.transport
         assert first is not None
         with monkeypatch.context() as patch:
-            patch.setattr(door.transport, "open_socket", busy)
+            patch.setattr(node.transport, "open_socket", busy)
             first.abort()
-            await until(lambda: door.transport.transport is None and tries)
-        await until(lambda: door.transport.transport is not None)
-        assert door.transport.transport is not first
-        door.transport.send(door.settings.ip, {"k": "beat"})
+            await until(lambda: node.transport.transport is None and tries)
+        await until(lambda: node.transport.transport is not None)
+        assert node.transport.transport is not first
+        node.transport.send(node.settings.ip, {"k": "beat"})
         await until(lambda: heard)
 
     tries = list[int]()
@@ -288,7 +288,7 @@
         tries.append(1)
         raise OSError("the port is taken")
 
-    with_door(tmp_path, play)
+    with_node(tmp_path, play)
 
 
 @pytest.mark.parametrize("where", ["taken", "read"])
@@ -328,35 +328,35 @@
     assert watched.last_seen == watched.stamp()
 
 
-def test_a_door_that_cannot_give_up_its_duties_still_answers_what_it_holds(
+def test_a_node_that_cannot_give_up_its_roles_still_answers_what_it_holds(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: NodeProcess) -> None:
+    async def play(node: NodeProcess) -> None:
         monkeypatch.setattr("hazelspring.daemon.node_process.LINGER_TIME", 0.01)
-        monkeypatch.setattr(door.node, "drain", fail)
-        await door.drain()
-        assert door.client_listener.stopping and door.supervisor.failures["give duties up"] == 1
+        monkeypatch.setattr(node.node, "drain", fail)
+        await node.drain()
+        assert node.client_listener.stopping and node.supervisor.failures["give duties up"] == 1
 
-    with_door(tmp_path, play)
+    with_node(tmp_path, play)
 
 
 def test_a_socket_for_datagrams_is_opened_anew_after_an_error_of_a_new_kind(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(door: NodeProcess) -> None:
-        assert door.transport.transport is not None
+    async def play(node: NodeProcess) -> None:
+        assert node.transport.transport is not None
         with monkeypatch.context() as patch:
-            patch.setattr(door.transport, "open_socket", fail)
-            door.transport.transport.abort()
-            await until(lambda: door.supervisor.failures["open a socket"])
-        await until(lambda: door.transport.transport is not None)
+            patch.setattr(node.transport, "open_socket", fail)
+            node.transport.transport.abort()
+            await until(lambda: node.supervisor.failures["open a socket"])
+        await until(lambda: node.transport.transport is not None)
 
-    with_door(tmp_path, play)
+    with_node(tmp_path, play)
 
 
 def test_an_error_in_a_callback_of_the_loop_is_counted(tmp_path: Path) -> None:
-    async def play(door: NodeProcess) -> None:
-        door.loop.call_soon(fail)
-        await until(lambda: door.supervisor.failures["callback"])
+    async def play(node: NodeProcess) -> None:
+        node.loop.call_soon(fail)
+        await until(lambda: node.supervisor.failures["callback"])
 
-    with_door(tmp_path, play)
+    with_node(tmp_path, play)
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -36,17 +36,17 @@
     def resume_reading(self) -> None: ...
 
 
-def door() -> ClientListener:
+def node() -> ClientListener:
     """A front whose connections to servers never come up by themselves."""
     counts = Counts()
     fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
-    forager, upstream = RequestRouter(SharedLimits(), fleet, 1), UpstreamServers(0.3, 9.0, 100, counts)
-    carrier = RouterHost(forager, upstream, counts, lambda call: None)
+    router, upstream = RequestRouter(SharedLimits(), fleet, 1), UpstreamServers(0.3, 9.0, 100, counts)
+    carrier = RouterHost(router, upstream, counts, lambda call: None)
     front = ClientListener(Address("127.0.0.1", 9), carrier, 100, lambda: True)
     front.use_configuration(WORD)
-    forager.use_configuration(WORD)
-    forager.fresh_until = 1e18
-    forager.update_endpoints(carrier.clock(), "shop", servers("a1-0", "a1-1"))
+    router.use_configuration(WORD)
+    router.fresh_until = 1e18
+    router.update_endpoints(carrier.clock(), "shop", servers("a1-0", "a1-1"))
     for number in fleet.servers:
         upstream.place(number, Address("127.0.0.1", 9), 0.0)
     return front
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("end", ["left", "at the process's end"])
 def test_a_large_request_that_nobody_waits_for_is_not_sent_without_its_body(data: bytes, end: str) -> None:
     async def run() -> None:
-        front = door()
+        front = node()
         visitor, wire = ClientConnection(cast(Any, front)), Held()
         visitor.connection_made(wire)
         feed(visitor, data)
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("data", [CHUNKED, SIZED], ids=["chunked", "sized"])
 def test_a_large_request_that_waited_for_a_connection_is_sent_whole(data: bytes) -> None:
     async def run() -> None:
-        front = door()
+        front = node()
         visitor = ClientConnection(cast(Any, front))
         visitor.connection_made(Held())
         feed(visitor, data)
--- a/tests/test_word_property.py
+++ b/tests/test_word_property.py
@@ -33,19 +33,19 @@
     "replace",
     "wait",
 )
-DEEDS = st.lists(st.tuples(st.sampled_from(KINDS), st.integers(0, 7)), min_size=6, max_size=16)
+ACTIONS = st.lists(st.tuples(st.sampled_from(KINDS), st.integers(0, 7)), min_size=6, max_size=16)
 
 
-def play(core: int, losses: int, seed: int, deeds: list[tuple[str, int]], odd: float = 0.0) -> World:
+def play(core: int, losses: int, seed: int, actions: list[tuple[str, int]], odd: float = 0.0) -> World:
     """Orders among kills, cuts, frozen and replaced doors; then the tolerated disks are lost while all else loses
     power; then a read."""
     world = World(core, 1, seed, drop=0.05, odd=odd)
     world.run(3.0)
     number, new, lost = 0, core + 2, 0
-    for what, which in deeds:
-        seats = sorted(name for name, door in world.doors.items() if door.disk is not None)
+    for what, which in actions:
+        seats = sorted(name for name, machine in world.machines.items() if machine.disk is not None)
         name = seats[which % len(seats)]
-        away = len(seats) - len([n for n in seats if n in world.up() and world.doors[n].frozen is None])
+        away = len(seats) - len([n for n in seats if n in world.up() and world.machines[n].frozen is None])
         if what in ("put", "race"):
             number += 3
             world.put(name, number, "one")
@@ -58,7 +58,7 @@
         elif what in ("kill", "freeze") and name in world.up() and away < losses:
             world.kill(name) if what == "kill" else world.freeze(name)
         elif what == "back":
-            back = [n for n in seats if n not in world.up() or world.doors[n].frozen is not None][:1]
+            back = [n for n in seats if n not in world.up() or world.machines[n].frozen is not None][:1]
             for name in back:
                 world.thaw(name) if name in world.up() else world.start(name, clock=250 * (which % 2))
         elif what == "replace" and not away and not lost:
@@ -71,23 +71,23 @@
             world.cut.add((name, seats[(which + 1) % len(seats)]))
         elif what == "mend":
             world.cut.clear()
-        elif what == "slow" and (disk := world.doors[name].disk) is not None:
+        elif what == "slow" and (disk := world.machines[name].disk) is not None:
             disk.sync = 0.3
         world.run(0.05 if which % 2 else 0.6)
     world.cut.clear()
-    for name in world.doors:
+    for name in world.machines:
         if name in world.up():
             world.thaw(name)
         else:
             world.start(name)
     world.run(4.5)
-    seats = sorted(name for name, door in world.doors.items() if door.disk is not None)
+    seats = sorted(name for name, machine in world.machines.items() if machine.disk is not None)
     world.put(seats[0], number + 3, "last")
     world.run(0.06 + 0.01 * (seed % 10))  # in the midst of it, or right after it
     wiped = [seats[(seed + n) % len(seats)] for n in range(losses)]
-    for name in world.doors:
+    for name in world.machines:
         world.wipe(name) if name in wiped else world.kill(name)
-    for name in world.doors:
+    for name in world.machines:
         world.start(name)
     world.run(4.0)
     acknowledged = any(call.kind == "put" and call.good for call in world.calls.values())
@@ -102,18 +102,18 @@
 
 
 @QUIET
-@given(st.integers(3, 8), st.integers(0, 10_000), DEEDS)
+@given(st.integers(3, 8), st.integers(0, 10_000), ACTIONS)
 def test_what_was_acknowledged_outlives_the_tolerated_losses(
-    core: int, seed: int, deeds: list[tuple[str, int]]
+    core: int, seed: int, actions: list[tuple[str, int]]
 ) -> None:
     losses = 1 if core < 5 else 2
-    assert play(core, losses, seed, deeds, odd=0.05 * (seed % 2)).breaches == []
+    assert play(core, losses, seed, actions, odd=0.05 * (seed % 2)).breaches == []
 
 
 def test_a_majority_of_one_less_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     """The property bites: with one disk less before a change counts as decided, some schedule loses one.  As many have
     to promise as ever: were it more, the schedule would fail for want of promises, and not for what is lost."""
-    deeds = [
+    actions = [
         ("race", 3),
         ("slow", 2),
         ("kill", 4),
@@ -123,7 +123,7 @@
         ("back", 1),
         ("wait", 1),
     ]
-    deeds += [("freeze", 1), ("zone", 1), ("put", 4), ("wait", 2)]
-    assert not play(3, 1, 51, deeds).breaches
+    actions += [("freeze", 1), ("zone", 1), ("put", 4), ("wait", 2)]
+    assert not play(3, 1, 51, actions).breaches
     monkeypatch.setattr(hazelspring.consensus.proposer, "majority", lambda members: members // 2)
-    assert any("knows" in breach for breach in play(3, 1, 51, deeds).breaches)
+    assert any("knows" in breach for breach in play(3, 1, 51, actions).breaches)
--- a/tests/world.py
+++ b/tests/world.py
@@ -57,7 +57,7 @@
 
 
 @dataclass
-class Door:
+class Machine:
     about: NodeInfo
     disk: Disk | None
     core: Node | None = None
@@ -74,7 +74,7 @@
 
     kind: str
     at: float
-    door: str
+    machine: str
     number: int = -1
     digest: bytes = b""
     zone: str = ""
@@ -114,7 +114,7 @@
         self.random, self.drop, self.odd, self.now = random.Random(seed), drop, odd, 100.0
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
-        self.doors: dict[str, Door] = {}
+        self.machines: dict[str, Machine] = {}
         self.cut: set[tuple[str, str]] = set()
         self.calls: dict[int, Call] = {}
         self.tokens = itertools.count(1)
@@ -127,8 +127,8 @@
             zone = n % zones
             disk = n < core and f"d{n + 1}" not in bare
             about = NodeInfo(f"d{n + 1}", f"z{zone}", "east" if zone % 2 else "west", int(disk), 0)
-            self.doors[about.ip] = Door(about, Disk() if disk else None)
-        for name in self.doors:
+            self.machines[about.ip] = Machine(about, Disk() if disk else None)
+        for name in self.machines:
             self.start(name, first=True)
 
     # --- time -------------------------------------------------------------------------------------------
@@ -147,17 +147,20 @@
 
     def start(self, name: str, first: bool = False, clock: int = 0) -> None:
         """Start a door; `clock`: by how many lives its clock stands back."""
-        door = self.doors[name]
-        door.lives += 1
-        life = 100_000 + door.lives * 100 + (door.disk is not None) - clock
-        door.about = NodeInfo(name, door.about.zone, door.about.region, self.disk_number(), life)
-        if door.disk is None:
-            door.about = NodeInfo(name, door.about.zone, door.about.region, 0, life)
+        machine = self.machines[name]
+        machine.lives += 1
+        life = 100_000 + machine.lives * 100 + (machine.disk is not None) - clock
+        machine.about = NodeInfo(name, machine.about.zone, machine.about.region, self.disk_number(), life)
+        if machine.disk is None:
+            machine.about = NodeInfo(name, machine.about.zone, machine.about.region, 0, life)
         start = NodeStart(
-            door.about, door.seeds, first, dict(door.disk.records) if door.disk is not None else {}
+            machine.about,
+            machine.seeds,
+            first,
+            dict(machine.disk.records) if machine.disk is not None else {},
         )
-        door.core = core = self.make(start)
-        core.ready, door.seen, door.frozen = True, core.control.acceptor.version, None
+        machine.core = core = self.make(start)
+        core.ready, machine.seen, machine.frozen = True, core.control.acceptor.version, None
         self.tick(name, core)
 
     def make(self, start: NodeStart) -> Node:
@@ -167,57 +170,57 @@
         return next(self.tokens) + 1_000_000  # as a disk's number is drawn: no two are alike
 
     def kill(self, name: str) -> None:
-        door = self.doors[name]
-        door.core, door.frozen = None, None
-        if door.disk is not None:
-            for save in door.disk.under_way:
+        machine = self.machines[name]
+        machine.core, machine.frozen = None, None
+        if machine.disk is not None:
+            for save in machine.disk.under_way:
                 if self.random.random() < 0.5:
                     break
-                door.disk.keep(save)
-            door.disk.under_way = []
+                machine.disk.keep(save)
+            machine.disk.under_way = []
 
     def wipe(self, name: str) -> None:
         self.kill(name)
-        if self.doors[name].disk is not None:
-            self.doors[name].disk = Disk()
+        if self.machines[name].disk is not None:
+            self.machines[name].disk = Disk()
 
     def remove(self, name: str) -> None:
         """A machine goes for good, and its disk with it."""
         self.kill(name)
-        del self.doors[name]
+        del self.machines[name]
 
     def freeze(self, name: str) -> None:
         """Stop a door; what comes meanwhile waits for it."""
-        self.doors[name].frozen = self.doors[name].frozen or []
+        self.machines[name].frozen = self.machines[name].frozen or []
 
     def thaw(self, name: str) -> None:
-        door = self.doors[name]
-        waiting, door.frozen = door.frozen or [], None
+        machine = self.machines[name]
+        waiting, machine.frozen = machine.frozen or [], None
         for what in waiting:
             what()
 
     def add(self, name: str, zone: int = 1, seeds: list[str] | None = None) -> None:
         """A machine with an empty disk that was not there before."""
         about = NodeInfo(name, f"z{zone}", "east" if zone % 2 else "west", 1, 0)
-        self.doors[name] = Door(about, Disk(), seeds=seeds or ["d1", "d2", "d3"])
+        self.machines[name] = Machine(about, Disk(), seeds=seeds or ["d1", "d2", "d3"])
         self.start(name)
 
     def unless_frozen(self, name: str, core: Node, what: Callable[[], None]) -> None:
         """Do something at a door now, or once it goes on; nothing where its life has ended."""
-        door = self.doors.get(name)
-        if door is None or door.core is not core:
+        machine = self.machines.get(name)
+        if machine is None or machine.core is not core:
             return
-        if door.frozen is not None:
-            door.frozen.append(lambda: self.unless_frozen(name, core, what))
+        if machine.frozen is not None:
+            machine.frozen.append(lambda: self.unless_frozen(name, core, what))
         else:
             what()
 
     def up(self) -> list[str]:
-        return [name for name, door in self.doors.items() if door.core is not None]
+        return [name for name, machine in self.machines.items() if machine.core is not None]
 
     def tick(self, name: str, core: Node) -> None:
         def go() -> None:
-            self.deeds(name, core.tick(self.now))
+            self.actions(name, core.tick(self.now))
             self.watch(name, core)
             self.at(self.now + self.pace, lambda: self.tick(name, core))
 
@@ -225,40 +228,40 @@
 
     # --- deeds ---------------------------------------------------------------------------------------------
 
-    def deeds(self, name: str, deeds: list[Action]) -> None:
-        door, core = self.doors[name], self.doors[name].core
+    def actions(self, name: str, actions: list[Action]) -> None:
+        machine, core = self.machines[name], self.machines[name].core
         assert core is not None
-        for deed in deeds:
-            match deed:
+        for action in actions:
+            match action:
                 case Send():
-                    self.send(name, deed.to, deed.message)
+                    self.send(name, action.to, action.message)
                 case Save():
-                    self.save(name, core, deed)
+                    self.save(name, core, action)
                 case ReadList():
-                    self.deeds(
-                        name, core.on_list_read(self.now, int(self.now * 1000), self.listing, deed.number)
+                    self.actions(
+                        name, core.on_list_read(self.now, int(self.now * 1000), self.listing, action.number)
                     )
                 case StateChanged():
-                    if not deed.what.startswith("service:"):
+                    if not action.what.startswith("service:"):
                         self.saw(name, core)
                 case ProposalOutcome():
-                    self.done(deed)
+                    self.done(action)
                 case InvariantViolated():
-                    self.breaches.append(f"{self.now:.2f} {name}: invariant {deed.name} is violated")
+                    self.breaches.append(f"{self.now:.2f} {name}: invariant {action.name} is violated")
                 case CreditsGranted() | CounterUnavailable() | LoadReported():
-                    door.on_message.append(deed)
+                    machine.on_message.append(action)
 
     def send(self, source: str, to: str, message: Message) -> None:
-        if to not in self.doors or self.random.random() < self.drop:
+        if to not in self.machines or self.random.random() < self.drop:
             return
-        here, there = self.doors[source].about, self.doors[to].about
+        here, there = self.machines[source].about, self.machines[to].about
         delay = self.delay(here, there) * (1 + self.random.random() * 0.2)
 
         def arrive() -> None:
-            core = self.doors[to].core if to in self.doors else None
+            core = self.machines[to].core if to in self.machines else None
             if core is not None and (source, to) not in self.cut:
                 self.unless_frozen(
-                    to, core, lambda: self.deeds(to, core.on_message(self.now, source, message))
+                    to, core, lambda: self.actions(to, core.on_message(self.now, source, message))
                 )
 
         if self.odd and self.random.random() < self.odd:
@@ -272,7 +275,7 @@
         return 0.02 if here.region != there.region else 0.001
 
     def save(self, name: str, core: Node, save: Save) -> None:
-        disk = self.doors[name].disk
+        disk = self.machines[name].disk
         assert disk is not None
         disk.under_way.append(save)
 
@@ -284,7 +287,7 @@
             if good:
                 disk.keep(save)
             self.unless_frozen(
-                name, core, lambda: self.deeds(name, core.on_saved(self.now, save.serial, good))
+                name, core, lambda: self.actions(name, core.on_saved(self.now, save.serial, good))
             )
 
         self.at(self.now + disk.sync, synced)
@@ -292,10 +295,10 @@
     # --- the operator ---------------------------------------------------------------------------------------
 
     def call(self, call: Call, begin: Callable[[Node, int], list[Action]]) -> int:
-        core, token = self.doors[call.door].core, next(self.tokens)
+        core, token = self.machines[call.machine].core, next(self.tokens)
         self.calls[token] = call
         if core is not None:
-            self.unless_frozen(call.door, core, lambda: self.deeds(call.door, begin(core, token)))
+            self.unless_frozen(call.machine, core, lambda: self.actions(call.machine, begin(core, token)))
         return token
 
     def put(self, name: str, number: int, mark: str = "") -> int:
@@ -322,7 +325,7 @@
         call.ended, call.done = self.now, done
         if done.state is None:
             return
-        core = self.doors[call.door].core
+        core = self.machines[call.machine].core
         if core is not None and lineage(done.state.version) < core.control.acceptor.highest_lineage:
             self.breaches.append(
                 f"{self.now:.2f} {call.kind} was settled by a lineage that is known to be over"
@@ -375,11 +378,11 @@
 
     def saw(self, name: str, core: Node) -> None:
         """No door goes back within one life, and no two doors know two states of one version."""
-        state, door = core.control.acceptor.state, self.doors[name]
+        state, machine = core.control.acceptor.state, self.machines[name]
         assert state is not None
-        if state.version < door.seen:
-            self.breaches.append(f"{self.now:.2f} {name} went back to {state.version} from {door.seen}")
-        door.seen = state.version
+        if state.version < machine.seen:
+            self.breaches.append(f"{self.now:.2f} {name} went back to {state.version} from {machine.seen}")
+        machine.seen = state.version
         if state.version > 0 and self.decided.setdefault(state.version, state) != state:
             self.breaches.append(f"{self.now:.2f} {name} knows {state}, not {self.decided[state.version]}")
 
@@ -388,7 +391,7 @@
         return max((c.version for c in self.calls.values() if c.ended <= before), default=-1)
 
     def fresh(self, name: str) -> bool:
-        core = self.doors[name].core
+        core = self.machines[name].core
         return core is not None and self.now <= core.confirmed_at(self.now) + STALE * REVOCATION
 
     def watch(self, name: str, core: Node) -> None:
@@ -396,11 +399,13 @@
         has one holder."""
         if self.fresh(name) and core.control.acceptor.version < self.newest(self.now - REVOCATION):
             self.breaches.append(f"{self.now:.2f} {name} lets in by an old configuration")
-        for duty in (LIST_READER, 1, 2):
-            holding = [d for d in self.up() if self.holds(d, duty)]
+        for role in (LIST_READER, 1, 2):
+            holding = [d for d in self.up() if self.holds(d, role)]
             if len(holding) > 1:
-                self.breaches.append(f"{self.now:.2f} duty {duty} is held by {holding}")
+                self.breaches.append(f"{self.now:.2f} duty {role} is held by {holding}")
 
-    def holds(self, name: str, duty: int) -> bool:
-        core = self.doors[name].core
-        return core is not None and self.doors[name].frozen is None and core.roles.held_until(duty) > self.now
+    def holds(self, name: str, role: int) -> bool:
+        core = self.machines[name].core
+        return (
+            core is not None and self.machines[name].frozen is None and core.roles.held_until(role) > self.now
+        )
