--- a/bench/control.py
+++ b/bench/control.py
@@ -75,7 +75,7 @@
         else:
             world.remove(lost)
         world.run(AWAY)
-        seeds_now = [name for name in world.doors if name != lost][:2]
+        seeds_now = [name for name in world.machines if name != lost][:2]
         new = lost if wiped else "d20"
         if wiped:
             world.start(new)
@@ -85,7 +85,7 @@
         while world.now - began < 20:
             world.run(0.01)
             state = world.decided[max(world.decided)]
-            core = world.doors[new].core
+            core = world.machines[new].core
             if core is not None and core.control.is_member() and len(state.members) == 4:
                 break
         took.append(world.now - began)
--- a/bench/scale/parts.py
+++ b/bench/scale/parts.py
@@ -15,6 +15,7 @@
 from bench.scale import program
 from bench.scale.phases import AT_SERVERS
 from bench.scale.world import REGIONS, ZONES, weigh
+from hazelspring.registry.tables import server_tag
 
 DANCERS = 4500 // REGIONS  # doors of a region at the target: those that tell each other where requests are
 PLACES = {f"zone-{n}": f"region-{n % REGIONS}" for n in range(ZONES)}
@@ -55,7 +56,7 @@
     found = program.parse_list(body)
     news = program.news_of(found)
     fleet = program.fleet_of(found, PLACES)
-    names, draw = [program.tag(name) for of in found.values() for name in of], random.Random(1)
+    names, draw = [server_tag(name) for of in found.values() for name in of], random.Random(1)
     outs = [dict.fromkeys(draw.sample(names, min(AT_SERVERS, len(names))), 1) for _ in range(DANCERS)]
     for n, each in enumerate(outs):
         program.danced(fleet, f"10.200.9.{n}", each)
@@ -70,7 +71,7 @@
         "dance_bytes": len(cbor2.dumps({"k": "dance", "o": outs[0]})),
         "choose_s": seconds(lambda: program.choose(fleet, busy)),
         "versions_bytes": len(cbor2.dumps(news.versions())),
-        "table_bytes": len(cbor2.dumps(news.pack(1.0, busy))),
+        "table_bytes": len(cbor2.dumps(news.encode(1.0, busy))),
         "news_held": weigh(news), "fleet_held": weigh(fleet),
         "lease_held": weigh(program.credits_of(1000, 4500)) / 1000,
         "count_held": weigh(program.counter_of(1000)) / 1000,
