--- a/bench/control.py
+++ b/bench/control.py
@@ -11,9 +11,8 @@
 import statistics
 from collections import Counter
 
-import cbor2
-
-from hazelspring.node.actions import Message
+from hazelspring.node import codec
+from hazelspring.node.messages import Message
 from tests.world import World
 
 AWAY = 0.5  # seconds between a loss and its successor's start
@@ -100,8 +99,8 @@
 
     def counted(source: str, to: str, message: Message) -> None:
         if source in ("d1", "d2", "d3", "d4") and to in ("d1", "d2", "d3", "d4"):
-            kinds[message["k"]] += 1
-            size[message["k"]] += len(cbor2.dumps(message))
+            kinds[codec.kind_of(message)] += 1
+            size[codec.kind_of(message)] += len(codec.encode(message))
         send(source, to, message)
 
     world.send = counted  # type: ignore[method-assign]
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -19,8 +19,9 @@
 from hazelspring.configuration.validation import validate_change, validate_configuration
 from hazelspring.consensus.proposal import ProposalOutcome
 from hazelspring.membership.peer_table import NodeInfo
-from hazelspring.node.actions import Action, LoadReported, Message, ReadList, Save, Send
+from hazelspring.node.actions import Action, LoadReported, ReadList, Save, Send
 from hazelspring.node.load_reporter import LEASE_CALL_BYTES
+from hazelspring.node.messages import Message
 from hazelspring.node.node import TENANT_SHARDS, Node, NodeStart
 from hazelspring.quota.counter import QuotaCounter
 from hazelspring.quota.credits import CreditLeases
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -21,6 +21,8 @@
 import cbor2
 
 from bench.scale.program import SYNC, TICK, Effects, Hollow, Listing, listing
+from hazelspring.node import codec
+from hazelspring.node.messages import Message
 
 NEAR, FAR = 0.001, 0.020  # seconds one way inside a region and between regions
 # bytes; what is larger takes a connection of its own, as hazelspring.daemon.message_transport has it
@@ -98,7 +100,20 @@
         default_factory=dict
     )  # seen, timed, seconds of each way
 
-    def of(self, message: dict[str, Any]) -> Size:
+    def of(self, message: Message) -> Size:
+        """Return the size of a message, and the times of its way between an object and bytes."""
+        began = time.process_time()
+        fields = codec.to_fields(message)
+        between = time.process_time()
+        codec.from_fields(
+            {**fields, "e": list(fields["e"])} if isinstance(fields.get("e"), tuple) else fields
+        )
+        ended = time.process_time()
+        size = self.of_fields(fields)
+        dumps, loads = max(0.0, between - began - CLOCK), max(0.0, ended - between - CLOCK)
+        return Size(size.bytes, size.dumps + dumps, size.loads + loads)
+
+    def of_fields(self, message: dict[str, Any]) -> Size:
         for name in LONG:
             if message["k"] == "echo" and isinstance(rows := message.get(name), list | tuple):
                 whole = self.whole(rows)
@@ -153,7 +168,7 @@
         self.list: Listing = listing(services, servers, zones)
         self.cut: Callable[[Hollow, Hollow], bool] = lambda source, to: False
         self.sizes = Sizes()
-        self.last: tuple[dict[str, Any], Size] | None = None  # the message that was sent last, and its size
+        self.last: tuple[Message, Size] | None = None  # the message that was sent last, and its size
         self.kinds: dict[tuple[str, str], Kind] = {}
         self.dancing = doors < LARGE  # doors at rest look whom they would tell; among the most it is left out
         self.answers: dict[
@@ -234,7 +249,7 @@
         if door.core is not None and door.lives == life:
             self.call(door, "synced", 0, 0.0, lambda: door.synced(self.now, save))
 
-    def send(self, source: Hollow, ip: str, message: dict[str, Any]) -> None:
+    def send(self, source: Hollow, ip: str, message: Message) -> None:
         to = self.doors.get(ip)
         if to is None:
             return
@@ -252,10 +267,12 @@
         when = self.now + way * (1 + self.random.random() * 0.2)
         self.at(when, self.arrive, source, to, message, size)
 
-    def arrive(self, source: Hollow, to: Hollow, message: dict[str, Any], size: Size) -> None:
+    def arrive(self, source: Hollow, to: Hollow, message: Message, size: Size) -> None:
         if to.core is None:
             return
         meter = self.meters[to.ip]
         meter.came += 1
         meter.came_bytes += size.bytes
-        self.call(to, message["k"], size.bytes, size.loads, lambda: to.heard(self.now, source.ip, message))
+        self.call(
+            to, codec.kind_of(message), size.bytes, size.loads, lambda: to.heard(self.now, source.ip, message)
+        )
--- a/hazelspring/consensus/acceptor.py
+++ b/hazelspring/consensus/acceptor.py
@@ -4,7 +4,6 @@
 
 import contextlib
 from collections.abc import Iterable, Mapping
-from typing import Any
 
 import cbor2
 
@@ -19,6 +18,13 @@
     decode_state,
     lineage,
 )
+from hazelspring.consensus.messages import (
+    ConfigurationPayload,
+    DeltaPath,
+    DeltaStep,
+    FullConfiguration,
+    HeldConfiguration,
+)
 
 CONFIGURATION_RECORD_PREFIX = "word "  # begins the record of a configuration's bytes, by its digest
 
@@ -30,7 +36,6 @@
 MIN_BYTES_FOR_DELTA = (
     1000  # bytes of a whole that goes in one datagram: a difference would spare nothing there
 )
-DeltaPath = list[Any]  # the digest that it begins at, and digest and difference of each step
 
 
 class MissingConfigurationError(Exception):
@@ -179,39 +184,42 @@
             if left < 0 or n >= MAX_STEPS:
                 del self.deltas[old]
 
-    def configuration_payload(self, digest: bytes, asking: Mapping[str, Any]) -> dict[str, Any]:
-        """What brings a configuration that is held here to a door: by what differs from the one that its message
-        says it holds, where it takes that and that is smaller."""
-        way = self.delta_path([asking["h"]] if "e" in asking else [], digest, self.configurations[digest])
-        return {"w": self.configurations[digest]} if way is None else {"x": way}
+    def configuration_payload(self, digest: bytes, held: HeldConfiguration) -> ConfigurationPayload:
+        """Return what brings a configuration that is held here to a node.
+
+        That is a path of deltas from the configuration which the node holds, where it takes one and it is smaller.
+        """
+        bases = [held.digest] if held.accepts_deltas else []
+        path = self.delta_path(bases, digest, self.configurations[digest])
+        return FullConfiguration(self.configurations[digest]) if path is None else path
 
-    def open_payload(self, message: Mapping[str, Any], digest: bytes) -> bytes | None:
-        """The configuration that has come with a message, whole or by what differs from one that is held here."""
-        if digest in self.configurations or "x" not in message:
-            return message.get("w")
-        return self.follow_delta_path(message["x"], digest)
+    def open_payload(self, payload: ConfigurationPayload | None, digest: bytes) -> bytes | None:
+        """Return the packed configuration that a payload brings; None where there is none, or it leads nowhere."""
+        if isinstance(payload, FullConfiguration):
+            return payload.packed
+        if payload is None or digest in self.configurations:
+            return None
+        return self.follow_delta_path(payload, digest)
 
     def delta_path(self, holds: Iterable[bytes], digest: bytes, word: bytes) -> DeltaPath | None:
         """What leads who holds one of some configurations to another; none where the whole is smaller."""
         if len(word) <= MIN_BYTES_FOR_DELTA:
             return None
-        held, steps, left, at = set(holds) - {NO_CONFIGURATION}, list[Any](), len(word), digest
+        held, steps, left, at = set(holds) - {NO_CONFIGURATION}, list[DeltaStep](), len(word), digest
         while at not in held and at in self.deltas and len(steps) < MAX_STEPS:
             before, delta = self.deltas[at]
-            steps.insert(0, [at, delta])
+            steps.insert(0, DeltaStep(at, delta))
             left, at = left - len(delta) - len(at), before
             if left <= 0:
                 return None
-        return [at, steps] if at in held and steps else None
+        return DeltaPath(at, tuple(steps)) if at in held and steps else None
 
-    def follow_delta_path(self, way: DeltaPath | None, digest: bytes) -> bytes | None:
-        """The packed configuration of a digest to which differences lead; none where they do not."""
+    def follow_delta_path(self, path: DeltaPath, digest: bytes) -> bytes | None:
+        """Return the packed configuration of a digest to which deltas lead; None where they do not."""
+        base, steps = path.base_digest, path.steps
+        if base not in self.configurations or not steps or steps[-1].digest != digest:
+            return None
         try:
-            base, steps = way or (NO_CONFIGURATION, ())
-            if base not in self.configurations or not steps or steps[-1][0] != digest:
-                return None
-            if not all(isinstance(at, bytes) for at, _ in steps):
-                return None
             word = apply_deltas(self.configurations[base], [delta for _, delta in steps], digest)
         except (DeltaError, ValueError, TypeError, LookupError):
             return None
--- a/hazelspring/consensus/forwarding.py
+++ b/hazelspring/consensus/forwarding.py
@@ -5,9 +5,9 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any
 
 from hazelspring.consensus.control_state import ControlState
+from hazelspring.consensus.messages import HOLDS_NOTHING, ForwardedChange, HeldConfiguration
 from hazelspring.consensus.proposal import Proposal
 
 FORWARDED_LIFETIME = 1.0  # seconds for which a door keeps an order that it was handed
@@ -17,9 +17,6 @@
 MAX_RECIPIENTS = 2  # doors that are handed an order on one version
 MAX_FORWARDED = 64  # orders that a door keeps of others; what is beyond its own doors see to
 
-Row = list[Any]
-Asking = dict[str, Any]  # a message that says which configuration its door holds, or an empty one
-
 
 def can_forward(order: Proposal, state: ControlState) -> bool:
     """Whether an order is one that another door may carry: an operator's, which a state does not settle yet."""
@@ -31,16 +28,16 @@
     )
 
 
-def encode_proposal(order: Proposal) -> Row:
-    """An order as it is handed on: kind, number, digest, bytes, zone, closed."""
-    return [
+def forwarded_change(order: Proposal) -> ForwardedChange:
+    """Return an operator's proposal as it is forwarded to another node."""
+    return ForwardedChange(
         order.kind,
         order.configuration_version,
         order.configuration_digest,
         order.configuration,
         order.zone,
         order.evacuate,
-    ]
+    )
 
 
 @dataclass(slots=True)
@@ -65,18 +62,25 @@
     """What a door was handed, in the order it came; soft, and ends by itself."""
 
     proposals: list[ForwardedProposal] = field(default_factory=list)
-    waiting_nodes: dict[str, Asking] = field(
+    waiting_nodes: dict[str, HeldConfiguration] = field(
         default_factory=dict
     )  # doors that wait for what is under way, and with what
 
-    def add(self, now: float, source: str, on: int, rows: Iterable[Row]) -> None:
-        """Orders of another door come, which waits; raises where a row is none.  One that is here already stays."""
-        self.waiting_nodes.setdefault(source, {})
-        for kind, number, digest, word, zone, closed in rows:
-            if kind not in ("put", "evacuate"):
-                raise ValueError(f"an order that nobody carries: {kind}")
+    def add(self, now: float, source: str, on: int, changes: Iterable[ForwardedChange]) -> None:
+        """Orders of another door come, which waits.  One that is here already stays."""
+        self.waiting_nodes.setdefault(source, HOLDS_NOTHING)
+        for change in changes:
             order = ForwardedProposal(
-                0, now, kind, number, digest, word, zone, closed, valid_from_version=on, source=source
+                0,
+                now,
+                change.kind,
+                change.configuration_version,
+                change.configuration_digest,
+                change.configuration,
+                change.zone,
+                change.evacuate,
+                valid_from_version=on,
+                source=source,
             )
             if len(self.proposals) < MAX_FORWARDED and not any(
                 self.is_same(order, held) for held in self.proposals
@@ -88,7 +92,7 @@
         return (one.valid_from_version, one.source) == (
             other.valid_from_version,
             other.source,
-        ) and encode_proposal(one) == encode_proposal(other)
+        ) and forwarded_change(one) == forwarded_change(other)
 
     def expire(self, now: float, state: ControlState | None) -> None:
         """Forget what is old, or can be applied to no state that may come."""
@@ -99,7 +103,7 @@
             if now - o.started_at <= FORWARDED_LIFETIME and version < o.valid_from_version + VALID_VERSIONS
         ]
 
-    def pop_waiting(self, state: ControlState) -> list[tuple[str, Asking]]:
+    def pop_waiting(self, state: ControlState) -> list[tuple[str, HeldConfiguration]]:
         """Doors without a seat that wait for a state which is in force now; who still has orders here waits on."""
         due = [
             (source, asking)
@@ -107,7 +111,8 @@
             if state.member_at(source) is None
         ]
         self.waiting_nodes = {
-            order.source: self.waiting_nodes.get(order.source, {}) for order in self.applicable(state)
+            order.source: self.waiting_nodes.get(order.source, HOLDS_NOTHING)
+            for order in self.applicable(state)
         }
         return due
 
@@ -124,7 +129,7 @@
     version: int = -1
     tokens_by_node: dict[str, set[int]] = field(default_factory=dict)  # tokens by door
 
-    def select(self, state: ControlState, to: str, orders: Iterable[Proposal]) -> list[Row]:
+    def select(self, state: ControlState, to: str, orders: Iterable[Proposal]) -> list[ForwardedChange]:
         """What is to be handed to a door; empty where it has it all, or enough others have."""
         if state.version != self.version:
             self.version, self.tokens_by_node = state.version, {}
@@ -133,4 +138,4 @@
         had = self.tokens_by_node.setdefault(to, set())
         new = [order for order in orders if order.token not in had and can_forward(order, state)]
         had |= {order.token for order in new}
-        return [encode_proposal(order) for order in new]
+        return [forwarded_change(order) for order in new]
--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -5,7 +5,6 @@
 import random
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass, field, replace
-from typing import Any
 
 from hazelspring.consensus.acceptor import Acceptor
 from hazelspring.consensus.control_state import (
@@ -19,6 +18,16 @@
     read_quorum,
 )
 from hazelspring.consensus.forwarding import ForwardedProposals, ProposalForwarder, can_forward
+from hazelspring.consensus.messages import (
+    Accept,
+    ConfigurationPayload,
+    ConsensusMessage,
+    FullConfiguration,
+    HeldConfiguration,
+    Prepare,
+    ProposalsForwarded,
+    RoundEnded,
+)
 from hazelspring.consensus.proposal import Proposal, ProposalOutcome
 
 RESEND_INTERVAL = 0.25  # seconds between sendings to a member that has not answered
@@ -42,7 +51,7 @@
     """A message of a round to a member."""
 
     to: str
-    message: dict[str, Any]
+    message: ConsensusMessage
 
 
 @dataclass(slots=True)
@@ -115,8 +124,8 @@
         state = self.acceptor.state
         if state is None or to == self.me[0]:
             return
-        if rows := self.forwarder.select(state, to, self.proposals):
-            self.outbox.append(OutgoingMessage(to, {"k": "hand", "v": state.version, "o": rows}))
+        if changes := self.forwarder.select(state, to, self.proposals):
+            self.outbox.append(OutgoingMessage(to, ProposalsForwarded(state.version, tuple(changes))))
 
     def has_proposal(self, kind: str) -> bool:
         return any(order.kind == kind for order in self.proposals)
@@ -256,34 +265,43 @@
                 continue
             current.sent_at[ip] = now
             current.deferred_by.discard(ip)
-            message: dict[str, Any] = {"b": list(current.ballot), "d": current.base.version}
-            if current.value is None:  # `e`: a configuration may come by differences
-                message |= {"k": "prepare", "h": current.base.configuration_digest} | (
-                    {} if current.without_deltas else {"e": 1}
-                )
+            message: Prepare | Accept
+            if current.value is None:
+                held = HeldConfiguration(current.base.configuration_digest, not current.without_deltas)
+                message = Prepare(current.ballot, current.base.version, held)
             else:
-                bringing = self.payload_for(ip, current.value.configuration_digest, current)
-                if (word := bringing.get("w")) is not None:
-                    # while the bytes may be under way, a member is asked without them, and says that it lacks them
-                    under_way = len(word) * len(ips) / LINK_BANDWIDTH
-                    if now - current.payload_sent_at.get(ip, -1e9) < max(RESEND_INTERVAL, under_way):
-                        bringing = {}
-                    else:
-                        current.payload_sent_at[ip] = now
-                message |= {"k": "accept", "s": current.value.encode()} | bringing
+                payload = self.payload_to_send(now, ip, current, current.value, len(ips))
+                message = Accept(current.ballot, current.base.version, current.value, payload)
             asks.append(OutgoingMessage(ip, message))
         return asks
 
-    def payload_for(self, ip: str, digest: bytes, current: Round) -> dict[str, Any]:
+    def payload_to_send(
+        self, now: float, ip: str, current: Round, value: ControlState, recipients: int
+    ) -> ConfigurationPayload | None:
+        """Return what is to bring the configuration to a member now.
+
+        While the whole bytes may be under way, the member is asked without them, and says that it lacks them.
+        """
+        payload = self.payload_for(ip, value.configuration_digest, current)
+        if isinstance(payload, FullConfiguration):
+            transfer_time = len(payload.packed) * recipients / LINK_BANDWIDTH
+            if now - current.payload_sent_at.get(ip, -1e9) < max(RESEND_INTERVAL, transfer_time):
+                return None
+            current.payload_sent_at[ip] = now
+        return payload
+
+    def payload_for(self, ip: str, digest: bytes, current: Round) -> ConfigurationPayload | None:
         """What brings a configuration to a member: by what differs from one that it holds, where that is smaller."""
         holds = current.known_digests.get(
             ip, [current.base.configuration_digest]
         )  # it has not told: most likely the one in force
         if digest == NO_CONFIGURATION or digest in holds:
-            return {}
-        word = self.find_configuration(digest)
-        way = self.acceptor.delta_path(holds, digest, word) if word is not None and ip != self.me[0] else None
-        return {"w": word} if way is None else {"x": way}
+            return None
+        packed = self.find_configuration(digest)
+        if packed is None:
+            return None
+        path = self.acceptor.delta_path(holds, digest, packed) if ip != self.me[0] else None
+        return FullConfiguration(packed) if path is None else path
 
     def find_configuration(self, digest: bytes) -> bytes | None:
         """The bytes of a configuration: held here, come with a promise, or with an order."""
@@ -308,7 +326,7 @@
         """A member promised, and told what it last accepted, with the configuration where that may be new here."""
         current = self.round
         if ballot == self.abandoned_ballot:  # it overtook the word that this round is over, or came before it
-            self.outbox.append(OutgoingMessage(source, {"k": "over", "b": list(ballot)}))
+            self.outbox.append(OutgoingMessage(source, RoundEnded(ballot)))
         if current is None or current.ballot != ballot or current.value is not None:
             return
         current.promises[source], current.known_digests[source] = voter, list(holds)
@@ -396,7 +414,7 @@
         """End a round that has decided nothing; members that let it in, or whose promise is still on its way, need
         not keep others waiting for it."""
         if self.round is not None:
-            message = {"k": "over", "b": list(self.round.ballot)}
+            message = RoundEnded(self.round.ballot)
             out = self.round.rejections | self.round.deferred_by
             asked = dict.fromkeys([*self.round.promises, *self.round.sent_at])
             self.outbox += [OutgoingMessage(ip, message) for ip in asked if ip not in out]
--- a/hazelspring/daemon/message_transport.py
+++ b/hazelspring/daemon/message_transport.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from typing import Any
 
-import cbor2
-
 from hazelspring.daemon.structured_log import log
 from hazelspring.daemon.supervisor import Supervisor
+from hazelspring.node import codec
+from hazelspring.node.messages import Message
 
 MAX_DATAGRAM_BYTES = 1200  # bytes: fits a packet on any link
 MAX_MESSAGE_BYTES = 8 << 20
@@ -37,18 +37,18 @@
 
 
 class MessageTransport:
-    """`heard` gets each message with its sender's address."""
+    """Sends and receives messages; `on_message` gets each one that came with its sender's address."""
 
     def __init__(
-        self, ip: str, port: int, heard: Callable[[str, dict[str, Any]], None], supervisor: Supervisor
+        self, ip: str, port: int, on_message: Callable[[str, Message], None], supervisor: Supervisor
     ) -> None:
-        self.ip, self.port, self.on_message, self.supervisor = ip, port, heard, supervisor
+        self.ip, self.port, self.on_message, self.supervisor = ip, port, on_message, supervisor
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.deliveries_in_flight = 0  # messages on their way by TCP
         self.loop = asyncio.get_running_loop()
         self.closed = False
-        self.last_message: dict[str, Any] = {}  # the last one,
+        self.last_message: Message | None = None  # the last one,
         self.last_message_bytes = b""  # and its bytes
 
     async def start(self) -> None:
@@ -77,10 +77,10 @@
                 self.supervisor.failed(OPEN_SOCKET, error)
                 await asyncio.sleep(REOPEN_INTERVAL)
 
-    def send(self, to: str, message: dict[str, Any]) -> None:
+    def send(self, to: str, message: Message) -> None:
         """One message may go to many, one after another: it is encoded once, and not to be changed between."""
         if message is not self.last_message:
-            self.last_message, self.last_message_bytes = message, cbor2.dumps(message)
+            self.last_message, self.last_message_bytes = message, codec.encode(message)
         data = self.last_message_bytes
         if len(data) <= MAX_DATAGRAM_BYTES:
             if self.transport is not None:
@@ -122,8 +122,7 @@
 
     def on_bytes(self, source: str, data: bytes) -> None:
         try:
-            message = cbor2.loads(data)
-            self.on_message(source, message)
+            self.on_message(source, codec.decode(data))
         except Exception as error:  # whatever another process sends must not end this one
             log.write(
                 "transport",
--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -37,6 +37,7 @@
 )
 from hazelspring.node.control_replica import CONFIGURATION, MEMBERS, ZONES
 from hazelspring.node.invariants import LIST_KNOWN
+from hazelspring.node.messages import LoadReport, Message
 from hazelspring.node.node import Node, NodeStart
 from hazelspring.quota.credits import CounterCall, CounterUnavailable, CreditsGranted
 from hazelspring.registry.list_reader_role import ListTiming
@@ -249,11 +250,13 @@
             log.write("routing", "did not serve", **new)
         self.reported, self.reported_at = self.router.ends.copy(), now
 
-    def on_message(self, source: str, message: dict[str, Any]) -> None:
+    def on_message(self, source: str, message: Message) -> None:
         now = self.loop.time()
         actions = self.node.on_message(now, source, message)
         self.execute_all(actions)
-        if message["k"] != "dance":  # the most frequent, and it tells nothing about the word
+        if not isinstance(
+            message, LoadReport
+        ):  # the most frequent, and it tells nothing of the configuration
             self.update_confirmed_at(now)
 
     def update_confirmed_at(self, now: float) -> None:
--- a/hazelspring/node/actions.py
+++ b/hazelspring/node/actions.py
@@ -3,17 +3,11 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
 from hazelspring.consensus.proposal import ProposalOutcome
+from hazelspring.node.messages import Message
 from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
 
-Message = dict[str, Any]
-# kinds of messages that the agreement takes
-AGREEMENT = frozenset(
-    ["prepare", "promise", "accept", "accepted", "no", "over", "hand", "lack", "want", "decided"]
-)
-
 
 @dataclass(slots=True, frozen=True)
 class Send:
--- a/hazelspring/node/control_replica.py
+++ b/hazelspring/node/control_replica.py
@@ -13,17 +13,35 @@
     Ballot,
     ControlState,
     bootstrap_state,
-    decode_ballot,
-    decode_state,
     lineage,
     majority,
     read_quorum,
 )
+from hazelspring.consensus.messages import (
+    HOLDS_NOTHING,
+    Accept,
+    Accepted,
+    AcceptedState,
+    ConfigurationMissing,
+    ConsensusMessage,
+    Decision,
+    DeltaPath,
+    FullConfiguration,
+    HeldConfiguration,
+    Prepare,
+    Promise,
+    ProposalsForwarded,
+    Rejected,
+    RoundEnded,
+    StateRequest,
+    Voter,
+)
 from hazelspring.consensus.proposal import Proposal
 from hazelspring.consensus.proposer import Proposer
 from hazelspring.membership.peer_table import PeerTable
 from hazelspring.membership.rendezvous import owner
-from hazelspring.node.actions import Action, Message, Save, Send, StateChanged
+from hazelspring.node.actions import Action, Save, Send, StateChanged
+from hazelspring.node.messages import ControlVersions
 from hazelspring.node.reconfiguration import Reconfiguration
 
 CONFIGURATION, ZONES, MEMBERS = "word", "zones", "members"  # what may be seen anew; the core's members
@@ -54,13 +72,13 @@
         self.save_number = 0
         self.records_being_saved: dict[str, bytes | None] | None = None  # on their way to the disk
         self.replies_after_current_save: list[
-            tuple[str, Message]
+            tuple[str, ConsensusMessage]
         ] = []  # answers that wait for the save under way,
-        self.replies_after_next_save: list[tuple[str, Message]] = []  # and for the next one
+        self.replies_after_next_save: list[tuple[str, ConsensusMessage]] = []  # and for the next one
         self.save_failed = False
         # whose round is under way here: until when, whose, on what base, and whether it has chosen
         self.admitted_round = NO_ROUND
-        self.loopback_messages: list[Message] = []  # messages of this door to itself
+        self.loopback_messages: list[ConsensusMessage] = []  # messages of this door to itself
         self.last_state_request: tuple[float, int] = (
             -1e9,
             0,
@@ -77,16 +95,13 @@
         """The state in force as far as this door knows; none before the core was founded."""
         return self.acceptor.state if self.acceptor.version > 0 else None
 
-    def control_versions(self) -> list[int]:
+    def control_versions(self) -> ControlVersions:
         """What others are told: the version in force here, and the one that may be."""
         pending = self.acceptor.pending
         told = pending.version if pending is not None else -1
-        return [
-            self.acceptor.version,
-            max(told, self.acceptor.highest_lineage * VERSIONS_PER_LINEAGE)
-            if self.acceptor.is_superseded()
-            else told,
-        ]
+        if self.acceptor.is_superseded():
+            told = max(told, self.acceptor.highest_lineage * VERSIONS_PER_LINEAGE)
+        return ControlVersions(self.acceptor.version, told)
 
     def observe_version(self, source: str, version: int) -> None:
         """Another door told of the version in force there."""
@@ -94,14 +109,12 @@
         if lineage(version) < lineage(self.acceptor.version):
             self.nodes_behind[source] = None
 
-    def unresponsive_members(self, now: float) -> dict[str, int]:
-        """Members that this one takes for silent; the numbers say nothing."""
+    def unresponsive_members(self, now: float) -> tuple[str, ...]:
+        """Return the addresses of members that this one takes for silent."""
         state = self.state
-        return (
-            {member.ip: 1 for member in self.reconfiguration.unresponsive_members(now, state)}
-            if state is not None
-            else {}
-        )
+        if state is None:
+            return ()
+        return tuple(member.ip for member in self.reconfiguration.unresponsive_members(now, state))
 
     def is_member(self) -> bool:
         state = self.state
@@ -195,7 +208,7 @@
         if state.version <= self.acceptor.version:
             return  # nothing was to change
         self.learn(now, ballot, state, word)
-        message = {"k": "decided", "b": list(ballot), "s": state.encode()}
+        message = Decision(ballot, state)
         for ip in dict.fromkeys(member.ip for members in state.member_sets() for member in members):
             if ip != self.peers.me.ip:
                 self.send(ip, message)
@@ -206,10 +219,9 @@
             return
         self.admitted_round = NO_ROUND
         self.proposer.on_new_state(now)
-        for source, message in self.proposer.forwarded.pop_waiting(
-            state
-        ):  # members hear it from who has decided
-            self.send_state(source, message)
+        # members hear it from who has decided
+        for source, held in self.proposer.forwarded.pop_waiting(state):
+            self.send_state(source, held)
         if before is None or state.configuration_digest != before.configuration_digest:
             self.actions.append(StateChanged(CONFIGURATION))
         if before is None or state.evacuated_zones != before.evacuated_zones:
@@ -222,7 +234,7 @@
     def catch_up(self, now: float) -> None:
         """Ask for a newer state that another door has told of, whole; the nearest first, each in turn."""
         while self.nodes_behind:
-            self.send_state(self.nodes_behind.popitem()[0], {})
+            self.send_state(self.nodes_behind.popitem()[0], HOLDS_NOTHING)
         has = self.peers.nodes_above_version(self.acceptor.version)
         at, times = self.last_state_request
         if has and now - at >= REQUEST_INTERVAL:
@@ -231,15 +243,14 @@
             self.last_state_request = (now, times + 1)
 
     def request_state(self, of: str, whole: bool = False) -> None:
-        """Ask a door for the state in force there, and for its configuration: `e`, by what differs from that here."""
+        """Ask a node for the state in force there, with its configuration; `whole`: not as deltas."""
         state = self.acceptor.state
-        holds = state.configuration_digest if state is not None else NO_CONFIGURATION
-        message: Message = {"k": "want", "v": self.acceptor.version, "h": holds}
-        self.send(of, message if whole else message | {"e": 1})
+        digest = state.configuration_digest if state is not None else NO_CONFIGURATION
+        self.send(of, StateRequest(self.acceptor.version, HeldConfiguration(digest, not whole)))
 
     # --- the disk --------------------------------------------------------------------------------------------
 
-    def reply_when_durable(self, to: str, message: Message) -> None:
+    def reply_when_durable(self, to: str, message: ConsensusMessage) -> None:
         """Send an answer once all that it stands for is on disk."""
         if self.acceptor.dirty_records and self.peers.me.disk_id:
             self.replies_after_next_save.append((to, message))
@@ -289,132 +300,134 @@
 
     # --- messages ----------------------------------------------------------------------------------------------
 
-    def send(self, to: str, message: Message) -> None:
+    def send(self, to: str, message: ConsensusMessage) -> None:
         if to == self.peers.me.ip:
             self.loopback_messages.append(message)
         else:
             self.actions.append(Send(to, message))
 
-    def on_message(self, now: float, source: str, message: Message) -> list[Action]:
+    def on_message(self, now: float, source: str, message: ConsensusMessage) -> list[Action]:
+        """Handle a message of the agreement from another node."""
         self.actions = []
         self.dispatch(now, source, message)
         return self.advance(now)
 
-    def dispatch(self, now: float, source: str, message: Message) -> None:
-        match message["k"]:
-            case "prepare" | "accept":
+    def dispatch(self, now: float, source: str, message: ConsensusMessage) -> None:
+        """Hand a message to the handler of its kind."""
+        match message:
+            case Prepare() | Accept():
                 self.on_round_request(now, source, message)
-            case "promise":
+            case Promise():
                 self.on_promise(source, message)
-            case "accepted":
-                self.proposer.on_accepted(
-                    source, (message["u"][0], message["u"][1]), decode_ballot(message["b"])
-                )
-            case "no":
-                higher = decode_ballot(message["p"])
-                wait = message["w"] / 1000
-                self.proposer.on_rejected(
-                    now, source, decode_ballot(message["b"]), higher, wait, message["a"]
-                )
-            case "over":
-                if self.admitted_round[1] == source and decode_ballot(message["b"]) >= self.acceptor.promised:
-                    self.admitted_round = NO_ROUND
-            case "lack":
-                self.proposer.on_missing_configuration(source, decode_ballot(message["b"]))
-            case "hand":
-                self.proposer.forwarded.add(now, source, message["v"], message["o"])
-            case "want":
+            case Accepted():
+                self.proposer.on_accepted(source, message.voter, message.ballot)
+            case Rejected():
+                self.on_rejected(now, source, message)
+            case RoundEnded():
+                self.on_round_ended(source, message)
+            case ConfigurationMissing():
+                self.proposer.on_missing_configuration(source, message.ballot)
+            case ProposalsForwarded():
+                self.proposer.forwarded.add(now, source, message.version, message.changes)
+            case StateRequest():
                 self.on_state_request(source, message)
-            case "decided":
-                self.on_decided(now, source, message)
-
-    def on_round_request(self, now: float, source: str, message: Message) -> None:
-        """Another door's round, or this door's own, asks for a promise or brings a state."""
-        register = self.acceptor
-        if not register.disk_id and not register.may_bootstrap:
-            return  # no seat can be here
-        if message["d"] < register.version:
-            self.send_state(source, message)
-        theirs, own = lineage(message["d"]), lineage(register.version)
-        register.observe_version(message["d"])
+            case Decision():
+                self.on_decision_message(now, source, message)
+
+    def on_round_request(self, now: float, source: str, message: Prepare | Accept) -> None:
+        """Handle what a round, of another node or of this one, asks for: a promise, or to accept a state."""
+        acceptor, base = self.acceptor, message.base_version
+        if not acceptor.disk_id and not acceptor.may_bootstrap:
+            return  # no member can be here
+        if base < acceptor.version:
+            self.send_state(source, message.held if isinstance(message, Prepare) else HOLDS_NOTHING)
+        theirs, own = lineage(base), lineage(acceptor.version)
+        acceptor.observe_version(base)
         if theirs > own:
             self.request_state(source)
-        if theirs != own or self.acceptor.is_superseded():
+        if theirs != own or acceptor.is_superseded():
             return  # a round is of one lineage, as all that its members accept
-        if message["k"] == "prepare":
+        if isinstance(message, Prepare):
             self.on_prepare(now, source, message)
         else:
             self.on_accept(now, source, message)
 
-    def on_prepare(self, now: float, source: str, message: Message) -> None:
-        register, held = self.acceptor, self.acceptor.accepted
-        if self.must_yield_to(now, source, message["d"]):
+    def on_prepare(self, now: float, source: str, message: Prepare) -> None:
+        """Promise to accept nothing below a ballot, or refuse."""
+        acceptor, base = self.acceptor, message.base_version
+        if self.must_yield_to(now, source, base):
             self.reject(now, source, message, waits=True)
-        elif not register.prepare(decode_ballot(message["b"])):
+            return
+        if not acceptor.prepare(message.ballot):
             self.reject(now, source, message, waits=False)
-        else:
-            self.admitted_round = (now + ADMITTED_ROUND_TIME, source, message["d"], False)
-            told: Message = {
-                "k": "promise",
-                "b": message["b"],
-                "u": [register.disk_id, register.may_bootstrap],
-            }
-            told |= {
-                "h": list(register.configurations),
-                "a": [list(held[0]), held[1].encode()] if held else None,
-            }
-            if (
-                held is not None
-                and held[1].version > message["d"]
-                and held[1].configuration_digest != message["h"]
-            ):
-                told |= register.configuration_payload(held[1].configuration_digest, message)
-            self.reply_when_durable(source, told)
-
-    def on_promise(self, source: str, message: Message) -> None:
-        ballot, best, word = decode_ballot(message["b"]), message["a"], message.get("w")
-        found, current = (
-            (decode_ballot(best[0]), decode_state(best[1])) if best else None,
-            self.proposer.round,
-        )
-        asked = current is not None and current.ballot == ballot and current.value is None
-        if found is not None and "x" in message and asked:
-            word = self.proposer.find_configuration(
-                found[1].configuration_digest
-            ) or self.acceptor.follow_delta_path(message["x"], found[1].configuration_digest)
-            if word is None:
-                self.proposer.on_missing_configuration(source, ballot)
+            return
+        self.admitted_round = (now + ADMITTED_ROUND_TIME, source, base, False)
+        accepted, payload = None, None
+        if acceptor.accepted is not None:
+            accepted = AcceptedState(*acceptor.accepted)
+            digest = accepted.state.configuration_digest
+            if accepted.state.version > base and digest != message.held.digest:
+                payload = acceptor.configuration_payload(digest, message.held)
+        held_digests = tuple(acceptor.configurations)
+        promise = Promise(message.ballot, self.voter(), held_digests, accepted, payload)
+        self.reply_when_durable(source, promise)
+
+    def voter(self) -> Voter:
+        """Return what this node's votes are counted by."""
+        return Voter(self.acceptor.disk_id, self.acceptor.may_bootstrap)
+
+    def on_promise(self, source: str, message: Promise) -> None:
+        """Count a promise, and open the configuration that came with it."""
+        accepted, packed, current = message.accepted, None, self.proposer.round
+        is_awaited = current is not None and current.ballot == message.ballot and current.value is None
+        if isinstance(message.payload, FullConfiguration):
+            packed = message.payload.packed
+        elif accepted is not None and isinstance(message.payload, DeltaPath) and is_awaited:
+            digest = accepted.state.configuration_digest
+            packed = self.proposer.find_configuration(digest) or self.acceptor.follow_delta_path(
+                message.payload, digest
+            )
+            if packed is None:
+                self.proposer.on_missing_configuration(source, message.ballot)
                 return
-        disk, founder = message["u"]
-        self.proposer.on_promise(source, (disk, founder), ballot, found, message["h"], word)
+        self.proposer.on_promise(
+            source, message.voter, message.ballot, accepted, message.held_digests, packed
+        )
 
-    def on_accept(self, now: float, source: str, message: Message) -> None:
-        register, ballot, state = self.acceptor, decode_ballot(message["b"]), decode_state(message["s"])
+    def on_accept(self, now: float, source: str, message: Accept) -> None:
+        """Accept a state, or refuse, or say that its configuration is missing."""
+        acceptor, state, packed = self.acceptor, message.state, None
         try:
-            word = (
-                self.acceptor.open_payload(message, state.configuration_digest)
-                if ballot >= register.promised
-                else None
-            )
-            accepted = register.accept(ballot, state, word)
+            if message.ballot >= acceptor.promised:
+                packed = acceptor.open_payload(message.payload, state.configuration_digest)
+            accepted = acceptor.accept(message.ballot, state, packed)
         except MissingConfigurationError:
-            self.send(source, {"k": "lack", "b": message["b"]})
+            self.send(source, ConfigurationMissing(message.ballot))
             return
         if not accepted:  # who is outbid while it brings a state lets the higher ballot end first
             self.reject(now, source, message, waits=self.admitted_round[1] != source)
             return
-        self.admitted_round = (now + ADMITTED_ROUND_TIME, source, message["d"], True)
-        self.reply_when_durable(
-            source, {"k": "accepted", "b": message["b"], "u": [register.disk_id, register.may_bootstrap]}
-        )
-
-    def reject(self, now: float, source: str, message: Message, waits: bool) -> None:
-        """Answer no; `waits`: for no longer than another door's round may take here."""
-        wait = max(0, int(1000 * (self.admitted_round[0] - now))) if waits else 0
-        if wait:
-            self.proposer.forwarded.waiting_nodes[source] = message
-        told = {"k": "no", "b": message["b"], "p": list(self.acceptor.promised), "w": wait}
-        self.send(source, {**told, "a": message["k"] == "accept"})
+        self.admitted_round = (now + ADMITTED_ROUND_TIME, source, message.base_version, True)
+        self.reply_when_durable(source, Accepted(message.ballot, self.voter()))
+
+    def on_rejected(self, now: float, source: str, message: Rejected) -> None:
+        """Note that a member refused what this node's round asked for."""
+        wait = message.wait_ms / 1000
+        self.proposer.on_rejected(now, source, message.ballot, message.promised, wait, message.of_accept)
+
+    def on_round_ended(self, source: str, message: RoundEnded) -> None:
+        """Let other rounds in again, once the one that was admitted is over."""
+        if self.admitted_round[1] == source and message.ballot >= self.acceptor.promised:
+            self.admitted_round = NO_ROUND
+
+    def reject(self, now: float, source: str, message: Prepare | Accept, waits: bool) -> None:
+        """Refuse; `waits`: for no longer than another node's round may take here."""
+        wait_ms = max(0, int(1000 * (self.admitted_round[0] - now))) if waits else 0
+        if wait_ms:
+            held = message.held if isinstance(message, Prepare) else HOLDS_NOTHING
+            self.proposer.forwarded.waiting_nodes[source] = held
+        of_accept = isinstance(message, Accept)
+        self.send(source, Rejected(message.ballot, self.acceptor.promised, wait_ms, of_accept))
 
     def must_yield_to(self, now: float, source: str, base: int) -> bool:
         """Whether another door's round goes first here.  Who knows the newer state does; of two that know the same
@@ -427,29 +440,28 @@
             return base < its_base
         return chose or owner(f"version {base}", (guest, source)) == guest
 
-    def send_state(self, to: str, asking: Message) -> None:
-        """The state in force here, with its configuration where the other, by its message, has not got it."""
+    def send_state(self, to: str, held: HeldConfiguration) -> None:
+        """Send the state in force here, with its configuration where the other node does not hold that."""
         if self.acceptor.decided is None or self.acceptor.version <= 0 or self.acceptor.is_superseded():
             return
         ballot, state = self.acceptor.decided
-        message: Message = {"k": "decided", "b": list(ballot), "s": state.encode()}
-        if state.configuration_digest not in (NO_CONFIGURATION, asking.get("h", NO_CONFIGURATION)):
-            message |= self.acceptor.configuration_payload(state.configuration_digest, asking)
-        self.send(to, message)
-
-    def on_state_request(self, source: str, message: Message) -> None:
-        if message["v"] < self.acceptor.version:
-            self.send_state(source, message)
-
-    def on_decided(self, now: float, source: str, message: Message) -> None:
-        state = decode_state(message["s"])
+        payload = None
+        if state.configuration_digest not in (NO_CONFIGURATION, held.digest):
+            payload = self.acceptor.configuration_payload(state.configuration_digest, held)
+        self.send(to, Decision(ballot, state, payload))
+
+    def on_state_request(self, source: str, message: StateRequest) -> None:
+        """Send the state in force here to a node that has an older one."""
+        if message.version < self.acceptor.version:
+            self.send_state(source, message.held)
+
+    def on_decision_message(self, now: float, source: str, message: Decision) -> None:
+        """Learn a decided state, or ask for its configuration whole where the deltas lead nowhere."""
+        state, packed = message.state, None
         try:
-            word = (
-                self.acceptor.open_payload(message, state.configuration_digest)
-                if state.version > self.acceptor.version
-                else None
-            )
-            self.learn(now, decode_ballot(message["b"]), state, word)
+            if state.version > self.acceptor.version:
+                packed = self.acceptor.open_payload(message.payload, state.configuration_digest)
+            self.learn(now, message.ballot, state, packed)
             self.last_state_request = (-1e9, self.last_state_request[1])
         except MissingConfigurationError:
-            self.request_state(source, whole="x" in message)
+            self.request_state(source, whole=isinstance(message.payload, DeltaPath))
--- a/hazelspring/node/dissemination.py
+++ b/hazelspring/node/dissemination.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from hazelspring.membership.peer_table import PeerTable
-from hazelspring.node.actions import Action, Message, Send, StateChanged
+from hazelspring.node.actions import Action, Send, StateChanged
 from hazelspring.node.load_reporter import InFlightByTag, LoadReporter, report_budget
 from hazelspring.node.messages import TableRequest, TableUpdate
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node
@@ -27,7 +27,7 @@
         me = self.peers.me.ip
         for service in self.registry.update_from_list(now, wall_ms, found):
             actions.append(StateChanged(f"service:{service}"))
-            message = TableUpdate(self.registry.encode_change(now, service)).encode()
+            message = TableUpdate(self.registry.encode_change(now, service))
             zones = sorted({row[1] for row in self.peers.roster_rows})
             homes = {home_node(service, zone, self.peers.ready_nodes(zone=zone)) for zone in zones}
             for ip in sorted({*self.peers.other_core_nodes(), *(h for h in homes if h is not None)} - {me}):
@@ -42,10 +42,10 @@
             core = (
                 self.peers.other_core_nodes()[:1] if self.registry.outdated({service: news.version}) else []
             )
-            return [Send(ip, TableRequest(service).encode()) for ip in core]
-        return [StateChanged(f"service:{service}"), *self.forward_to_zone(service, news.encode())]
+            return [Send(ip, TableRequest(service)) for ip in core]
+        return [StateChanged(f"service:{service}"), *self.forward_to_zone(service, news)]
 
-    def forward_to_zone(self, service: str, message: Message) -> list[Action]:
+    def forward_to_zone(self, service: str, message: TableUpdate) -> list[Action]:
         """The home node tells the others of its zone."""
         me = self.peers.me
         nodes = self.peers.ready_nodes(zone=me.zone)
--- a/hazelspring/node/heartbeats.py
+++ b/hazelspring/node/heartbeats.py
@@ -7,8 +7,10 @@
 
 from hazelspring.leases.singleton_roles import SingletonRoles
 from hazelspring.membership.peer_table import NodeInfo, Peer, PeerTable
-from hazelspring.node.actions import Message
+from hazelspring.membership.roster import RosterChange
+from hazelspring.node.codec import node_state_checksum
 from hazelspring.node.control_replica import ControlReplica
+from hazelspring.node.messages import Heartbeat, HeartbeatReply, NodeState
 from hazelspring.registry.list_freshness import AGE_UNIT, ListFreshness
 from hazelspring.registry.tables import ServerRegistry
 
@@ -51,19 +53,26 @@
         self.last_number = incarnation_hash(peers.me.incarnation) * NUMBERS_PER_INCARNATION
         # of the last beats, by number: when each was sent, and the sum of what was known then of whom it went to
         self.sent: dict[int, tuple[float, int]] = {}
-        self.cached_state_checksum: tuple[dict[str, Any], int] = ({}, 0)  # the state told last, and its sum
+        self.cached_state_checksum: tuple[NodeState | None, int] = (
+            None,
+            0,
+        )  # the state told last, and its sum
         self.first_sent: dict[str, float] = {}  # to whom a beat went that has never answered
 
-    def own_state(self, now: float) -> dict[str, Any]:
-        """What others want to know of this door, and what seldom changes."""
-        told: dict[str, Any] = {"n": self.registry.versions(), "m": {"doors": self.peers.max_node_count}}
-        told["h"] = dict(zip(("v", "p"), self.control.control_versions(), strict=True))
-        if self.control.is_member():
-            told["d"] = self.roles.reported_holders(now)
-            told["q"] = self.control.unresponsive_members(now)
-            if declining := self.roles.declined_roles(now):
-                told["o"] = dict.fromkeys(declining, 1)
-        return told
+    def own_state(self, now: float) -> NodeState:
+        """Return what others want to know of this node, and what seldom changes."""
+        table_versions, max_node_count = self.registry.versions(), self.peers.max_node_count
+        versions = self.control.control_versions()
+        if not self.control.is_member():
+            return NodeState(table_versions, max_node_count, versions)
+        return NodeState(
+            table_versions,
+            max_node_count,
+            versions,
+            self.roles.reported_holders(now),
+            self.control.unresponsive_members(now),
+            tuple(self.roles.declined_roles(now)),
+        )
 
     def next_number(self, now: float, known: int) -> int:
         """The number of a beat that goes out now; `known`: the sum that it names."""
@@ -78,14 +87,10 @@
         sent = self.sent.get(number)
         return sent[0] if sent is not None else None
 
-    @staticmethod
-    def checksum_of(state: dict[str, Any]) -> int:
-        return zlib.crc32(repr(sorted((k, sorted(v.items())) for k, v in state.items())).encode())
-
-    def own_checksum(self, state: dict[str, Any]) -> int:
-        """The sum of this door's own state, worked out anew where that has changed."""
+    def own_checksum(self, state: NodeState) -> int:
+        """Return the checksum of this node's own state, worked out anew where that has changed."""
         if state != self.cached_state_checksum[0]:
-            self.cached_state_checksum = state, self.checksum_of(state)
+            self.cached_state_checksum = state, node_state_checksum(state)
         return self.cached_state_checksum[1]
 
     def last_sent_at(self, ip: str) -> float:
@@ -107,79 +112,89 @@
         near = about.region == me.region or me.disk_id or not enough
         return now - self.last_sent_at(ip) >= (NEAR_INTERVAL if near else FAR_INTERVAL) - 0.01
 
-    def make_heartbeat(self, now: float, ip: str, ready: bool, wants: list[int]) -> Message:
-        """A beat to another door."""
+    def make_heartbeat(self, now: float, ip: str, ready: bool, wants: list[int]) -> Heartbeat:
+        """Return a heartbeat to another node."""
         peer, me = self.peers.peers.get(ip), self.peers.me
         if peer is not None:
             peer.heartbeat_sent_at = now
         else:
             self.first_sent[ip] = now
         known = peer.state_checksum if peer is not None else 0
-        message: Message = {
-            "k": "beat",
-            "l": me.incarnation,
-            "t": self.next_number(now, known),
-            "r": ready,
-            "c": self.peers.core_checksum(),
-        }
-        message["x"] = known
-        if peer is None or not peer.knows_me:
-            message["a"] = me.encode()
-        if self.control.is_member() or (not self.peers.core_agreed and me.disk_id):
-            message["w"] = wants
-            if now < self.roles.granter.silent_until:
-                message["q"] = 1
-        elif ip == next(iter(self.peers.other_core_nodes()), None) or not self.peers.core_nodes:
-            message["s"] = self.peers.roster_checksum
-        return message
-
-    def sender_of(self, source: str, message: Message) -> NodeInfo | None:
-        """Who sent a beat or an echo, as it says or as is known."""
-        if "a" in message:
-            return NodeInfo(*message["a"])
+        takes_roles = self.control.is_member() or (not self.peers.core_agreed and bool(me.disk_id))
+        wants_roster = not takes_roles and self.is_roster_source(ip)
+        return Heartbeat(
+            me.incarnation,
+            self.next_number(now, known),
+            ready,
+            self.peers.core_checksum(),
+            known,
+            sender=me if peer is None or not peer.knows_me else None,
+            requested_roles=wants if takes_roles else None,
+            grants_nothing=takes_roles and now < self.roles.granter.silent_until,
+            roster_checksum=self.peers.roster_checksum if wants_roster else None,
+        )
+
+    def is_roster_source(self, ip: str) -> bool:
+        """Return whether this node takes the roster from another one: the nearest of the core."""
+        return ip == next(iter(self.peers.other_core_nodes()), None) or not self.peers.core_nodes
+
+    def sender_of(self, source: str, message: Heartbeat | HeartbeatReply) -> NodeInfo | None:
+        """Return who sent a heartbeat or a reply, as it says or as is known."""
+        if message.sender is not None:
+            return message.sender
         for about in self.peers.known_infos(source):
-            if about.incarnation == message["l"]:
+            if about.incarnation == message.incarnation:
                 return about
         return None
 
-    def make_reply(self, now: float, about: NodeInfo | None, message: Message) -> Message:
-        """The echo to a beat; the beat's sender is asked who it is where that is not known."""
+    def make_reply(self, now: float, about: NodeInfo | None, message: Heartbeat) -> HeartbeatReply:
+        """Return the reply to a heartbeat; its sender is asked who it is where that is not known."""
         me = self.peers.me
-        echo: Message = {"k": "echo", "l": me.incarnation, "t": message["t"]}
-        if "a" in message or now - self.started_at < INTRODUCTION_TIME:
-            echo["a"] = me.encode()
+        introduces = message.sender is not None or now - self.started_at < INTRODUCTION_TIME
+        sender = me if introduces else None
         if about is None:
-            echo["y"] = 1
-            return echo
-        seated = self.control.is_member()
-        if seated:
-            if "q" in message:
-                echo["p"] = self.roles.disclaim_previous(now, (about.ip, about.incarnation))
-            who = (about.ip, about.incarnation)
-            wants, asked = message.get("w", []), message["t"]
-            self.roles.granter.withdraw_unrequested(who, wants, asked)
-            if not self.may_grant_leases(message["c"]):
-                wants = []
-            granted = [role for role in wants if self.roles.granter.request(now, str(role), who, asked)]
-            if granted:
-                echo["g"] = granted
-        if (age := self.freshness.encode_age(now)) is not None:
-            echo["f"] = age
+            return HeartbeatReply(me.incarnation, message.number, sender, asks_identity=True)
+        relied_on, granted = None, None
+        if self.control.is_member():
+            if message.grants_nothing:
+                relied_on = self.roles.disclaim_previous(now, about.identity())
+            granted = self.grant_roles(now, about, message)
+        list_age = self.freshness.encode_age(now)
         state = self.own_state(now)  # after the grants, which it tells of
-        if message["x"] != self.own_checksum(state):
-            echo["z"] = state
-        if message["c"] != self.peers.core_checksum():
-            echo["c"] = [member.encode() for member in self.peers.core_nodes.values()]
-        if (
-            "s" in message
-            and (seated or not self.peers.core_agreed)
-            and message["s"] != self.peers.roster_checksum
-        ):
-            if (change := self.peers.roster_table.changes_since(message["s"])) is not None:
-                echo["e"] = change
-            else:
-                echo["s"] = self.peers.roster_rows
-        return echo
+        checksum = self.own_checksum(state)
+        is_core_known = message.core_checksum == self.peers.core_checksum()
+        rows, change = self.roster_news(message)
+        return HeartbeatReply(
+            me.incarnation,
+            message.number,
+            sender,
+            relied_on_roles=relied_on,
+            granted_roles=granted or None,
+            list_age=list_age,
+            state=state if message.known_state_checksum != checksum else None,
+            state_checksum=checksum,
+            core_nodes=None if is_core_known else list(self.peers.core_nodes.values()),
+            roster_change=change,
+            roster_rows=rows,
+        )
+
+    def grant_roles(self, now: float, about: NodeInfo, message: Heartbeat) -> list[int]:
+        """Grant leases of the roles that a heartbeat requests; those that it no longer requests are given up."""
+        who, requested = about.identity(), message.requested_roles or []
+        granter = self.roles.granter
+        granter.withdraw_unrequested(who, requested, message.number)
+        if not self.may_grant_leases(message.core_checksum):
+            return []
+        return [role for role in requested if granter.request(now, str(role), who, message.number)]
+
+    def roster_news(self, message: Heartbeat) -> tuple[list[list[Any]] | None, RosterChange | None]:
+        """Return the roster's rows, or what has changed of them, where a heartbeat asks for either."""
+        known = message.roster_checksum
+        may_tell = self.control.is_member() or not self.peers.core_agreed
+        if known is None or not may_tell or known == self.peers.roster_checksum:
+            return None, None
+        change = self.peers.roster_table.changes_since(known)
+        return (None, change) if change is not None else (self.peers.roster_rows, None)
 
     def may_grant_leases(self, core_sum: int) -> bool:
         """Whether a member may promise a duty to one that names this core: not while its members are changing, as
@@ -192,34 +207,39 @@
             and not self.control.acceptor.is_superseded()
         )
 
-    def on_reply(self, now: float, about: NodeInfo, message: Message, asked_at: float) -> Peer:
-        """What an echo tells of its sender; `asked_at` is when its beat was sent."""
+    def on_reply(self, now: float, about: NodeInfo, message: HeartbeatReply, asked_at: float) -> Peer:
+        """Note what a reply tells of its sender; `asked_at` is when the heartbeat was sent."""
         peer = self.peers.peer(about)
         peer.heard_at = now
-        peer.knows_me = "y" not in message
+        peer.knows_me = not message.asks_identity
         if not peer.knows_me or asked_at < peer.latest_request_at:
             return peer  # it told nothing of itself, or what an answer that has come before it has overtaken
-        if "z" not in message and self.sent[message["t"]][1] != peer.state_checksum:
+        if message.state is None and self.sent[message.number][1] != peer.state_checksum:
             return peer  # nothing new to what was known then; since then another answer has told what is not that
         peer.latest_request_at = asked_at
-        peer.relied_on_roles = message.get("p")
-        if (state := message.get("z")) is not None:
-            peer.state_checksum = self.checksum_of(state)
-            self.peers.max_node_count = max(self.peers.max_node_count, state["m"]["doors"])
-            peer.table_versions, peer.role_holders = state["n"], state.get("d", {})
-            peer.control_versions = (state["h"]["v"], state["h"]["p"])
-            peer.unresponsive_members = frozenset(state.get("q", ()))
-            peer.declined_roles = frozenset(state.get("o", ()))
-        if (age := message.get("f")) is not None:
-            peer.list_read_at = asked_at - age * AGE_UNIT
+        peer.relied_on_roles = message.relied_on_roles
+        if message.state is not None:
+            self.apply_state(peer, message.state, message.state_checksum)
+        if message.list_age is not None:
+            peer.list_read_at = asked_at - message.list_age * AGE_UNIT
         if peer.control_versions is not None:
             self.control.observe_version(about.ip, peer.control_versions[0])
             if max(peer.control_versions) <= self.control.acceptor.version:
                 peer.caught_up_at = asked_at
-        for role in message.get("g", ()):
+        for role in message.granted_roles or ():
             self.roles.on_granted(role, about.ip, asked_at, about.incarnation)
-        if "s" in message and message["s"] != self.peers.roster_rows:
-            self.peers.replace_roster(message["s"])
-        if "e" in message:
-            self.peers.apply_roster_change(message["e"])
+        if message.roster_rows is not None and message.roster_rows != self.peers.roster_rows:
+            self.peers.replace_roster(message.roster_rows)
+        if message.roster_change is not None:
+            self.peers.apply_roster_change(list(message.roster_change))
         return peer
+
+    def apply_state(self, peer: Peer, state: NodeState, checksum: int) -> None:
+        """Note the state that a peer told."""
+        peer.state_checksum = checksum
+        self.peers.max_node_count = max(self.peers.max_node_count, state.max_node_count)
+        peer.table_versions = state.table_versions
+        peer.role_holders = state.role_holders if state.role_holders is not None else {}
+        peer.control_versions = state.control_versions
+        peer.unresponsive_members = frozenset(state.unresponsive_members or ())
+        peer.declined_roles = frozenset(state.declined_roles)
--- a/hazelspring/node/load_reporter.py
+++ b/hazelspring/node/load_reporter.py
@@ -7,7 +7,8 @@
 
 from hazelspring.membership.peer_table import PeerTable
 from hazelspring.membership.rendezvous import owner, weight
-from hazelspring.node.actions import Action, Message, Send
+from hazelspring.node.actions import Action, Send
+from hazelspring.node.messages import LoadReport
 
 MIN_ZONE_INTERVAL = (
     0.04  # seconds between two tellings in the zone: a tick of a door, whose time varies a little,
@@ -142,13 +143,13 @@
         """One message for all where all are told of all servers; else each has its own."""
         count = recipient_count(len(outs), len(self.zone_nodes), self.byte_rate() * MAX_ROUND_TIME)
         if count == len(self.zone_nodes):
-            message = {"k": "dance", "o": outs}
+            message = LoadReport(outs)
             return [action for ip in self.zone_nodes for action in self.send(now, ip, message)]
         rows: dict[str, InFlightByTag] = {ip: {} for ip in self.zone_nodes}
         for name, out in outs.items():
             for ip in self.recipients_of(name)[:count]:
                 rows[ip][name] = out
-        return [action for ip, row in rows.items() for action in self.send(now, ip, {"k": "dance", "o": row})]
+        return [action for ip, row in rows.items() for action in self.send(now, ip, LoadReport(row))]
 
     def recipients_of(self, name: int) -> list[str]:
         """The zone's other doors in the order, the same for all, in which they hear of a server."""
@@ -170,7 +171,7 @@
         total = busiest(
             self.zone_totals(outs, heard), max(1, min(MAX_SERVERS_PER_REPORT, int(room / SERVER_BYTES)))
         )
-        message = {"k": "dance", "o": total}
+        message = LoadReport(total)
         return [action for ip in self.region_nodes for action in self.send(now, ip, message)]
 
     def zone_totals(
@@ -183,10 +184,10 @@
                 total[name] = total.get(name, 0) + out
         return total
 
-    def send(self, now: float, ip: str, message: Message) -> list[Action]:
+    def send(self, now: float, ip: str, message: LoadReport) -> list[Action]:
         """Nothing where nothing is new; that nothing is out any more is told once."""
         at, told = self.last_reports.get(ip, NO_REPORT)
-        outs: InFlightByTag = message["o"]
+        outs = message.in_flight_by_tag
         if not (outs or told) or (outs == told and now - at < UNCHANGED_INTERVAL):
             return []
         self.last_reports[ip] = (now, outs)
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -17,13 +17,27 @@
 from hazelspring.leases.singleton_roles import NodeIdentity, SingletonRoles
 from hazelspring.membership.peer_table import LEASE_TERM, NodeInfo, PeerTable
 from hazelspring.membership.rendezvous import shard
-from hazelspring.node.actions import AGREEMENT, Action, LoadReported, Message, ReadList, Send
+from hazelspring.node.actions import Action, LoadReported, ReadList, Send
+from hazelspring.node.codec import kind_of
 from hazelspring.node.control_replica import REQUEST_INTERVAL, ControlReplica
 from hazelspring.node.dissemination import Disseminator
 from hazelspring.node.heartbeats import FAR_INTERVAL, NEAR_INTERVAL, Heartbeats
 from hazelspring.node.invariants import InvariantBounds, Invariants
 from hazelspring.node.load_reporter import LEASE_CALL_BYTES
-from hazelspring.node.messages import RolesDeclined, RolesReleased, TableRequest, TableUpdate
+from hazelspring.node.messages import (
+    CounterUnavailableNotice,
+    CreditGrant,
+    CreditRequest,
+    Heartbeat,
+    HeartbeatReply,
+    LoadReport,
+    Message,
+    RolesDeclined,
+    RolesReleased,
+    TableRequest,
+    TableUpdate,
+    UnknownMessage,
+)
 from hazelspring.quota.counter import QuotaCounter
 from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
 from hazelspring.registry.list_freshness import ListFreshness
@@ -212,7 +226,7 @@
         if not self.may_request(now, f"news {service}"):
             return
         has = self.peers.other_core_nodes_where(lambda peer: peer.table_versions.get(service, 0) >= version)
-        self.request_from_one(now, f"news {service}", has, TableRequest(service).encode())
+        self.request_from_one(now, f"news {service}", has, TableRequest(service))
 
     def may_request(self, now: float, what: str) -> bool:
         """Whether what was asked for last has had its time."""
@@ -249,7 +263,7 @@
     def decline_role(self, now: float, role: int) -> None:
         """Leave a duty that this door can't do to another one, at once."""
         self.roles.decline(now, role)
-        message = RolesDeclined(self.me, [role]).encode()
+        message = RolesDeclined(self.me, [role])
         self.actions += [Send(ip, message) for ip in self.peers.other_core_nodes()]
 
     def may_read_list(self, now: float) -> bool:
@@ -260,7 +274,7 @@
         """This door leaves in order: its duties go to others at once."""
         self.actions = []
         self.control.reconfiguration.leaving = True
-        message = RolesReleased(self.me, self.roles.release_all(now)).encode()
+        message = RolesReleased(self.me, self.roles.release_all(now))
         self.actions += [Send(ip, message) for ip in self.peers.other_core_nodes()]
         return self.actions
 
@@ -284,8 +298,8 @@
         self.actions = []
         holder = self.roles.holder(now, self.counter_role(tenant))
         if holder is not None and holder != self.me.ip:
-            ask = {"k": "lease", "n": tenant, "q": number, "u": int(units), "y": self.me.incarnation}
-            self.actions.append(Send(holder, ask))
+            request = CreditRequest(tenant, number, int(units), self.me.incarnation)
+            self.actions.append(Send(holder, request))
             self.disseminator.load_reporter.record_other_bytes(LEASE_CALL_BYTES)
         elif (
             granted := self.grant_credits(now, tenant, (self.me.ip, self.me.incarnation), number, units)
@@ -313,99 +327,120 @@
     # --- messages -----------------------------------------------------------------------------------------
 
     def on_message(self, now: float, source: str, message: Message) -> list[Action]:
-        """A message from another door; one that is malformed raises, and changes at most soft state."""
+        """Handle a message from another node."""
         self.actions = []
-        match message["k"]:
-            case kind if kind in AGREEMENT:
+        match message:
+            case LoadReport():
+                return [LoadReported(source, message.in_flight_by_tag)]
+            case Heartbeat():
+                self.on_heartbeat(now, source, message)
+            case HeartbeatReply():
+                self.on_heartbeat_reply(now, source, message)
+            case TableRequest():
+                self.on_table_request(now, source, message)
+            case TableUpdate():
+                self.on_table_update(now, message)
+            case RolesReleased():
+                self.roles.on_released(message.member.identity(), message.roles)
+            case RolesDeclined():
+                self.roles.on_declined(message.member.identity(), message.roles)
+            case CreditRequest():
+                self.on_credit_request(now, source, message)
+            case CreditGrant():
+                self.on_credit_grant(message)
+            case CounterUnavailableNotice():
+                self.on_counter_unavailable(message)
+            case UnknownMessage():
+                pass  # from a newer version; what it changes is that its sender may settle a proposal
+            case _:
                 self.actions += self.control.on_message(now, source, message)
                 self.check_membership(now)
                 return self.actions
-            case "beat":
-                self.on_heartbeat(now, source, message)
-            case "echo":
-                self.on_heartbeat_reply(now, source, message)
-            case TableRequest.KIND:
-                self.on_table_request(now, source, TableRequest.decode(message))
-            case TableUpdate.KIND:
-                self.on_table_update(now, TableUpdate.decode(message))
-            case RolesDeclined.KIND:
-                declined = RolesDeclined.decode(message)
-                self.roles.on_declined(declined.member.identity(), declined.roles)
-            case RolesReleased.KIND:
-                freed = RolesReleased.decode(message)
-                self.roles.on_released(freed.member.identity(), freed.roles)
-            case "dance":
-                return [LoadReported(source, message["o"])]
-            case "lease":
-                self.on_lease_request(now, source, message)
-            case "grant" | "lost" if message["y"] != self.me.incarnation:
-                self.count_dropped(
-                    message["k"]
-                )  # for an earlier life, whose calls may have borne the same numbers
-            case "grant":
-                left, filled = message["l"] / 1000, message["f"] / 100
-                self.actions.append(CreditsGranted(message["n"], message["q"], message["u"], left, filled))
-            case "lost":
-                self.actions.append(CounterUnavailable(message["n"]))
-        if "z" in message:  # it told of news; what is not answered in time is asked for again with a tick
-            self.request_missing_tables(now)
         self.actions += self.control.proceed(now)
         self.check_membership(now)
         return self.actions
 
-    def count_dropped(self, kind: str) -> None:
-        """Count a message that counts for nothing."""
+    def count_dropped(self, message: Message) -> None:
+        """Count a message that changes nothing, by its kind."""
+        kind = kind_of(message)
         self.dropped[kind] = self.dropped.get(kind, 0) + 1
 
     def on_table_request(self, now: float, source: str, request: TableRequest) -> None:
+        """Send a table that another node asks for."""
         if request.service in self.registry.tables:
-            news = TableUpdate(self.registry.encode(now, request.service))
-            self.actions.append(Send(source, news.encode()))
+            self.actions.append(Send(source, TableUpdate(self.registry.encode(now, request.service))))
 
     def on_table_update(self, now: float, news: TableUpdate) -> None:
+        """Apply a table, or a change of one."""
         self.actions += self.disseminator.apply_update(now, news)
         self.table_requests.pop(f"news {news.service}", None)
 
-    def on_heartbeat(self, now: float, source: str, message: Message) -> None:
+    def on_heartbeat(self, now: float, source: str, message: Heartbeat) -> None:
+        """Note who sent a heartbeat, and reply."""
         about = self.heartbeats.sender_of(source, message)
         if about is not None:
             if self.peers.is_stale(now, about):
                 return
             self.peers.observe(now, about)
-            self.peers.record_heartbeat(now, about, message["r"])
+            self.peers.record_heartbeat(now, about, message.ready)
         self.actions.append(Send(source, self.heartbeats.make_reply(now, about, message)))
 
-    def on_heartbeat_reply(self, now: float, source: str, message: Message) -> None:
+    def on_heartbeat_reply(self, now: float, source: str, message: HeartbeatReply) -> None:
+        """Take a reply; tables that it told of are asked for at once, and again with a tick where none comes."""
+        self.apply_heartbeat_reply(now, source, message)
+        if message.state is not None:
+            self.request_missing_tables(now)
+
+    def apply_heartbeat_reply(self, now: float, source: str, message: HeartbeatReply) -> None:
+        """Note what a reply tells, but for one of an earlier incarnation, or to one."""
         about = self.heartbeats.sender_of(source, message)
-        if about is None:  # a new life that is not known yet
+        if about is None:  # a new incarnation that is not known yet
             if (peer := self.peers.peers.get(source)) is not None:
                 peer.knows_me = False
             return
-        asked_at = self.heartbeats.request_sent_at(message["t"])
+        asked_at = self.heartbeats.request_sent_at(message.number)
         if self.peers.is_stale(now, about) or asked_at is None:
-            self.count_dropped("echo")  # of an earlier life, or to one
+            self.count_dropped(message)
             return
         self.peers.observe(now, about)
         if not self.heartbeats.on_reply(now, about, message, asked_at).knows_me:
             self.send_heartbeat(now, source)
-        for row in message.get("c", ()):
-            self.peers.observe(now, NodeInfo(*row))
+        for member in message.core_nodes or ():
+            self.peers.observe(now, member)
 
-    def on_lease_request(self, now: float, source: str, message: Message) -> None:
-        granted = self.grant_credits(now, message["n"], (source, message["y"]), message["q"], message["u"])
+    def on_credit_request(self, now: float, source: str, message: CreditRequest) -> None:
+        """Grant credits of a tenant's quota where this node holds the counter, or say that it does not."""
+        caller = (source, message.incarnation)
+        granted = self.grant_credits(now, message.tenant, caller, message.number, message.units)
         if granted is None:
-            self.actions.append(Send(source, {"k": "lost", "n": message["n"], "y": message["y"]}))
-        elif message["u"] > 0:
-            answer = {
-                "k": "grant",
-                "y": message["y"],
-                "n": granted.tenant,
-                "q": granted.number,
-                "u": int(granted.units),
-                "l": int(1000 * granted.lifetime),
-                "f": int(100 * granted.granted_part),
-            }
-            self.actions.append(Send(source, answer))
+            notice = CounterUnavailableNotice(message.tenant, message.incarnation)
+            self.actions.append(Send(source, notice))
+        elif message.units > 0:
+            grant = CreditGrant(
+                message.incarnation,
+                granted.tenant,
+                granted.number,
+                int(granted.units),
+                int(1000 * granted.lifetime),
+                int(100 * granted.granted_part),
+            )
+            self.actions.append(Send(source, grant))
+
+    def on_credit_grant(self, message: CreditGrant) -> None:
+        """Pass on credits that another node's counter granted."""
+        if message.incarnation != self.me.incarnation:
+            self.count_dropped(message)  # its call may have borne the number of one of this incarnation
+            return
+        lifetime, granted_part = message.lifetime_ms / 1000, message.granted_percent / 100
+        granted = CreditsGranted(message.tenant, message.number, message.units, lifetime, granted_part)
+        self.actions.append(granted)
+
+    def on_counter_unavailable(self, message: CounterUnavailableNotice) -> None:
+        """Pass on that a node which was asked does not hold a tenant's counter."""
+        if message.incarnation != self.me.incarnation:
+            self.count_dropped(message)
+            return
+        self.actions.append(CounterUnavailable(message.tenant))
 
     # --- the disk -----------------------------------------------------------------------------------------
 
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -19,15 +19,16 @@
 
 from hazelspring.configuration.model import parse_configuration
 from hazelspring.consensus.proposal import ProposalOutcome
+from hazelspring.node import codec
 from hazelspring.node.actions import (
     Action,
     InvariantViolated,
     LoadReported,
-    Message,
     ReadList,
     Save,
     StateChanged,
 )
+from hazelspring.node.messages import Message
 from hazelspring.node.node import Node
 from hazelspring.quota.credits import CounterCall as CounterCall
 from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
@@ -67,8 +68,7 @@
 
 def wire_bytes(message: Message) -> bytes:
     """Return the bytes that a message takes on the wire."""
-    encoded: bytes = cbor2.dumps(message)
-    return encoded
+    return codec.encode(message)
 
 
 def plain(value: Any) -> Any:
--- a/tests/chaos_rules.py
+++ b/tests/chaos_rules.py
@@ -12,7 +12,7 @@
 from hazelspring.consensus.control_state import NO_CONFIGURATION
 from hazelspring.consensus.proposal import ProposalOutcome
 from hazelspring.membership.peer_table import NodeInfo
-from hazelspring.node.actions import Message
+from hazelspring.node.messages import Message
 from hazelspring.node.node import Node, NodeStart
 
 from .chaos_days import Day
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -20,15 +20,17 @@
 
 from hazelspring.consensus.acceptor import load_acceptor
 from hazelspring.consensus.control_state import NO_BALLOT, ControlState
+from hazelspring.consensus.messages import ConsensusMessage, ProposalsForwarded, Rejected, RoundEnded
 from hazelspring.consensus.proposal import Proposal, ProposalOutcome
 from hazelspring.membership.peer_table import NodeInfo, PeerTable
-from hazelspring.node.actions import Action, Message, Save, Send
+from hazelspring.node import codec
+from hazelspring.node.actions import Action, Save, Send
 
-from .control_node import NEVER, Event, ModelNode, once, spent_at
+from .control_node import NEVER, Event, ModelNode, consensus_message, once, spent_at
 from .control_rules import Disk, chain, copies, kept, undone, unread
 
 T = TypeVar("T")
-UNHEARD = ("no", "over")  # what is said for the sake of time only
+UNHEARD = (Rejected, RoundEnded)  # what is said for the sake of time only
 
 
 @dataclass
@@ -137,10 +139,13 @@
                 if node.peers.me.ip not in self.case.slow:
                     todo += self.save(node)
             elif isinstance(action, Send):
-                kind, pair = action.message["k"], (node.peers.me.ip, action.to)
-                lost = kind in UNHEARD or (kind == "hand" and pair not in self.case.hands)
+                assert isinstance(action.message, ConsensusMessage)
+                message, pair = action.message, (node.peers.me.ip, action.to)
+                lost = isinstance(message, UNHEARD) or (
+                    isinstance(message, ProposalsForwarded) and pair not in self.case.hands
+                )
                 if not lost and action.to in self.ips:
-                    sent |= 1 << self.letter(*pair, action.message)
+                    sent |= 1 << self.letter(*pair, message)
             elif isinstance(action, ProposalOutcome):
                 end = (action.token, action.succeeded, action.conflict, action.state)
                 ended |= 1 << self.ends.of(end, (self.orders[action.token], action))
@@ -171,8 +176,8 @@
                 node.records[name] = body
         return list(node.on_saved(node.now, node.save_number, True))
 
-    def letter(self, source: str, to: str, message: Message) -> int:
-        packed = (source, to, cbor2.dumps(message))
+    def letter(self, source: str, to: str, message: ConsensusMessage) -> int:
+        packed = (source, to, codec.encode(message))
         number = self.letters.of(packed, packed)
         self.to[self.ips.index(to)] |= 1 << number
         return number
@@ -181,7 +186,7 @@
         """A message comes."""
         source, _, body = self.letters.values[letter]
         node = self.nodes.values[number].twin()
-        return self.finish(node, node.on_message(node.now, source, cbor2.loads(body)))
+        return self.finish(node, node.on_message(node.now, source, consensus_message(body)))
 
     def move(self, number: int, what: Any) -> Step | None:
         """What a door does by itself, or None where it cannot."""
@@ -268,7 +273,7 @@
         if new := letters & ~tried:
             node, idle = self.nodes.values[number], ~self.effects(number, new)[0]
             for letter in bits(new & idle):
-                if spent_at(node, cbor2.loads(self.letters.values[letter][2]), fragile):
+                if spent_at(node, consensus_message(self.letters.values[letter][2]), fragile):
                     spent |= 1 << letter
             self.spent[number, fragile] = (tried | new, spent)
         return spent
--- a/tests/control_node.py
+++ b/tests/control_node.py
@@ -7,16 +7,26 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from hazelspring.consensus.control_state import NO_BALLOT, Ballot, ControlState, decode_ballot
+from hazelspring.consensus.control_state import Ballot, ControlState
 from hazelspring.consensus.forwarding import (
     VALID_VERSIONS,
     ForwardedProposals,
     ProposalForwarder,
-    encode_proposal,
+    forwarded_change,
+)
+from hazelspring.consensus.messages import (
+    Accept,
+    Accepted,
+    ConfigurationMissing,
+    ConsensusMessage,
+    Decision,
+    Prepare,
+    Promise,
+    ProposalsForwarded,
 )
 from hazelspring.consensus.proposal import Proposal
 from hazelspring.membership.peer_table import NodeInfo, PeerTable
-from hazelspring.node.actions import Message
+from hazelspring.node import codec
 from hazelspring.node.control_replica import ControlReplica
 from hazelspring.node.reconfiguration import Reconfiguration
 
@@ -103,12 +113,12 @@
                 self.clock,
             ),
             (tuple((o.token, o.base_version, o.confirmed, o.started_at) for o in orders.proposals), turn),
-            tuple((o.valid_from_version, o.source, *encode_proposal(o)) for o in orders.forwarded.proposals),
+            tuple((o.valid_from_version, o.source, forwarded_change(o)) for o in orders.forwarded.proposals),
             (
                 frozenset(self.records.items()),
                 repr(self.records_being_saved),
-                repr(self.replies_after_current_save),
-                repr(self.replies_after_next_save),
+                tuple((to, codec.encode(message)) for to, message in self.replies_after_current_save),
+                tuple((to, codec.encode(message)) for to, message in self.replies_after_next_save),
             ),
         )
 
@@ -125,26 +135,33 @@
     after: int = 0
 
 
-def once(answers: list[tuple[str, Message]]) -> list[tuple[str, Message]]:
+def consensus_message(body: bytes) -> ConsensusMessage:
+    message = codec.decode(body)
+    assert isinstance(message, ConsensusMessage)
+    return message
+
+
+def once(answers: list[tuple[str, ConsensusMessage]]) -> list[tuple[str, ConsensusMessage]]:
     """Answers that wait for a save, in a settled order, each once: a message that was sent may come often anyway."""
-    return [answer for _, answer in sorted({repr(answer): answer for answer in answers}.items())]
+    found = {(to, codec.encode(message)): (to, message) for to, message in answers}
+    return [found[key] for key in sorted(found)]
 
 
-def spent_at(node: ModelNode, message: Message, fragile: bool) -> bool:
+def spent_at(node: ModelNode, message: ConsensusMessage, fragile: bool) -> bool:
     """Whether a message can do nothing at a door any more: it would be refused, was answered, or nobody waits.
     What a refusal tells besides, the newest state, is told by whoever decided it, too."""
     held, current = node.acceptor, node.proposer.round
-    if message["k"] == "decided":
-        return not fragile and bool(message["s"][0] <= held.version)
-    if message["k"] == "hand":
-        return not fragile and bool(message["v"] + VALID_VERSIONS <= held.version)
-    ballot = decode_ballot(message["b"]) if "b" in message else NO_BALLOT
-    if message["k"] == "prepare":
-        return not fragile and ballot <= held.promised
-    if message["k"] == "accept":
-        answered = held.accepted is not None and held.accepted[0] == ballot
-        return not fragile and (ballot < held.promised or answered)
-    if message["k"] in ("promise", "accepted", "lack"):
-        late = message["k"] == "promise" and current is not None and current.value is not None
-        return current is None or current.ballot != ballot or late
+    match message:
+        case Decision():
+            return not fragile and message.state.version <= held.version
+        case ProposalsForwarded():
+            return not fragile and message.version + VALID_VERSIONS <= held.version
+        case Prepare():
+            return not fragile and message.ballot <= held.promised
+        case Accept():
+            answered = held.accepted is not None and held.accepted[0] == message.ballot
+            return not fragile and (message.ballot < held.promised or answered)
+        case Promise() | Accepted() | ConfigurationMissing():
+            late = isinstance(message, Promise) and current is not None and current.value is not None
+            return current is None or current.ballot != message.ballot or late
     return False
--- a/tests/golden/recording.py
+++ b/tests/golden/recording.py
@@ -23,7 +23,9 @@
 from hazelspring.consensus.control_state import ControlState, Member
 from hazelspring.consensus.disaster_recovery import Items
 from hazelspring.consensus.proposal import ProposalOutcome
-from hazelspring.node.actions import Action, Message, Save, Send
+from hazelspring.node import codec
+from hazelspring.node.actions import Action, Save, Send
+from hazelspring.node.messages import Message
 from hazelspring.node.node import Node
 from hazelspring.registry.tables import ServerEntry
 from hazelspring.storage.replica_store import ReplicaStore
@@ -35,13 +37,12 @@
 
 def wire_bytes(message: Message) -> bytes:
     """Return the bytes that a message is sent as; the one place here that encodes messages."""
-    return cbor2.dumps(message)
+    return codec.encode(message)
 
 
 def from_wire(body: bytes) -> Message:
     """Return the message that a node is given for bytes that came; the one place here that decodes for a node."""
-    message: Message = cbor2.loads(body)
-    return message
+    return codec.decode(body)
 
 
 def shape(fields: dict[str, Any]) -> str:
--- a/tests/test_bringing.py
+++ b/tests/test_bringing.py
@@ -6,6 +6,7 @@
 import json
 import random
 from collections import Counter
+from dataclasses import replace
 from typing import Any
 
 import cbor2
@@ -16,7 +17,21 @@
 from hazelspring.configuration.blocks import pack, unpack
 from hazelspring.configuration.model import configuration_digest
 from hazelspring.consensus.acceptor import MAX_KEPT_DELTA_BYTES, Acceptor
-from hazelspring.node.actions import Message, Send
+from hazelspring.consensus.control_state import ControlState
+from hazelspring.consensus.messages import (
+    Accept,
+    Decision,
+    DeltaPath,
+    DeltaStep,
+    FullConfiguration,
+    HeldConfiguration,
+    Promise,
+    StateRequest,
+)
+from hazelspring.node import codec
+from hazelspring.node.actions import Send
+from hazelspring.node.codec import kind_of
+from hazelspring.node.messages import Message
 from hazelspring.node.node import Node
 
 from .test_word_property import KINDS, play
@@ -52,15 +67,18 @@
         self.run(3.5)
 
     def send(self, source: str, to: str, message: Message) -> None:
-        if message["k"] in ("prepare", "promise", "accept", "accepted", "want", "decided", "lack"):
-            self.bytes[message["k"]] += len(cbor2.dumps(message))
-        if (message["k"], to) in self.lost:
+        kind = kind_of(message)
+        if kind in ("prepare", "promise", "accept", "accepted", "want", "decided", "lack"):
+            self.bytes[kind] += len(codec.encode(message))
+        if (kind, to) in self.lost:
             return
-        self.wholes += isinstance(message.get("w"), bytes)
-        if message["k"] in self.bend and "x" in message:
-            self.bent += 1
-            base, steps = message["x"]
-            message = message | {"x": [base, [[at, delta[:-1] + b"?"] for at, delta in steps]]}
+        if isinstance(message, Promise | Accept | Decision):
+            path = message.payload
+            self.wholes += isinstance(path, FullConfiguration)
+            if kind in self.bend and isinstance(path, DeltaPath):
+                self.bent += 1
+                steps = tuple(DeltaStep(at, delta[:-1] + b"?") for at, delta in path.steps)
+                message = replace(message, payload=DeltaPath(path.base_digest, steps))
         super().send(source, to, message)
 
     def change(self, number: int, wait: float = 2.0) -> None:
@@ -186,11 +204,15 @@
         world.change(number)
     core: Any = world.machines["d1"].core
     assert isinstance(core, Node)
-    old = {"k": "want", "v": 1, "h": configuration_digest(body(1))}
+    held = HeldConfiguration(configuration_digest(body(1)))
+    old = StateRequest(1, held)
     (said,) = [action.message for action in core.on_message(world.now, "d5", old) if isinstance(action, Send)]
-    assert unpack(said["w"]) == body(2) and "x" not in said
-    (said,) = [d.message for d in core.on_message(world.now, "d5", old | {"e": 1}) if isinstance(d, Send)]
-    assert "w" not in said and len(cbor2.dumps(said)) < 900
+    assert isinstance(said, Decision) and isinstance(said.payload, FullConfiguration)
+    assert unpack(said.payload.packed) == body(2)
+    takes = StateRequest(1, replace(held, accepts_deltas=True))
+    (said,) = [d.message for d in core.on_message(world.now, "d5", takes) if isinstance(d, Send)]
+    assert isinstance(said, Decision) and isinstance(said.payload, DeltaPath)
+    assert len(codec.encode(said)) < 900
 
 
 def test_what_is_kept_of_differences_is_bounded() -> None:
@@ -198,10 +220,9 @@
     for n in range(400):
         register.keep_delta(b"%d" % n, b"%d" % (n + 1), b"x" * 100, b"w" * 20_000)
     assert len(register.deltas) == 200
-    assert register.delta_path([b"395"], b"400", b"w" * 20_000) == [
-        b"395",
-        [[b"%d" % n, b"x" * 100] for n in range(396, 401)],
-    ]
+    assert register.delta_path([b"395"], b"400", b"w" * 20_000) == DeltaPath(
+        b"395", tuple(DeltaStep(b"%d" % n, b"x" * 100) for n in range(396, 401))
+    )
     assert (
         register.delta_path([b"395"], b"400", b"w" * 400) is None
         and register.delta_path([b"9"], b"400", b"w" * 20_000) is None
@@ -220,4 +241,8 @@
         [b"9", [[[], b""], [b"2", b""]]],
     ):
         register.configurations = {b"1": pack(body(1, 100)), b"9": b"none"}
-        assert register.follow_delta_path(way, b"2") is None  # type: ignore[arg-type]
+        fields = {"k": "decided", "b": [1, 1, "d1"], "s": ControlState(1, (), ()).encode(), "x": way}
+        came = codec.decode(cbor2.dumps(fields))
+        assert isinstance(came, Decision) and isinstance(came.payload, DeltaPath)
+        assert register.follow_delta_path(came.payload, b"2") is None
+        assert register.open_payload(came.payload, b"2") is None
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -12,8 +12,11 @@
     ForwardedProposals,
     ProposalForwarder,
 )
+from hazelspring.consensus.messages import Accept, ForwardedChange, FullConfiguration, ProposalsForwarded
 from hazelspring.consensus.proposal import Proposal
-from hazelspring.node.actions import Message
+from hazelspring.node import codec
+from hazelspring.node.codec import kind_of
+from hazelspring.node.messages import Message
 
 from .test_control import settled_world
 from .world import World
@@ -31,7 +34,7 @@
     send = world.send
 
     def send_on(source: str, to: str, message: Message) -> None:
-        if message["k"] == kind:
+        if kind_of(message) == kind:
             found.append((source, to, message))
         send(source, to, message)
 
@@ -39,6 +42,10 @@
     return found
 
 
+def is_whole(message: Message) -> bool:
+    return isinstance(message, Accept) and isinstance(message.payload, FullConfiguration)
+
+
 def storm(world: World) -> list[int]:
     names = list(world.machines)
     tokens = [world.put(names[-1 - n], 10 + n) for n in range(6)]
@@ -57,9 +64,9 @@
         False,
     ]
     carried = ForwardedProposals()
-    row = ["evacuate", -1, b"", None, "z1", True]
+    change = ForwardedChange("evacuate", -1, b"", None, "z1", True)
     for _ in range(3):
-        carried.add(0.0, "d2", 4, [row])
+        carried.add(0.0, "d2", 4, [change])
     assert (
         len(carried.proposals) == 1
         and carried.applicable(state(4))
@@ -69,11 +76,12 @@
     assert carried.proposals
     carried.expire(0.0, state(4 + VALID_VERSIONS))
     assert not carried.proposals
-    carried.add(0.0, "d2", 4, [row])
+    carried.add(0.0, "d2", 4, [change])
     carried.expire(FORWARDED_LIFETIME + 0.1, state(4))
     assert not carried.proposals
-    with pytest.raises(ValueError):
-        carried.add(0.0, "d2", 4, [["retire", -1, b"", None, "", False]])
+    retiring = ProposalsForwarded(4, (ForwardedChange("retire", -1, b"", None, "", False),))
+    with pytest.raises(codec.MalformedMessageError):
+        codec.decode(codec.encode(retiring))
 
 
 def test_a_node_is_handed_an_order_once_and_only_what_an_operator_wants_to_change() -> None:
@@ -84,7 +92,7 @@
         Proposal(2, 0.0, "read"),
         Proposal(3, 0.0, "retire", by_operator=True),
     ]
-    assert [row[0] for row in hands.select(state(4), "d2", orders)] == ["evacuate"]
+    assert [change.kind for change in hands.select(state(4), "d2", orders)] == ["evacuate"]
     assert not hands.select(state(4), "d2", orders)
     assert hands.select(state(4), "d3", orders) and not hands.select(state(4), "d4", orders)
     assert hands.select(state(5), "d4", orders) and not hands.select(state(6, "z1"), "d4", orders)
@@ -195,7 +203,7 @@
     world.run(0.9)
     for name in ("d2", "d4"):
         assert len([m for _, to, m in accepts if to == name]) == 4
-        assert len([m for _, to, m in accepts if to == name and m.get("w")]) == times
+        assert len([m for _, to, m in accepts if to == name and is_whole(m)]) == times
     for name in ("d2", "d4"):
         world.thaw(name)
     world.run(1.0)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,7 +5,10 @@
 import pytest
 
 import hazelspring.consensus.control_state
-from hazelspring.node.actions import Message, Send
+from hazelspring.consensus.messages import Accept, Accepted, Decision, FullConfiguration, Prepare, Promise
+from hazelspring.node.actions import Send
+from hazelspring.node.codec import kind_of
+from hazelspring.node.messages import CreditGrant, Heartbeat, HeartbeatReply, Message, TableUpdate
 from hazelspring.registry.list_reader_role import LIST_READER
 
 from .world import World
@@ -269,7 +272,7 @@
     send, held = world.send, []
 
     def slow(source: str, to: str, message: Message) -> None:
-        if source == "d2" and message["k"] == "accepted":
+        if source == "d2" and isinstance(message, Accepted):
             held.append((to, message))
         else:
             send(source, to, message)
@@ -356,7 +359,7 @@
     send, held = world.send, []
 
     def slow(source: str, to: str, message: Message) -> None:
-        if to == "d6" and message["k"] in ("grant", "echo"):
+        if to == "d6" and isinstance(message, CreditGrant | HeartbeatReply):
             held.append((source, message))
         send(source, to, message)
 
@@ -365,7 +368,7 @@
     assert old is not None
     world.actions("d6", old.lease_credits(world.now, "t1", 1, 2.0))
     world.run(0.5)
-    assert {message["k"] for _, message in held} == {"grant", "echo"}
+    assert {type(message) for _, message in held} == {CreditGrant, HeartbeatReply}
     world.kill("d6")
     world.start("d6")
     world.run(1.0)
@@ -382,7 +385,7 @@
     renumbered = {number: (world.now, known) for number, (_, known) in old.heartbeats.sent.items()}
     monkeypatch.setattr(core.heartbeats, "sent", renumbered)
     for source, message in held:
-        if message["k"] == "echo":
+        if isinstance(message, HeartbeatReply):
             world.actions("d6", core.on_message(world.now, source, message))
     assert any(peer.latest_request_at > asked[ip] for ip, peer in core.peers.peers.items())
 
@@ -413,7 +416,7 @@
     late = world.send
 
     def lacking(source: str, to: str, message: Message) -> None:
-        if to != "d6" or message["k"] != "decided":
+        if to != "d6" or not isinstance(message, Decision):
             late(source, to, message)
 
     world.send = lacking  # type: ignore[method-assign]
@@ -431,7 +434,7 @@
     send = world.send
 
     def noted(source: str, to: str, message: Message) -> None:
-        kinds.append(message["k"])
+        kinds.append(kind_of(message))
         send(source, to, message)
 
     world.send = noted  # type: ignore[method-assign]
@@ -457,7 +460,7 @@
     drop = world.send
 
     def no_promise(source: str, to: str, message: Message) -> None:
-        if not (source == "d4" and message["k"] == "promise"):
+        if not (source == "d4" and isinstance(message, Promise)):
             drop(source, to, message)
 
     world.send = no_promise  # type: ignore[method-assign]
@@ -536,12 +539,12 @@
     version, send = core.registry.tables["shop"].version, world.send
 
     def noted(source: str, to: str, message: Message) -> None:
-        told.append((source, to, message["k"]))
+        told.append((source, to, kind_of(message)))
         send(source, to, message)
 
     world.send = noted  # type: ignore[method-assign]
     change = ["shop", version + 5, [], version + 4, ["i-1"], 0]  # of a table that this door never had
-    world.actions("d6", core.on_message(world.now, "d1", {"k": "news", "n": change}))
+    world.actions("d6", core.on_message(world.now, "d1", TableUpdate(change)))
     world.run(0.1)
     (asked,) = [to for source, to, kind in told if source == "d6" and kind == "ask"]
     assert (asked, "d6", "news") in told
@@ -556,18 +559,20 @@
     alone(world, "d4")
     world.run(0.5)
 
-    def beat() -> Message:
+    def beat() -> Heartbeat:
         reader.actions = []
         reader.send_heartbeat(world.now, "d1")
         (sent,) = [action.message for action in reader.actions if isinstance(action, Send)]
+        assert isinstance(sent, Heartbeat)
         return sent
 
-    def echo(message: Message) -> Message:
+    def echo(message: Heartbeat) -> HeartbeatReply:
         (sent,) = [
             action.message
             for action in member.on_message(world.now, "d4", message)
             if isinstance(action, Send)
         ]
+        assert isinstance(sent, HeartbeatReply)
         return sent
 
     first, second = beat(), beat()
@@ -581,7 +586,7 @@
     before = reader.peers.peers["d1"].caught_up_at
     world.run(0.5)
     reader.on_message(world.now, "d1", echo(third))
-    assert reader.peers.peers["d1"].caught_up_at == before < reader.heartbeats.sent[third["t"]][0]
+    assert reader.peers.peers["d1"].caught_up_at == before < reader.heartbeats.sent[third.number][0]
 
 
 def test_a_body_that_was_acknowledged_below_a_higher_number_is_not_refused_by_a_node_behind() -> None:
@@ -589,11 +594,11 @@
     after the order came: that does not say that the order is refused now, when others have acknowledged it since."""
     world = settled_world(3, 1)
     alone(world, "d4")
-    kept: list[Message] = []
+    kept: list[Accept] = []
     send = world.send
 
     def noted(source: str, to: str, message: Message) -> None:
-        if message["k"] == "accept":
+        if isinstance(message, Accept):
             kept.append(message)
         send(source, to, message)
 
@@ -609,7 +614,8 @@
     again = world.put("d4", 6, "other")
     core = world.machines["d4"].core
     assert core is not None
-    decided = {"k": "decided", "b": taken["b"], "s": taken["s"], "w": taken["w"]}
+    assert isinstance(taken.payload, FullConfiguration)
+    decided = Decision(taken.ballot, taken.state, taken.payload)
     world.actions("d4", core.on_message(world.now, "d1", decided))
     world.run(0.1)
     assert core.control.acceptor.version == max(world.decided) - 1 and world.calls[again].done is None
@@ -647,7 +653,7 @@
     send = world.send
 
     def lost(source: str, to: str, message: Message) -> None:
-        if (source, to) != (by, holder) or message["k"] in ("prepare", "accept"):
+        if (source, to) != (by, holder) or isinstance(message, Prepare | Accept):
             send(source, to, message)
 
     world.send = lost  # type: ignore[method-assign]
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -9,7 +9,7 @@
 from hazelspring.node.actions import Action, Send
 from hazelspring.node.dissemination import Disseminator
 from hazelspring.node.load_reporter import MAX_SERVERS_PER_REPORT, InFlightByTag
-from hazelspring.node.messages import TableUpdate
+from hazelspring.node.messages import LoadReport, TableRequest, TableUpdate
 from hazelspring.registry.tables import ServerEntry
 from hazelspring.routing.endpoints import EndpointSet
 
@@ -37,9 +37,9 @@
 
     def arrive(self, now: float, source: str, actions: list[Action]) -> None:
         for action in actions:
-            assert isinstance(action, Send)
+            assert isinstance(action, Send) and isinstance(action.message, LoadReport)
             self.told.append((source, action.to))
-            self.fleets[action.to].on_load_report(now, source, action.message["o"])
+            self.fleets[action.to].on_load_report(now, source, action.message.in_flight_by_tag)
 
     def out(self, zones: set[str], but: str) -> InFlightByTag:
         total: InFlightByTag = {}
@@ -127,7 +127,7 @@
             if chance.random() < 0.1:
                 continue  # lost on its way
             for action in machine.apply_update(1.0, TableUpdate(told)):
-                if isinstance(action, Send) and action.message["k"] == "ask":
+                if isinstance(action, Send) and isinstance(action.message, TableRequest):
                     wants += 1
                     assert action.to == "d0" and machine.apply_update(
                         1.0, TableUpdate(reader.registry.encode(1.0, "shop"))
@@ -166,7 +166,7 @@
     change = reader.registry.encode_change(1.0, "shop")
     assert len(change) == 6 and len(change[2]) == 1
     asked = machine.apply_update(1.0, TableUpdate(change))
-    assert asked == [Send("d0", {"k": "ask", "s": "shop"})]
+    assert asked == [Send("d0", TableRequest("shop"))]
     assert machine.registry.tables["shop"].servers.keys() == {"i-1", "i-3", "i-4"}
     assert (
         machine.apply_update(1.0, TableUpdate(reader.registry.encode(1.0, "shop")))
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -6,6 +6,8 @@
 
 from hazelspring.leases.singleton_roles import LeaseGranter, SingletonRoles
 from hazelspring.membership.peer_table import LEASE_TERM, NodeInfo, PeerTable
+from hazelspring.node.actions import Send
+from hazelspring.node.messages import Heartbeat
 
 from .world import TICK, World
 
@@ -97,6 +99,9 @@
     for _ in range(20):
         world.now += TICK
         looks.clear()
-        beats += sum(getattr(action, "message", {}).get("k") == "beat" for action in core.tick(world.now))
+        beats += sum(
+            isinstance(action, Send) and isinstance(action.message, Heartbeat)
+            for action in core.tick(world.now)
+        )
         assert len(looks) == 1
     assert beats >= 14
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -20,10 +20,19 @@
     source_from_acceptor,
     source_from_items,
 )
+from hazelspring.consensus.messages import (
+    HOLDS_NOTHING,
+    Accept,
+    ConsensusMessage,
+    Decision,
+    Prepare,
+    StateRequest,
+)
 from hazelspring.localfleet.fleet import configuration
 from hazelspring.membership.peer_table import NodeInfo, PeerTable
-from hazelspring.node.actions import Message, Send
+from hazelspring.node.actions import Send
 from hazelspring.node.control_replica import ControlReplica
+from hazelspring.node.messages import Message
 
 from .world import World
 
@@ -156,7 +165,7 @@
     send = world.send
 
     def some(source: str, to: str, message: Message) -> None:
-        if message["k"] != "decided" or lineage(message["s"][0]) == 0:
+        if not isinstance(message, Decision) or lineage(message.state.version) == 0:
             send(source, to, message)
 
     monkeypatch.setattr(world, "send", some)
@@ -300,17 +309,22 @@
     made = recovered_acceptor(RecoverySource(HELD, WORD), Member("d9", "z", "east", 77), 0, 1000)
     assert made.state is not None and made.decided is not None
     old, new = control(held(), "d2"), control(made, "d9")
-    ask: Message = {"k": kind, "b": [10**9, 1, "d3"], "h": b"", "s": HELD.encode()}
-    told = [
-        action.message for action in new.on_message(1.0, "d3", ask | {"d": 5}) if isinstance(action, Send)
-    ]
-    assert [message["k"] for message in told] == ["decided"] and new.acceptor.accepted == made.decided
-    ask["s"] = made.state.encode()
-    told = [d.message for d in old.on_message(1.0, "d9", ask | {"d": made.version}) if isinstance(d, Send)]
-    assert [message["k"] for message in told] == ["want"] and old.acceptor.is_superseded()
-    assert old.on_message(1.1, "d3", ask | {"d": 4}) == []  # nor does it vote by what it knows to be over,
+
+    def asking(base_version: int, state: ControlState) -> ConsensusMessage:
+        ballot = (10**9, 1, "d3")
+        if kind == "prepare":
+            return Prepare(ballot, base_version, HOLDS_NOTHING)
+        return Accept(ballot, base_version, state)
+
+    told = [a.message for a in new.on_message(1.0, "d3", asking(5, HELD)) if isinstance(a, Send)]
+    assert [type(message) for message in told] == [Decision] and new.acceptor.accepted == made.decided
+    ask = asking(made.version, made.state)
+    told = [a.message for a in old.on_message(1.0, "d9", ask) if isinstance(a, Send)]
+    assert [type(message) for message in told] == [StateRequest] and old.acceptor.is_superseded()
+    # nor does it vote by what it knows to be over,
+    assert old.on_message(1.1, "d3", asking(4, made.state)) == []
     later = ControlState(6, SEATS, SEATS, 3)
-    old.on_message(1.2, "d3", {"k": "decided", "b": [99, 1, "d3"], "s": later.encode()})
+    old.on_message(1.2, "d3", Decision((99, 1, "d3"), later))
     assert old.state == HELD  # or learn from it
 
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import random
-from typing import Any
 
 import pytest
 
 from hazelspring.membership.peer_table import FAR_ROSTER_TIMEOUT, ROSTER_TIMEOUT, NodeInfo, PeerTable
 from hazelspring.membership.roster import MAX_REMEMBERED_CHANGES, Roster, RosterRow, rows_checksum
 from hazelspring.node.actions import Action, Save, Send
+from hazelspring.node.messages import HeartbeatReply, Message
 from hazelspring.node.node import Node, NodeStart
 
 MEMBER, MACHINE = "10.0.0.1", "10.0.0.2"
@@ -28,7 +28,7 @@
 
     def __init__(self, seed: int, lost: float = 0.0) -> None:
         self.random, self.lost, self.now = random.Random(seed), lost, 100.0
-        self.way: list[tuple[float, str, str, dict[str, Any]]] = []
+        self.way: list[tuple[float, str, str, Message]] = []
         self.told: list[str] = []  # how the roster came: s whole, e by what changed
         self.were: list[list[RosterRow]] = [[]]  # the member's rosters
         self.cores: dict[str, Node] = {}
@@ -48,7 +48,9 @@
     def do(self, ip: str, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send) and action.to in self.cores:
-                self.told += [how for how in "se" if action.message["k"] == "echo" and how in action.message]
+                if isinstance(action.message, HeartbeatReply):
+                    self.told += ["s"] * (action.message.roster_rows is not None)
+                    self.told += ["e"] * (action.message.roster_change is not None)
                 for _ in range(1 + (self.random.random() < self.lost)):
                     if self.random.random() >= self.lost:
                         late = self.random.choice((0.001, 0.02, 0.9)) if self.lost else 0.001
--- a/tests/test_teller.py
+++ b/tests/test_teller.py
@@ -5,12 +5,12 @@
 import itertools
 import random
 
-import cbor2
 import pytest
 
 from hazelspring.daemon.settings import LimitsSchema
 from hazelspring.membership.peer_table import NodeInfo, PeerTable
 from hazelspring.membership.rendezvous import owner
+from hazelspring.node import codec
 from hazelspring.node.actions import Action, Send
 from hazelspring.node.load_reporter import (
     CONTROL_BANDWIDTH,
@@ -27,6 +27,7 @@
     recipient_count,
     report_budget,
 )
+from hazelspring.node.messages import LoadReport
 from hazelspring.registry.tables import server_tag
 from hazelspring.routing.endpoints import LOAD_REPORT_LIFETIME, EndpointSet
 
@@ -73,12 +74,12 @@
 
     def arrive(self, source: str, actions: list[Action]) -> None:
         for action in actions:
-            assert isinstance(action, Send)
-            size = len(cbor2.dumps(action.message))
+            assert isinstance(action, Send) and isinstance(action.message, LoadReport)
+            size = len(codec.encode(action.message))
             self.out[source] += size
             if action.to in self.tellers:
                 self.came[action.to] += size
-                self.fleets[action.to].on_load_report(self.now, source, action.message["o"])
+                self.fleets[action.to].on_load_report(self.now, source, action.message.in_flight_by_tag)
 
     def beside(self, ip: str) -> list[str]:
         zone = self.tellers[ip].peers.me.zone
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -18,6 +18,7 @@
 from hazelspring.localfleet.fleet import LocalFleet, configuration
 from hazelspring.localfleet.stand_ins import StandIns
 from hazelspring.node.actions import StateChanged
+from hazelspring.node.messages import LoadReport
 from hazelspring.storage.replica_store import ReplicaStore
 from ivymux.caller import Client, Listener
 from ivymux.config import parse_address
@@ -279,7 +280,7 @@
             await until(lambda: node.transport.transport is None and tries)
         await until(lambda: node.transport.transport is not None)
         assert node.transport.transport is not first
-        node.transport.send(node.settings.ip, {"k": "beat"})
+        node.transport.send(node.settings.ip, LoadReport({}))
         await until(lambda: heard)
 
     tries = list[int]()
--- a/tests/world.py
+++ b/tests/world.py
@@ -22,12 +22,12 @@
     Action,
     InvariantViolated,
     LoadReported,
-    Message,
     ReadList,
     Save,
     Send,
     StateChanged,
 )
+from hazelspring.node.messages import Message
 from hazelspring.node.node import Node, NodeStart
 from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
 from hazelspring.quota.limits import QuotaLimits
