--- a/hazelspring/consensus/disaster_recovery.py
+++ b/hazelspring/consensus/disaster_recovery.py
@@ -18,7 +18,9 @@
 )
 
 CONFIGURATION_KEY, ZONE_KEY_PREFIX = "word", "zone/"  # keys of the items that format 1 kept
-Items = Mapping[str, tuple[Stamp, bytes]]  # by key: the stamp, and the body; a configuration's is packed
+LegacyItems = Mapping[
+    str, tuple[Stamp, bytes]
+]  # by key: the stamp, and the body; a configuration's is packed
 
 
 class UnrecoverableError(ValueError):
@@ -33,10 +35,10 @@
 
     state: ControlState
     configuration: bytes | None
-    count: int = 0
+    highest_ballot_count: int = 0
 
 
-def newest_items(items: Iterable[Items]) -> dict[str, tuple[Stamp, bytes]]:
+def newest_items(items: Iterable[LegacyItems]) -> dict[str, tuple[Stamp, bytes]]:
     """Of several disks of format 1: each item as it bears the highest stamp, as it was in force then."""
     found: dict[str, tuple[Stamp, bytes]] = {}
     for held in items:
@@ -46,7 +48,7 @@
     return found
 
 
-def source_from_items(items: Items) -> RecoverySource:
+def source_from_items(items: LegacyItems) -> RecoverySource:
     """What disks of format 1 hold as one state; raises Unfit where that is nothing."""
     if not items:
         raise UnrecoverableError("no configuration and no zone was ever kept here")
@@ -106,5 +108,5 @@
     register = Acceptor(member.disk_id, False)
     register.dirty_records.add("disk")
     made = replace(state, version=version, members=seats, previous_members=seats, target_size=size)
-    register.learn((source.count + 1, now, member.ip), made, source.configuration)
+    register.learn((source.highest_ballot_count + 1, now, member.ip), made, source.configuration)
     return register
--- a/tests/golden/recording.py
+++ b/tests/golden/recording.py
@@ -21,7 +21,7 @@
 from hazelspring.configuration.model import configuration_digest
 from hazelspring.consensus.acceptor import Acceptor
 from hazelspring.consensus.control_state import ControlState, Member
-from hazelspring.consensus.disaster_recovery import Items
+from hazelspring.consensus.disaster_recovery import LegacyItems
 from hazelspring.consensus.proposal import ProposalOutcome
 from hazelspring.node import codec
 from hazelspring.node.actions import Action, Save, Send
@@ -307,7 +307,7 @@
     "vote": b"\x82\x83\x00\x00\x60\xf6",
     "word 00": bytes(300),
 }
-ITEMS: Items = {"zone z1": ((3, b"tie"), b"closed"), "config": ((7, b""), b"packed")}
+ITEMS: LegacyItems = {"zone z1": ((3, b"tie"), b"closed"), "config": ((7, b""), b"packed")}
 MARKS = {"doors": b"6", "voice": b"1"}
 
 
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -12,7 +12,7 @@
 from hazelspring.consensus.acceptor import Acceptor, load_acceptor
 from hazelspring.consensus.control_state import VERSIONS_PER_LINEAGE, ControlState, Member, lineage
 from hazelspring.consensus.disaster_recovery import (
-    Items,
+    LegacyItems,
     RecoverySource,
     UnrecoverableError,
     newest_items,
@@ -262,7 +262,7 @@
 def test_what_was_accepted_may_have_been_acknowledged_and_is_taken_unless_told_otherwise() -> None:
     assert source_from_acceptor(held(), True).state.evacuated_zones == frozenset()
     source = source_from_acceptor(held(), False)
-    assert source.state == HELD and source.count == 9
+    assert source.state == HELD and source.highest_ballot_count == 9
     made = recovered_acceptor(source, Member("d9", "z", "east", 77), 0, 1000)
     state = made.state
     assert state is not None and (state.configuration_version, state.evacuated_zones, state.target_size) == (
@@ -329,8 +329,8 @@
 
 
 def test_of_disks_of_format_1_each_item_is_taken_as_the_highest_stamp_has_it() -> None:
-    one: Items = {"word": ((3, b"b"), b"w3"), "zone/a": ((2, b"x"), b"1"), "zone/b": ((1, b"x"), b"1")}
-    two: Items = {"word": ((3, b"a"), b"other"), "zone/a": ((2, b"y"), b"0")}
+    one: LegacyItems = {"word": ((3, b"b"), b"w3"), "zone/a": ((2, b"x"), b"1"), "zone/b": ((1, b"x"), b"1")}
+    two: LegacyItems = {"word": ((3, b"a"), b"other"), "zone/a": ((2, b"y"), b"0")}
     assert newest_items([one, two]) == newest_items([two, one]) == {**one, "zone/a": ((2, b"y"), b"0")}
     with pytest.raises(UnrecoverableError, match="ever kept"):
         source_from_items({})
--- a/tests/test_rescue_command.py
+++ b/tests/test_rescue_command.py
@@ -12,7 +12,7 @@
 from hazelspring.configuration.model import configuration_digest
 from hazelspring.consensus.acceptor import Acceptor, load_acceptor
 from hazelspring.consensus.control_state import ControlState, Member
-from hazelspring.consensus.disaster_recovery import Items
+from hazelspring.consensus.disaster_recovery import LegacyItems
 from hazelspring.daemon.__main__ import main
 from hazelspring.storage.offline import inspect_store, item_checksum
 from hazelspring.storage.replica_store import ReplicaStore, StoreError
@@ -20,7 +20,7 @@
 from .test_rescue import BODY, SEATS, WORD, held
 
 
-def format_1(folder: Path, name: str, items: Items) -> None:
+def format_1(folder: Path, name: str, items: LegacyItems) -> None:
     """A file as the doors wrote it before there was an agreement."""
     folder.mkdir(exist_ok=True)
     base = sqlite3.connect(folder / name)
@@ -92,7 +92,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path, files = settings(tmp_path), []
-    disks: list[Items] = [
+    disks: list[LegacyItems] = [
         {"word": ((7, configuration_digest(BODY)), WORD), "zone/z1": ((1, b"a"), b"1")},
         {"word": ((6, b"6"), b"old"), "zone/z1": ((2, b"a"), b"0"), "zone/z2": ((1, b"a"), b"1")},
     ]
