--- a/hazelspring/consensus/forwarding.py
+++ b/hazelspring/consensus/forwarding.py
@@ -8,7 +8,7 @@
 
 from hazelspring.consensus.control_state import ControlState
 from hazelspring.consensus.messages import HOLDS_NOTHING, ForwardedChange, HeldConfiguration
-from hazelspring.consensus.proposal import Proposal
+from hazelspring.consensus.proposal import Proposal, ProposalKind
 
 FORWARDED_LIFETIME = 1.0  # seconds for which a door keeps an order that it was handed
 VALID_VERSIONS = (
@@ -17,12 +17,14 @@
 MAX_RECIPIENTS = 2  # doors that are handed an order on one version
 MAX_FORWARDED = 64  # orders that a door keeps of others; what is beyond its own doors see to
 
+FORWARDABLE_KINDS = (ProposalKind.PUT_CONFIGURATION, ProposalKind.SET_EVACUATION)
+
 
 def can_forward(order: Proposal, state: ControlState) -> bool:
     """Whether an order is one that another door may carry: an operator's, which a state does not settle yet."""
     return (
         order.token != 0
-        and order.kind in ("put", "evacuate")
+        and order.kind in FORWARDABLE_KINDS
         and state.version > 0
         and order.apply(state) is not state
     )
@@ -31,7 +33,7 @@
 def forwarded_change(order: Proposal) -> ForwardedChange:
     """Return an operator's proposal as it is forwarded to another node."""
     return ForwardedChange(
-        order.kind,
+        order.kind.value,
         order.configuration_version,
         order.configuration_digest,
         order.configuration,
@@ -73,7 +75,7 @@
             order = ForwardedProposal(
                 0,
                 now,
-                change.kind,
+                ProposalKind(change.kind),
                 change.configuration_version,
                 change.configuration_digest,
                 change.configuration,
--- a/hazelspring/consensus/proposal.py
+++ b/hazelspring/consensus/proposal.py
@@ -1,75 +1,164 @@
-"""One order: what it wants to follow a state, and how it ended."""
+"""Proposals of changes to the control state, and how they end."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
+from enum import StrEnum
 
 from hazelspring.consensus.control_state import NO_CONFIGURATION, ControlState, Member
 
 
+class ProposalKind(StrEnum):
+    """What a proposal asks for.
+
+    The values of ``PUT_CONFIGURATION`` and ``SET_EVACUATION`` go on the wire, as these two may be forwarded.
+    """
+
+    PUT_CONFIGURATION = "put"  # put an operator's configuration in force
+    SET_EVACUATION = "evacuate"  # evacuate a zone, or end its evacuation
+    READ = "read"  # read the configuration in force; changes nothing
+    JOIN = "join"  # make a node with a disk a member of the core
+    RETIRE = "retire"  # remove a member from the core
+    RESOLVE = (
+        "settle"  # bring an accepted state that may have been decided to its end; changes nothing itself
+    )
+    BOOTSTRAP = "found"  # choose the first members of the core
+
+
+MEMBERSHIP_KINDS = (ProposalKind.JOIN, ProposalKind.RETIRE, ProposalKind.BOOTSTRAP)
+
+
 @dataclass(slots=True)
 class Proposal:
-    """What an operator or this door wants: `kind` is put, evacuate, read, join, retire or settle.  `token` is 0
-    where nobody waits for an answer."""
+    """One change to the control state, or one read of it, that an operator or this node asks for.
+
+    It may be acknowledged once the decided state shows its effect and either that cannot have been so only before
+    the proposal came (a configuration of this version was decided since), or the state was confirmed to be the
+    newest at some time after the proposal came.
+
+    Attributes
+    ----------
+    token
+        Identifies the caller that waits for the outcome; 0 where nobody does.
+    started_at
+        When the proposal came, in seconds of the node's clock.
+    kind
+        What is asked for; it says which of the following fields are used.
+    configuration_version, configuration_digest, configuration
+        ``PUT_CONFIGURATION``: the operator's version number, the digest of the body, and the compressed body.
+    zone, evacuate
+        ``SET_EVACUATION``: the zone, and whether it is to be evacuated or open from now on.
+    member
+        ``JOIN``, ``RETIRE``: the member that joins or leaves.
+    grows_core
+        ``JOIN``: the core is meant to be larger by one from then on, where the node's address is no member yet.
+    by_operator
+        ``RETIRE``: an operator removes the member for good, and the core is meant to be smaller from then on.
+        Such a removal goes by the address alone.
+    base_version
+        Version of the decided state that this node knew when the proposal came.
+    confirmed
+        Whether the state known here was, at some time after the proposal came, the newest decided one.
+    """
 
     token: int
     started_at: float
-    kind: str
+    kind: ProposalKind
     configuration_version: int = -1
     configuration_digest: bytes = NO_CONFIGURATION
     configuration: bytes | None = None
     zone: str = ""
     evacuate: bool = False
     member: Member | None = None
-    grows_core: bool = False  # a join that makes the core larger by intent
-    by_operator: bool = False  # a member goes, and the core is meant to be smaller from then on
-    base_version: int = -1  # of the state in force here when it came
-    confirmed: bool = False  # once after it came, what was in force here was the newest
+    grows_core: bool = False
+    by_operator: bool = False
+    base_version: int = -1
+    confirmed: bool = False
 
     def apply(self, state: ControlState) -> ControlState:
-        """What is to follow a state for this order; the same state where nothing is to change."""
+        """Return the state that follows `state` by this proposal; `state` itself where nothing is to change.
+
+        The version and the previous members are left for the proposer to set, as one round may carry several
+        proposals.
+        """
         if state.version == 0:
-            return state  # nothing is agreed on before the first members are
-        if self.kind == "put" and self.configuration_version > state.configuration_version:
-            return replace(
-                state,
-                configuration_version=self.configuration_version,
-                configuration_digest=self.configuration_digest,
-            )
-        if self.kind == "evacuate" and (self.zone in state.evacuated_zones) is not self.evacuate:
-            return replace(state, evacuated_zones=state.evacuated_zones ^ {self.zone})
-        if self.kind == "join" and self.member is not None and self.member not in state.members:
-            others = [member for member in state.members if member.ip != self.member.ip and member.disk_id]
-            size = state.target_size + (self.grows_core and state.member_at(self.member.ip) is None)
-            return replace(state, members=tuple(sorted([*others, self.member])), target_size=size)
-        if self.kind == "retire" and self.by_operator:
-            left = tuple(m for m in state.members if self.member is None or m.ip != self.member.ip)
-            if not left or left == state.members:
+            return state  # nothing can be agreed on before the first members are
+        match self.kind:
+            case ProposalKind.PUT_CONFIGURATION:
+                return self._apply_configuration(state)
+            case ProposalKind.SET_EVACUATION:
+                return self._apply_evacuation(state)
+            case ProposalKind.JOIN:
+                return self._apply_join(state)
+            case ProposalKind.RETIRE if self.by_operator:
+                return self._apply_removal_by_operator(state)
+            case ProposalKind.RETIRE:
+                return self._apply_retirement(state)
+            case _:
                 return state
-            return replace(state, members=left, target_size=min(state.target_size, len(left)))
-        if self.kind == "retire" and self.member in state.members and len(state.members) > state.target_size:
-            return replace(state, members=tuple(m for m in state.members if m != self.member))
-        return state
+
+    def _apply_configuration(self, state: ControlState) -> ControlState:
+        if self.configuration_version <= state.configuration_version:
+            return state
+        return replace(
+            state,
+            configuration_version=self.configuration_version,
+            configuration_digest=self.configuration_digest,
+        )
+
+    def _apply_evacuation(self, state: ControlState) -> ControlState:
+        if (self.zone in state.evacuated_zones) is self.evacuate:
+            return state
+        return replace(state, evacuated_zones=state.evacuated_zones ^ {self.zone})
+
+    def _apply_join(self, state: ControlState) -> ControlState:
+        """Add the member in place of any other disk at its address, and of members of the bootstrap (disk 0)."""
+        if self.member is None or self.member in state.members:
+            return state
+        others = [member for member in state.members if member.ip != self.member.ip and member.disk_id]
+        size = state.target_size + (self.grows_core and state.member_at(self.member.ip) is None)
+        return replace(state, members=tuple(sorted([*others, self.member])), target_size=size)
+
+    def _apply_removal_by_operator(self, state: ControlState) -> ControlState:
+        """Remove the member at an address, and make the core smaller; the last member stays."""
+        left = tuple(member for member in state.members if self.member is None or member.ip != self.member.ip)
+        if not left or left == state.members:
+            return state
+        return replace(state, members=left, target_size=min(state.target_size, len(left)))
+
+    def _apply_retirement(self, state: ControlState) -> ControlState:
+        """Remove a member that is lost, as long as the core is larger than it is meant to be."""
+        if self.member not in state.members or len(state.members) <= state.target_size:
+            return state
+        return replace(state, members=tuple(member for member in state.members if member != self.member))
 
     def conflicts_with(self, state: ControlState) -> bool:
-        """Whether another body was decided under this order's number."""
+        """Return whether another configuration was decided under the version number of this proposal's."""
         return (
-            self.kind == "put"
+            self.kind == ProposalKind.PUT_CONFIGURATION
             and self.configuration_version == state.configuration_version
             and self.configuration_digest != state.configuration_digest
         )
 
     def changes_members(self) -> bool:
-        return self.kind in ("join", "retire", "found")
+        """Return whether this proposal is about the members of the core."""
+        return self.kind in MEMBERSHIP_KINDS
 
 
 @dataclass(slots=True)
 class BootstrapProposal(Proposal):
-    """The first members, chosen by whoever wins the founding."""
+    """The first members of the core, chosen by the proposer that wins the bootstrap's round.
+
+    Attributes
+    ----------
+    members
+        All nodes with a disk that the proposer knows; their number becomes the core's target size.
+    """
 
     members: tuple[Member, ...] = ()
 
     def apply(self, state: ControlState) -> ControlState:
+        """Return the state with the first members; `state` itself once the core has members."""
         if state.version != 0:
             return state
         return replace(state, members=self.members, target_size=len(self.members))
@@ -77,8 +166,24 @@
 
 @dataclass(slots=True, frozen=True)
 class ProposalOutcome:
-    """How an order ended.  `conflict`: the number is taken by another body.  `state`: what it was settled by;
-    `word`: the configuration that was read, packed."""
+    """How a proposal ended.
+
+    Attributes
+    ----------
+    token
+        The proposal's token.
+    succeeded
+        Whether the proposal may be acknowledged.  Where it did not succeed and `conflict` is false, it may still be
+        carried out later.
+    reason
+        Why it did not succeed, for the operator.
+    conflict
+        Another configuration is in force under the proposal's version number.
+    state
+        The decided state that settled the proposal; none where it was given up after its time.
+    configuration
+        The compressed configuration, where a read succeeded.
+    """
 
     token: int
     succeeded: bool
--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -28,7 +28,7 @@
     ProposalsForwarded,
     RoundEnded,
 )
-from hazelspring.consensus.proposal import Proposal, ProposalOutcome
+from hazelspring.consensus.proposal import Proposal, ProposalKind, ProposalOutcome
 
 RESEND_INTERVAL = 0.25  # seconds between sendings to a member that has not answered
 LINK_BANDWIDTH = (
@@ -127,7 +127,7 @@
         if changes := self.forwarder.select(state, to, self.proposals):
             self.outbox.append(OutgoingMessage(to, ProposalsForwarded(state.version, tuple(changes))))
 
-    def has_proposal(self, kind: str) -> bool:
+    def has_proposal(self, kind: ProposalKind) -> bool:
         return any(order.kind == kind for order in self.proposals)
 
     # --- how orders end --------------------------------------------------------------------------------------
@@ -151,14 +151,18 @@
     def outcome_of(
         self, order: Proposal, state: ControlState, sure: Callable[[Proposal], bool]
     ) -> ProposalOutcome | None:
-        if order.kind == "settle":
+        if order.kind == ProposalKind.RESOLVE:
             return ProposalOutcome(order.token, True, state=state) if self.acceptor.pending is None else None
         if order.apply(state) is not state:
             return None
         # that these bytes are in force, or a higher number, stays true whoever tells it; all else may have been so only
         # before the order came, but for the newest of some time since and what was decided above it
         conflicts = order.conflicts_with(state)
-        lasting = order.kind == "put" and state.version > order.base_version and not conflicts
+        lasting = (
+            order.kind == ProposalKind.PUT_CONFIGURATION
+            and state.version > order.base_version
+            and not conflicts
+        )
         if not lasting and not order.confirmed:
             return None  # what stands here may be old
         if conflicts and not sure(order):
@@ -167,7 +171,7 @@
             return ProposalOutcome(
                 order.token, False, f"r{state.configuration_version} is another body", True, state
             )
-        if order.kind == "read" and state.configuration_digest == NO_CONFIGURATION:
+        if order.kind == ProposalKind.READ and state.configuration_digest == NO_CONFIGURATION:
             return ProposalOutcome(
                 order.token, False, "look: no configuration was ever acknowledged", state=state
             )
@@ -175,7 +179,7 @@
             order.token,
             True,
             state=state,
-            configuration=self.acceptor.current_configuration() if order.kind == "read" else None,
+            configuration=self.acceptor.current_configuration() if order.kind == ProposalKind.READ else None,
         )
 
     def stall_reason(self) -> str:
@@ -221,7 +225,7 @@
 
     @staticmethod
     def needs_round(now: float, order: Proposal, state: ControlState) -> bool:
-        if order.kind == "settle" or order.apply(state) is not state:
+        if order.kind == ProposalKind.RESOLVE or order.apply(state) is not state:
             return True
         return state.version > 0 and now - order.started_at > NO_CHANGE_GRACE
 
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -13,7 +13,7 @@
 from hazelspring.configuration.incremental import ValidatedConfiguration
 from hazelspring.configuration.model import configuration_digest, parse_version
 from hazelspring.consensus.control_state import Member, lineage
-from hazelspring.consensus.proposal import Proposal
+from hazelspring.consensus.proposal import Proposal, ProposalKind
 from hazelspring.leases.singleton_roles import NodeIdentity, SingletonRoles
 from hazelspring.membership.peer_table import LEASE_TERM, NodeInfo, PeerTable
 from hazelspring.membership.rendezvous import shard
@@ -116,7 +116,7 @@
         order = Proposal(
             token,
             now,
-            "put",
+            ProposalKind.PUT_CONFIGURATION,
             configuration_version=checked.version,
             configuration_digest=configuration_digest(body),
             configuration=checked.packed,
@@ -124,14 +124,18 @@
         return self.propose(now, order)
 
     def set_evacuation(self, now: float, token: int, zone: str, closed: bool) -> list[Action]:
-        return self.propose(now, Proposal(token, now, "evacuate", zone=zone, evacuate=closed))
+        return self.propose(
+            now, Proposal(token, now, ProposalKind.SET_EVACUATION, zone=zone, evacuate=closed)
+        )
 
     def retire_member(self, now: float, token: int, ip: str) -> list[Action]:
         """An operator takes a member out of the core for good."""
-        return self.propose(now, Proposal(token, now, "retire", member=Member(ip), by_operator=True))
+        return self.propose(
+            now, Proposal(token, now, ProposalKind.RETIRE, member=Member(ip), by_operator=True)
+        )
 
     def read_configuration(self, now: float, token: int) -> list[Action]:
-        return self.propose(now, Proposal(token, now, "read"))
+        return self.propose(now, Proposal(token, now, ProposalKind.READ))
 
     def propose(self, now: float, order: Proposal) -> list[Action]:
         self.actions = []
--- a/hazelspring/node/reconfiguration.py
+++ b/hazelspring/node/reconfiguration.py
@@ -4,7 +4,7 @@
 
 from hazelspring.consensus.acceptor import Acceptor
 from hazelspring.consensus.control_state import ControlState, Member, lineage
-from hazelspring.consensus.proposal import BootstrapProposal, Proposal
+from hazelspring.consensus.proposal import BootstrapProposal, Proposal, ProposalKind
 from hazelspring.consensus.proposer import Proposer
 from hazelspring.membership.peer_table import Peer, PeerTable
 
@@ -60,13 +60,13 @@
         elif self.pending_since is None:
             self.pending_since = now
         elif now - self.pending_since >= UNDECIDED_TIMEOUT + UNDECIDED_STAGGER * self.priority(state):
-            self.propose(Proposal(0, now, "settle"))
+            self.propose(Proposal(0, now, ProposalKind.RESOLVE))
         if state.version == 0:
             self.propose_bootstrap(now, state)
         elif not seated:
             if self.acceptor.disk_id and not self.leaving and now >= self.rejoin_at:
                 grows = self.first_start and not self.was_member
-                self.propose(Proposal(0, now, "join", member=self.me, grows_core=grows))
+                self.propose(Proposal(0, now, ProposalKind.JOIN, member=self.me, grows_core=grows))
         else:
             self.propose_retirement(now, state)
 
@@ -88,7 +88,7 @@
             and state.member_at(self.peers.me.ip)
             and quiet > BOOTSTRAP_QUIET_TIME + BOOTSTRAP_STAGGER * self.priority(state)
         ):
-            self.propose(BootstrapProposal(0, now, "found", members=members))
+            self.propose(BootstrapProposal(0, now, ProposalKind.BOOTSTRAP, members=members))
 
     def propose_retirement(self, now: float, state: ControlState) -> None:
         """A member that most others take for silent, too, leaves the core as soon as there are enough of them."""
@@ -102,7 +102,7 @@
         dead = [member for member in silent if say_so[member] > len(state.members) // 2]
         if dead:
             first = min(dead, key=lambda member: (self.last_heard_at(member), member.ip))
-            self.propose(Proposal(0, now, "retire", member=first))
+            self.propose(Proposal(0, now, ProposalKind.RETIRE, member=first))
 
     def other_members(self, state: ControlState) -> list[Peer]:
         """Of the other members those that were heard from the disk that is seated."""
--- a/tests/cut_history.py
+++ b/tests/cut_history.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from hazelspring.consensus.control_state import ControlState
-from hazelspring.consensus.proposal import Proposal, ProposalOutcome
+from hazelspring.consensus.proposal import Proposal, ProposalKind, ProposalOutcome
 
 from .control_rules import unread
 
@@ -77,7 +77,7 @@
             shown = ProposalOutcome(
                 token, True, state=ControlState(0, (), (), configuration_version=call.number)
             )
-            if fault := unread([(Proposal(token, call.sent, "read"), shown)], since):
+            if fault := unread([(Proposal(token, call.sent, ProposalKind.READ), shown)], since):
                 yield f"{fault}: {call}"
 
     def bodies(self) -> Iterable[str]:
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -13,7 +13,7 @@
     ProposalForwarder,
 )
 from hazelspring.consensus.messages import Accept, ForwardedChange, FullConfiguration, ProposalsForwarded
-from hazelspring.consensus.proposal import Proposal
+from hazelspring.consensus.proposal import Proposal, ProposalKind
 from hazelspring.node import codec
 from hazelspring.node.codec import kind_of
 from hazelspring.node.messages import Message
@@ -56,7 +56,9 @@
 
 
 def test_a_handed_order_may_be_applied_to_two_versions_and_once() -> None:
-    closing = ForwardedProposal(0, 0.0, "evacuate", zone="z1", evacuate=True, valid_from_version=4)
+    closing = ForwardedProposal(
+        0, 0.0, ProposalKind.SET_EVACUATION, zone="z1", evacuate=True, valid_from_version=4
+    )
     assert [closing.apply(state(version)).evacuated_zones == {"z1"} for version in (3, 4, 5, 6)] == [
         False,
         True,
@@ -85,12 +87,15 @@
 
 
 def test_a_node_is_handed_an_order_once_and_only_what_an_operator_wants_to_change() -> None:
-    hands, closing = ProposalForwarder(), Proposal(1, 0.0, "evacuate", zone="z1", evacuate=True)
+    hands, closing = (
+        ProposalForwarder(),
+        Proposal(1, 0.0, ProposalKind.SET_EVACUATION, zone="z1", evacuate=True),
+    )
     orders = [
         closing,
-        Proposal(0, 0.0, "settle"),
-        Proposal(2, 0.0, "read"),
-        Proposal(3, 0.0, "retire", by_operator=True),
+        Proposal(0, 0.0, ProposalKind.RESOLVE),
+        Proposal(2, 0.0, ProposalKind.READ),
+        Proposal(3, 0.0, ProposalKind.RETIRE, by_operator=True),
     ]
     assert [change.kind for change in hands.select(state(4), "d2", orders)] == ["evacuate"]
     assert not hands.select(state(4), "d2", orders)
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -19,7 +19,7 @@
 from hazelspring.consensus.acceptor import Acceptor
 from hazelspring.consensus.control_state import NO_BALLOT, ControlState, Member
 from hazelspring.consensus.forwarding import VALID_VERSIONS
-from hazelspring.consensus.proposal import BootstrapProposal, Proposal
+from hazelspring.consensus.proposal import BootstrapProposal, Proposal, ProposalKind
 from hazelspring.consensus.proposer import OutgoingMessage, Proposer
 from hazelspring.membership.peer_table import NodeInfo
 from hazelspring.node.control_replica import ControlReplica
@@ -54,13 +54,18 @@
 
 def put(ip: str, token: int, body: bytes, number: int = 2) -> Event:
     order = Proposal(
-        token, 0.0, "put", configuration_version=number, configuration_digest=body, configuration=body * 3
+        token,
+        0.0,
+        ProposalKind.PUT_CONFIGURATION,
+        configuration_version=number,
+        configuration_digest=body,
+        configuration=body * 3,
     )
     return Event("order", ip, order, name=f"r{number} {body!r}")
 
 
 def join(ip: str, token: int, disk: int) -> Event:
-    order = Proposal(token, 0.0, "join", member=Member(ip, "", "", disk))
+    order = Proposal(token, 0.0, ProposalKind.JOIN, member=Member(ip, "", "", disk))
 
     def ready(node: ModelNode) -> bool:  # as Membership.tick asks
         state = node.acceptor.state
@@ -98,7 +103,7 @@
         state = node.acceptor.state
         return state is not None and len(state.members) > state.target_size
 
-    order = Proposal(4, 0.0, "retire", member=seats(leaver)[0])
+    order = Proposal(4, 0.0, ProposalKind.RETIRE, member=seats(leaver)[0])
     retire = Event("order", by, order, ready, f"{leaver} retires")
     return Case(
         core("d1", "d2", "d3", new="d4"), [put("d1", 1, b"a"), join("d4", 3, 4), retire], counts, rounds
@@ -109,7 +114,7 @@
     """Operators take out two members, each by an order to the other, while a third door has an order of its own."""
     events = [put("d3", 1, b"a")]
     for token, ip, other in ((4, "d1", "d2"), (5, "d2", "d1")):
-        order = Proposal(token, 0.0, "retire", member=Member(other), by_operator=True)
+        order = Proposal(token, 0.0, ProposalKind.RETIRE, member=Member(other), by_operator=True)
         events.append(Event("order", ip, order, name=f"takes {other} out"))
     counts = {**upto(count, "d1"), **upto(count + 1, "d2"), "d3": (count,)}
     return Case(core("d1", "d2", "d3"), events, counts, rounds)
@@ -123,13 +128,13 @@
 
 def reader(count: int, rounds: int) -> Case:
     """Once an order is confirmed, a door without a disk reads."""
-    read = Event("order", "d4", Proposal(9, 0.0, "read"), name="reads", after=1)
+    read = Event("order", "d4", Proposal(9, 0.0, ProposalKind.READ), name="reads", after=1)
     nodes = core("d1", "d2", "d3", bare="d4")
     return Case(nodes, [put("d1", 1, b"a"), read], upto(count, "d1", "d4"), rounds)
 
 
 def evacuate(ip: str, token: int, closed: bool, after: int = 0) -> Event:
-    order = Proposal(token, 0.0, "evacuate", zone="z1", evacuate=closed)
+    order = Proposal(token, 0.0, ProposalKind.SET_EVACUATION, zone="z1", evacuate=closed)
     return Event("order", ip, order, name=f"z1 {'closes' if closed else 'opens'}", after=after)
 
 
@@ -150,8 +155,8 @@
     ips = ("d1", "d2", "d3")
     nodes = [ModelNode(NodeInfo(ip, "", "", int(ip[1:]), 1), {}, True, list(ips)) for ip in ips]
     chosen = [
-        BootstrapProposal(5, 0.0, "found", members=seats("d1")),
-        BootstrapProposal(6, 0.0, "found", members=seats("d2")),
+        BootstrapProposal(5, 0.0, ProposalKind.BOOTSTRAP, members=seats("d1")),
+        BootstrapProposal(6, 0.0, ProposalKind.BOOTSTRAP, members=seats("d2")),
     ]
     return Case(
         nodes,
@@ -281,7 +286,10 @@
     apply = Proposal.apply
 
     def by_digest(order: Proposal, state: ControlState) -> ControlState:
-        if order.kind == "put" and (order.configuration_version, order.configuration_digest) > (
+        if order.kind == ProposalKind.PUT_CONFIGURATION and (
+            order.configuration_version,
+            order.configuration_digest,
+        ) > (
             state.configuration_version,
             state.configuration_digest,
         ):
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -17,7 +17,7 @@
     Member,
     bootstrap_state,
 )
-from hazelspring.consensus.proposal import BootstrapProposal, Proposal
+from hazelspring.consensus.proposal import BootstrapProposal, Proposal, ProposalKind
 
 SEATS = tuple(Member(f"d{n}", f"z{n}", "east", n) for n in (1, 2, 3))
 FIRST = ControlState(1, SEATS, SEATS, 3)
@@ -268,7 +268,12 @@
 
 def put(number: int, digest: bytes) -> Proposal:
     return Proposal(
-        1, 0.0, "put", configuration_version=number, configuration_digest=digest, configuration=b"body"
+        1,
+        0.0,
+        ProposalKind.PUT_CONFIGURATION,
+        configuration_version=number,
+        configuration_digest=digest,
+        configuration=b"body",
     )
 
 
@@ -283,13 +288,15 @@
     state = with_word(b"a", 5)
     assert put(5, b"b").conflicts_with(state)
     assert not any(order.conflicts_with(state) for order in (put(5, b"a"), put(4, b"b"), put(6, b"b")))
-    assert not Proposal(1, 0.0, "read", configuration_version=5, configuration_digest=b"b").conflicts_with(
-        state
-    )
+    assert not Proposal(
+        1, 0.0, ProposalKind.READ, configuration_version=5, configuration_digest=b"b"
+    ).conflicts_with(state)
 
 
 def test_a_zone_is_closed_and_opened_once() -> None:
-    close, reopen = (Proposal(1, 0.0, "evacuate", zone="z1", evacuate=closed) for closed in (True, False))
+    close, reopen = (
+        Proposal(1, 0.0, ProposalKind.SET_EVACUATION, zone="z1", evacuate=closed) for closed in (True, False)
+    )
     shut = close.apply(FIRST)
     assert shut == replace(FIRST, evacuated_zones=frozenset({"z1"}))
     assert close.apply(shut) is shut and reopen.apply(FIRST) is FIRST
@@ -298,24 +305,24 @@
 
 def test_a_join_adds_a_seat_and_only_one_by_intent_makes_the_core_larger() -> None:
     new = Member("d4", "z4", "east", 4)
-    joined = Proposal(0, 0.0, "join", member=new).apply(FIRST)
+    joined = Proposal(0, 0.0, ProposalKind.JOIN, member=new).apply(FIRST)
     assert joined == replace(FIRST, members=(*SEATS, new))
-    assert Proposal(0, 0.0, "join", member=new, grows_core=True).apply(FIRST).target_size == 4
-    assert Proposal(0, 0.0, "join", member=new, grows_core=True).apply(joined) is joined
+    assert Proposal(0, 0.0, ProposalKind.JOIN, member=new, grows_core=True).apply(FIRST).target_size == 4
+    assert Proposal(0, 0.0, ProposalKind.JOIN, member=new, grows_core=True).apply(joined) is joined
 
 
 def test_a_wiped_disk_takes_its_address_over_and_grows_nothing() -> None:
     new = Member("d3", "z3", "east", 13)
-    joined = Proposal(0, 0.0, "join", member=new, grows_core=True).apply(FIRST)
+    joined = Proposal(0, 0.0, ProposalKind.JOIN, member=new, grows_core=True).apply(FIRST)
     assert joined == replace(FIRST, members=(*SEATS[:2], new))
 
 
 def test_a_member_retires_only_from_a_core_that_is_larger_than_meant() -> None:
     larger = replace(FIRST, members=(*SEATS, Member("d4", "z4", "east", 4)))
-    retire = Proposal(0, 0.0, "retire", member=SEATS[0])
+    retire = Proposal(0, 0.0, ProposalKind.RETIRE, member=SEATS[0])
     assert retire.apply(FIRST) is FIRST
     assert retire.apply(larger).members == larger.members[1:]
-    gone = Proposal(0, 0.0, "retire", member=replace(SEATS[0], disk_id=21))
+    gone = Proposal(0, 0.0, ProposalKind.RETIRE, member=replace(SEATS[0], disk_id=21))
     assert gone.apply(larger) is larger  # it names a disk that holds no seat
 
 
@@ -324,11 +331,11 @@
     assert [(m.ip, m.disk_id) for m in start.members] == [("d1", 0), ("d2", 0)]
     kinds = [
         put(2, b"a"),
-        Proposal(0, 0.0, "join", member=SEATS[0]),
-        Proposal(0, 0.0, "evacuate", zone="z", evacuate=True),
+        Proposal(0, 0.0, ProposalKind.JOIN, member=SEATS[0]),
+        Proposal(0, 0.0, ProposalKind.SET_EVACUATION, zone="z", evacuate=True),
     ]
     assert all(order.apply(start) is start for order in kinds)
-    first = BootstrapProposal(0, 0.0, "found", members=SEATS)
+    first = BootstrapProposal(0, 0.0, ProposalKind.BOOTSTRAP, members=SEATS)
     assert first.apply(start) == replace(start, members=SEATS, target_size=3)
     assert first.apply(FIRST) is FIRST
 
