--- a/hazelspring/consensus/control_state.py
+++ b/hazelspring/consensus/control_state.py
@@ -1,23 +1,46 @@
-"""The control state as one value: members of the core, the configuration by its sum, closed zones; and majorities."""
+"""The control state that the core agrees on, its encoding, ballots, and the sizes of quorums."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
-Ballot = tuple[
-    int, int, str
-]  # a count, then the life and the address of its proposer: no two rounds share one
-NO_BALLOT: Ballot = (0, 0, "")
+
+class Ballot(NamedTuple):
+    """A proposer's round; ballots compare by counter, then incarnation, then address.
+
+    No two rounds share one: a proposer counts up within one run of its process, and each run has an incarnation of
+    its own.
+    """
+
+    counter: int
+    incarnation: int  # of the proposer's process
+    address: str  # of the proposer's node
+
+
+class Voter(NamedTuple):
+    """The disk that has answered a round, and whether it may take part in the bootstrap."""
+
+    disk_id: int
+    may_bootstrap: bool
+
+
+NO_BALLOT = Ballot(0, 0, "")  # below every ballot of a round
 NO_CONFIGURATION = b""  # the digest before any configuration
 VERSIONS_PER_LINEAGE = 1 << 32  # versions of one lineage: more changes than a core ever sees
 
+Voters = Mapping[str, Voter]  # by the address of the node that has answered
+
 
 @dataclass(slots=True, frozen=True, order=True)
 class Member:
-    """A seat in the core: an address, and the disk that holds it, by a number drawn when that disk was empty.
-    Disk 0 is a seat of the founding: it belongs to whoever runs there since the first start of all."""
+    """A member of the core: a node's address, and the disk that holds its replica.
+
+    A disk is known by a number drawn when it was empty, so an emptied or another disk at the same address is not
+    taken for the member.  Disk 0 stands for a member of the bootstrap: it is whichever disk the node has had since
+    the first start of all.
+    """
 
     ip: str
     zone: str = ""
@@ -25,38 +48,47 @@
     disk_id: int = 0
 
 
-Voters = Mapping[str, tuple[int, bool]]  # by address: the disk that answered, and whether it may found
-
-
 @dataclass(slots=True, frozen=True)
 class ControlState:
-    """One version of all that the core agrees on.  `before` are the members of the version it follows: a change of
-    members is agreed by a majority of both.  `size` is how many members the core is meant to have."""
+    """One version of all that the core agrees on.
+
+    Attributes
+    ----------
+    version
+        Counts the states decided since the bootstrap; its high part is the lineage, see :func:`lineage`.
+    members
+        The members of the core, sorted.
+    previous_members
+        The members of the version that this one follows: a change of members is agreed by a majority of both.
+    target_size
+        How many members the core is meant to have.
+    configuration_version, configuration_digest
+        Number and digest of the configuration in force; -1 and ``NO_CONFIGURATION`` before the first one.
+    evacuated_zones
+        Zones that are to get no requests.
+    """
 
     version: int
     members: tuple[Member, ...]
     previous_members: tuple[Member, ...]
     target_size: int = 0
-    configuration_version: int = -1  # of the configuration
+    configuration_version: int = -1
     configuration_digest: bytes = NO_CONFIGURATION
     evacuated_zones: frozenset[str] = field(default_factory=frozenset)
 
     def member_sets(self) -> list[tuple[Member, ...]]:
-        return (
-            [self.members] if self.previous_members == self.members else [self.previous_members, self.members]
-        )
+        """Return the sets of members of each of which a quorum is needed for this state."""
+        if self.previous_members == self.members:
+            return [self.members]
+        return [self.previous_members, self.members]
 
     def encode(self) -> list[Any]:
-        members = [[m.ip, m.zone, m.region, m.disk_id] for m in self.members]
-        before = (
-            [[m.ip, m.zone, m.region, m.disk_id] for m in self.previous_members]
-            if self.previous_members != self.members
-            else 0
-        )
+        """Return the state as it goes on the wire and to disk; the previous members are 0 where they are the same."""
+        same_members = self.previous_members == self.members
         return [
             self.version,
-            members,
-            before,
+            _encode_members(self.members),
+            0 if same_members else _encode_members(self.previous_members),
             self.target_size,
             self.configuration_version,
             self.configuration_digest,
@@ -64,57 +96,102 @@
         ]
 
     def member_at(self, ip: str) -> Member | None:
+        """Return the member at an address, if there is one."""
         return next((member for member in self.members if member.ip == ip), None)
 
-    def is_member(self, ip: str, disk: int) -> bool:
-        return disk != 0 and (member := self.member_at(ip)) is not None and member.disk_id == disk
+    def is_member(self, ip: str, disk_id: int) -> bool:
+        """Return whether this very disk is a member; a node without a disk (0) never is."""
+        return disk_id != 0 and (member := self.member_at(ip)) is not None and member.disk_id == disk_id
+
+
+def _encode_members(members: Iterable[Member]) -> list[list[Any]]:
+    return [[member.ip, member.zone, member.region, member.disk_id] for member in members]
 
 
 def decode_state(row: Iterable[Any]) -> ControlState:
-    version, members, before, size, number, digest, closed = row
-    seats = tuple(Member(*member) for member in members)
-    old = tuple(Member(*member) for member in before) if before else seats
-    return ControlState(version, seats, old, size, number, digest, frozenset(closed))
+    """Return the state that :meth:`ControlState.encode` has encoded.
+
+    Raises
+    ------
+    ValueError, TypeError
+        Where the row does not have the form of a state.
+    """
+    version, members, previous, target_size, configuration_version, digest, evacuated = row
+    decoded = tuple(Member(*member) for member in members)
+    decoded_previous = tuple(Member(*member) for member in previous) if previous else decoded
+    return ControlState(
+        version, decoded, decoded_previous, target_size, configuration_version, digest, frozenset(evacuated)
+    )
 
 
 def decode_ballot(row: Iterable[Any]) -> Ballot:
-    count, life, ip = row
-    return (count, life, ip)
+    """Return a ballot from its three fields.
+
+    Raises
+    ------
+    ValueError, TypeError
+        Where the row does not have three fields.
+    """
+    counter, incarnation, address = row
+    return Ballot(counter, incarnation, address)
 
 
 def bootstrap_state(seeds: Iterable[str]) -> ControlState:
-    """What every door holds at the first start of all: the seeds, alike at all, agree on the first members."""
-    seats = tuple(sorted({Member(ip) for ip in seeds}))
-    return ControlState(0, seats, seats)
+    """Return the state that every node holds at the first start of all: version 0, whose members are the seeds.
+
+    It is the same at all nodes, so that the seeds can agree on the first members.
+    """
+    members = tuple(sorted({Member(ip) for ip in seeds}))
+    return ControlState(0, members, members)
 
 
 def lineage(version: int) -> int:
-    """Which line of versions one belongs to: 0 from the founding on, a higher one from each rescue by hand on
+    """Return the lineage of a version: 0 from the bootstrap on, a higher one from each disaster recovery on.
+
+    It is the version's high part, so wherever versions are compared the higher lineage is newer
     (hazelspring/consensus/disaster_recovery.py).
-     It is the version's high part, so wherever versions are compared the higher lineage is newer."""
+    """
     return max(0, version) // VERSIONS_PER_LINEAGE
 
 
 def majority(members: int) -> int:
-    """Disks that accept a state before it counts as decided."""
+    """Return how many disks must have accepted a state before it counts as decided."""
     return members // 2 + 1
 
 
 def read_quorum(members: int) -> int:
-    """Members that together know of every decided state: with any majority they share one.  So many promises begin
-    a round, and so many voices make a read; of an even number of members that is half (docs/control.md)."""
+    """Return how many members together know of every decided state, as they share one with any majority.
+
+    So many promises begin a round, and so many answers make a read; of an even number of members that is half
+    (docs/control.md).
+    """
     return max(1, members - majority(members) + 1)
 
 
-def is_vote_of(member: Member, voter: tuple[int, bool]) -> bool:
-    """Whether an answer comes from the disk that holds a seat."""
-    disk, founder = voter
-    return founder if member.disk_id == 0 else member.disk_id == disk
+def is_vote_of(member: Member, voter: Voter) -> bool:
+    """Return whether an answer comes from the disk that is this member."""
+    return voter.may_bootstrap if member.disk_id == 0 else member.disk_id == voter.disk_id
 
 
-def missing_votes(sets: Iterable[tuple[Member, ...]], voters: Voters, needed: Callable[[int], int]) -> int:
-    """How many answers are lacking yet, over all sets of members; `needed` of each: `majority` or `voices_needed`."""
+def missing_votes(
+    member_sets: Iterable[tuple[Member, ...]], voters: Voters, quorum: Callable[[int], int]
+) -> int:
+    """Return how many answers are missing yet, over all sets of members.
+
+    Parameters
+    ----------
+    member_sets
+        Sets of members, of each of which a quorum is needed.
+    voters
+        Who has answered.
+    quorum
+        :func:`majority` or :func:`read_quorum`: the answers needed of so many members.
+    """
     return sum(
-        max(0, needed(len(members)) - sum(m.ip in voters and is_vote_of(m, voters[m.ip]) for m in members))
-        for members in sets
+        max(
+            0,
+            quorum(len(members))
+            - sum(member.ip in voters and is_vote_of(member, voters[member.ip]) for member in members),
+        )
+        for members in member_sets
     )
--- a/hazelspring/consensus/disaster_recovery.py
+++ b/hazelspring/consensus/disaster_recovery.py
@@ -12,6 +12,7 @@
 from hazelspring.consensus.control_state import (
     NO_CONFIGURATION,
     VERSIONS_PER_LINEAGE,
+    Ballot,
     ControlState,
     Member,
     lineage,
@@ -108,5 +109,5 @@
     register = Acceptor(member.disk_id, False)
     register.dirty_records.add("disk")
     made = replace(state, version=version, members=seats, previous_members=seats, target_size=size)
-    register.learn((source.highest_ballot_count + 1, now, member.ip), made, source.configuration)
+    register.learn(Ballot(source.highest_ballot_count + 1, now, member.ip), made, source.configuration)
     return register
--- a/hazelspring/consensus/messages.py
+++ b/hazelspring/consensus/messages.py
@@ -8,14 +8,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from hazelspring.consensus.control_state import NO_CONFIGURATION, Ballot, ControlState
-
-
-class Voter(NamedTuple):
-    """The disk that answers, and whether it may vote in the bootstrap."""
-
-    disk_id: int
-    may_bootstrap: bool
+from hazelspring.consensus.control_state import NO_CONFIGURATION, Ballot, ControlState, Voter
 
 
 class AcceptedState(NamedTuple):
--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -13,6 +13,7 @@
     Ballot,
     ControlState,
     Member,
+    Voter,
     majority,
     missing_votes,
     read_quorum,
@@ -61,8 +62,8 @@
     ballot: Ballot
     base: ControlState  # the newest decided state that its door knows
     highest_accepted: tuple[Ballot, ControlState]  # the highest that was accepted, of those who promised
-    promises: dict[str, tuple[int, bool]] = field(default_factory=dict)
-    acceptances: dict[str, tuple[int, bool]] = field(default_factory=dict)
+    promises: dict[str, Voter] = field(default_factory=dict)
+    acceptances: dict[str, Voter] = field(default_factory=dict)
     rejections: set[str] = field(default_factory=set)
     known_digests: dict[str, list[bytes]] = field(
         default_factory=dict
@@ -213,7 +214,7 @@
             decided = self.acceptor.decided or (NO_BALLOT, state)
             self.highest_count = max(self.highest_count, self.acceptor.promised[0], decided[0][0]) + 1
             self.round = Round(
-                (self.highest_count, self.me[1], self.me[0]),
+                Ballot(self.highest_count, self.me[1], self.me[0]),
                 state,
                 decided,
                 started_at=now,
@@ -321,7 +322,7 @@
     def on_promise(
         self,
         source: str,
-        voter: tuple[int, bool],
+        voter: Voter,
         ballot: Ballot,
         best: tuple[Ballot, ControlState] | None,
         holds: Iterable[bytes],
@@ -362,12 +363,12 @@
         """Whether a majority is there to accept.  A state that too few can accept would stay half agreed on, and keep
         all from being sure of the one in force."""
         for members in target.member_sets():
-            answer = {m.ip: (m.disk_id, m.disk_id == 0) for m in members if self.is_responsive(now, m)}
+            answer = {m.ip: Voter(m.disk_id, m.disk_id == 0) for m in members if self.is_responsive(now, m)}
             if missing_votes([members], {**answer, **current.promises}, majority):
                 return False
         return True
 
-    def on_accepted(self, source: str, voter: tuple[int, bool], ballot: Ballot) -> None:
+    def on_accepted(self, source: str, voter: Voter, ballot: Ballot) -> None:
         current = self.round
         if current is not None and current.ballot == ballot and current.value is not None:
             current.acceptances[source] = voter
--- a/hazelspring/node/codec.py
+++ b/hazelspring/node/codec.py
@@ -16,6 +16,7 @@
     NO_CONFIGURATION,
     Ballot,
     ControlState,
+    Voter,
     decode_ballot,
     decode_state,
 )
@@ -37,7 +38,6 @@
     Rejected,
     RoundEnded,
     StateRequest,
-    Voter,
 )
 from hazelspring.errors import HazelspringError
 from hazelspring.membership.peer_table import NodeInfo
--- a/hazelspring/node/control_replica.py
+++ b/hazelspring/node/control_replica.py
@@ -12,6 +12,7 @@
     VERSIONS_PER_LINEAGE,
     Ballot,
     ControlState,
+    Voter,
     bootstrap_state,
     lineage,
     majority,
@@ -34,7 +35,6 @@
     Rejected,
     RoundEnded,
     StateRequest,
-    Voter,
 )
 from hazelspring.consensus.proposal import Proposal
 from hazelspring.consensus.proposer import Proposer
--- a/tests/golden/recording.py
+++ b/tests/golden/recording.py
@@ -20,7 +20,7 @@
 from hazelspring.configuration.delta import make_delta
 from hazelspring.configuration.model import configuration_digest
 from hazelspring.consensus.acceptor import Acceptor
-from hazelspring.consensus.control_state import ControlState, Member
+from hazelspring.consensus.control_state import Ballot, ControlState, Member
 from hazelspring.consensus.disaster_recovery import LegacyItems
 from hazelspring.consensus.proposal import ProposalOutcome
 from hazelspring.node import codec
@@ -246,15 +246,15 @@
     register = Acceptor(4242, False)
     register.dirty_records.add("disk")
     yield "new disk", register
-    assert register.prepare((3, 100101, "d1"))
+    assert register.prepare(Ballot(3, 100101, "d1"))
     yield "prepared", register
-    assert register.accept((3, 100101, "d1"), FIRST, b"packed first")
+    assert register.accept(Ballot(3, 100101, "d1"), FIRST, b"packed first")
     yield "accepted", register
-    assert register.learn((3, 100101, "d1"), FIRST, None)
+    assert register.learn(Ballot(3, 100101, "d1"), FIRST, None)
     yield "learned", register
-    assert register.accept((5, 100201, "d2"), SECOND, b"packed second")
+    assert register.accept(Ballot(5, 100201, "d2"), SECOND, b"packed second")
     yield "accepted another", register
-    assert register.learn((5, 100201, "d2"), SECOND, None)
+    assert register.learn(Ballot(5, 100201, "d2"), SECOND, None)
     yield "learned another and pruned", register
 
 
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -21,7 +21,7 @@
 
 SEATS = tuple(Member(f"d{n}", f"z{n}", "east", n) for n in (1, 2, 3))
 FIRST = ControlState(1, SEATS, SEATS, 3)
-LOW, HIGH = (1, 7, "d1"), (2, 5, "d2")
+LOW, HIGH = Ballot(1, 7, "d1"), Ballot(2, 5, "d2")
 
 
 def follow(state: ControlState, **changes: Any) -> ControlState:
@@ -58,7 +58,10 @@
 
 
 def test_ballots_of_one_count_differ_by_the_life_and_then_the_node_of_their_proposer() -> None:
-    register, ballots = Acceptor(1, True), [(3, 1, "d1"), (3, 1, "d2"), (3, 2, "d1"), (4, 1, "d1")]
+    register, ballots = (
+        Acceptor(1, True),
+        [Ballot(3, 1, "d1"), Ballot(3, 1, "d2"), Ballot(3, 2, "d1"), Ballot(4, 1, "d1")],
+    )
     assert all(register.prepare(ballot) for ballot in ballots)
     assert not any(register.prepare(ballot) for ballot in ballots[:-1])
 
@@ -140,8 +143,8 @@
     register, disk, state = Acceptor(1, True), dict[str, bytes](), FIRST
     for number in range(200):
         state = with_word(b"%03d" % number, number, state)
-        register.accept((number + 1, 7, "d1"), state, b"body" * number)
-        register.learn((number + 1, 7, "d1"), state)
+        register.accept(Ballot(number + 1, 7, "d1"), state, b"body" * number)
+        register.learn(Ballot(number + 1, 7, "d1"), state)
         disk = written(register, disk)
         assert len(register.configurations) == 1 and len(disk) == 3
     assert set(disk) == {"vote", "decided", "word " + b"199".hex()}
@@ -174,7 +177,7 @@
     register = load_acceptor({}, 11, True)
     register.learn(LOW, with_word(b"a"), b"body a")
     register.accept(HIGH, with_word(b"b", 3, with_word(b"a")), b"body b")
-    register.prepare((9, 1, "d3"))
+    register.prepare(Ballot(9, 1, "d3"))
     return register, written(register, {})
 
 
@@ -184,7 +187,7 @@
     for name in ("disk_id", "may_bootstrap", "promised", "accepted", "decided", "configurations"):
         assert getattr(back, name) == getattr(register, name), name
     assert back.take_dirty_records() == {}
-    assert not back.prepare((8, 9, "d9"))
+    assert not back.prepare(Ballot(8, 9, "d9"))
     back.learn(HIGH, with_word(b"b", 3, with_word(b"a")))
     assert back.take_dirty_records()["word " + b"a".hex()] is None  # it knows what is on disk
 
@@ -204,21 +207,21 @@
 def test_records_are_given_once_and_only_those_that_changed() -> None:
     register, _ = full()
     assert register.take_dirty_records() == {}
-    register.prepare((10, 1, "d3"))
+    register.prepare(Ballot(10, 1, "d3"))
     assert set(register.take_dirty_records()) == {"vote"}
-    register.prepare((10, 1, "d3"))
+    register.prepare(Ballot(10, 1, "d3"))
     assert register.take_dirty_records() == {}
 
 
 def test_what_was_not_saved_is_given_again_as_it_is_by_then() -> None:
     register, disk = full()
-    register.prepare((10, 1, "d3"))
+    register.prepare(Ballot(10, 1, "d3"))
     lost = register.take_dirty_records()
     register.restore_dirty_records(lost)
-    register.prepare((12, 1, "d3"))
+    register.prepare(Ballot(12, 1, "d3"))
     register.learn(HIGH, with_word(b"b", 3, with_word(b"a")))  # and `a` is forgotten
     disk = written(register, disk)
-    assert load_acceptor(disk, 0, False).promised == (12, 1, "d3")
+    assert load_acceptor(disk, 0, False).promised == Ballot(12, 1, "d3")
     assert load_acceptor(disk, 0, False).configurations == {b"b": b"body b"}
 
 
@@ -344,7 +347,7 @@
     register, state = Acceptor(1, True), FIRST
     for number in range(200):
         state = with_word(b"%03d" % number, number, state)
-        register.accept((number + 1, 7, "d1"), state, b"body")
-        register.learn((number + 1, 7, "d1"), state)
+        register.accept(Ballot(number + 1, 7, "d1"), state, b"body")
+        register.learn(Ballot(number + 1, 7, "d1"), state)
         register.take_dirty_records()
     assert len(register.stored_records) <= 4  # disk, vote, decided, and one configuration
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -10,7 +10,7 @@
 
 from hazelspring.configuration.model import configuration_digest
 from hazelspring.consensus.acceptor import Acceptor, load_acceptor
-from hazelspring.consensus.control_state import VERSIONS_PER_LINEAGE, ControlState, Member, lineage
+from hazelspring.consensus.control_state import VERSIONS_PER_LINEAGE, Ballot, ControlState, Member, lineage
 from hazelspring.consensus.disaster_recovery import (
     LegacyItems,
     RecoverySource,
@@ -254,8 +254,8 @@
     """A member that knows version 4 as decided, and has accepted 5 at a ballot above."""
     register = Acceptor(2, False)
     register.dirty_records.add("disk")
-    register.learn((3, 1, "d1"), HELD, WORD)
-    register.accept((9, 1, "d3"), ControlState(5, SEATS, SEATS, 3, 7, configuration_digest(BODY)))
+    register.learn(Ballot(3, 1, "d1"), HELD, WORD)
+    register.accept(Ballot(9, 1, "d3"), ControlState(5, SEATS, SEATS, 3, 7, configuration_digest(BODY)))
     return register
 
 
@@ -290,10 +290,10 @@
         held(),
         recovered_acceptor(RecoverySource(HELD, WORD), Member("d9", "z", "east", 77), 0, 1000),
     )
-    assert made.decided is not None and made.decided[0] < (9, 1, "d3")
+    assert made.decided is not None and made.decided[0] < Ballot(9, 1, "d3")
     assert register.learn(*made.decided)
-    assert register.accepted == made.decided and register.promised == (9, 1, "d3")
-    assert not register.learn((99, 1, "d1"), ControlState(6, SEATS, SEATS, 3))
+    assert register.accepted == made.decided and register.promised == Ballot(9, 1, "d3")
+    assert not register.learn(Ballot(99, 1, "d1"), ControlState(6, SEATS, SEATS, 3))
 
 
 def control(register: Acceptor, ip: str) -> ControlReplica:
@@ -311,7 +311,7 @@
     old, new = control(held(), "d2"), control(made, "d9")
 
     def asking(base_version: int, state: ControlState) -> ConsensusMessage:
-        ballot = (10**9, 1, "d3")
+        ballot = Ballot(10**9, 1, "d3")
         if kind == "prepare":
             return Prepare(ballot, base_version, HOLDS_NOTHING)
         return Accept(ballot, base_version, state)
@@ -324,7 +324,7 @@
     # nor does it vote by what it knows to be over,
     assert old.on_message(1.1, "d3", asking(4, made.state)) == []
     later = ControlState(6, SEATS, SEATS, 3)
-    old.on_message(1.2, "d3", Decision((99, 1, "d3"), later))
+    old.on_message(1.2, "d3", Decision(Ballot(99, 1, "d3"), later))
     assert old.state == HELD  # or learn from it
 
 
--- a/tests/test_rescue_command.py
+++ b/tests/test_rescue_command.py
@@ -11,7 +11,7 @@
 
 from hazelspring.configuration.model import configuration_digest
 from hazelspring.consensus.acceptor import Acceptor, load_acceptor
-from hazelspring.consensus.control_state import ControlState, Member
+from hazelspring.consensus.control_state import Ballot, ControlState, Member
 from hazelspring.consensus.disaster_recovery import LegacyItems
 from hazelspring.daemon.__main__ import main
 from hazelspring.storage.offline import inspect_store, item_checksum
@@ -122,7 +122,7 @@
     register = held() if damage != "empty" else Acceptor(3, False)
     if damage == "body":
         bad = zlib.compress(json.dumps({"versionNumber": "r8"}).encode())
-        register.learn((10, 1, "d1"), ControlState(6, SEATS, SEATS, 3, 8, b"bad"), bad)
+        register.learn(Ballot(10, 1, "d1"), ControlState(6, SEATS, SEATS, 3, 8, b"bad"), bad)
     store_with(tmp_path / "disk", register)
     base = sqlite3.connect(file)
     if damage == "sum":
