--- a/hazelspring/consensus/disaster_recovery.py
+++ b/hazelspring/consensus/disaster_recovery.py
@@ -1,4 +1,11 @@
-"""A new core by hand from what one disk holds: the state that goes on, in a lineage of its own, and its records."""
+"""Disaster recovery: a new core from what one disk holds, after more members were lost than the core survives.
+
+The recovered core goes on in a lineage of its own.  Nothing tells a node that the old core is lost: a majority of it
+may come back, with versions decided meanwhile.  So the lineage is the high part of the version number.  Wherever
+versions are compared (heartbeats, rounds, requests for a newer state) the recovered core's state is then newer than
+anything the old core has decided or still decides; a node that has heard of the higher lineage neither votes nor
+confirms anything by an older one, and asks for the recovered state.
+"""
 
 from __future__ import annotations
 
@@ -17,14 +24,18 @@
     Member,
     lineage,
 )
+from hazelspring.errors import HazelspringError
+
+# Keys of the items that storage format 1 kept, and what it kept for an evacuated zone.
+CONFIGURATION_KEY = "word"
+ZONE_KEY_PREFIX = "zone/"
+EVACUATED = b"1"
 
-CONFIGURATION_KEY, ZONE_KEY_PREFIX = "word", "zone/"  # keys of the items that format 1 kept
-LegacyItems = Mapping[
-    str, tuple[Stamp, bytes]
-]  # by key: the stamp, and the body; a configuration's is packed
+# Items of storage format 1 by key: the stamp, and the body; a configuration's body is compressed.
+LegacyItems = Mapping[str, tuple[Stamp, bytes]]
 
 
-class UnrecoverableError(ValueError):
+class UnrecoverableError(HazelspringError, ValueError):
     """What a disk holds cannot become a new core; the text says why."""
 
     code = "unfit"
@@ -32,62 +43,90 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoverySource:
-    """A state to go on from, its configuration packed, and the highest count of a ballot that the disk knows."""
+    """What a recovered core goes on from.
+
+    Attributes
+    ----------
+    state
+        The control state to go on from.
+    configuration
+        Its configuration, compressed; none where there was none.
+    highest_ballot_count
+        The highest counter of a ballot that the disk has promised.
+    """
 
     state: ControlState
     configuration: bytes | None
     highest_ballot_count: int = 0
 
 
-def newest_items(items: Iterable[LegacyItems]) -> dict[str, tuple[Stamp, bytes]]:
-    """Of several disks of format 1: each item as it bears the highest stamp, as it was in force then."""
-    found: dict[str, tuple[Stamp, bytes]] = {}
-    for held in items:
-        for key, item in held.items():
-            if key not in found or item[0] > found[key][0]:
-                found[key] = item
-    return found
+def newest_items(disks: Iterable[LegacyItems]) -> dict[str, tuple[Stamp, bytes]]:
+    """Return each item of several disks of format 1 as it has the highest stamp, which is what was in force."""
+    newest: dict[str, tuple[Stamp, bytes]] = {}
+    for items in disks:
+        for key, item in items.items():
+            if key not in newest or item[0] > newest[key][0]:
+                newest[key] = item
+    return newest
 
 
 def source_from_items(items: LegacyItems) -> RecoverySource:
-    """What disks of format 1 hold as one state; raises Unfit where that is nothing."""
+    """Return what disks of format 1 hold as one state.
+
+    Raises
+    ------
+    UnrecoverableError
+        Where they hold nothing.
+    """
     if not items:
         raise UnrecoverableError("no configuration and no zone was ever kept here")
-    closed = frozenset(
-        k[len(ZONE_KEY_PREFIX) :]
-        for k, (_, body) in items.items()
-        if k.startswith(ZONE_KEY_PREFIX) and body == b"1"
+    evacuated = frozenset(
+        key.removeprefix(ZONE_KEY_PREFIX)
+        for key, (_, body) in items.items()
+        if key.startswith(ZONE_KEY_PREFIX) and body == EVACUATED
     )
-    state = ControlState(0, (), (), evacuated_zones=closed)
+    state = ControlState(0, (), (), evacuated_zones=evacuated)
     if CONFIGURATION_KEY not in items:
         return RecoverySource(state, None)
-    (number, _), word = items[CONFIGURATION_KEY]
-    return RecoverySource(
-        replace(
-            state,
-            configuration_version=number,
-            configuration_digest=configuration_digest(zlib.decompress(word)),
-        ),
-        word,
-    )
-
-
-def source_from_acceptor(register: Acceptor, accepted: bool) -> RecoverySource:
-    """What a disk of format 2 holds.  `accepted`: of a state that was accepted above the newest decided one, rather
-    than that one; raises Unfit where nothing was agreed on yet."""
-    state = register.pending if accepted and register.pending is not None else register.state
+    (version, _), compressed = items[CONFIGURATION_KEY]
+    digest = configuration_digest(zlib.decompress(compressed))
+    state = replace(state, configuration_version=version, configuration_digest=digest)
+    return RecoverySource(state, compressed)
+
+
+def source_from_acceptor(acceptor: Acceptor, prefer_accepted: bool) -> RecoverySource:
+    """Return what a disk of format 2 holds.
+
+    Parameters
+    ----------
+    acceptor
+        The disk's acceptor.
+    prefer_accepted
+        Go on from a state that was accepted above the newest decided one, where there is one: it may have been
+        decided, and acknowledged, without this disk having heard of it.
+
+    Raises
+    ------
+    UnrecoverableError
+        Where nothing was agreed on yet.
+    """
+    state = acceptor.pending if prefer_accepted and acceptor.pending is not None else acceptor.state
     if state is None or state.version == 0:
         raise UnrecoverableError("nothing was agreed on here")
-    word = (
-        register.configurations[state.configuration_digest]
-        if state.configuration_digest != NO_CONFIGURATION
-        else None
-    )
-    return RecoverySource(state, word, register.promised[0])
+    configuration = None
+    if state.configuration_digest != NO_CONFIGURATION:
+        configuration = acceptor.configurations[state.configuration_digest]
+    return RecoverySource(state, configuration, acceptor.promised.counter)
 
 
 def ensure_usable(source: RecoverySource) -> None:
-    """Raises Unfit where no door could use the configuration."""
+    """Check that nodes could use the configuration.
+
+    Raises
+    ------
+    UnrecoverableError
+        Where they could not.
+    """
     try:
         if source.configuration is not None:
             validate_configuration(zlib.decompress(source.configuration))
@@ -97,17 +136,33 @@
         ) from None
 
 
-def recovered_acceptor(source: RecoverySource, member: Member, size: int, now: int) -> Acceptor:
-    """The register of a core whose only member is `member`, on a disk that nobody knows; its records are to replace
-    all others.  `now`: a number that grows with time, as a life does; of two rescues the later one prevails, also of
-    two that do not know of each other.  `size`: how many members the core is meant to have, 0 as many as before."""
+def recovered_acceptor(source: RecoverySource, member: Member, target_size: int, now: int) -> Acceptor:
+    """Return the acceptor of a new core with one member; its records are to replace all others on the disk.
+
+    Parameters
+    ----------
+    source
+        What the core goes on from.
+    member
+        Its only member, on a disk whose number no node knows yet: the old core's votes of this disk count no more.
+    target_size
+        How many members the core is meant to have; 0 for as many as before.
+    now
+        A number that grows with time, as incarnations do.  It becomes the lineage, unless that is not above the
+        source's: so of two recoveries the later one prevails, also of two that do not know of each other.
+    """
     state = source.state
-    line = max(lineage(state.version) + 1, now)
-    version = line * VERSIONS_PER_LINEAGE + state.version % VERSIONS_PER_LINEAGE + 1
-    seats = (member,)
-    size = size or state.target_size or len(state.members)
-    register = Acceptor(member.disk_id, False)
-    register.dirty_records.add("disk")
-    made = replace(state, version=version, members=seats, previous_members=seats, target_size=size)
-    register.learn(Ballot(source.highest_ballot_count + 1, now, member.ip), made, source.configuration)
-    return register
+    new_lineage = max(lineage(state.version) + 1, now)
+    members = (member,)
+    recovered = replace(
+        state,
+        version=new_lineage * VERSIONS_PER_LINEAGE + state.version % VERSIONS_PER_LINEAGE + 1,
+        members=members,
+        previous_members=members,
+        target_size=target_size or state.target_size or len(state.members),
+    )
+    acceptor = Acceptor(member.disk_id, False)
+    acceptor.dirty_records.add("disk")
+    ballot = Ballot(source.highest_ballot_count + 1, now, member.ip)
+    acceptor.learn(ballot, recovered, source.configuration)
+    return acceptor
