--- a/tests/test_rescue_command.py
+++ b/tests/test_rescue_command.py
@@ -17,7 +17,7 @@
 from hazelspring.storage.offline import inspect_store, item_checksum
 from hazelspring.storage.replica_store import ReplicaStore, StoreError
 
-from .test_rescue import BODY, SEATS, WORD, held
+from .test_rescue import BODY, COMPRESSED_BODY, MEMBERS, acceptor_with_pending_state
 
 
 def format_1(folder: Path, name: str, items: LegacyItems) -> None:
@@ -59,7 +59,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = settings(tmp_path)
-    store_with(tmp_path / "disk", held())
+    store_with(tmp_path / "disk", acceptor_with_pending_state())
     before = {
         file.name: (file.read_bytes(), file.stat().st_mtime_ns) for file in (tmp_path / "disk").iterdir()
     }
@@ -78,13 +78,16 @@
     assert (
         made.state is not None
         and made.state.evacuated_zones == {"z1"}
-        and made.current_configuration() == WORD
+        and made.current_configuration() == COMPRESSED_BODY
     )
     assert (
         made.state.members == (Member("127.0.0.1", "z", "e", made.disk_id),) and records["mark doors"] == b"6"
     )
     (kept,) = (tmp_path / "disk").glob("comb.sqlite.before-*")
-    assert inspect_store(kept).records == {**held().take_dirty_records(), "mark doors": b"6"}
+    assert inspect_store(kept).records == {
+        **acceptor_with_pending_state().take_dirty_records(),
+        "mark doors": b"6",
+    }
     assert ReplicaStore(str(tmp_path / "disk")).load() == records
 
 
@@ -93,7 +96,7 @@
 ) -> None:
     path, files = settings(tmp_path), []
     disks: list[LegacyItems] = [
-        {"word": ((7, configuration_digest(BODY)), WORD), "zone/z1": ((1, b"a"), b"1")},
+        {"word": ((7, configuration_digest(BODY)), COMPRESSED_BODY), "zone/z1": ((1, b"a"), b"1")},
         {"word": ((6, b"6"), b"old"), "zone/z1": ((2, b"a"), b"0"), "zone/z2": ((1, b"a"), b"1")},
     ]
     for n, items in enumerate(disks):
@@ -119,10 +122,10 @@
     tmp_path: Path, damage: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path, file = settings(tmp_path), tmp_path / "disk" / "comb.sqlite"
-    register = held() if damage != "empty" else Acceptor(3, False)
+    register = acceptor_with_pending_state() if damage != "empty" else Acceptor(3, False)
     if damage == "body":
         bad = zlib.compress(json.dumps({"versionNumber": "r8"}).encode())
-        register.learn(Ballot(10, 1, "d1"), ControlState(6, SEATS, SEATS, 3, 8, b"bad"), bad)
+        register.learn(Ballot(10, 1, "d1"), ControlState(6, MEMBERS, MEMBERS, 3, 8, b"bad"), bad)
     store_with(tmp_path / "disk", register)
     base = sqlite3.connect(file)
     if damage == "sum":
