--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -1,4 +1,4 @@
-"""Drawn days of the control side: some of them at each run, and that they find what is taken out of the agreement."""
+"""Random fault schedules against consensus: a few at each run, and that they detect what is taken out of it."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_drawn_day_breaks_no_rule(seed: int) -> None:
+def test_a_random_fault_schedule_breaks_no_rule(seed: int) -> None:
     assert play(draw(seed)).breaches == []
 
 
-def test_a_majority_of_one_less_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_majority_that_is_too_small_by_one_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(hazelspring.consensus.proposer, "majority", lambda members: max(1, members // 2))
     assert any(play(draw(seed)).breaches for seed in range(4))
 
 
-def test_a_read_without_a_question_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ControlReplica, "is_confirmed_for", lambda self, order, now: True)
+def test_a_read_that_confirms_with_no_member_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(ControlReplica, "is_confirmed_for", lambda self, proposal, now: True)
     assert any("was settled by" in (play(draw(seed)).breaches or [""])[0] for seed in range(4))
 
 
-def test_a_day_is_drawn_from_its_number_alone_and_cut_to_what_fails() -> None:
-    day = draw(11)
-    assert day == draw(11) and play(day).now == play(draw(11)).now
-    needed = {day.actions[2], day.actions[-1]}
-    less = shrink(day, lambda some: needed <= set(some.actions))
-    assert set(less.actions) == needed and all(isinstance(action, Act) for action in less.actions)
+def test_a_schedule_depends_on_its_seed_alone_and_shrinks_to_what_fails() -> None:
+    schedule = draw(11)
+    assert schedule == draw(11) and play(schedule).now == play(draw(11)).now
+    needed = {schedule.actions[2], schedule.actions[-1]}
+    shrunk = shrink(schedule, lambda candidate: needed <= set(candidate.actions))
+    assert set(shrunk.actions) == needed and all(isinstance(action, Act) for action in shrunk.actions)
