--- a/hazelspring/node/invariants.py
+++ b/hazelspring/node/invariants.py
@@ -66,6 +66,7 @@
         now: float,
         bounds: InvariantBounds,
         peers: PeerTable,
+        *,
         heartbeats: Heartbeats,
         list_reader_role: ListReaderRole,
         freshness: ListFreshness,
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -84,7 +84,12 @@
         self.ready = False
         self.list_reader_role = ListReaderRole(self.roles, ListTiming.within(start.bounds.drain_cutoff))
         self.invariants = Invariants(
-            now, start.bounds, self.peers, self.heartbeats, self.list_reader_role, self.freshness
+            now,
+            start.bounds,
+            self.peers,
+            heartbeats=self.heartbeats,
+            list_reader_role=self.list_reader_role,
+            freshness=self.freshness,
         )
         # of each member, the versions of tables that it told and those known here when none of its was newer
         self.tables_in_sync: dict[str, tuple[dict[str, int], dict[str, int]]] = {}
