--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -18,7 +18,7 @@
 from hazelspring.configuration.model import configuration_digest, parse_configuration
 from hazelspring.configuration.validation import validate_change, validate_configuration
 from hazelspring.consensus.proposal import ProposalOutcome
-from hazelspring.membership.peer_table import NodeInfo
+from hazelspring.membership.node_info import NodeInfo
 from hazelspring.node.actions import Action, LoadReported, ReadList, Save, Send
 from hazelspring.node.load_reporter import LEASE_CALL_BYTES
 from hazelspring.node.messages import Message
--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -25,7 +25,7 @@
 from hazelspring.daemon.structured_log import log
 from hazelspring.daemon.supervisor import Supervisor
 from hazelspring.daemon.upstream_servers import UpstreamServers
-from hazelspring.membership.peer_table import NodeInfo
+from hazelspring.membership.node_info import NodeInfo
 from hazelspring.node.actions import (
     Action,
     InvariantViolated,
--- a/hazelspring/leases/singleton_roles.py
+++ b/hazelspring/leases/singleton_roles.py
@@ -6,16 +6,16 @@
 from dataclasses import dataclass, field
 
 from hazelspring.consensus.control_state import majority
-from hazelspring.membership.peer_table import LEASE_TERM, PeerTable
+from hazelspring.membership.node_info import NodeIdentity
+from hazelspring.membership.peer_table import PeerTable
 from hazelspring.membership.rendezvous import owner
+from hazelspring.membership.timeouts import LEASE_TERM
 
 RELIED_ON_PART = 0.9  # part of it that a holder relies on, as steady clocks may differ in speed,
 # seconds for which a node leaves a duty that it could not do to others: some ten times what a try takes
 DECLINE_TIME = 10.0
 CLOCK_MARGIN = 0.1  # and seconds less, for what lies between a look at the clock and the deed
 
-NodeIdentity = tuple[str, int]  # address and life
-
 
 @dataclass(slots=True)
 class Grant:
@@ -114,7 +114,7 @@
         self.has_left = False
 
     def identity(self) -> NodeIdentity:
-        return self.peers.me.ip, self.peers.me.incarnation
+        return self.peers.me.identity()
 
     def held_until(self, role: int) -> float:
         """Until when this door may do a duty; in the past where it may not."""
@@ -269,7 +269,7 @@
     def restore_grants(self, now: float) -> None:
         """End the silence of a new life once every other core door has told what it counts on."""
         others = [self.peers.peers.get(ip) for ip in self.peers.other_core_nodes()]
-        told = {(p.info.ip, p.info.incarnation): p.relied_on_roles for p in others if p is not None}
+        told = {p.info.identity(): p.relied_on_roles for p in others if p is not None}
         if len(told) == len(others) and all(roles is not None for roles in told.values()):
             self.granter.restore(now, {who: roles or [] for who, roles in told.items()})
 
--- a/hazelspring/membership/rendezvous.py
+++ b/hazelspring/membership/rendezvous.py
@@ -5,16 +5,19 @@
 import hashlib
 from collections.abc import Iterable
 
+WEIGHT_BYTES = 8
+
 
 def weight(thing: str, name: str) -> bytes:
-    return hashlib.blake2b(f"{thing}\0{name}".encode(), digest_size=8).digest()
+    """Return the weight of a name for a thing, the same on every node; the heaviest name is the owner."""
+    return hashlib.blake2b(f"{thing}\0{name}".encode(), digest_size=WEIGHT_BYTES).digest()
 
 
 def owner(thing: str, names: Iterable[str]) -> str | None:
-    """The name for a thing; none where there are no names."""
+    """Return the name that a thing belongs to; None where there are no names."""
     return max(names, key=lambda name: weight(thing, name), default=None)
 
 
 def shard(thing: str, shards: int) -> int:
-    """The number, below `shards`, of what a thing belongs to."""
+    """Return the number of the shard, below `shards`, that a thing belongs to."""
     return int.from_bytes(weight(thing, ""), "big") % max(1, shards)
--- a/hazelspring/membership/roster.py
+++ b/hazelspring/membership/roster.py
@@ -1,4 +1,4 @@
-"""The roster: the doors that clients may be sent to, in a settled order, its sum, and what changed since a sum."""
+"""The roster: which nodes there are and are ready, in the order of addresses, with a checksum and recent changes."""
 
 from __future__ import annotations
 
@@ -7,121 +7,181 @@
 from collections import deque
 from collections.abc import Iterable, Sequence
 from functools import lru_cache
-from typing import Any
+from typing import Any, NamedTuple
 
-RosterRow = list[Any]  # address, zone, region, disk, life, ready
-RosterChange = tuple[
-    int, int, list[str], list[RosterRow]
-]  # the sum before, the sum after, addresses gone, rows new or changed
+from hazelspring.membership.node_info import NodeInfo
 
-MAX_REMEMBERED_CHANGES = (
-    128  # changes that are remembered: more than members see in the six seconds until a far door leaves
-)
-CHECKSUM_MODULUS = 1 << 64
+# A row as it goes to other nodes.  Rows stay the lists that were received: a roster of thousands is neither copied
+# nor converted.  The columns are those of `NodeInfo.encode` and whether the node is ready.
+RosterRow = list[Any]
+ADDRESS, ZONE, REGION, DISK_ID, INCARNATION, READY = range(6)  # the columns of a row
 
+# changes that are remembered: more than members see in the six seconds until a far node leaves the roster
+MAX_REMEMBERED_CHANGES = 128
+ROW_HASH_BYTES = 8
+CHECKSUM_MODULUS = 1 << 8 * ROW_HASH_BYTES
+MAX_CACHED_ROW_HASHES = 1 << 13  # rows
 
-@lru_cache(maxsize=1 << 13)
+
+class RosterChange(NamedTuple):
+    """What has changed between two states of the roster, which their checksums name; sent as a list of four."""
+
+    checksum_before: int
+    checksum_after: int
+    removed: list[str]  # addresses
+    changed: list[RosterRow]  # new rows, and rows that differ
+
+
+class _RememberedChange(NamedTuple):
+    """One update of the roster: the checksum before it, and the addresses whose rows it changed."""
+
+    checksum_before: int
+    addresses: list[str]
+
+
+def encode_row(info: NodeInfo, ready: bool) -> RosterRow:
+    """Return the row of a node."""
+    return [*info.encode(), ready]
+
+
+@lru_cache(maxsize=MAX_CACHED_ROW_HASHES)
 def row_hash(row: tuple[Any, ...]) -> int:
-    """Of 64 bits; kept, as a row that goes or comes in a whole roster was mostly summed before."""
-    return int.from_bytes(hashlib.blake2b(repr(row).encode(), digest_size=8).digest(), "big")
+    """Return a hash of 64 bits; cached, as most rows that leave or arrive in a whole roster were hashed before."""
+    return int.from_bytes(hashlib.blake2b(repr(row).encode(), digest_size=ROW_HASH_BYTES).digest(), "big")
 
 
 def rows_checksum(rows: Iterable[RosterRow]) -> int:
-    """What two doors compare to see whether they hold the same rows.  Rows add up, so that one row's change costs one
-    row's hash; the hash is of 64 bits and not linear, so that no two small changes undo each other (Bellare and
-    Micciancio 1997, AdHash).  No rows: 0."""
+    """Return what two nodes compare to see whether they hold the same rows; 0 for no rows.
+
+    The hashes of rows add up, so that one row's change costs one row's hash; the hash has 64 bits and is not linear,
+    so that no two small changes undo each other (Bellare and Micciancio 1997, AdHash).
+    """
     return sum(row_hash(tuple(row)) for row in rows) % CHECKSUM_MODULUS
 
 
 def find_row(rows: Sequence[RosterRow], ip: str) -> tuple[int, bool]:
-    """Where a door's row is, or would be, and whether it is there."""
-    at = bisect_left(rows, ip, key=lambda row: row[0])
-    return at, at < len(rows) and rows[at][0] == ip
+    """Return the index at which a node's row is, or would be, and whether it is there."""
+    index = bisect_left(rows, ip, key=lambda row: row[ADDRESS])
+    return index, index < len(rows) and rows[index][ADDRESS] == ip
 
 
 class Roster:
-    """`rows` is in the order of addresses; it is replaced and never changed, as many hold it."""
+    """The rows in the order of addresses; `rows` is replaced and never changed, as many hold it."""
 
     def __init__(self) -> None:
         self.rows: list[RosterRow] = []
         self.checksum = 0
-        self.changes: deque[tuple[int, list[str]]] = deque()  # the sum before each, and whose rows it changed
-        # what changed since a sum, as worked out since the last change
-        self.cached_changes: dict[int, RosterChange | None] = {}
+        self.changes: deque[_RememberedChange] = deque()
+        # what has changed since a checksum, as computed since the last change
+        self._changes_since: dict[int, RosterChange | None] = {}
+
+    def ready_nodes(self, zone: str | None = None, region: str | None = None) -> list[str]:
+        """Return the addresses of ready nodes, of a zone or of a region where one is named."""
+        return [
+            row[ADDRESS]
+            for row in self.rows
+            if row[READY]
+            and (zone is None or row[ZONE] == zone)
+            and (region is None or row[REGION] == region)
+        ]
 
     def replace(self, rows: list[RosterRow]) -> None:
-        """The whole, as another door told it; what changed before is forgotten.  Only rows that differ are summed,
-        unless this door's own sum is forgotten."""
-        known = {row[0]: row for row in self.rows} if self.checksum else {}
-        more = rows_checksum([row for row in rows if known.get(row[0]) != row])
-        same = {row[0] for row in rows if known.get(row[0]) == row}
-        less = rows_checksum([row for ip, row in known.items() if ip not in same])
-        self.rows, self.checksum = rows, (self.checksum * bool(known) + more - less) % CHECKSUM_MODULUS
-        self.changes.clear()
-        self.cached_changes.clear()
-
-    def update(self, gone: Sequence[str], changed: Sequence[RosterRow]) -> None:
-        """Bring it up to date, and remember what changed; what is as told already is no change."""
+        """Take the whole roster, as another node sent it, and forget earlier changes.
+
+        Only rows that differ are hashed, unless the checksum was dropped (see `apply_change`).
+        """
+        known = {row[ADDRESS]: row for row in self.rows} if self.checksum else {}
+        added = rows_checksum([row for row in rows if known.get(row[ADDRESS]) != row])
+        same = {row[ADDRESS] for row in rows if known.get(row[ADDRESS]) == row}
+        dropped = rows_checksum([row for ip, row in known.items() if ip not in same])
+        base = self.checksum if known else 0
+        self.rows, self.checksum = rows, (base + added - dropped) % CHECKSUM_MODULUS
+        self._forget_changes()
+
+    def update(self, removed: Sequence[str], changed: Sequence[RosterRow]) -> None:
+        """Remove and set rows, and remember which have changed; a row that is there already is no change."""
         touched: list[str] = []
-        rows, total = self.applied(gone, changed, touched)
+        rows, checksum = self._with_changes(removed, changed, touched)
         if not touched:
             return
-        before, self.rows, self.checksum = self.checksum, rows, total
-        self.changes.append((before, touched))
-        self.cached_changes.clear()
-        while len(self.changes) > MAX_REMEMBERED_CHANGES or sum(len(ips) for _, ips in self.changes) > len(
-            rows
-        ):
+        self.changes.append(_RememberedChange(self.checksum, touched))
+        self.rows, self.checksum = rows, checksum
+        self._changes_since.clear()
+        while self._remembers_too_much():
             self.changes.popleft()
 
-    def applied(
-        self, gone: Sequence[str], changed: Sequence[RosterRow], touched: list[str]
+    def _remembers_too_much(self) -> bool:
+        """Return whether there are more changes than needed, or than make less than the whole roster."""
+        return len(self.changes) > MAX_REMEMBERED_CHANGES or sum(
+            len(change.addresses) for change in self.changes
+        ) > len(self.rows)
+
+    def _forget_changes(self) -> None:
+        self.changes.clear()
+        self._changes_since.clear()
+
+    def _with_changes(
+        self, removed: Sequence[str], changed: Sequence[RosterRow], touched: list[str]
     ) -> tuple[list[RosterRow], int]:
-        """The rows and the sum that changes make; `touched` takes the addresses of those that change something."""
-        rows, total = list(self.rows), self.checksum
-        for ip in gone:
-            at, there = find_row(rows, ip)
-            if there:
-                total -= rows_checksum((rows.pop(at),))
+        """Return the rows and the checksum after changes; `touched` takes the addresses whose rows differ."""
+        rows, checksum = list(self.rows), self.checksum
+        for ip in removed:
+            index, present = find_row(rows, ip)
+            if present:
+                checksum -= rows_checksum((rows.pop(index),))
                 touched.append(ip)
         for row in changed:
-            at, there = find_row(rows, row[0])
-            if there and rows[at] == row:
+            index, present = find_row(rows, row[ADDRESS])
+            if present and rows[index] == row:
                 continue
-            total += rows_checksum((row,)) - (rows_checksum((rows[at],)) if there else 0)
-            rows[at : at + there] = [row]
-            touched.append(row[0])
-        return rows, total % CHECKSUM_MODULUS
+            checksum += rows_checksum((row,))
+            if present:
+                checksum -= rows_checksum((rows[index],))
+            rows[index : index + present] = [row]
+            touched.append(row[ADDRESS])
+        return rows, checksum % CHECKSUM_MODULUS
 
     def changes_since(self, known: int) -> RosterChange | None:
-        """What changed since the sum that a door named; none where that is not remembered, or the whole is less."""
-        if known not in self.cached_changes:
-            if len(self.cached_changes) > MAX_REMEMBERED_CHANGES:  # sums that no door should name
-                self.cached_changes.clear()
-            self.cached_changes[known] = self.compute_changes_since(known)
-        return self.cached_changes[known]
-
-    def compute_changes_since(self, known: int) -> RosterChange | None:
-        sums = [before for before, _ in self.changes]
-        if not known or known not in sums:  # 0: it holds nothing, or not what it thought
+        """Return what has changed since the checksum that a node named.
+
+        None where that is not remembered, or where the whole roster is shorter.
+        """
+        if known not in self._changes_since:
+            if len(self._changes_since) > MAX_REMEMBERED_CHANGES:  # checksums that no node should name
+                self._changes_since.clear()
+            self._changes_since[known] = self._compute_changes_since(known)
+        return self._changes_since[known]
+
+    def _compute_changes_since(self, known: int) -> RosterChange | None:
+        checksums = [change.checksum_before for change in self.changes]
+        if not known or known not in checksums:  # 0: the node holds nothing, or not what it should
             return None
-        touched = {ip for _, ips in list(self.changes)[sums.index(known) :] for ip in ips}
+        later = list(self.changes)[checksums.index(known) :]
+        touched = {ip for change in later for ip in change.addresses}
         if 2 * len(touched) > len(self.rows):
             return None
-        found = {ip: find_row(self.rows, ip) for ip in sorted(touched)}
-        gone = [ip for ip, (_, there) in found.items() if not there]
-        return known, self.checksum, gone, [self.rows[at] for at, there in found.values() if there]
-
-    def apply_change(self, change: Sequence[Any]) -> None:
-        """Take what another door told to have changed.  It counts only on the very rows that it was made from; where
-        it does not come to the sum that it should, this door's sum is forgotten, so that it is told the whole."""
-        before, after, gone, changed = change
-        if before != self.checksum or before == 0:
-            return  # late, or told twice
-        rows, total = self.applied(gone, changed, [])
-        if total == after:
-            self.rows, self.checksum = rows, total
+        removed: list[str] = []
+        changed: list[RosterRow] = []
+        for ip in sorted(touched):
+            index, present = find_row(self.rows, ip)
+            if present:
+                changed.append(self.rows[index])
+            else:
+                removed.append(ip)
+        return RosterChange(known, self.checksum, removed, changed)
+
+    def apply_change(self, encoded: Sequence[Any]) -> None:
+        """Take a `RosterChange` that another node sent.
+
+        It counts only on the very rows that it was made from.  Where it does not lead to the checksum that it should,
+        this node's checksum is dropped (0), so that the whole roster is sent.
+        """
+        change = RosterChange(*encoded)
+        if change.checksum_before != self.checksum or change.checksum_before == 0:
+            return  # late, or sent twice
+        rows, checksum = self._with_changes(change.removed, change.changed, [])
+        if checksum == change.checksum_after:
+            self.rows, self.checksum = rows, checksum
         else:
             self.checksum = 0
-        self.changes.clear()
-        self.cached_changes.clear()
+        self._forget_changes()
--- a/hazelspring/node/codec.py
+++ b/hazelspring/node/codec.py
@@ -40,7 +40,7 @@
     StateRequest,
 )
 from hazelspring.errors import HazelspringError
-from hazelspring.membership.peer_table import NodeInfo
+from hazelspring.membership.node_info import NodeInfo
 from hazelspring.node.messages import (
     ControlVersions,
     CounterUnavailableNotice,
--- a/hazelspring/node/heartbeats.py
+++ b/hazelspring/node/heartbeats.py
@@ -6,7 +6,9 @@
 from typing import Any
 
 from hazelspring.leases.singleton_roles import SingletonRoles
-from hazelspring.membership.peer_table import NodeInfo, Peer, PeerTable
+from hazelspring.membership.node_info import NodeInfo
+from hazelspring.membership.peer import Peer
+from hazelspring.membership.peer_table import PeerTable
 from hazelspring.membership.roster import RosterChange
 from hazelspring.node.codec import node_state_checksum
 from hazelspring.node.control_replica import ControlReplica
--- a/hazelspring/node/messages.py
+++ b/hazelspring/node/messages.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from hazelspring.consensus.messages import ConsensusMessage
-from hazelspring.membership.peer_table import NodeInfo
+from hazelspring.membership.node_info import NodeInfo
 
 
 @dataclass(slots=True, frozen=True)
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -14,9 +14,11 @@
 from hazelspring.configuration.model import configuration_digest, parse_version
 from hazelspring.consensus.control_state import Member, lineage
 from hazelspring.consensus.proposal import Proposal, ProposalKind
-from hazelspring.leases.singleton_roles import NodeIdentity, SingletonRoles
-from hazelspring.membership.peer_table import LEASE_TERM, NodeInfo, PeerTable
+from hazelspring.leases.singleton_roles import SingletonRoles
+from hazelspring.membership.node_info import NodeIdentity, NodeInfo
+from hazelspring.membership.peer_table import PeerTable
 from hazelspring.membership.rendezvous import shard
+from hazelspring.membership.timeouts import LEASE_TERM
 from hazelspring.node.actions import Action, LoadReported, ReadList, Send
 from hazelspring.node.codec import kind_of
 from hazelspring.node.control_replica import REQUEST_INTERVAL, ControlReplica
@@ -310,9 +312,7 @@
             request = CreditRequest(tenant, number, int(units), self.me.incarnation)
             self.actions.append(Send(holder, request))
             self.disseminator.load_reporter.record_other_bytes(LEASE_CALL_BYTES)
-        elif (
-            granted := self.grant_credits(now, tenant, (self.me.ip, self.me.incarnation), number, units)
-        ) is None:
+        elif (granted := self.grant_credits(now, tenant, self.me.identity(), number, units)) is None:
             self.actions.append(CounterUnavailable(tenant))
         elif units > 0:
             self.actions.append(granted)
@@ -419,7 +419,7 @@
 
     def on_credit_request(self, now: float, source: str, message: CreditRequest) -> None:
         """Grant credits of a tenant's quota where this node holds the counter, or say that it does not."""
-        caller = (source, message.incarnation)
+        caller = NodeIdentity(source, message.incarnation)
         granted = self.grant_credits(now, message.tenant, caller, message.number, message.units)
         if granted is None:
             notice = CounterUnavailableNotice(message.tenant, message.incarnation)
--- a/hazelspring/node/reconfiguration.py
+++ b/hazelspring/node/reconfiguration.py
@@ -11,7 +11,8 @@
 from hazelspring.consensus.control_state import ControlState, Member, lineage
 from hazelspring.consensus.proposal import BootstrapProposal, Proposal, ProposalKind
 from hazelspring.consensus.proposer import Proposer
-from hazelspring.membership.peer_table import Peer, PeerTable
+from hazelspring.membership.peer import Peer
+from hazelspring.membership.peer_table import PeerTable
 
 NEVER = -math.inf
 
--- a/tests/chaos_rules.py
+++ b/tests/chaos_rules.py
@@ -11,7 +11,7 @@
 from hazelspring.configuration.model import configuration_digest
 from hazelspring.consensus.control_state import NO_CONFIGURATION
 from hazelspring.consensus.proposal import ProposalOutcome
-from hazelspring.membership.peer_table import NodeInfo
+from hazelspring.membership.node_info import NodeInfo
 from hazelspring.node.messages import Message
 from hazelspring.node.node import Node, NodeStart
 
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -22,7 +22,8 @@
 from hazelspring.consensus.control_state import NO_BALLOT, ControlState
 from hazelspring.consensus.messages import ConsensusMessage, ProposalsForwarded, Rejected, RoundEnded
 from hazelspring.consensus.proposal import Proposal, ProposalOutcome
-from hazelspring.membership.peer_table import NodeInfo, PeerTable
+from hazelspring.membership.node_info import NodeInfo
+from hazelspring.membership.peer_table import PeerTable
 from hazelspring.node import codec
 from hazelspring.node.actions import Action, Save, Send
 
--- a/tests/control_node.py
+++ b/tests/control_node.py
@@ -25,7 +25,8 @@
     ProposalsForwarded,
 )
 from hazelspring.consensus.proposal import Proposal
-from hazelspring.membership.peer_table import NodeInfo, PeerTable
+from hazelspring.membership.node_info import NodeInfo
+from hazelspring.membership.peer_table import PeerTable
 from hazelspring.node import codec
 from hazelspring.node.control_replica import ControlReplica
 from hazelspring.node.reconfiguration import Reconfiguration
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -21,7 +21,7 @@
 from hazelspring.consensus.forwarding import VALID_VERSIONS
 from hazelspring.consensus.proposal import BootstrapProposal, Proposal, ProposalKind
 from hazelspring.consensus.proposer import OutgoingMessage, Proposer
-from hazelspring.membership.peer_table import NodeInfo
+from hazelspring.membership.node_info import NodeInfo
 from hazelspring.node.control_replica import ControlReplica
 
 from .control_model import Case, Explorer, Found
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -5,7 +5,8 @@
 import random
 from dataclasses import replace
 
-from hazelspring.membership.peer_table import NodeInfo, PeerTable
+from hazelspring.membership.node_info import NodeInfo
+from hazelspring.membership.peer_table import PeerTable
 from hazelspring.node.actions import Action, Send
 from hazelspring.node.dissemination import Disseminator
 from hazelspring.node.load_reporter import MAX_SERVERS_PER_REPORT, InFlightByTag
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -5,13 +5,15 @@
 import pytest
 
 from hazelspring.leases.singleton_roles import LeaseGranter, SingletonRoles
-from hazelspring.membership.peer_table import LEASE_TERM, NodeInfo, PeerTable
+from hazelspring.membership.node_info import NodeIdentity, NodeInfo
+from hazelspring.membership.peer_table import PeerTable
+from hazelspring.membership.timeouts import LEASE_TERM
 from hazelspring.node.actions import Send
 from hazelspring.node.messages import Heartbeat
 
 from .world import TICK, World
 
-ME, OTHER = ("d1", 1), ("d2", 1)
+ME, OTHER = NodeIdentity("d1", 1), NodeIdentity("d2", 1)
 
 
 def core_of_three() -> SingletonRoles:
@@ -77,7 +79,7 @@
     roles = core_of_three()
     role = roles.update_requests(10.1, settled=True)[0]
     roles.on_granted(role, "d1", 10.1, 1)
-    assert roles.disclaim_previous(10.5, ("d2", 2)) == []
+    assert roles.disclaim_previous(10.5, NodeIdentity("d2", 2)) == []
     roles.on_granted(role, "d2", 10.4, 1)  # asked for and promised before that, late on its way
     assert roles.held_until(role) == 0.0
     roles.on_granted(role, "d2", 10.6, 2)
--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -29,7 +29,8 @@
     StateRequest,
 )
 from hazelspring.localfleet.fleet import configuration
-from hazelspring.membership.peer_table import NodeInfo, PeerTable
+from hazelspring.membership.node_info import NodeInfo
+from hazelspring.membership.peer_table import PeerTable
 from hazelspring.node.actions import Send
 from hazelspring.node.control_replica import ControlReplica
 from hazelspring.node.messages import Message
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -6,8 +6,10 @@
 
 import pytest
 
-from hazelspring.membership.peer_table import FAR_ROSTER_TIMEOUT, ROSTER_TIMEOUT, NodeInfo, PeerTable
+from hazelspring.membership.node_info import NodeInfo
+from hazelspring.membership.peer_table import PeerTable
 from hazelspring.membership.roster import MAX_REMEMBERED_CHANGES, Roster, RosterRow, rows_checksum
+from hazelspring.membership.timeouts import FAR_ROSTER_TIMEOUT, ROSTER_TIMEOUT
 from hazelspring.node.actions import Action, Save, Send
 from hazelspring.node.messages import HeartbeatReply, Message
 from hazelspring.node.node import Node, NodeStart
--- a/tests/test_teller.py
+++ b/tests/test_teller.py
@@ -8,7 +8,8 @@
 import pytest
 
 from hazelspring.daemon.settings import LimitsSchema
-from hazelspring.membership.peer_table import NodeInfo, PeerTable
+from hazelspring.membership.node_info import NodeInfo
+from hazelspring.membership.peer_table import PeerTable
 from hazelspring.membership.rendezvous import owner
 from hazelspring.node import codec
 from hazelspring.node.actions import Action, Send
--- a/tests/world.py
+++ b/tests/world.py
@@ -17,7 +17,7 @@
 from hazelspring.configuration.model import configuration_digest
 from hazelspring.consensus.control_state import ControlState, lineage
 from hazelspring.consensus.proposal import ProposalOutcome
-from hazelspring.membership.peer_table import NodeInfo
+from hazelspring.membership.node_info import NodeInfo
 from hazelspring.node.actions import (
     Action,
     InvariantViolated,
