--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from hazelspring.leases.singleton_roles import LeaseGranter, SingletonRoles
+from hazelspring.leases.lease_granter import LeaseGranter
+from hazelspring.leases.singleton_roles import SingletonRoles
 from hazelspring.membership.node_info import NodeIdentity, NodeInfo
 from hazelspring.membership.peer_table import PeerTable
 from hazelspring.membership.timeouts import LEASE_TERM
