--- a/hazelspring/membership/roster.py
+++ b/hazelspring/membership/roster.py
@@ -176,7 +176,8 @@
         It counts only on the very rows that it was made from.  Where it does not lead to the checksum that it should,
         this node's checksum is dropped (0), so that the whole roster is sent.
         """
-        change = RosterChange(*encoded)
+        before, after, removed, changed = encoded
+        change = RosterChange(before, after, removed, changed)
         if change.checksum_before != self.checksum or change.checksum_before == 0:
             return  # late, or sent twice
         rows, checksum = self._with_changes(change.removed, change.changed, [])
