--- a/hazelspring/registry/__init__.py
+++ b/hazelspring/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry of servers: tables in versions that nodes tell each other, and who reads the platform's list."""
+"""The registry of servers: tables in versions that nodes send each other, and who reads the platform's list."""
--- a/hazelspring/registry/instance_list.py
+++ b/hazelspring/registry/instance_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of servers, as its pages say it."""
+"""The platform's list of servers, parsed from its pages."""
 
 from __future__ import annotations
 
@@ -7,54 +7,61 @@
 from dataclasses import dataclass
 from typing import Any
 
+from hazelspring.registry.errors import MalformedEntryError, MalformedListError
 from hazelspring.registry.tables import ServerEntry
 
 MAX_PORT = 65_535
+MILLISECONDS_PER_SECOND = 1000
+# what reading an entry of any shape may raise
+ENTRY_ERRORS = (KeyError, TypeError, ValueError, ArithmeticError)
 
 
 @dataclass(slots=True, frozen=True)
 class InstanceList:
-    """Servers by service and id, and the ids of entries that could not be read."""
+    """The servers by service and id, and the ids of entries that could not be read."""
 
     servers: dict[str, dict[str, ServerEntry]]
     malformed: tuple[str, ...] = ()
 
 
 def parse_instance_list(pages: Iterable[bytes], now: float) -> InstanceList:
-    """The platform's pages; `now` in this node's steady seconds.
+    """Return the servers that the platform's pages list; `now` in this node's steady seconds.
 
     A malformed entry is passed over, as if its server were not listed: it must not keep the other servers from being
-    known.  Raises ValueError where a page is none, or where not one entry could be read, as the platform then speaks
-    another language and what is known should stay.
+    known.  Raises MalformedListError where a page could not be read, or not one entry: the platform then speaks
+    another language, and what is known should stay.
     """
     servers: dict[str, dict[str, ServerEntry]] = {}
     malformed: list[str] = []
     for page in pages:
         for name, entry in _entries(page).items():
             try:
-                service, parsed = _text(entry, "service"), _parse_entry(name, entry, now)
-            except (KeyError, TypeError, ValueError, ArithmeticError):
+                service = _text(entry, "service")
+                parsed = _parse_entry(name, entry, now)
+            except ENTRY_ERRORS:
                 malformed.append(name)
             else:
                 servers.setdefault(service, {})[name] = parsed
     if malformed and not servers:
-        raise ValueError(f"no entry of the list could be read, one of them {malformed[0]}")
+        raise MalformedListError(f"no entry of the list could be read, one of them {malformed[0]}")
     return InstanceList(servers, tuple(malformed))
 
 
 def _entries(page: bytes) -> dict[str, Any]:
-    """The entries of a page by id.  Raises ValueError."""
+    """Return the entries of a page by id; raise MalformedListError where it has none."""
     try:
         entries = json.loads(page)["instanceList"]
     except (KeyError, TypeError) as error:
-        raise ValueError(f"a page of the list lacks {error}") from None
+        raise MalformedListError(f"a page of the list lacks {error}") from None
+    except ValueError as error:  # not JSON, or not text
+        raise MalformedListError(str(error)) from error
     if not isinstance(entries, dict):
-        raise ValueError("a page of the list holds no table of servers")
+        raise MalformedListError("a page of the list holds no table of servers")
     return entries
 
 
 def _parse_entry(name: str, entry: dict[str, Any], now: float) -> ServerEntry:
-    """One entry.  Raises KeyError, TypeError, ValueError or ArithmeticError."""
+    """Return one entry; raise one of ENTRY_ERRORS where it is malformed."""
     cold_ms = entry.get("coldRemainingMs")
     return ServerEntry(
         name,
@@ -63,21 +70,22 @@
         _text(entry, "serverState") == "accepting",
         int(entry.get("capacitySlots") or 1),
         str(entry.get("versionNumber", "")),
-        now + cold_ms / 1000 if cold_ms else 0.0,
+        now + cold_ms / MILLISECONDS_PER_SECOND if cold_ms else 0.0,
     )
 
 
 def _text(entry: dict[str, Any], field: str) -> str:
+    """Return a field that must be a string."""
     value = entry[field]
     if not isinstance(value, str):
-        raise TypeError(field)
+        raise MalformedEntryError(field)
     return value
 
 
 def _address(entry: dict[str, Any]) -> str:
-    """`HOST:PORT`, as connections to the server are opened with."""
+    """Return `HOST:PORT`, to which connections to the server are opened."""
     address = _text(entry, "address")
     host, _, port = address.rpartition(":")
     if not (host and port.isascii() and port.isdigit() and int(port) <= MAX_PORT):
-        raise ValueError("address")
+        raise MalformedEntryError("address")
     return address
--- a/hazelspring/registry/list_reader_role.py
+++ b/hazelspring/registry/list_reader_role.py
@@ -1,7 +1,7 @@
-"""The duty of reading the platform's list of servers: one read at a time, and a holder that gets none hands it on.
+"""The role of reading the platform's list of servers: one read at a time; a holder whose reads fail hands it on.
 
 A lease says that a node is alive, not that it does what the lease is for.  So each read has a deadline, after which it
-counts as failed whether its end was heard or not, and a holder without a read for too long declines the duty.
+counts as failed whether its end was reported or not, and a holder without a read for too long declines the role.
 """
 
 from __future__ import annotations
@@ -9,16 +9,18 @@
 from dataclasses import dataclass
 
 from hazelspring.leases.singleton_roles import SingletonRoles
+from hazelspring.membership.timeouts import NEVER
 
-LIST_READER = 0  # the number of this duty
-# seconds between two reads at most: rarer ones make news late, and the platform's list itself lags by more than this
+LIST_READER = 0  # the number of this role
+# seconds between two reads at most: rarer ones make changes late, and the platform's list itself lags by more than this
 MAX_INTERVAL = 0.5
 # seconds for one read at most: a platform that takes longer is as one that doesn't answer
 MAX_TIMEOUT = 1.5
 # seconds: a round trip between regions with a new connection, and three; no cutoff makes reads fail that would end well
 MIN_INTERVAL, MIN_TIMEOUT = 0.1, 0.3
-LOST_END_GRACE = 0.25  # seconds after its timeout at which a read whose end was not heard is given up
-NEVER = -1e9
+LOST_END_GRACE = 0.25  # seconds after its timeout at which a read whose end was not reported is given up
+CUTOFF_PARTS_PER_INTERVAL = 6  # a read is due after this part of the cutoff,
+CUTOFF_PARTS_PER_TIMEOUT = 2  # and has failed after this part of it
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,17 +32,18 @@
 
     @classmethod
     def within(cls, cutoff: float) -> ListTiming:
-        """Times by which all nodes know of a server's end in `cutoff` seconds, also where the reader fails just then.
+        """Return times by which all nodes know of a server's end in `cutoff` seconds, also if the reader fails then.
 
         A sixth goes by until a read is due, half until it has failed; the last third is for another node to take the
-        duty and read, and for a message that is lost.
+        role and read, and for a message that is lost.
         """
-        interval = max(MIN_INTERVAL, min(MAX_INTERVAL, cutoff / 6))
-        return cls(interval, max(MIN_TIMEOUT, min(MAX_TIMEOUT, cutoff / 2)))
+        interval = max(MIN_INTERVAL, min(MAX_INTERVAL, cutoff / CUTOFF_PARTS_PER_INTERVAL))
+        timeout = max(MIN_TIMEOUT, min(MAX_TIMEOUT, cutoff / CUTOFF_PARTS_PER_TIMEOUT))
+        return cls(interval, timeout)
 
     @property
     def deadline(self) -> float:
-        """Seconds after which a read is given up, whether its end was heard or not."""
+        """Seconds after which a read is given up, whether its end was reported or not."""
         return self.timeout + LOST_END_GRACE
 
     @property
@@ -50,22 +53,23 @@
 
 
 class ListReaderRole:
-    """When this node reads the list, and when it leaves that to another."""
+    """When this node reads the list, and when it leaves that to another; all times in steady seconds."""
 
     def __init__(self, roles: SingletonRoles, timing: ListTiming) -> None:
-        self.roles, self.timing = roles, timing
+        self.roles = roles
+        self.timing = timing
         self.number = 0  # of the read that was begun last
-        self.started_at = NEVER
-        self.under_way = False
+        self.started_at = NEVER  # when it was begun
+        self.under_way = False  # its end was not reported yet
         self.read_at = NEVER  # when the last read that succeeded had begun
-        self.held_since: float | None = None
+        self.held_since: float | None = None  # None: not held when last asked
 
     def holds(self, now: float) -> bool:
-        """Whether this node has the lease."""
+        """Return whether this node has the lease."""
         return self.roles.held_until(LIST_READER) > now
 
     def begin_read(self, now: float) -> int | None:
-        """The number of a read that is to begin now; None where none is due."""
+        """Return the number of a read that is to begin now; None where none is due."""
         if self.under_way and now - self.started_at < self.timing.deadline:
             return None
         if now - self.started_at < self.timing.interval:
@@ -75,7 +79,7 @@
         return self.number
 
     def end_read(self, number: int, succeeded: bool) -> bool:
-        """A read has ended; whether it is the one that was begun last.  One that was given up counts for nothing."""
+        """Note a read's end; return whether it was the one under way.  A read that was given up does not count."""
         if number != self.number or not self.under_way:
             return False
         self.under_way = False
@@ -84,13 +88,13 @@
         return True
 
     def must_decline(self, now: float) -> bool:
-        """Whether this node holds the duty, has read nothing for too long, and another node may do better."""
+        """Return whether this node holds the role, has read nothing for too long, and another node may do better."""
         return self.time_without_read(now) > self.timing.overdue and self.roles.others_willing(
             now, LIST_READER
         )
 
     def time_without_read(self, now: float) -> float:
-        """Seconds for which this node has held the duty and read nothing; 0 where it does not hold it."""
+        """Return the seconds for which this node has held the role and read nothing; 0 where it does not hold it."""
         if not self.holds(now):
             self.held_since = None
             return 0.0
