--- a/hazelspring/configuration/delta.py
+++ b/hazelspring/configuration/delta.py
@@ -30,7 +30,7 @@
 MAX_GROWTH = (
     2  # times the old body that runs of it may come to, so that a small difference makes no large body
 )
-MAX_STEPS = 256  # differences one after another
+MAX_CHAINED_DELTAS = 256  # differences one after another
 HEAD, RUN = (
     struct.Struct("<QI"),
     struct.Struct("<QII"),
@@ -120,7 +120,7 @@
 
 def apply_deltas(packed: bytes, deltas: Sequence[bytes], digest: bytes) -> bytes:
     """The packed body of that digest to which differences lead, one after another; raises DeltaError."""
-    if len(deltas) > MAX_STEPS:
+    if len(deltas) > MAX_CHAINED_DELTAS:
         raise DeltaError("too many differences")
     try:
         blocks = read_blocks(packed)
--- a/hazelspring/configuration/incremental.py
+++ b/hazelspring/configuration/incremental.py
@@ -177,30 +177,33 @@
         self.copied_hosts: set[str] = set()  # hosts whose routes are a list of this word's own
         kinds = {kind for (kind, _), _ in [*gone, *new]}
         if "routeTable" in kinds:
-            self.configuration.routes = dict(word.routes)
-            there = {route.name for routes in word.routes.values() for route in routes}
+            self.configuration.routes_by_host = dict(word.routes_by_host)
+            there = {route.name for routes in word.routes_by_host.values() for route in routes}
             self.route_names = there - {name for (kind, name), _ in gone if kind == "routeTable"}
         if "serviceTable" in kinds:
             self.configuration.services = dict(word.services)
         if "tenantTable" in kinds:
-            self.configuration.tenants, self.configuration.keys = dict(word.tenants), dict(word.keys)
+            self.configuration.tenants, self.configuration.tenants_by_key = (
+                dict(word.tenants),
+                dict(word.tenants_by_key),
+            )
         for (kind, name), entry in gone:
             self.remove(kind, name, entry["specification"])
         for (kind, name), entry in new:
             self.add(kind, name, entry["specification"])
         for host in self.copied_hosts:
-            if routes := self.configuration.routes[host]:
+            if routes := self.configuration.routes_by_host[host]:
                 routes.sort(key=route_order)
             else:
-                del self.configuration.routes[host]
+                del self.configuration.routes_by_host[host]
         if word.limits_entries > 1 or self.configuration.limits_entries > 1:
             raise NotIncrementalError("limits that stand twice: the later one counts")
 
     def routes(self, host: str) -> list[Route]:
         if host not in self.copied_hosts:
             self.copied_hosts.add(host)
-            self.configuration.routes[host] = list(self.configuration.routes.get(host, ()))
-        return self.configuration.routes[host]
+            self.configuration.routes_by_host[host] = list(self.configuration.routes_by_host.get(host, ()))
+        return self.configuration.routes_by_host[host]
 
     def remove(self, kind: str, name: str, spec: Entry) -> None:
         if kind == "routeTable":
@@ -212,7 +215,7 @@
         elif kind == "tenantTable":
             del self.configuration.tenants[name]
             for key in set(spec.get("accessKeys") or ()):
-                del self.configuration.keys[key]
+                del self.configuration.tenants_by_key[key]
         elif kind == "limits":
             self.configuration.limits = Limits()
             self.configuration.limits_entries -= 1
@@ -235,7 +238,7 @@
                 raise NotIncrementalError(f"tenant {name} stands twice")
             tenant = word.tenants[name] = parse_tenant(name, spec)
             for key in spec.get("accessKeys") or ():
-                if word.keys.setdefault(key, tenant) is not tenant:
+                if word.tenants_by_key.setdefault(key, tenant) is not tenant:
                     raise NotIncrementalError(f"tenant {name}: a key that another holds")
         elif kind == "limits":
             word.limits = parse_limits(spec)
--- a/hazelspring/configuration/model.py
+++ b/hazelspring/configuration/model.py
@@ -74,15 +74,15 @@
     """One configuration, as the doors use it."""
 
     version: int
-    routes: dict[str, list[Route]] = field(default_factory=dict)  # by host, the longest prefix first
+    routes_by_host: dict[str, list[Route]] = field(default_factory=dict)  # by host, the longest prefix first
     services: dict[str, Service] = field(default_factory=dict)
     tenants: dict[str, Tenant] = field(default_factory=dict)
-    keys: dict[str, Tenant] = field(default_factory=dict)
+    tenants_by_key: dict[str, Tenant] = field(default_factory=dict)
     limits: Limits = field(default_factory=Limits)
     limits_entries: int = 0  # entries that say limits: the last one counts
 
-    def route(self, host: str, path: str) -> Route | None:
-        for route in self.routes.get(host, ()):
+    def find_route(self, host: str, path: str) -> Route | None:
+        for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
@@ -169,16 +169,16 @@
         kind, name, spec = entry["resourceKind"], entry["metadata"].get("name", ""), entry["specification"]
         if kind == "routeTable":
             route = parse_route(name, spec)
-            word.routes.setdefault(route.host, []).append(route)
+            word.routes_by_host.setdefault(route.host, []).append(route)
         elif kind == "serviceTable":
             word.services[name] = parse_service(name, spec)
         elif kind == "tenantTable":
             tenant = word.tenants[name] = parse_tenant(name, spec)
             for key in spec.get("accessKeys") or ():
-                word.keys[key] = tenant
+                word.tenants_by_key[key] = tenant
         elif kind == "limits":
             word.limits = parse_limits(spec)
             word.limits_entries += 1
-    for routes in word.routes.values():
+    for routes in word.routes_by_host.values():
         routes.sort(key=route_order)
     return word
--- a/hazelspring/configuration/validation.py
+++ b/hazelspring/configuration/validation.py
@@ -169,7 +169,7 @@
         if entry["resourceKind"] == "routeTable":
             validate_route(entry["metadata"]["name"], entry["specification"], word.services)
     if held.configuration.services.keys() - word.services.keys():
-        for routes in word.routes.values():
+        for routes in word.routes_by_host.values():
             for each in routes:
                 if not word.services.keys() >= {name for name, _ in each.weighted_services} | {
                     *each.zero_weight_services
--- a/hazelspring/consensus/acceptor.py
+++ b/hazelspring/consensus/acceptor.py
@@ -7,7 +7,7 @@
 
 import cbor2
 
-from hazelspring.configuration.delta import MAX_STEPS, DeltaError, apply_deltas, make_delta
+from hazelspring.configuration.delta import MAX_CHAINED_DELTAS, DeltaError, apply_deltas, make_delta
 from hazelspring.consensus.control_state import (
     NO_BALLOT,
     NO_CONFIGURATION,
@@ -181,7 +181,7 @@
         left = min(MAX_KEPT_DELTA_BYTES, len(word))
         for n, old in enumerate(reversed(list(self.deltas))):
             left -= len(self.deltas[old][1])
-            if left < 0 or n >= MAX_STEPS:
+            if left < 0 or n >= MAX_CHAINED_DELTAS:
                 del self.deltas[old]
 
     def configuration_payload(self, digest: bytes, held: HeldConfiguration) -> ConfigurationPayload:
@@ -206,7 +206,7 @@
         if len(word) <= MIN_BYTES_FOR_DELTA:
             return None
         held, steps, left, at = set(holds) - {NO_CONFIGURATION}, list[DeltaStep](), len(word), digest
-        while at not in held and at in self.deltas and len(steps) < MAX_STEPS:
+        while at not in held and at in self.deltas and len(steps) < MAX_CHAINED_DELTAS:
             before, delta = self.deltas[at]
             steps.insert(0, DeltaStep(at, delta))
             left, at = left - len(delta) - len(at), before
--- a/hazelspring/daemon/client_listener.py
+++ b/hazelspring/daemon/client_listener.py
@@ -170,7 +170,7 @@
             exchange.reply(FinalAnswer(503, retry_after=NOT_READY_RETRY_AFTER))
             return
         host = headers.get(b"host", b"").decode("latin-1").lower()
-        route = word.route(host, path.decode("latin-1")) or word.route(
+        route = word.find_route(host, path.decode("latin-1")) or word.find_route(
             host.rpartition(":")[0], path.decode("latin-1")
         )
         tenant = self.tenant(word, route, headers.get(b"authorization", b"")) if route is not None else None
@@ -202,7 +202,7 @@
     def tenant(self, word: Configuration, route: Route, authorization: bytes) -> Tenant | None:
         if route.open_access or authorization[: len(BEARER_PREFIX)].lower() != BEARER_PREFIX:
             return None
-        return word.keys.get(authorization[len(BEARER_PREFIX) :].strip().decode("latin-1"))
+        return word.tenants_by_key.get(authorization[len(BEARER_PREFIX) :].strip().decode("latin-1"))
 
     def submit(
         self,
--- a/hazelspring/routing/request_router.py
+++ b/hazelspring/routing/request_router.py
@@ -121,7 +121,7 @@
 
     def use_configuration(self, word: Configuration) -> None:
         self.configuration = word
-        names = {route.name for routes in word.routes.values() for route in routes}
+        names = {route.name for routes in word.routes_by_host.values() for route in routes}
         for name in self.fleet.route_latencies.keys() - names:
             del self.fleet.route_latencies[name]
         for service in self.retry_budgets.keys() - word.services.keys():
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -272,7 +272,7 @@
         RequestRouter(SharedLimits(), fleet, seed + 2),
         parse_configuration(routing_document()),
     )
-    routes, tenants = configuration.routes["h"], [None, *configuration.tenants.values()]
+    routes, tenants = configuration.routes_by_host["h"], [None, *configuration.tenants.values()]
 
     def hand(event: object) -> None:
         actions: list[Any] = list(router.handle(now, event))
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -139,8 +139,8 @@
 
 def unshared(old: Configuration, new: Configuration) -> int:
     """How many entries are the same and not the same objects."""
-    routes = {route: route for routes in old.routes.values() for route in routes}
-    now = [route for of in new.routes.values() for route in of]
+    routes = {route: route for routes in old.routes_by_host.values() for route in routes}
+    now = [route for of in new.routes_by_host.values() for route in of]
     tables: list[tuple[dict[Any, Any], dict[Any, Any]]] = [(routes, {route: route for route in now})]
     tables += [(old.tenants, new.tenants), (old.services, new.services)]
     return sum(
@@ -193,7 +193,8 @@
         ):
             assert unshared(old.configuration, held.configuration) <= len(edits)
         assert all(
-            held.configuration.tenants[tenant.name] is tenant for tenant in held.configuration.keys.values()
+            held.configuration.tenants[tenant.name] is tenant
+            for tenant in held.configuration.tenants_by_key.values()
         )
 
 
@@ -297,7 +298,9 @@
             apply_deltas(base, [right], configuration_digest(two))
     with pytest.raises(DeltaError, match="too many"):
         apply_deltas(
-            packed, [right] * (hazelspring.configuration.delta.MAX_STEPS + 1), configuration_digest(two)
+            packed,
+            [right] * (hazelspring.configuration.delta.MAX_CHAINED_DELTAS + 1),
+            configuration_digest(two),
         )
 
 
--- a/tests/test_forage.py
+++ b/tests/test_forage.py
@@ -82,7 +82,7 @@
 
     def ask(self, path: str, tenant: str = "free", left: float = 4.0) -> list[Any]:
         self.number += 1
-        route = WORD.route("h", path)
+        route = WORD.find_route("h", path)
         assert route is not None
         return self.handle(RequestArrived(self.number, route, WORD.tenants[tenant], left))
 
@@ -319,14 +319,14 @@
 
 
 def test_routes_by_the_longest_prefix_and_splits_by_weight() -> None:
-    found = WORD.route("h", "/r/deep/x")
-    assert found is not None and found.name == "deep" and WORD.route("h", "/none/") is None
+    found = WORD.find_route("h", "/r/deep/x")
+    assert found is not None and found.name == "deep" and WORD.find_route("h", "/none/") is None
     split = document()
     split["resourceList"][0]["specification"].update(
         service=None,
         weightedSplit=[{"service": "shop", "shareWeight": 0}, {"service": "other", "shareWeight": 5}],
     )
-    route = parse_configuration(json.dumps(split).encode()).route("h", "/r/")
+    route = parse_configuration(json.dumps(split).encode()).find_route("h", "/r/")
     assert route is not None and {route.pick_service(n / 10) for n in range(10)} == {"other"}
 
 
--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -320,7 +320,7 @@
         errors[name] = f"{caught.value.code}: {caught.value}"
     return {
         "versionNumber": tables.version,
-        "routeTable": {host: [route_fields(one) for one in routes] for host, routes in tables.routes.items()},
+        "routeTable": {host: [route_fields(one) for one in routes] for host, routes in tables.routes_by_host.items()},
         "serviceTable": {
             name: {
                 "name": one.name, "healthPath": one.health_path, "connectionLimit": one.connection_limit,
@@ -335,7 +335,7 @@
             }
             for name, one in tables.tenants.items()
         },
-        "accessKeys": {key: tenant.name for key, tenant in tables.keys.items()},
+        "accessKeys": {key: tenant.name for key, tenant in tables.tenants_by_key.items()},
         "limits": {
             "headerBytes": limits.max_head_bytes, "bodyBytes": limits.max_body_bytes,
             "headerTimeoutMs": limits.head_timeout,
--- a/tests/test_ill_servers.py
+++ b/tests/test_ill_servers.py
@@ -97,7 +97,7 @@
     def ask(self, n: int) -> None:
         number = next(self.numbers)
         self.asked[n] += 1
-        route = WORD.route("h", "/r/1" if number % 2 else "/w/1")
+        route = WORD.find_route("h", "/r/1" if number % 2 else "/w/1")
         assert route is not None
         self.act(n, self.doors[n].handle(self.now, RequestArrived(number, route, WORD.tenants["free"], 4.0)))
 
@@ -242,7 +242,7 @@
 
     async def ask(self, name: str, path: str) -> int:
         """The status that a client's request gets."""
-        route, method = WORD.route("h", path), "GET" if path.startswith("/r") else "POST"
+        route, method = WORD.find_route("h", path), "GET" if path.startswith("/r") else "POST"
         assert route is not None
         found = route
 
