--- a/hazelspring/configuration/schema.py
+++ b/hazelspring/configuration/schema.py
@@ -1,4 +1,4 @@
-"""What all that marshmallow reads here has in common: unknown fields are ignored, problems name their field."""
+"""What all marshmallow schemas of this program share: unknown fields are ignored, problems name their field."""
 
 from __future__ import annotations
 
@@ -8,16 +8,27 @@
 
 
 class LenientSchema(Schema):
+    """A schema that ignores unknown fields, so that documents may be newer than the program."""
+
     class Meta:
+        """Options that marshmallow reads."""
+
         unknown = EXCLUDE
 
 
 def flatten_errors(messages: Any, path: str = "") -> list[str]:
-    """What marshmallow found, a line a problem, each with the way to its field; the first found stands first."""
-    if isinstance(messages, dict):
-        return [
-            p
-            for key, value in messages.items()
-            for p in flatten_errors(value, f"{path}.{key}" if path else str(key))
-        ]
-    return [f"{path}: {text}" for text in messages]
+    """Return marshmallow's messages, a line a problem, each with the path of its field, in the order found.
+
+    Parameters
+    ----------
+    messages
+        `ValidationError.messages`: lists of texts, nested in maps by field.
+    path
+        The field, with dots, that the messages are about.
+    """
+    if not isinstance(messages, dict):
+        return [f"{path}: {text}" for text in messages]
+    problems = []
+    for key, nested in messages.items():
+        problems += flatten_errors(nested, f"{path}.{key}" if path else str(key))
+    return problems
