--- a/hazelspring/configuration/delta.py
+++ b/hazelspring/configuration/delta.py
@@ -166,7 +166,7 @@
     held: tuple[int, bytes] = (-1, b"")  # the block that was unpacked last
 
     def settle() -> None:
-        texts = list(split_blocks(bytes(loose), head=not made))
+        texts = list(split_blocks(bytes(loose), separate_head=not made))
         if len(texts) > 2 and len(texts[-1]) < MIN_BLOCK_BYTES // 2:
             texts[-2:] = [texts[-2] + texts[-1]]
         made.extend(Block(len(text), text=text) for text in texts)
