--- a/hazelspring/configuration/delta.py
+++ b/hazelspring/configuration/delta.py
@@ -1,7 +1,21 @@
-"""The difference between two packed configurations, as bytes: runs of the old body's bytes, and new ones between.
+"""The delta between two packed configurations: runs of bytes of the old body, and new bytes between them.
 
-Exact whatever the bodies are; small where resources begin as
-`hazelspring.configuration.blocks.MARK` says, else as large as the body.
+A delta is a zlib stream of
+
+===========  =======================  ==========================================================================
+part         format                   content
+===========  =======================  ==========================================================================
+header       ``<QI``                  bytes of the new body unpacked, number of runs
+runs         ``<QII`` for each        offset in the old body, length there, and number of new bytes that follow
+new bytes    one after the other      those of each run, in the order of the runs
+===========  =======================  ==========================================================================
+
+Offsets and lengths are in bytes of the unpacked bodies.  The new body is, run by run, the bytes of the old one and then
+the new ones; a run of length 0 brings new bytes only.
+
+A delta is exact whatever the bodies are.  It is small where resources begin as
+`hazelspring.configuration.blocks.BLOCK_BOUNDARY` says, else as large as the body.  Blocks that both bodies have are
+neither unpacked to make a delta nor packed again to apply it.
 """
 
 from __future__ import annotations
@@ -9,11 +23,13 @@
 import struct
 import zlib
 from bisect import bisect_right
-from collections.abc import Iterator, Sequence
+from collections.abc import Iterable, Iterator, Sequence
 from itertools import accumulate
+from typing import NamedTuple
 
 from hazelspring.configuration.blocks import (
     BLOCK_BOUNDARY,
+    COMPRESSION_LEVEL,
     MAX_BODY_BYTES,
     MIN_BLOCK_BYTES,
     Block,
@@ -22,173 +38,253 @@
     seal_blocks,
     split_blocks,
 )
+from hazelspring.errors import HazelspringError
 
-MAX_RUNS = (
-    4096  # of one difference: what has more goes whole, and what unpacks a block for each ends in a second
-)
-MAX_NEW_BYTES = 16 << 20  # bytes of one difference, unpacked
-MAX_GROWTH = (
-    2  # times the old body that runs of it may come to, so that a small difference makes no large body
-)
-MAX_CHAINED_DELTAS = 256  # differences one after another
-HEAD, RUN = (
-    struct.Struct("<QI"),
-    struct.Struct("<QII"),
-)  # size of the new body, runs; offset, bytes, new bytes
+MAX_RUNS = 4096  # of one delta: one that unpacks a block for each run still ends within a second
+MAX_NEW_BYTES = 16 << 20  # bytes of one delta, unpacked
+MAX_GROWTH = 2  # times the old body that runs may copy of it, so that a small delta makes no large body
+MAX_CHAINED_DELTAS = 256  # deltas that may be applied one after another
+DELTA_HEADER = struct.Struct("<QI")  # bytes of the new body, number of runs
+RUN_HEADER = struct.Struct("<QII")  # offset, length, number of new bytes
 
-Run = tuple[int, int, bytes]  # offset and length in the old body, and new bytes after it
 
-
-class DeltaError(ValueError):
-    """A difference that cannot be made, or leads from these bytes to no such body."""
+class DeltaError(HazelspringError, ValueError):
+    """A delta cannot be made, or does not lead from these bytes to the body that was named."""
 
     code = "delta"
 
 
+class Run(NamedTuple):
+    """Bytes that are copied from the old body, and new bytes after them.
+
+    Attributes
+    ----------
+    offset
+        Where the copied bytes begin in the old body.
+    length
+        How many bytes are copied.
+    new_bytes
+        What follows them in the new body.
+    """
+
+    offset: int
+    length: int
+    new_bytes: bytes
+
+
 def make_delta(old: bytes, new: bytes) -> bytes:
-    """What makes one packed body of another; raises DeltaError where it would be too large, or one is not packed."""
+    """Return the delta that leads from one packed body to another.
+
+    Raises
+    ------
+    DeltaError
+        The delta would be too large, or one of the bodies is damaged.
+    """
     try:
-        before, after = read_blocks(old), read_blocks(new)
-        runs = joined(told(before, after))
+        old_blocks, new_blocks = read_blocks(old), read_blocks(new)
+        runs = _merge_runs(_compare_blocks(old_blocks, new_blocks))
     except PackedError as error:
         raise DeltaError(str(error)) from None
-    if sum(run[1] for run in runs) > MAX_GROWTH * sum(block.size for block in before):
+    if sum(run.length for run in runs) > MAX_GROWTH * _total_size(old_blocks):
         raise DeltaError("too much is told twice")
-    rows = [RUN.pack(offset, length, len(fresh)) for offset, length, fresh in runs]
-    body = b"".join(
-        [HEAD.pack(sum(b.size for b in after), len(runs)), *rows, *(fresh for _, _, fresh in runs)]
-    )
+    header = DELTA_HEADER.pack(_total_size(new_blocks), len(runs))
+    rows = [RUN_HEADER.pack(run.offset, run.length, len(run.new_bytes)) for run in runs]
+    body = b"".join([header, *rows, *(run.new_bytes for run in runs)])
     if len(body) > MAX_NEW_BYTES:
         raise DeltaError("too much is new")
-    return zlib.compress(body, 6)
-
-
-def told(before: list[Block], after: list[Block]) -> Iterator[Run]:
-    """Runs of the old body by offset and length, and new bytes, in the order of the new one."""
-    starts = [0, *accumulate(block.size for block in before)]
-    at = {block.packed: n for n, block in enumerate(before) if block.packed is not None}
-    upto, fresh = 0, list[Block]()
-    for block in after:
-        n = at.get(block.packed) if block.packed is not None else None
-        if n is None:
-            fresh.append(block)
+    return zlib.compress(body, COMPRESSION_LEVEL)
+
+
+def _total_size(blocks: Iterable[Block]) -> int:
+    return sum(block.size for block in blocks)
+
+
+def _block_starts(blocks: Iterable[Block]) -> list[int]:
+    """Return the offset of each block in its body, and the body's size."""
+    return [0, *accumulate(block.size for block in blocks)]
+
+
+def _compare_blocks(old_blocks: list[Block], new_blocks: list[Block]) -> Iterator[Run]:
+    """Return short runs, in the order of the new body: each either copies bytes or brings new ones."""
+    starts = _block_starts(old_blocks)
+    index_by_packed = {
+        block.packed: index for index, block in enumerate(old_blocks) if block.packed is not None
+    }
+    next_index = 0  # of the first old block after the last one that stayed
+    changed: list[Block] = []
+    for block in new_blocks:
+        index = index_by_packed.get(block.packed) if block.packed is not None else None
+        if index is None:
+            changed.append(block)
             continue
-        yield from among(before[upto:n], starts[upto], fresh)
-        yield starts[n], block.size, b""
-        upto, fresh = n + 1, []
-    yield from among(before[upto:], starts[upto], fresh)
+        yield from _compare_resources(old_blocks[next_index:index], starts[next_index], changed)
+        yield Run(starts[index], block.size, b"")
+        next_index = index + 1
+        changed = []
+    yield from _compare_resources(old_blocks[next_index:], starts[next_index], changed)
 
 
-def among(before: list[Block], start: int, after: list[Block]) -> Iterator[Run]:
-    """The same by resources, for blocks that changed."""
-    if not after:
+def _compare_resources(old_blocks: list[Block], start: int, new_blocks: list[Block]) -> Iterator[Run]:
+    """Return short runs for blocks that changed, resource by resource; `start` is the offset of the old ones."""
+    if not new_blocks:
         return
-    known: dict[bytes, int] = {}
-    for piece in pieces(b"".join(block.unpacked() for block in before)):
-        known.setdefault(piece, start)
-        start += len(piece)
-    for piece in pieces(b"".join(block.unpacked() for block in after)):
-        at = known.get(piece)
-        yield (0, 0, piece) if at is None else (at, len(piece), b"")
+    offset_by_text: dict[bytes, int] = {}
+    for resource in _split_resources(b"".join(block.unpacked() for block in old_blocks)):
+        offset_by_text.setdefault(resource, start)
+        start += len(resource)
+    for resource in _split_resources(b"".join(block.unpacked() for block in new_blocks)):
+        offset = offset_by_text.get(resource)
+        if offset is None:
+            yield Run(0, 0, resource)
+        else:
+            yield Run(offset, len(resource), b"")
 
 
-def pieces(text: bytes) -> Iterator[bytes]:
-    """A text in pieces that begin at marks."""
+def _split_resources(text: bytes) -> Iterator[bytes]:
+    """Split a text where resources begin."""
     start = 0
     while start < len(text):
-        at = text.find(BLOCK_BOUNDARY, start + 1)
-        yield text[start : at if at > 0 else len(text)]
-        start = at if at > 0 else len(text)
-
-
-def joined(told: Iterator[Run]) -> list[Run]:
-    """Runs as long as can be, each with the new bytes that follow it."""
-    runs: list[tuple[int, int, list[bytes]]] = []
-    for offset, length, piece in told:
-        if piece:
-            if not runs:
-                runs.append((0, 0, []))
-            runs[-1][2].append(piece)
-        elif runs and not runs[-1][2] and runs[-1][0] + runs[-1][1] == offset:
-            runs[-1] = (runs[-1][0], runs[-1][1] + length, [])
+        boundary = text.find(BLOCK_BOUNDARY, start + 1)
+        end = boundary if boundary > 0 else len(text)
+        yield text[start:end]
+        start = end
+
+
+class _OpenRun:
+    """A run that is still extended."""
+
+    __slots__ = ("length", "new_parts", "offset")
+
+    def __init__(self, offset: int, length: int) -> None:
+        self.offset, self.length = offset, length
+        self.new_parts: list[bytes] = []
+
+
+def _merge_runs(short_runs: Iterable[Run]) -> list[Run]:
+    """Join runs to ones as long as can be, each with the new bytes that follow it."""
+    merged: list[_OpenRun] = []
+    for offset, length, new_bytes in short_runs:
+        last = merged[-1] if merged else None
+        if new_bytes:
+            if last is None:
+                last = _OpenRun(0, 0)
+                merged.append(last)
+            last.new_parts.append(new_bytes)
+        elif last is not None and not last.new_parts and last.offset + last.length == offset:
+            last.length += length
         else:
-            runs.append((offset, length, []))
-        if len(runs) > MAX_RUNS:
+            merged.append(_OpenRun(offset, length))
+        if len(merged) > MAX_RUNS:
             raise DeltaError("too many runs")
-    return [(offset, length, b"".join(fresh)) for offset, length, fresh in runs]
+    return [Run(run.offset, run.length, b"".join(run.new_parts)) for run in merged]
 
 
 def apply_deltas(packed: bytes, deltas: Sequence[bytes], digest: bytes) -> bytes:
-    """The packed body of that digest to which differences lead, one after another; raises DeltaError."""
+    """Return the packed body to which deltas lead.
+
+    Parameters
+    ----------
+    packed
+        The packed body that the first delta was made from.
+    deltas
+        Applied one after another.
+    digest
+        What the last body must have as its `hazelspring.configuration.model.configuration_digest`.
+
+    Raises
+    ------
+    DeltaError
+        A delta is damaged or too large, there are too many, or they lead to another body.
+    """
     if len(deltas) > MAX_CHAINED_DELTAS:
         raise DeltaError("too many differences")
     try:
         blocks = read_blocks(packed)
-        most, left = MAX_GROWTH * sum(block.size for block in blocks), 2 * MAX_RUNS
+        max_copied = MAX_GROWTH * _total_size(blocks)
+        runs_left = 2 * MAX_RUNS
         for delta in deltas:
-            runs = read(delta)
-            left -= len(runs)
-            if left < 0 or sum(run[1] for run in runs) > most:
+            runs = _read_delta(delta)
+            runs_left -= len(runs)
+            if runs_left < 0 or sum(run.length for run in runs) > max_copied:
                 raise DeltaError("too large")
-            blocks = patched(blocks, runs)
+            blocks = _BlockPatcher(blocks).apply(runs)
         return seal_blocks(blocks, digest)
     except PackedError as error:
         raise DeltaError(str(error)) from None
 
 
-def read(delta: bytes) -> list[Run]:
-    """The runs of the new body, in its order; raises DeltaError."""
-    unpacker = zlib.decompressobj()
+def _read_delta(delta: bytes) -> list[Run]:
+    """Return the runs of a delta; raise DeltaError where it is damaged or too large."""
+    decompressor = zlib.decompressobj()
     try:
-        body = unpacker.decompress(delta, MAX_NEW_BYTES)
+        body = decompressor.decompress(delta, MAX_NEW_BYTES)
     except (zlib.error, TypeError) as error:
         raise DeltaError(f"not packed: {error}") from None
-    if not unpacker.eof or len(body) < HEAD.size:
+    if not decompressor.eof or len(body) < DELTA_HEADER.size:
         raise DeltaError("it has no end")
-    size, count = HEAD.unpack_from(body)
-    at = HEAD.size + count * RUN.size
-    if size > MAX_BODY_BYTES or count > MAX_RUNS or at > len(body):
+    size, run_count = DELTA_HEADER.unpack_from(body)
+    position = DELTA_HEADER.size + run_count * RUN_HEADER.size  # of the new bytes
+    if size > MAX_BODY_BYTES or run_count > MAX_RUNS or position > len(body):
         raise DeltaError("too large")
     runs = []
-    for offset, length, fresh in RUN.iter_unpack(body[HEAD.size : at]):
-        runs.append((offset, length, body[at : at + fresh]))
-        at += fresh
-    if at != len(body) or sum(length + len(fresh) for _, length, fresh in runs) != size:
+    for offset, length, new_length in RUN_HEADER.iter_unpack(body[DELTA_HEADER.size : position]):
+        runs.append(Run(offset, length, body[position : position + new_length]))
+        position += new_length
+    if position != len(body) or sum(run.length + len(run.new_bytes) for run in runs) != size:
         raise DeltaError("of another size")
     return runs
 
 
-def patched(blocks: list[Block], runs: list[Run]) -> list[Block]:
-    """Blocks after one difference: those that a run covers are the same ones."""
-    starts = [0, *accumulate(block.size for block in blocks)]
-    made: list[Block] = []
-    loose = bytearray()
-    held: tuple[int, bytes] = (-1, b"")  # the block that was unpacked last
+class _BlockPatcher:
+    """Applies one delta to the blocks of a body: blocks that a run covers whole are taken as they are."""
+
+    def __init__(self, blocks: list[Block]) -> None:
+        self.old_blocks = blocks
+        self.starts = _block_starts(blocks)
+        self.new_blocks: list[Block] = []
+        self.loose = bytearray()  # bytes of the new body that are in no block yet
+        self.unpacked_index = -1  # of the old block that was unpacked last, as runs often stay within one
+        self.unpacked_text = b""
+
+    def apply(self, runs: Iterable[Run]) -> list[Block]:
+        """Return the blocks of the new body; raise DeltaError, or PackedError where an old block is damaged."""
+        for run in runs:
+            if run.offset + run.length > self.starts[-1]:
+                raise DeltaError("a run beyond the old body")
+            self._copy(run.offset, run.offset + run.length)
+            self.loose += run.new_bytes
+        self._flush_loose()
+        return self.new_blocks
+
+    def _copy(self, position: int, end: int) -> None:
+        """Append the old body's bytes from a position up to another."""
+        while position < end:
+            index = bisect_right(self.starts, position) - 1
+            block_start, block_end = self.starts[index], self.starts[index + 1]
+            copy_end = min(end, block_end)
+            if position == block_start and copy_end == block_end and self._may_end_block():
+                self._flush_loose()
+                self.new_blocks.append(self.old_blocks[index])
+            else:
+                text = self._unpack_old(index)
+                self.loose += text[position - block_start : copy_end - block_start]
+            position = copy_end
+
+    def _may_end_block(self) -> bool:
+        """Whether loose bytes end before a block that stays: not if too few for one, but the head is alone."""
+        is_head = not self.new_blocks and BLOCK_BOUNDARY not in self.loose
+        return not self.loose or len(self.loose) >= MIN_BLOCK_BYTES or is_head
 
-    def settle() -> None:
-        texts = list(split_blocks(bytes(loose), separate_head=not made))
+    def _unpack_old(self, index: int) -> bytes:
+        if self.unpacked_index != index:
+            self.unpacked_text = self.old_blocks[index].unpacked()
+            self.unpacked_index = index
+        return self.unpacked_text
+
+    def _flush_loose(self) -> None:
+        """Make blocks of the loose bytes; a last one that is too small becomes part of the one before it."""
+        texts = list(split_blocks(bytes(self.loose), separate_head=not self.new_blocks))
         if len(texts) > 2 and len(texts[-1]) < MIN_BLOCK_BYTES // 2:
             texts[-2:] = [texts[-2] + texts[-1]]
-        made.extend(Block(len(text), text=text) for text in texts)
-        loose.clear()
-
-    for offset, length, fresh in runs:
-        at, end = offset, offset + length
-        if end > starts[-1]:
-            raise DeltaError("a run beyond the old body")
-        while at < end:
-            n = bisect_right(starts, at) - 1
-            upto = min(end, starts[n + 1])
-            # what is loose ends before a block that stays, unless it is too little for one: but the head is alone
-            enough = not loose or len(loose) >= MIN_BLOCK_BYTES or (not made and BLOCK_BOUNDARY not in loose)
-            if at == starts[n] and upto == starts[n + 1] and enough:
-                settle()
-                made.append(blocks[n])
-            else:
-                if held[0] != n:
-                    held = (n, blocks[n].unpacked())
-                loose += held[1][at - starts[n] : upto - starts[n]]
-            at = upto
-        loose += fresh
-    settle()
-    return made
+        self.new_blocks.extend(Block(len(text), text=text) for text in texts)
+        self.loose.clear()
--- a/tests/test_change.py
+++ b/tests/test_configuration_change.py
@@ -274,14 +274,14 @@
         wrong.append(zlib.compress(bytes(bent)))
     wrong.append(
         zlib.compress(
-            hazelspring.configuration.delta.HEAD.pack(1 << 30, 1)
-            + hazelspring.configuration.delta.RUN.pack(0, 1 << 30, 0)
+            hazelspring.configuration.delta.DELTA_HEADER.pack(1 << 30, 1)
+            + hazelspring.configuration.delta.RUN_HEADER.pack(0, 1 << 30, 0)
         )
     )
     wrong.append(zlib.compress(bytes(hazelspring.configuration.delta.MAX_NEW_BYTES + 1)))
-    twice = hazelspring.configuration.delta.HEAD.pack(
+    twice = hazelspring.configuration.delta.DELTA_HEADER.pack(
         3 * len(one), 3
-    ) + 3 * hazelspring.configuration.delta.RUN.pack(0, len(one), 0)
+    ) + 3 * hazelspring.configuration.delta.RUN_HEADER.pack(0, len(one), 0)
     wrong.append(zlib.compress(twice))
     raised = 0
     for delta in wrong:
