--- a/hazelspring/configuration/validation.py
+++ b/hazelspring/configuration/validation.py
@@ -153,10 +153,10 @@
 def validate_incrementally(held: LoadedConfiguration, packed: bytes) -> int:
     """The number of a configuration whose change is sound; raises Invalid, Irregular, PackedError."""
     change = diff_blocks(held, packed)
-    document = {**change.document, "resourceList": change.entries}
+    document = {**change.document, "resourceList": change.resources}
     try:
         DOCUMENT_SCHEMA.load(document)
-        for entry in change.entries:
+        for entry in change.resources:
             if entry["resourceKind"] not in SPECIFICATION_SCHEMAS:
                 raise InvalidConfigurationError("a kind that is unknown")
             if entry["resourceKind"] != "limits" and not entry["metadata"].get("name"):
@@ -165,7 +165,7 @@
     except ValidationError as error:
         raise InvalidConfigurationError(flatten_errors(error.messages)[0]) from None
     word = apply_change(held.configuration, change)
-    for entry in change.entries:
+    for entry in change.resources:
         if entry["resourceKind"] == "routeTable":
             validate_route(entry["metadata"]["name"], entry["specification"], word.services)
     if held.configuration.services.keys() - word.services.keys():
