--- a/hazelspring/configuration/validation.py
+++ b/hazelspring/configuration/validation.py
@@ -1,4 +1,12 @@
-"""Whether a configuration may be taken: every field is read by marshmallow, then what ties entries together."""
+"""Whether a configuration is valid: first each field by its schema, then what ties resources together.
+
+A document is refused whole or accepted whole, before anything of it is stored.  The first problem found is reported,
+with the field that it is about; the texts are part of the interface for operators.
+
+`validate_change` reaches the same verdict from the difference to the configuration that is held, which is faster for a
+large document.  It only ever accepts by the difference: any doubt is decided, and any problem reported, by
+`validate_configuration` on the whole document.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +15,7 @@
 from collections.abc import Container
 from typing import Any
 
-from marshmallow import Schema, ValidationError, fields, validate
+from marshmallow import ValidationError
 
 from hazelspring.configuration.blocks import PackedError, pack
 from hazelspring.configuration.incremental import (
@@ -17,177 +25,203 @@
     apply_change,
     diff_blocks,
 )
-from hazelspring.configuration.model import parse_version
-from hazelspring.configuration.schema import LenientSchema, flatten_errors
+from hazelspring.configuration.model import (
+    Configuration,
+    ResourceDocument,
+    ResourceKind,
+    Specification,
+    parse_version,
+    resource_name,
+)
+from hazelspring.configuration.resource_schemas import DOCUMENT_SCHEMA, SPECIFICATION_SCHEMAS
+from hazelspring.configuration.schema import flatten_errors
+from hazelspring.errors import HazelspringError
 
-ROUTE_KINDS = ("read_only", "mutating", "upload")
-MAX_TARGET_EXCESS_MS = 60_000  # ms by which a target must stay below its route's timeout and a minute more
+MAX_TARGET_EXCESS_MS = 60_000  # milliseconds; targetAnswerMs must be less than this above timeoutMs
+MAX_QUOTED_CHARACTERS = 80  # of the JSON parser's message
 
 
-class InvalidConfigurationError(ValueError):
-    """A configuration that is refused; the text names the field."""
+class InvalidConfigurationError(HazelspringError, ValueError):
+    """A configuration is refused; the text names the field and the problem."""
 
     code = "invalid_configuration"
 
 
-class WeightedServiceSchema(LenientSchema):
-    service = fields.String(required=True)
-    shareWeight = fields.Float(required=True, validate=validate.Range(min=0))
-
-
-class RouteSchema(LenientSchema):
-    hostName = fields.String(required=True, validate=validate.Length(min=1))
-    pathPrefix = fields.String(required=True, validate=validate.Regexp(r"/"))
-    routeKind = fields.String(required=True, validate=validate.OneOf(ROUTE_KINDS))
-    timeoutMs = fields.Float(allow_none=True, validate=validate.Range(min=0, min_inclusive=False))
-    targetAnswerMs = fields.Float(allow_none=True, validate=validate.Range(min=0))
-    priority = fields.Integer(allow_none=True)
-    service = fields.String(allow_none=True)
-    weightedSplit = fields.List(fields.Nested(WeightedServiceSchema), allow_none=True)
-    maximumAttempts = fields.Integer(allow_none=True, validate=validate.Range(min=1))
-    openAccess = fields.Boolean(allow_none=True)
-    homeRegions = fields.List(fields.String(), allow_none=True)
-
-
-class ServiceSchema(LenientSchema):
-    healthPath = fields.String(allow_none=True)
-    connectionLimit = fields.Integer(allow_none=True, validate=validate.Range(min=0))
-    coldStartS = fields.Float(allow_none=True, validate=validate.Range(min=0))
-    coldPerS = fields.Float(allow_none=True, validate=validate.Range(min=0))
-
-
-class TenantSchema(LenientSchema):
-    accessKeys = fields.List(fields.String(validate=validate.Length(min=1)), allow_none=True)
-    priority = fields.Integer(allow_none=True)
-    requestsPerS = fields.Float(allow_none=True, validate=validate.Range(min=0))
-    burstSize = fields.Float(allow_none=True, validate=validate.Range(min=0))
-    homeRegions = fields.List(fields.String(), allow_none=True)
-
+def validate_configuration(body: bytes) -> int:
+    """Return the version number of a configuration that is valid.
+
+    Raises
+    ------
+    InvalidConfigurationError
+        It is not, with the first problem found.
+    """
+    document = _parse_document(body)
+    _check_document(document)
+    uniqueness = UniquenessCheck()
+    for resource in document["resourceList"]:
+        _check_specification(resource)
+        uniqueness.add(resource)
+    _check_references(document["resourceList"], uniqueness.names[ResourceKind.SERVICE])
+    return parse_version(document["versionNumber"])
 
-class LimitsSchema(LenientSchema):
-    headerBytes = fields.Integer(allow_none=True, validate=validate.Range(min=1))
-    bodyBytes = fields.Integer(allow_none=True, validate=validate.Range(min=1))
-    headerTimeoutMs = fields.Float(allow_none=True, validate=validate.Range(min=0, min_inclusive=False))
-    idleTimeoutMs = fields.Float(allow_none=True, validate=validate.Range(min=0, min_inclusive=False))
 
+def _parse_document(body: bytes) -> Any:
+    """Return the parsed JSON of a body, of whatever type."""
+    try:
+        return json.loads(body)
+    except (ValueError, RecursionError) as error:
+        message = str(error)[:MAX_QUOTED_CHARACTERS]
+        raise InvalidConfigurationError(f"body: not JSON: {message}") from None
 
-class MetadataSchema(LenientSchema):
-    name = fields.String()
 
+def _check_document(document: Any) -> None:
+    """Check all fields outside of the specifications."""
+    try:
+        DOCUMENT_SCHEMA.load(document)
+    except ValidationError as error:
+        raise InvalidConfigurationError(flatten_errors(error.messages)[0]) from None
 
-class ResourceSchema(LenientSchema):
-    resourceKind = fields.String(required=True)
-    metadata = fields.Nested(MetadataSchema, required=True)
-    specification = fields.Dict(required=True)
 
+def _check_specification(resource: ResourceDocument) -> None:
+    """Check the kind of a resource, and the fields of its specification."""
+    kind, name = resource["resourceKind"], resource_name(resource)
+    schema = SPECIFICATION_SCHEMAS.get(kind)
+    if schema is None:
+        raise InvalidConfigurationError(f"resourceList.{name}.resourceKind: {kind} is none that is known")
+    try:
+        schema.load(resource["specification"])
+    except ValidationError as error:
+        raise InvalidConfigurationError(flatten_errors(error.messages, f"{kind}.{name}")[0]) from None
 
-class DocumentSchema(LenientSchema):
-    versionNumber = fields.String(required=True, validate=validate.Regexp(r"^r[0-9]{1,18}$"))
-    resourceList = fields.List(fields.Nested(ResourceSchema), required=True)
 
+class UniquenessCheck:
+    """What no two resources may share: the names of a kind, the places of routes, the access keys of tenants.
 
-DOCUMENT_SCHEMA = DocumentSchema()
-SPECIFICATION_SCHEMAS: dict[str, Schema] = {
-    "routeTable": RouteSchema(),
-    "serviceTable": ServiceSchema(),
-    "tenantTable": TenantSchema(),
-    "limits": LimitsSchema(),
-}
+    Attributes
+    ----------
+    names
+        The names found so far, by kind.
+    """
 
+    def __init__(self) -> None:
+        self.names: dict[str, set[str]] = {kind: set() for kind in SPECIFICATION_SCHEMAS}
+        self._route_by_place: dict[tuple[str, str], str] = {}  # by host and path prefix
+        self._tenant_by_key: dict[str, str] = {}
 
-def validate_configuration(body: bytes) -> int:
-    """The number of a configuration that may be taken; raises Invalid with the field that is wrong."""
-    try:
-        document = json.loads(body)
-    except (ValueError, RecursionError) as error:
-        raise InvalidConfigurationError(f"body: not JSON: {str(error)[:80]}") from None
-    try:
-        DOCUMENT_SCHEMA.load(document)
-    except ValidationError as error:
-        raise InvalidConfigurationError(flatten_errors(error.messages)[0]) from None
-    names: dict[str, set[str]] = {kind: set() for kind in SPECIFICATION_SCHEMAS}
-    places: dict[tuple[str, str], str] = {}
-    holders: dict[str, str] = {}
-    routes: list[tuple[str, dict[str, Any]]] = []
-    for entry in document["resourceList"]:
-        kind, name, spec = entry["resourceKind"], entry["metadata"].get("name", ""), entry["specification"]
-        if kind not in SPECIFICATION_SCHEMAS:
-            raise InvalidConfigurationError(f"resourceList.{name}.resourceKind: {kind} is none that is known")
-        try:
-            SPECIFICATION_SCHEMAS[kind].load(spec)
-        except ValidationError as error:
-            raise InvalidConfigurationError(flatten_errors(error.messages, f"{kind}.{name}")[0]) from None
-        if name in names[kind]:
+    def add(self, resource: ResourceDocument) -> None:
+        """Check one more resource, whose fields are valid; raise InvalidConfigurationError."""
+        kind, name = resource["resourceKind"], resource_name(resource)
+        if name in self.names[kind]:
             raise InvalidConfigurationError(f"{kind}.{name}: stands twice")
-        if kind != "limits" and not name:
-            raise InvalidConfigurationError(f"{kind}: an entry without a name")
-        names[kind].add(name)
-        if kind == "routeTable":
-            routes.append((name, spec))
-            place = (spec["hostName"].lower(), spec["pathPrefix"])
-            if place in places:
-                raise InvalidConfigurationError(f"routeTable.{name}.pathPrefix: the place of {places[place]}")
-            places[place] = name
-        elif kind == "tenantTable":
-            for key in spec.get("accessKeys") or ():
-                if holders.setdefault(key, name) != name:
-                    raise InvalidConfigurationError(
-                        f"tenantTable.{name}.accessKeys: a key that {holders[key]} holds"
-                    )
-    for name, spec in routes:
-        validate_route(name, spec, names["serviceTable"])
-    return parse_version(document["versionNumber"])
+        _check_named(kind, name)
+        self.names[kind].add(name)
+        if kind == ResourceKind.ROUTE:
+            self._add_route(name, resource["specification"])
+        elif kind == ResourceKind.TENANT:
+            self._add_tenant(name, resource["specification"])
+
+    def _add_route(self, name: str, specification: Specification) -> None:
+        place = (specification["hostName"].lower(), specification["pathPrefix"])
+        if place in self._route_by_place:
+            other = self._route_by_place[place]
+            raise InvalidConfigurationError(f"routeTable.{name}.pathPrefix: the place of {other}")
+        self._route_by_place[place] = name
+
+    def _add_tenant(self, name: str, specification: Specification) -> None:
+        for key in specification.get("accessKeys") or ():
+            holder = self._tenant_by_key.setdefault(key, name)
+            if holder != name:
+                raise InvalidConfigurationError(f"tenantTable.{name}.accessKeys: a key that {holder} holds")
+
+
+def _check_named(kind: str, name: str) -> None:
+    if kind != ResourceKind.LIMITS and not name:
+        raise InvalidConfigurationError(f"{kind}: an entry without a name")
+
+
+def _check_references(resources: list[ResourceDocument], service_names: Container[str]) -> None:
+    """Check the routes among resources against the services that there are."""
+    for resource in resources:
+        if resource["resourceKind"] == ResourceKind.ROUTE:
+            validate_route(resource_name(resource), resource["specification"], service_names)
+
+
+def validate_route(name: str, specification: Specification, service_names: Container[str]) -> None:
+    """Check the services that a route refers to, and its figures against each other.
+
+    Raises
+    ------
+    InvalidConfigurationError
+        A service is missing or unknown, all weights are 0, or the target is too far above the timeout.
+    """
+    split = specification.get("weightedSplit")
+    service = specification.get("service")
+    if split is None and service is None:
+        raise InvalidConfigurationError(f"routeTable.{name}.service: there is none")
+    references = [service] if split is None else [share["service"] for share in split]
+    for reference in references:
+        if reference not in service_names:
+            raise InvalidConfigurationError(f"routeTable.{name}.service: {reference} is unknown")
+    if split is not None and sum(share["shareWeight"] for share in split) <= 0:
+        raise InvalidConfigurationError(f"routeTable.{name}.weightedSplit: the weights sum to 0")
+    timeout_ms, target_ms = specification.get("timeoutMs"), specification.get("targetAnswerMs")
+    if timeout_ms is not None and target_ms is not None and target_ms >= timeout_ms + MAX_TARGET_EXCESS_MS:
+        raise InvalidConfigurationError(f"routeTable.{name}.targetAnswerMs: a minute or more above timeoutMs")
 
 
 def validate_change(body: bytes, held: LoadedConfiguration | None) -> ValidatedConfiguration:
-    """The same by what differs from the configuration that is held, and the body packed.  Whatever is found there,
-    or cannot be told from it alone, is looked for in the whole body, which says what it is."""
-    if held is not None:
-        packed = pack(body, held.packed)
-        with contextlib.suppress(InvalidConfigurationError, NotIncrementalError, PackedError):
-            return ValidatedConfiguration(validate_incrementally(held, packed), packed)
-        return ValidatedConfiguration(validate_configuration(body), packed)
-    return ValidatedConfiguration(validate_configuration(body), pack(body))
+    """Return a configuration that is valid, packed.
+
+    Parameters
+    ----------
+    body
+        The document.
+    held
+        The configuration in use, if any: the document is validated by its difference where that is enough.
+
+    Raises
+    ------
+    InvalidConfigurationError
+        The document is not valid, with the same text as `validate_configuration` gives.
+    """
+    if held is None:
+        return ValidatedConfiguration(validate_configuration(body), pack(body))
+    packed = pack(body, held.packed)
+    with contextlib.suppress(InvalidConfigurationError, NotIncrementalError, PackedError):
+        return ValidatedConfiguration(validate_incrementally(held, packed), packed)
+    return ValidatedConfiguration(validate_configuration(body), packed)
 
 
 def validate_incrementally(held: LoadedConfiguration, packed: bytes) -> int:
-    """The number of a configuration whose change is sound; raises Invalid, Irregular, PackedError."""
+    """Return the version number of a configuration whose difference from the held one is valid.
+
+    Raises
+    ------
+    InvalidConfigurationError
+        The difference is not valid; the text need not be the one for the operator.
+    NotIncrementalError
+        The difference alone does not decide.
+    PackedError
+        The packed body is damaged.
+    """
     change = diff_blocks(held, packed)
-    document = {**change.document, "resourceList": change.resources}
-    try:
-        DOCUMENT_SCHEMA.load(document)
-        for entry in change.resources:
-            if entry["resourceKind"] not in SPECIFICATION_SCHEMAS:
-                raise InvalidConfigurationError("a kind that is unknown")
-            if entry["resourceKind"] != "limits" and not entry["metadata"].get("name"):
-                raise InvalidConfigurationError("an entry without a name")
-            SPECIFICATION_SCHEMAS[entry["resourceKind"]].load(entry["specification"])
-    except ValidationError as error:
-        raise InvalidConfigurationError(flatten_errors(error.messages)[0]) from None
-    word = apply_change(held.configuration, change)
-    for entry in change.resources:
-        if entry["resourceKind"] == "routeTable":
-            validate_route(entry["metadata"]["name"], entry["specification"], word.services)
-    if held.configuration.services.keys() - word.services.keys():
-        for routes in word.routes_by_host.values():
-            for each in routes:
-                if not word.services.keys() >= {name for name, _ in each.weighted_services} | {
-                    *each.zero_weight_services
-                }:
-                    raise InvalidConfigurationError(f"routeTable.{each.name}.service: it is gone")
-    return word.version
-
-
-def validate_route(name: str, spec: dict[str, Any], services: Container[str]) -> None:
-    """What one route refers to, and its figures against each other."""
-    split = spec.get("weightedSplit")
-    if split is None and spec.get("service") is None:
-        raise InvalidConfigurationError(f"routeTable.{name}.service: there is none")
-    for service in [part["service"] for part in split] if split is not None else [spec["service"]]:
-        if service not in services:
-            raise InvalidConfigurationError(f"routeTable.{name}.service: {service} is unknown")
-    if split is not None and sum(part["shareWeight"] for part in split) <= 0:
-        raise InvalidConfigurationError(f"routeTable.{name}.weightedSplit: the weights sum to 0")
-    timeout, aim = spec.get("timeoutMs"), spec.get("targetAnswerMs")
-    if timeout is not None and aim is not None and aim >= timeout + MAX_TARGET_EXCESS_MS:
-        raise InvalidConfigurationError(f"routeTable.{name}.targetAnswerMs: a minute or more above timeoutMs")
+    _check_document({**change.document, "resourceList": change.resources})
+    for resource in change.resources:
+        _check_specification(resource)
+        _check_named(resource["resourceKind"], resource_name(resource))
+    configuration = apply_change(held.configuration, change)
+    _check_references(change.resources, configuration.services)
+    if held.configuration.services.keys() - configuration.services.keys():
+        _check_remaining_routes(configuration)
+    return configuration.version
+
+
+def _check_remaining_routes(configuration: Configuration) -> None:
+    """Check that no route, changed or not, refers to a service that was removed."""
+    service_names = configuration.services.keys()
+    for routes in configuration.routes_by_host.values():
+        for route in routes:
+            references = {share.name for share in route.weighted_services}
+            references.update(route.zero_weight_services)
+            if not service_names >= references:
+                raise InvalidConfigurationError(f"routeTable.{route.name}.service: it is gone")
