--- a/hazelspring/daemon/node_metrics.py
+++ b/hazelspring/daemon/node_metrics.py
@@ -50,7 +50,7 @@
     for name in (LIST_READ, LIST_KNOWN):
         count = node.node.invariants.violations[name]
         yield Sample("invariant_violations_total", count, (("name", name),))
-    yield Sample("requests_on_old_list_total", node.router.on_old_list)
+    yield Sample("requests_on_old_list_total", node.router.requests_on_stale_list)
     for reason, count in node.router.ends.items():
         yield Sample("requests_not_served_total", count, (("reason", reason),))
     for kind, count in node.node.dropped.items():
--- a/hazelspring/routing/request_router.py
+++ b/hazelspring/routing/request_router.py
@@ -100,7 +100,7 @@
     """Decides for one door.  `word`, `listed` and `close` bring it news; `handle` takes a request's events."""
 
     def __init__(self, rule: SharedLimits, fleet: EndpointSet, seed: int) -> None:
-        self.rule, self.fleet = rule, fleet
+        self.limits, self.fleet = rule, fleet
         self.random = random.Random(seed)
         self.credits = CreditLeases(rule.quota)
         self.retry_budgets: dict[str, RetryBudget] = {}
@@ -112,7 +112,7 @@
         self.node_count = 1  # that share the allowance
         self.leaving = False  # this door ends soon: what a server is at work on is waited for
         self.list_known = True  # the list of servers is as new as the rules want it
-        self.on_old_list = 0  # requests that went to a server while it was not
+        self.requests_on_stale_list = 0  # requests that went to a server while it was not
         self.ends: Counter[str] = Counter()  # requests that were not served, by why
         self.settings = RouterSettings(i.Limits(8, True, True, False, True, 30.0, 0.3))
         self.now = 0.0
@@ -204,7 +204,7 @@
     def retry_budget(self, service: str) -> RetryBudget:
         found = self.retry_budgets.get(service)
         if found is None:
-            rule = self.rule
+            rule = self.limits
             found = RetryBudget(rule.retry_ratio, rule.retry_slack, rule.retry_window)
             self.retry_budgets[service] = found
         return found
@@ -243,7 +243,7 @@
         if server is None or left < MIN_TIME_LEFT or expected > left:
             self.give_up(job)
             return
-        self.on_old_list += not self.list_known
+        self.requests_on_stale_list += not self.list_known
         job.tried_servers.add(server.number)
         job.attempts_sent += 1
         job.attempts_in_flight += 1
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -323,7 +323,7 @@
             change(chance.randrange(12))
         else:
             hand(TimerTick())
-    recorder.add(list(router.ends.values()), router.on_old_list)
+    recorder.add(list(router.ends.values()), router.requests_on_stale_list)
     return recorder.hexdigest()
 
 
--- a/tests/test_forage.py
+++ b/tests/test_forage.py
@@ -264,7 +264,7 @@
         for action in gate.ask("/r/1", "green"):
             if isinstance(action, LeaseCredits):
                 sent += sum(isinstance(a, i.Send) for a in gate.handle(CounterUnavailable("green")))
-    assert sent == 2 * gate.router.rule.quota.reserve(10, 10, 5) > 0  # in each span of five
+    assert sent == 2 * gate.router.limits.quota.reserve(10, 10, 5) > 0  # in each span of five
 
 
 def test_no_span_sees_more_than_the_rule_whatever_nodes_and_owners_do() -> None:
