--- a/tests/test_forage.py
+++ b/tests/test_forage.py
@@ -61,7 +61,7 @@
     }
 
 
-WORD = parse_configuration(json.dumps(document()).encode())
+CONFIGURATION = parse_configuration(json.dumps(document()).encode())
 
 
 def servers(*names: str, accepting: bool = True) -> list[ServerEntry]:
@@ -73,7 +73,7 @@
     def __init__(self, *names: str) -> None:
         fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
         self.router, self.now, self.number = RequestRouter(SharedLimits(), fleet, 1), 10.0, 0
-        self.router.use_configuration(WORD)
+        self.router.use_configuration(CONFIGURATION)
         self.router.update_endpoints(self.now, "shop", servers(*names))
         self.router.fresh_until = 1e9
         self.router.node_count = (
@@ -82,9 +82,9 @@
 
     def ask(self, path: str, tenant: str = "free", left: float = 4.0) -> list[Any]:
         self.number += 1
-        route = WORD.find_route("h", path)
+        route = CONFIGURATION.find_route("h", path)
         assert route is not None
-        return self.handle(RequestArrived(self.number, route, WORD.tenants[tenant], left))
+        return self.handle(RequestArrived(self.number, route, CONFIGURATION.tenants[tenant], left))
 
     def handle(self, event: Any) -> list[Any]:
         return list(self.router.handle(self.now, event))
@@ -319,8 +319,8 @@
 
 
 def test_routes_by_the_longest_prefix_and_splits_by_weight() -> None:
-    found = WORD.find_route("h", "/r/deep/x")
-    assert found is not None and found.name == "deep" and WORD.find_route("h", "/none/") is None
+    found = CONFIGURATION.find_route("h", "/r/deep/x")
+    assert found is not None and found.name == "deep" and CONFIGURATION.find_route("h", "/none/") is None
     split = document()
     split["resourceList"][0]["specification"].update(
         service=None,
--- a/tests/test_ill_servers.py
+++ b/tests/test_ill_servers.py
@@ -35,7 +35,7 @@
 from orchidhill.interface import Outcome
 
 from .sockets import listening, run, until
-from .test_forage import WORD, ZONES, servers
+from .test_forage import CONFIGURATION, ZONES, servers
 
 WORK, SLOTS, TICK = 0.2, 2, 0.05
 Ill = Callable[[float, int, str], Outcome | float | None]
@@ -64,7 +64,7 @@
         self.doors: list[RequestRouter] = []
         for n, zone in enumerate(doors):
             door = RequestRouter(SharedLimits(), EndpointSet(zone, zone[0], ZONES, random.Random(n)), n)
-            door.use_configuration(WORD)
+            door.use_configuration(CONFIGURATION)
             door.fresh_until, door.node_count = 1e9, len(doors)
             self.doors.append(door)
             self.at(self.dice.random() * TICK, "tick", n)
@@ -97,9 +97,12 @@
     def ask(self, n: int) -> None:
         number = next(self.numbers)
         self.asked[n] += 1
-        route = WORD.find_route("h", "/r/1" if number % 2 else "/w/1")
+        route = CONFIGURATION.find_route("h", "/r/1" if number % 2 else "/w/1")
         assert route is not None
-        self.act(n, self.doors[n].handle(self.now, RequestArrived(number, route, WORD.tenants["free"], 4.0)))
+        self.act(
+            n,
+            self.doors[n].handle(self.now, RequestArrived(number, route, CONFIGURATION.tenants["free"], 4.0)),
+        )
 
     def tick(self, n: int) -> None:
         outs = self.doors[n].fleet.in_flight_by_tag()
@@ -230,7 +233,7 @@
     def __init__(self, addresses: list[str]) -> None:
         fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
         self.forager = RequestRouter(SharedLimits(), fleet, 1)
-        self.forager.use_configuration(WORD)
+        self.forager.use_configuration(CONFIGURATION)
         self.forager.fresh_until = 1e12
         listed = [replace(s, address=a) for s, a in zip(servers("a1-0", "a1-1"), addresses, strict=False)]
         self.forager.update_endpoints(0.0, "shop", listed)
@@ -242,7 +245,7 @@
 
     async def ask(self, name: str, path: str) -> int:
         """The status that a client's request gets."""
-        route, method = WORD.find_route("h", path), "GET" if path.startswith("/r") else "POST"
+        route, method = CONFIGURATION.find_route("h", path), "GET" if path.startswith("/r") else "POST"
         assert route is not None
         found = route
 
@@ -255,7 +258,7 @@
             self.answers[name] = answer.status
 
         def make(request: int) -> Any:
-            return RequestArrived(request, found, WORD.tenants["free"], 4.0)
+            return RequestArrived(request, found, CONFIGURATION.tenants["free"], 4.0)
 
         caller = cast(Any, SimpleNamespace(reply=reply))
         self.carrier.request(make, route.kind, 4.0, payload, caller, mark=name.encode())
