--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -50,7 +50,7 @@
 
 from . import chaos, helpers
 from .chaos_days import draw
-from .test_forage import document
+from .test_request_router import document
 from .world import Call, World
 
 LABELS: dict[type, str] = {
--- a/tests/test_ill_servers.py
+++ b/tests/test_ill_servers.py
@@ -35,7 +35,7 @@
 from orchidhill.interface import Outcome
 
 from .sockets import listening, run, until
-from .test_forage import CONFIGURATION, ZONES, servers
+from .test_request_router import CONFIGURATION, ZONES, servers
 
 WORK, SLOTS, TICK = 0.2, 2, 0.05
 Ill = Callable[[float, int, str], Outcome | float | None]
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -18,7 +18,7 @@
 from ivymux.link import READ, SMALL
 from ivymux.metrics import Counts
 
-from .test_forage import ZONES, document, servers
+from .test_request_router import ZONES, document, servers
 from .test_servers import Wire
 
 WORD = parse_configuration(json.dumps(document()).encode())
