--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -29,7 +29,7 @@
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.list_reader_role import LIST_READER
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node, server_tag
-from hazelspring.routing.endpoints import EndpointSet
+from hazelspring.routing.endpoint_set import EndpointSet
 
 TICK = 0.05  # seconds between two ticks of a door, as hazelspring.daemon.node_process has it,
 CALM = 0.1  # and of one that is ready and has no disk
--- a/hazelspring/daemon/client_listener.py
+++ b/hazelspring/daemon/client_listener.py
@@ -21,13 +21,8 @@
     status_line,
 )
 from hazelspring.quota.credits import CounterCall
-from hazelspring.routing.request_router import (
-    AbandonAttempt,
-    LeaseCredits,
-    RejectOverQuota,
-    RequestArrived,
-    RequestRouter,
-)
+from hazelspring.routing.events import AbandonAttempt, LeaseCredits, RejectOverQuota, RequestArrived
+from hazelspring.routing.request_router import RequestRouter
 from ivymux.caller import HOP_BY_HOP, LEAST_ADVICE, MOST_HELD, BadRequest, Client, Exchange, Listener
 from ivymux.config import Address
 from ivymux.host import Answer, Host, Open
--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -41,8 +41,9 @@
 from hazelspring.node.node import Node, NodeStart
 from hazelspring.quota.credits import CounterCall, CounterUnavailable, CreditsGranted
 from hazelspring.registry.list_reader_role import ListTiming
-from hazelspring.routing.endpoints import EndpointSet
-from hazelspring.routing.request_router import RequestRouter, TimerTick
+from hazelspring.routing.endpoint_set import EndpointSet
+from hazelspring.routing.events import TimerTick
+from hazelspring.routing.request_router import RequestRouter
 from ivymux.config import Address, parse_address
 from ivymux.metrics import Counts
 from ivymux.periodic import Periodic
--- a/hazelspring/daemon/settings.py
+++ b/hazelspring/daemon/settings.py
@@ -11,7 +11,7 @@
 from hazelspring.configuration.schema import LenientSchema, flatten_errors
 from hazelspring.node.invariants import InvariantBounds
 from hazelspring.quota.limits import QuotaLimits
-from hazelspring.routing.request_router import SharedLimits
+from hazelspring.routing.shared_limits import SharedLimits
 from ivymux.config import Address, ConfigError, parse_address
 
 
--- a/hazelspring/routing/__init__.py
+++ b/hazelspring/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request through a node: admission, choice of an endpoint, retries and their budget."""
+"""The routing of a request at a node: admission, choice of an endpoint, hedging, retries and their budget."""
--- /dev/null
+++ b/hazelspring/routing/shared_limits.py
@@ -0,0 +1,32 @@
+"""Settings of the request router."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from hazelspring.quota.limits import QuotaLimits
+from orchidhill.interface import Limits
+
+
+@dataclass(slots=True)
+class SharedLimits:
+    """Limits that hold over all nodes together, from ``timingTerms.ruleBounds`` of the settings."""
+
+    quota: QuotaLimits = field(default_factory=QuotaLimits)
+    """How far the requests of a tenant may exceed its rate (``quotaWindowS``, ``quotaOverage``, ``quotaSlack``)."""
+
+    retry_ratio: float = 0.2
+    """Retries allowed per request (``retryBudgetRatio``)."""
+
+    retry_slack: float = 62.0
+    """Retries allowed in any window beyond that ratio (``budgetSlack``)."""
+
+    retry_window: float = 10.0
+    """Seconds over which requests and retries are counted (``budgetWindowS``)."""
+
+
+@dataclass(slots=True)
+class RouterSettings:
+    """What the host of a decision module reads of its settings."""
+
+    limits: Limits
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -33,16 +33,16 @@
 from hazelspring.quota.credits import CounterCall as CounterCall
 from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
 from hazelspring.registry.tables import ServerEntry, server_tag
-from hazelspring.routing.endpoints import EndpointSet
-from hazelspring.routing.request_router import (
+from hazelspring.routing.endpoint_set import EndpointSet
+from hazelspring.routing.events import (
     AbandonAttempt,
     LeaseCredits,
     RejectOverQuota,
     RequestArrived,
-    RequestRouter,
-    SharedLimits,
     TimerTick,
 )
+from hazelspring.routing.request_router import RequestRouter
+from hazelspring.routing.shared_limits import SharedLimits
 from orchidhill import interface as i
 from orchidhill.gateway import Gateway
 from orchidhill.interface import Outcome
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -12,7 +12,7 @@
 from hazelspring.node.load_reporter import MAX_SERVERS_PER_REPORT, InFlightByTag
 from hazelspring.node.messages import LoadReport, TableRequest, TableUpdate
 from hazelspring.registry.tables import ServerEntry
-from hazelspring.routing.endpoints import EndpointSet
+from hazelspring.routing.endpoint_set import EndpointSet
 
 ABOUTS = [NodeInfo(f"d{n}", f"z{n % 3}", "south" if n % 3 == 2 else "north", False, n) for n in range(12)]
 
--- a/tests/test_front_stress.py
+++ b/tests/test_front_stress.py
@@ -20,8 +20,10 @@
 from hazelspring.daemon.upstream_servers import UpstreamConnection, UpstreamServers
 from hazelspring.quota.credits import CounterCall, CounterUnavailable, CreditsGranted
 from hazelspring.registry.tables import ServerEntry
-from hazelspring.routing.endpoints import EndpointSet
-from hazelspring.routing.request_router import RequestRouter, SharedLimits, TimerTick
+from hazelspring.routing.endpoint_set import EndpointSet
+from hazelspring.routing.events import TimerTick
+from hazelspring.routing.request_router import RequestRouter
+from hazelspring.routing.shared_limits import SharedLimits
 from ivymux.caller import Client, Exchange
 from ivymux.config import Address, parse_address
 from ivymux.link import Link
--- a/tests/test_ill_servers.py
+++ b/tests/test_ill_servers.py
@@ -20,14 +20,10 @@
 from hazelspring.daemon.upstream_servers import UpstreamServers
 from hazelspring.localfleet.stand_ins import StandInServer, serve
 from hazelspring.registry.tables import server_tag
-from hazelspring.routing.endpoints import EndpointSet
-from hazelspring.routing.request_router import (
-    AbandonAttempt,
-    RequestArrived,
-    RequestRouter,
-    SharedLimits,
-    TimerTick,
-)
+from hazelspring.routing.endpoint_set import EndpointSet
+from hazelspring.routing.events import AbandonAttempt, RequestArrived, TimerTick
+from hazelspring.routing.request_router import RequestRouter
+from hazelspring.routing.shared_limits import SharedLimits
 from ivymux.config import parse_address
 from ivymux.host import Answer
 from ivymux.metrics import Counts
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -15,16 +15,18 @@
 from hazelspring.quota.limits import QuotaLimits
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.tables import ServerEntry, server_tag
-from hazelspring.routing.endpoints import LOAD_REPORT_LIFETIME, EndpointSet, RouteLatency
-from hazelspring.routing.request_router import (
+from hazelspring.routing.endpoint_set import EndpointSet
+from hazelspring.routing.events import (
     AbandonAttempt,
     LeaseCredits,
     RejectOverQuota,
     RequestArrived,
-    RequestRouter,
-    SharedLimits,
     TimerTick,
 )
+from hazelspring.routing.load_reports import LOAD_REPORT_LIFETIME
+from hazelspring.routing.request_router import RequestRouter
+from hazelspring.routing.route_latency import RouteLatency
+from hazelspring.routing.shared_limits import SharedLimits
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -18,7 +18,9 @@
     UpstreamServers,
     client_status,
 )
-from hazelspring.routing.request_router import RequestArrived, RequestRouter, RouterSettings
+from hazelspring.routing.events import RequestArrived
+from hazelspring.routing.request_router import RequestRouter
+from hazelspring.routing.shared_limits import RouterSettings
 from ivymux.caller import BadRequest, Exchange
 from ivymux.config import Address
 from ivymux.host import Answer
--- a/tests/test_teller.py
+++ b/tests/test_teller.py
@@ -30,7 +30,8 @@
 )
 from hazelspring.node.messages import LoadReport
 from hazelspring.registry.tables import server_tag
-from hazelspring.routing.endpoints import LOAD_REPORT_LIFETIME, EndpointSet
+from hazelspring.routing.endpoint_set import EndpointSet
+from hazelspring.routing.load_reports import LOAD_REPORT_LIFETIME
 
 TICK = 0.05
 CALLS = 142  # a second of a door to counters at the peak,
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -12,8 +12,9 @@
 from hazelspring.configuration.model import parse_configuration
 from hazelspring.daemon.client_listener import ClientConnection, ClientListener, RouterHost
 from hazelspring.daemon.upstream_servers import UpstreamConnection, UpstreamServers
-from hazelspring.routing.endpoints import EndpointSet
-from hazelspring.routing.request_router import RequestRouter, SharedLimits
+from hazelspring.routing.endpoint_set import EndpointSet
+from hazelspring.routing.request_router import RequestRouter
+from hazelspring.routing.shared_limits import SharedLimits
 from ivymux.config import Address
 from ivymux.link import READ, SMALL
 from ivymux.metrics import Counts
