--- a/hazelspring/daemon/http_api.py
+++ b/hazelspring/daemon/http_api.py
@@ -1,9 +1,11 @@
-"""Calls of operators, servers and clients that ask where to go: one dispatch on method and path segments."""
+"""The HTTP API for operators, servers and clients: one handler a call, chosen by method and path."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable
+from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any, Protocol, cast
 from urllib.parse import parse_qs
 
@@ -21,42 +23,81 @@
 
 MAX_BODY_BYTES = 8 << 20  # bytes of a configuration
 MAX_CONNECTIONS = 128
-RETRY_AFTER = 0.5  # seconds after which an order that could not be settled may come again
+HEAD_TIMEOUT = 3.0  # seconds until a request's head must be whole
+IDLE_TIMEOUT = 15.0  # seconds until an idle connection is closed
+RETRY_AFTER = 0.5  # seconds after which a call that could not be answered may be repeated
+API_PREFIX = "-"  # first path segment of every call
 JSON_HEADERS = b"Content-Type: application/json\r\n"
 METRICS_HEADERS = b"Content-Type: text/plain; version=0.0.4; charset=utf-8\r\n"
 
-CALLS = frozenset(("configuration", "core", "evacuation", "lookup", "metrics", "readiness", "status"))
-
 Reply = Callable[[Answer], None]
 
 
+class ApiRole(StrEnum):
+    """The purpose of an address of the API; some calls are answered on the addresses of one role only."""
+
+    READY = "ready"
+    CONTROL = "control"
+    DIRECTORY = "directory"
+
+
 class NodeInterface(Protocol):
-    """What the calls are about."""
+    """The part of a node's process that the calls use."""
 
     counts: Counts
     operator_calls: OperatorCalls
 
-    def is_ready(self) -> bool: ...
+    def is_ready(self) -> bool:
+        """Return whether clients may be sent to this node."""
 
-    def lookup(self, region: str) -> list[str]: ...
+    def lookup(self, region: str) -> list[str]:
+        """Return the addresses, `HOST:PORT`, of nodes for a client of a region."""
 
     @property
-    def lookup_lifetime(self) -> float: ...
+    def lookup_lifetime(self) -> float:
+        """Seconds for which a client may use the result of a lookup."""
+
+    def is_zone_known(self, zone: str) -> bool:
+        """Return whether the settings name a zone."""
+
+    def status(self) -> dict[str, Any]:
+        """Return the body of the answer to `GET /-/status`."""
+
+    def metrics(self) -> bytes:
+        """Return the body of the answer to `GET /-/metrics`."""
 
-    def is_zone_known(self, zone: str) -> bool: ...
 
-    def status(self) -> dict[str, Any]: ...
+@dataclass(slots=True, frozen=True)
+class ApiCall:
+    """One call: `arguments` are the path segments after the name of the resource."""
 
-    def metrics(self) -> bytes: ...
+    method: str
+    arguments: list[str]
+    query: str
+    body: bytes
+    reply: Reply
+
+
+Handler = Callable[["HttpApi", ApiCall], None]
+
+
+@dataclass(slots=True, frozen=True)
+class Endpoint:
+    """The handler of one method of a resource, and the role that an address needs for it (None: any)."""
+
+    handler: Handler
+    role: ApiRole | None = None
+    argument_count: int = 0
 
 
 def answer(status: int, body: Any, retry_after: float = 0.0) -> FinalAnswer:
-    return FinalAnswer(
-        status, json.dumps(body).encode() + b"\n", retry_after=retry_after, headers=JSON_HEADERS
-    )
+    """Return an answer with a JSON body; `retry_after` in seconds, 0 for none."""
+    text = json.dumps(body).encode() + b"\n"
+    return FinalAnswer(status, text, retry_after=retry_after, headers=JSON_HEADERS)
 
 
 def problem(status: int, code: str, text: str, retry_after: float = 0.0) -> FinalAnswer:
+    """Return the answer to a call that failed; `code` names the cause for programs, `text` for people."""
     return answer(status, {"code": code, "problem": text}, retry_after)
 
 
@@ -66,12 +107,14 @@
     __slots__ = ()
 
     def on_body(self, body: bytes) -> None:
+        """Collect a part of the body.  Raises BadRequest where it becomes too large."""
         self.size += len(body)
         if self.size > self.server.most_body:
             raise BadRequest("body too large", 413)
         self.body.append(body)
 
     def take(self, exchange: Exchange) -> None:
+        """Dispatch a request that is whole.  Raises BadRequest where its target is malformed."""
         api = cast(HttpApi, self.server)
         try:
             url = httptools.parse_url(self.url)
@@ -83,84 +126,136 @@
 
 
 class HttpApi(Listener):
-    """One of the addresses that take calls; `roles` says which calls."""
+    """One listening address of the API; `roles` decide which calls it answers."""
 
     encode = staticmethod(encode)
     most_body = MAX_BODY_BYTES
-    head_timeout, idle_timeout = 3.0, 15.0
+    head_timeout, idle_timeout = HEAD_TIMEOUT, IDLE_TIMEOUT
 
-    def __init__(self, listen: Address, node: NodeInterface, roles: frozenset[str]) -> None:
+    def __init__(self, listen: Address, node: NodeInterface, roles: frozenset[ApiRole]) -> None:
         super().__init__(listen, None, self, MAX_CONNECTIONS)
-        self.make, self.node, self.roles = ApiConnection, node, roles
+        self.make = ApiConnection
+        self.node = node
+        self.roles = roles
 
     @property
     def counts(self) -> Counts:
+        """The process's counters."""
         return self.node.counts
 
     def left(self, request: Open) -> None:
-        pass  # an order goes on without its sender, who sends it again
+        """Ignore that a caller has gone: its order continues, and the caller may send it again."""
 
     def whole(self, request: Open) -> None:
-        pass
+        """Ignore that a body is whole: a call is dispatched with its whole body."""
 
     def dispatch(self, method: str, segments: list[str], query: str, body: bytes, reply: Reply) -> None:
-        node = self.node
-        match (method, segments):
-            case ("GET", ["-", "readiness"]):
-                reply(
-                    answer(200, {"ready": True})
-                    if node.is_ready()
-                    else problem(503, "not_ready", "not ready", RETRY_AFTER)
-                )
-            case ("GET", ["-", "lookup"]) if "directory" in self.roles:
-                addresses = node.lookup(parse_qs(query).get("answerRegion", [""])[0])
-                if addresses:
-                    reply(answer(200, {"addresses": addresses, "lifetimeS": node.lookup_lifetime}))
-                else:
-                    reply(problem(503, "no_door", "no door is ready", RETRY_AFTER))
-            case ("GET", ["-", "status"]):
-                reply(answer(200, node.status()))
-            case ("GET", ["-", "metrics"]):
-                reply(FinalAnswer(200, node.metrics(), headers=METRICS_HEADERS))
-            case ("PUT", ["-", "configuration"]) if "control" in self.roles:
-                self.put_configuration(body, reply)
-            case ("GET", ["-", "configuration"]) if "control" in self.roles:
-                node.operator_calls.read_configuration(self.result_handler(reply, read=True))
-            case ("POST" | "DELETE", ["-", "evacuation", zone]) if "control" in self.roles:
-                if not node.is_zone_known(zone):
-                    reply(problem(404, "no_such_zone", f"zone {zone} is none of the settings"))
-                    return
-                node.operator_calls.set_evacuation(zone, method == "POST", self.result_handler(reply))
-            case ("DELETE", ["-", "core", ip]) if "control" in self.roles:
-                node.operator_calls.retire_member(ip, self.result_handler(reply))
-            case (
-                _,
-                [
-                    "-",
-                    "configuration" | "evacuation" | "core" | "lookup" | "metrics" | "readiness" | "status",
-                    *_,
-                ],
-            ):
-                reply(problem(405, "no_such_call", f"{method} is no call here"))
+        """Answer a call: 404 for an unknown path, 405 for a call that this address does not answer."""
+        match segments:
+            case [prefix, resource, *arguments] if prefix == API_PREFIX and resource in ENDPOINTS:
+                pass
             case _:
                 reply(problem(404, "no_such_path", "no such path"))
-
-    def put_configuration(self, body: bytes, reply: Reply) -> None:
+                return
+        endpoint = ENDPOINTS[resource].get(method)
+        if endpoint is None or not self.answers(endpoint, arguments):
+            reply(problem(405, "no_such_call", f"{method} is no call here"))
+            return
+        endpoint.handler(self, ApiCall(method, arguments, query, body, reply))
+
+    def answers(self, endpoint: Endpoint, arguments: list[str]) -> bool:
+        """Return whether this address answers an endpoint's call with these path arguments."""
+        permitted = endpoint.role is None or endpoint.role in self.roles
+        return permitted and len(arguments) == endpoint.argument_count
+
+    def get_readiness(self, call: ApiCall) -> None:
+        """Answer 200 where clients may be sent to this node, else 503."""
+        if self.node.is_ready():
+            call.reply(answer(200, {"ready": True}))
+        else:
+            call.reply(problem(503, "not_ready", "not ready", RETRY_AFTER))
+
+    def get_lookup(self, call: ApiCall) -> None:
+        """Answer with nodes for a client of the region that the query names."""
+        region = parse_qs(call.query).get("answerRegion", [""])[0]
+        addresses = self.node.lookup(region)
+        if addresses:
+            call.reply(answer(200, {"addresses": addresses, "lifetimeS": self.node.lookup_lifetime}))
+        else:
+            call.reply(problem(503, "no_door", "no door is ready", RETRY_AFTER))
+
+    def get_status(self, call: ApiCall) -> None:
+        """Answer with the state of this node as JSON."""
+        call.reply(answer(200, self.node.status()))
+
+    def get_metrics(self, call: ApiCall) -> None:
+        """Answer with this node's metrics in the Prometheus text format."""
+        call.reply(FinalAnswer(200, self.node.metrics(), headers=METRICS_HEADERS))
+
+    def put_configuration(self, call: ApiCall) -> None:
+        """Order a new configuration; 400 where it is invalid."""
         try:
-            self.node.operator_calls.put_configuration(body, self.result_handler(reply))
+            self.node.operator_calls.put_configuration(call.body, result_handler(call.reply))
         except InvalidConfigurationError as error:
             log.write("api", "refused a configuration", problem=error)
-            reply(problem(400, error.code, str(error)))
-
-    def result_handler(self, reply: Reply, read: bool = False) -> Callable[[OrderResult], None]:
-        def done(settled: OrderResult) -> None:
-            if settled.conflict:
-                reply(problem(409, "number_taken", settled.reason))
-            elif not settled.succeeded:
-                reply(problem(503, "unsettled", settled.reason, RETRY_AFTER))
-            elif read:
-                reply(FinalAnswer(200, unpack(settled.body), headers=JSON_HEADERS))
-            else:
-                reply(answer(200, {"acknowledged": True}))
-
-        return done
+            call.reply(problem(400, error.code, str(error)))
+
+    def get_configuration(self, call: ApiCall) -> None:
+        """Answer with the newest configuration, once the control replicas have confirmed which one it is."""
+        self.node.operator_calls.read_configuration(configuration_handler(call.reply))
+
+    def set_evacuation(self, call: ApiCall) -> None:
+        """Order that a zone is evacuated (POST) or used again (DELETE)."""
+        zone = call.arguments[0]
+        if not self.node.is_zone_known(zone):
+            call.reply(problem(404, "no_such_zone", f"zone {zone} is none of the settings"))
+            return
+        self.node.operator_calls.set_evacuation(zone, call.method == "POST", result_handler(call.reply))
+
+    def retire_member(self, call: ApiCall) -> None:
+        """Order that a member leaves the core for good."""
+        self.node.operator_calls.retire_member(call.arguments[0], result_handler(call.reply))
+
+
+def failure(result: OrderResult) -> FinalAnswer | None:
+    """Return the answer to an order that failed; None where it succeeded."""
+    if result.conflict:
+        return problem(409, "number_taken", result.reason)
+    if not result.succeeded:
+        return problem(503, "unsettled", result.reason, RETRY_AFTER)
+    return None
+
+
+def result_handler(reply: Reply) -> Callable[[OrderResult], None]:
+    """Return a callback that answers an order with its acknowledgement or its failure."""
+
+    def on_result(result: OrderResult) -> None:
+        reply(failure(result) or answer(200, {"acknowledged": True}))
+
+    return on_result
+
+
+def configuration_handler(reply: Reply) -> Callable[[OrderResult], None]:
+    """Return a callback that answers a read with the configuration or the read's failure."""
+
+    def on_result(result: OrderResult) -> None:
+        reply(failure(result) or FinalAnswer(200, unpack(result.body), headers=JSON_HEADERS))
+
+    return on_result
+
+
+ENDPOINTS: dict[str, dict[str, Endpoint]] = {
+    "readiness": {"GET": Endpoint(HttpApi.get_readiness)},
+    "lookup": {"GET": Endpoint(HttpApi.get_lookup, ApiRole.DIRECTORY)},
+    "status": {"GET": Endpoint(HttpApi.get_status)},
+    "metrics": {"GET": Endpoint(HttpApi.get_metrics)},
+    "configuration": {
+        "PUT": Endpoint(HttpApi.put_configuration, ApiRole.CONTROL),
+        "GET": Endpoint(HttpApi.get_configuration, ApiRole.CONTROL),
+    },
+    "evacuation": {
+        "POST": Endpoint(HttpApi.set_evacuation, ApiRole.CONTROL, 1),
+        "DELETE": Endpoint(HttpApi.set_evacuation, ApiRole.CONTROL, 1),
+    },
+    "core": {"DELETE": Endpoint(HttpApi.retire_member, ApiRole.CONTROL, 1)},
+}  # by resource and method
--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -16,7 +16,7 @@
 from hazelspring.consensus.proposal import ProposalOutcome
 from hazelspring.daemon.client_listener import ClientListener, RouterHost
 from hazelspring.daemon.disk_worker import DiskWorker
-from hazelspring.daemon.http_api import HttpApi
+from hazelspring.daemon.http_api import ApiRole, HttpApi
 from hazelspring.daemon.list_reader import ListReader
 from hazelspring.daemon.message_transport import MessageTransport
 from hazelspring.daemon.node_metrics import collect, render
@@ -110,11 +110,11 @@
 
     def make_apis(self, settings: Settings) -> list[HttpApi]:
         """A desk for each address that calls come to; one that serves two roles takes both kinds."""
-        roles: dict[Address, set[str]] = {}
+        roles: dict[Address, set[ApiRole]] = {}
         for address, role in (
-            (settings.readiness_address, "ready"),
-            (settings.control_address, "control"),
-            (settings.directory_address, "directory"),
+            (settings.readiness_address, ApiRole.READY),
+            (settings.control_address, ApiRole.CONTROL),
+            (settings.directory_address, ApiRole.DIRECTORY),
         ):
             roles.setdefault(address, set()).add(role)
         return [HttpApi(address, self, frozenset(of)) for address, of in roles.items()]
--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -34,7 +34,7 @@
     encode,
     flow_head,
 )
-from hazelspring.daemon.http_api import ApiConnection, HttpApi
+from hazelspring.daemon.http_api import ApiConnection, ApiRole, HttpApi
 from hazelspring.daemon.instance_list_client import InstanceListClient
 from hazelspring.daemon.node_process import NodeProcess
 from hazelspring.daemon.operator_calls import OperatorCalls
@@ -149,7 +149,7 @@
     process.operator_calls = OperatorCalls(lambda: 0.0, lambda: node, lambda: None, lambda actions: None)
 
     def call(request: str, roles: list[str], end: Record) -> str:
-        api = HttpApi(Address("127.0.0.1", 0), process, frozenset(roles))
+        api = HttpApi(Address("127.0.0.1", 0), process, frozenset(map(ApiRole, roles)))
         body = request.partition("\r\n\r\n")[2].replace("<document>", document)
         request = request.replace("<document>", document).replace("<length>", str(len(body)))
         ended: Record = {"good": True, "word": pack(document.encode())} | end
