--- a/hazelspring/daemon/instance_list_client.py
+++ b/hazelspring/daemon/instance_list_client.py
@@ -10,17 +10,19 @@
 
 import httptools
 
+from hazelspring.errors import HazelspringError
 from ivymux.config import Address
 
 PAUSE_PART = 0.25  # of the time for a read: the longest pause between two tries of a page, whatever the rate
-MAX_PAGES = 64
+MAX_PAGES = 64  # of one list
 MAX_PAGE_BYTES = 4 << 20
-READ_SIZE = 1 << 16
+READ_SIZE = 1 << 16  # bytes read at once
+FIRST_PATH = "/instances"
 HTTP_OK = 200
 HTTP_TOO_MANY_REQUESTS = 429
 
 
-class InstanceListError(Exception):
+class InstanceListError(HazelspringError):
     """The list could not be read; the message names the step and the peer."""
 
     code = "platform"
@@ -42,14 +44,16 @@
         self.complete = False
 
     def on_body(self, data: bytes) -> None:
+        """Collect a part of the body."""
         self.data += data
 
     def on_message_complete(self) -> None:
+        """Note that the response is whole."""
         self.complete = True
 
 
 async def http_get(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: str, path: str) -> bytes:
-    """The body of `GET path`.  Raises StatusError, InstanceListError or OSError."""
+    """Return the body of `GET path`.  Raises StatusError, InstanceListError or OSError."""
     writer.write(f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
     body = ResponseBody()
     parser = httptools.HttpResponseParser(body)
@@ -66,8 +70,16 @@
     return bytes(body.data)
 
 
+def next_token(path: str, page: bytes) -> object:
+    """Return what names the page after this one, something false after the last; raises InstanceListError."""
+    try:
+        return json.loads(page).get("nextToken")
+    except (ValueError, AttributeError):
+        raise InstanceListError(f"GET {path}: not JSON") from None
+
+
 class InstanceListClient:
-    """Keeps one connection while it serves.
+    """Reads the list over one connection that is kept between reads.
 
     The platform accepts `rate` calls a second from all nodes together: a page refused for that (429) is asked for
     again after the time that one call takes of the rate, doubled with each refusal.  A read of all pages has `timeout`
@@ -88,7 +100,7 @@
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def read_pages(self) -> list[bytes]:
-        """Every page of the list.  Raises InstanceListError."""
+        """Return every page of the list.  Raises InstanceListError."""
         try:
             async with asyncio.timeout(self.timeout):
                 return await self._walk()
@@ -98,12 +110,12 @@
             raise InstanceListError(f"list of servers, {self.address.host}: {text}") from error
 
     async def _walk(self) -> list[bytes]:
+        """Return the pages from the first to the one that names no next."""
         pages: list[bytes] = []
-        path, waited, refusals = "/instances", 0.0, 0
+        path, waited, refusals = FIRST_PATH, 0.0, 0
         while len(pages) < MAX_PAGES:
             try:
-                pages.append(await self._page(path))
-                refusals = 0
+                page = await self._page(path)
             except StatusError as error:
                 if error.status != HTTP_TOO_MANY_REQUESTS or waited >= self.timeout:
                     raise
@@ -111,21 +123,26 @@
                 waited, refusals = waited + pause, refusals + 1
                 await self.pause(pause)
                 continue
-            try:
-                token = json.loads(pages[-1]).get("nextToken")
-            except (ValueError, AttributeError):
-                raise InstanceListError(f"GET {path}: not JSON") from None
+            pages.append(page)
+            refusals = 0
+            token = next_token(path, page)
             if not token:
                 return pages
-            path = f"/instances?pageToken={quote(str(token))}"
+            path = f"{FIRST_PATH}?pageToken={quote(str(token))}"
         raise InstanceListError("more pages than there can be")
 
     def _backoff(self, refusals: int) -> float:
-        """Seconds until a page is asked for again; jittered, so that nodes refused together do not return together."""
+        """Return the seconds until a page is asked for again.
+
+        They are jittered, so that nodes refused together do not return together.
+        """
         return min(PAUSE_PART * self.timeout, (1 << refusals) / self.rate) * (0.5 + random.random())
 
     async def _page(self, path: str) -> bytes:
-        """One page; on a new connection where the kept one brought no answer, as it may have been closed meanwhile."""
+        """Return one page.
+
+        It is asked for on a new connection where the kept one brought no answer, as it may have closed meanwhile.
+        """
         if self.streams is not None and not self.streams[1].is_closing():
             try:
                 return await http_get(*self.streams, self.address.host, path)
@@ -138,7 +155,7 @@
         return await http_get(*self.streams, self.address.host, path)
 
     def close(self) -> None:
-        """End the kept connection, if there is one."""
+        """Close the kept connection, if there is one."""
         streams, self.streams = self.streams, None
         if streams is not None:
             streams[1].transport.abort()
--- a/hazelspring/daemon/list_reader.py
+++ b/hazelspring/daemon/list_reader.py
@@ -10,20 +10,20 @@
 from hazelspring.registry.tables import ServerEntry
 from ivymux.config import Address
 
-MAX_NAMES = 5  # ids in one line of the log
+MAX_LOGGED_IDS = 5  # ids in one line of the log
 
 ServersByService = dict[str, dict[str, ServerEntry]]
 
 
 class ListReader:
-    """One read at a time; the node asks for each.  One that is asked for while another runs takes its place."""
+    """Reads the list when the node asks; a read asked for while another runs replaces it."""
 
     def __init__(self, address: Address, rate: float, timeout: float) -> None:
         """`timeout`: seconds for one read."""
         self.loop = asyncio.get_running_loop()
         self.timeout = timeout
         self.client = InstanceListClient(address, rate, timeout)
-        self.reading: InstanceListClient | None = None  # whose read is under way
+        self.reading: InstanceListClient | None = None  # the client whose read is under way
         self.reads = 0
         self.failures = 0
         self.read_at: float | None = None  # of the last read that succeeded, in the loop's seconds
@@ -36,17 +36,17 @@
             self.replace_client(address, rate)
 
     def replace_client(self, address: Address, rate: float) -> None:
-        """Read over a new connection from now on; what is under way on the old one fails."""
+        """Read over a new connection from now on; a read under way on the old one fails."""
         self.client.close()
         self.client = InstanceListClient(address, rate, self.timeout)
 
     async def read(self) -> ServersByService | None:
-        """The servers of each service; None where the list could not be read, for whatever reason."""
+        """Return the servers of each service; None where the list could not be read, for whatever reason."""
         if self.reading is self.client:
             self.replace_client(self.client.address, self.client.rate)
         client = self.reading = self.client
         try:
-            found = parse_instance_list(await client.read_pages(), self.loop.time())
+            listed = parse_instance_list(await client.read_pages(), self.loop.time())
         except Exception as error:  # the node waits for every read to end
             self.failures += 1
             self._log_failure(error)
@@ -56,8 +56,8 @@
                 self.reading = None
         self.reads += 1
         self.read_at = self.loop.time()
-        self._log_malformed(found.malformed)
-        return found.servers
+        self._log_malformed(listed.malformed)
+        return listed.servers
 
     @staticmethod
     def _log_failure(error: Exception) -> None:
@@ -69,10 +69,10 @@
             log.write_failure("registry", sentence, error)
 
     def _log_malformed(self, malformed: tuple[str, ...]) -> None:
-        """Log the entries that a read has passed over, where they are not those of the read before."""
+        """Log the ids of malformed entries, where they differ from those of the read before."""
         if malformed != self.malformed:
-            names = ",".join(malformed[:MAX_NAMES])
-            log.write("registry", "passed over entries of the list", count=len(malformed), ids=names)
+            ids = ",".join(malformed[:MAX_LOGGED_IDS])
+            log.write("registry", "passed over entries of the list", count=len(malformed), ids=ids)
         self.malformed = malformed
 
     def log_role(self, is_reader: bool) -> None:
@@ -84,5 +84,5 @@
             )
 
     def close(self) -> None:
-        """End the connection to the platform."""
+        """Close the connection to the platform."""
         self.client.close()
--- a/hazelspring/daemon/settings.py
+++ b/hazelspring/daemon/settings.py
@@ -1,4 +1,7 @@
-"""The settings file of a process: lines of a.b=value, checked by marshmallow; fields that are unknown are ignored."""
+"""The settings file of a process: lines of a.b=value, checked by marshmallow; unknown fields are ignored.
+
+Attributes of the schemas are the names in the file.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +12,19 @@
 from marshmallow import ValidationError, fields, post_load, pre_load, validate
 
 from hazelspring.configuration.schema import LenientSchema, flatten_errors
+from hazelspring.errors import HazelspringError
 from hazelspring.node.invariants import InvariantBounds
 from hazelspring.quota.limits import QuotaLimits
 from hazelspring.routing.shared_limits import SharedLimits
 from ivymux.config import Address, ConfigError, parse_address
 
+BYTES_PER_MEGABIT = 125_000
+MS_PER_SECOND = 1000
+NO_REVOCATION = 1e9  # seconds: more than a process lives, where nothing is revoked by time
+
 
-class SettingsError(ValueError):
-    """A settings file that cannot be used: its problems, one a line."""
+class SettingsError(HazelspringError, ValueError):
+    """A settings file cannot be used; the message has its problems, one a line."""
 
     code = "settings"
 
@@ -26,6 +34,8 @@
 
 
 class AddressField(fields.Field):  # type: ignore[type-arg]
+    """An address, `HOST:PORT`; the port must not be 0."""
+
     def _deserialize(self, value: Any, attr: Any, data: Any, **kwargs: Any) -> Address:
         try:
             address = parse_address(value)
@@ -37,7 +47,7 @@
 
 
 class CommaSeparatedField(fields.Field):  # type: ignore[type-arg]
-    """A list joined by commas."""
+    """A list joined by commas; parts that are empty are ignored."""
 
     def __init__(self, inner: fields.Field[Any], **kwargs: Any) -> None:
         super().__init__(**kwargs)
@@ -48,12 +58,16 @@
 
 
 class LimitsSchema(LenientSchema):
+    """`limits`: what the process may use of its machine."""
+
     memoryMb = fields.Float(load_default=300.0, validate=validate.Range(min=1))
     fileDescriptors = fields.Integer(load_default=1024, validate=validate.Range(min=256))
     linkMbps = fields.Float(load_default=1000.0, validate=validate.Range(min=0, min_inclusive=False))
 
 
 class ThisNodeSchema(LenientSchema):
+    """`thisDoor`: the node itself, its place and its disk."""
+
     nodeName = fields.String(required=True, validate=validate.Length(min=1))
     internetAddress = fields.String(required=True, validate=validate.Length(min=1))
     zone = fields.String(required=True)
@@ -65,6 +79,8 @@
 
 
 class ListenAddressesSchema(LenientSchema):
+    """`listenAddresses`: of clients and of the HTTP API's roles."""
+
     front = AddressField(required=True)
     readiness = AddressField(required=True)
     controlAddress = AddressField(required=True)
@@ -72,6 +88,8 @@
 
 
 class NetworkSchema(LenientSchema):
+    """`network`: addresses, the nodes to join first, and the region of each zone."""
+
     listenAddresses = fields.Nested(ListenAddressesSchema, required=True)
     internalPorts = CommaSeparatedField(
         fields.Integer(validate=validate.Range(min=1, max=65535)), required=True
@@ -81,15 +99,21 @@
 
 
 class CloudInterfaceSchema(LenientSchema):
+    """`cloudInterface`: the platform's list of instances, and the calls a second that it takes."""
+
     address = AddressField(required=True)
     requestsPerS = fields.Float(load_default=10.0, validate=validate.Range(min=0, min_inclusive=False))
 
 
 class PlatformSchema(LenientSchema):
+    """`platformSettings`: what the node uses of the platform."""
+
     cloudInterface = fields.Nested(CloudInterfaceSchema, required=True)
 
 
 class RuleBoundsSchema(LenientSchema):
+    """`ruleBounds`: times and limits that all nodes share; each name ends with its unit."""
+
     drainCutoffMs = fields.Float(load_default=3000.0, validate=validate.Range(min=0))
     inTouchMs = fields.Float(load_default=4000.0, validate=validate.Range(min=0))
     revocationMs = fields.Float(load_default=5000.0, validate=validate.Range(min=500))
@@ -105,12 +129,14 @@
 
 
 class TimingSchema(LenientSchema):
+    """`timingTerms`."""
+
     ruleBounds = fields.Nested(RuleBoundsSchema, load_default=lambda: RuleBoundsSchema().load({}))
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a process is told; times in seconds."""
+    """The settings of one process; times in seconds."""
 
     name: str
     ip: str
@@ -119,12 +145,12 @@
     first_start: bool
     data_directory: str
     max_descriptors: int
-    link_bandwidth: float  # bytes a second of this machine's own
+    link_bandwidth: float  # bytes a second of this machine alone
     client_address: Address
     readiness_address: Address
     control_address: Address
     directory_address: Address
-    internal_port: int  # of messages between doors, UDP and TCP
+    internal_port: int  # of messages between nodes, UDP and TCP
     seeds: tuple[str, ...]
     zones: dict[str, str]
     platform_address: Address
@@ -137,67 +163,87 @@
 
 
 class SettingsSchema(LenientSchema):
+    """The whole file."""
+
     thisDoor = fields.Nested(ThisNodeSchema, required=True)
     network = fields.Nested(NetworkSchema, required=True)
     platformSettings = fields.Nested(PlatformSchema, required=True)
     timingTerms = fields.Nested(TimingSchema, load_default=lambda: TimingSchema().load({}))
 
     @pre_load
-    def fold(self, lines: dict[str, str], **kwargs: Any) -> dict[str, Any]:
-        """Dotted keys as tables in tables."""
-        found: dict[str, Any] = {}
+    def nest_tables(self, lines: dict[str, str], **kwargs: Any) -> dict[str, Any]:
+        """Return dotted keys as nested tables.  Raises ValidationError where a key is a value and a table."""
+        root: dict[str, Any] = {}
         for key, value in lines.items():
-            *tables, last = key.split(".")
-            at = found
-            for table in tables:
-                at = at.setdefault(table, {})
-                if not isinstance(at, dict):
+            *names, last = key.split(".")
+            table = root
+            for name in names:
+                table = table.setdefault(name, {})
+                if not isinstance(table, dict):
                     raise ValidationError("is a value and a table", key)
-            at[last] = value
-        return found
+            table[last] = value
+        return root
 
     @post_load
-    def settle(self, found: dict[str, Any], **kwargs: Any) -> Settings:
-        node, net, bounds = found["thisDoor"], found["network"], found["timingTerms"]["ruleBounds"]
-        limits = node["limits"] or LimitsSchema().load({})
-        cloud, listen = found["platformSettings"]["cloudInterface"], net["listenAddresses"]
-        if not net["internalPorts"]:
+    def make_settings(self, tables: dict[str, Any], **kwargs: Any) -> Settings:
+        """Return the settings of tables that are valid.  Raises ValidationError where no internal port is named."""
+        this_node, network = tables["thisDoor"], tables["network"]
+        bounds, cloud = tables["timingTerms"]["ruleBounds"], tables["platformSettings"]["cloudInterface"]
+        limits = this_node["limits"] or LimitsSchema().load({})
+        listen = network["listenAddresses"]
+        if not network["internalPorts"]:
             raise ValidationError("none is named", "internalPorts")
-        rule = SharedLimits(
-            QuotaLimits(bounds["quotaWindowS"], bounds["quotaOverage"], bounds["quotaSlack"]),
-            bounds["retryBudgetRatio"],
-            bounds["budgetSlack"],
-            bounds["budgetWindowS"],
-        )
         return Settings(
-            node["nodeName"],
-            node["internetAddress"],
-            node["zone"],
-            node["answerRegion"],
-            node["firstStart"],
-            node["dataDirectory"],
-            limits["fileDescriptors"],
-            limits["linkMbps"] * 125_000,
-            listen["front"],
-            listen["readiness"],
-            listen["controlAddress"],
-            listen["directoryAddress"],
-            net["internalPorts"][0],
-            tuple(address.host for address in net["seedNodes"]),
-            net["zones"],
-            cloud["address"],
-            cloud["requestsPerS"],
-            bounds["revocationMs"] / 1000 if bounds["closedRevocation"] else 1e9,
-            bounds["gracePeriodS"],
-            bounds["ttl_max_s"],
-            rule,
-            InvariantBounds(bounds["drainCutoffMs"] / 1000, bounds["inTouchMs"] / 1000),
+            name=this_node["nodeName"],
+            ip=this_node["internetAddress"],
+            zone=this_node["zone"],
+            region=this_node["answerRegion"],
+            first_start=this_node["firstStart"],
+            data_directory=this_node["dataDirectory"],
+            max_descriptors=limits["fileDescriptors"],
+            link_bandwidth=limits["linkMbps"] * BYTES_PER_MEGABIT,
+            client_address=listen["front"],
+            readiness_address=listen["readiness"],
+            control_address=listen["controlAddress"],
+            directory_address=listen["directoryAddress"],
+            internal_port=network["internalPorts"][0],
+            seeds=tuple(address.host for address in network["seedNodes"]),
+            zones=network["zones"],
+            platform_address=cloud["address"],
+            platform_rate=cloud["requestsPerS"],
+            revocation_time=revocation_time(bounds),
+            grace_period=bounds["gracePeriodS"],
+            max_lookup_lifetime=bounds["ttl_max_s"],
+            shared_limits=shared_limits(bounds),
+            invariants=InvariantBounds(
+                bounds["drainCutoffMs"] / MS_PER_SECOND, bounds["inTouchMs"] / MS_PER_SECOND
+            ),
         )
 
 
+def revocation_time(bounds: dict[str, Any]) -> float:
+    """Return the seconds within which a node that hears nothing new must stop serving."""
+    return bounds["revocationMs"] / MS_PER_SECOND if bounds["closedRevocation"] else NO_REVOCATION
+
+
+def shared_limits(bounds: dict[str, Any]) -> SharedLimits:
+    """Return the limits of quotas and retries, which hold for all nodes together."""
+    quota = QuotaLimits(bounds["quotaWindowS"], bounds["quotaOverage"], bounds["quotaSlack"])
+    return SharedLimits(quota, bounds["retryBudgetRatio"], bounds["budgetSlack"], bounds["budgetWindowS"])
+
+
 def parse_settings(text: str) -> Settings:
-    """Settings from the file's text; raises SettingsError with every problem."""
-    lines = {}
+    """Return the settings that a file's text holds; raises SettingsError with every problem."""
+    try:
+        settings: Settings = SettingsSchema().load(parse_lines(text))
+    except ValidationError as error:
+        raise SettingsError("\n".join(flatten_errors(error.messages))) from None
+    return settings
+
+
+def parse_lines(text: str) -> dict[str, str]:
+    """Return the values of a file's text by their dotted keys; raises SettingsError for a line that has no `=`."""
+    values = {}
     for number, line in enumerate(text.splitlines(), 1):
         line = line.strip()
         if not line or line.startswith("#"):
@@ -205,16 +251,15 @@
         key, equals, value = line.partition("=")
         if not equals:
             raise SettingsError(f"line {number}: no a.b=value")
-        lines[key.strip()] = value.strip()
-    try:
-        found = SettingsSchema().load(lines)
-    except ValidationError as error:
-        raise SettingsError("\n".join(flatten_errors(error.messages))) from None
-    assert isinstance(found, Settings)
-    return found
+        values[key.strip()] = value.strip()
+    return values
 
 
 def load_settings(path: str) -> Settings:
+    """Return the settings of a file.
+
+    Raises UnreadableSettingsError where it cannot be read, SettingsError where it cannot be used.
+    """
     try:
         text = Path(path).read_text()
     except OSError as error:
