--- a/hazelspring/daemon/client_listener.py
+++ b/hazelspring/daemon/client_listener.py
@@ -1,4 +1,4 @@
-"""Clients of the door: routes and keys on the way in, a server's own answer on the way out."""
+"""The address for clients: route, tenant and time limit of each request, and the answers to clients."""
 
 from __future__ import annotations
 
@@ -10,6 +10,15 @@
 import httptools
 
 from hazelspring.configuration.model import Configuration, Route, Tenant
+from hazelspring.daemon.request_head import (
+    AUTHORIZATION_HEADER,
+    HOST_HEADER,
+    REMAINING_TIME_HEADER,
+    SINGLE_HEADERS,
+    attempt_payload,
+    body_framing,
+    forwarded_head,
+)
 from hazelspring.daemon.upstream_servers import (
     ATTEMPT_ID_HEADER,
     NOT_EXECUTED_STATUSES,
@@ -23,36 +32,29 @@
 from hazelspring.quota.credits import CounterCall
 from hazelspring.routing.events import AbandonAttempt, LeaseCredits, RejectOverQuota, RequestArrived
 from hazelspring.routing.request_router import RequestRouter
-from ivymux.caller import HOP_BY_HOP, LEAST_ADVICE, MOST_HELD, BadRequest, Client, Exchange, Listener
+from ivymux.caller import LEAST_ADVICE, MOST_HELD, BadRequest, Client, Exchange, Listener
 from ivymux.config import Address
 from ivymux.host import Answer, Host, Open
 from ivymux.link import Attempt, Flow, Result, Sink
 from ivymux.metrics import Counts
-from orchidhill import interface as i
+from orchidhill.interface import Fail, Finished, Left, Outcome
 
-REMAINING_HEADER = b"x-hazelspring-remaining-milliseconds"
-TENANT_HEADER, EXPECTED_INSTANCE_HEADER = b"x-hazelspring-tenant-name", b"x-hazelspring-expected-instance"
-SINGLE_HEADERS = frozenset(
-    (ATTEMPT_ID_HEADER, REMAINING_HEADER, b"host", b"authorization", b"content-length")
-)
-REPLACED_HEADERS = HOP_BY_HOP | {
-    REMAINING_HEADER,
-    TENANT_HEADER,
-    EXPECTED_INSTANCE_HEADER,
-    b"authorization",
-}  # never passed on as they came
 NOT_READY_RETRY_AFTER = 0.25  # seconds after which to come again where no configuration is known yet
 BEARER_PREFIX = b"bearer "
+MAX_ATTEMPT_ID_BYTES = 256
+MAX_REMAINING_DIGITS = 9  # of the remaining time, in milliseconds
+UNKNOWN_INSTANCE = b"-"  # stands for the id of a server that is no longer listed
 
 
 @dataclass(slots=True)
 class FinalAnswer(Answer):
-    """A final answer; `headers` are a server's."""
+    """A whole answer; `headers` are those of the server that gave it, each with its line end."""
 
     headers: bytes = b""
 
 
 def encode(answer: Answer, close: bool) -> bytes:
+    """Return a whole answer as it is sent; `close`: the connection ends after it."""
     head = status_line(answer.status) + b"Content-Length: %d\r\n" % len(answer.body)
     if isinstance(answer, FinalAnswer):
         head += answer.headers
@@ -64,7 +66,9 @@
 
 
 def flow_head(flow: Flow, chunked: bool, close: bool) -> bytes:
-    head = status_line(cast(UpstreamStream, flow).status) + cast(UpstreamStream, flow).headers
+    """Return the head of an answer whose body follows in pieces; `close`: the connection ends after it."""
+    stream = cast(UpstreamStream, flow)
+    head = status_line(stream.status) + stream.headers
     if flow.length is not None:
         head += b"Content-Length: %d\r\n" % flow.length
     elif chunked:
@@ -73,9 +77,9 @@
 
 
 class RouterHost(Host[RequestRouter]):
-    """Drives the Forager: its events and actions are those of the front door in service, and a few more."""
+    """Carries out the actions of the request router, and hands it the events of clients and servers."""
 
-    held_by = (RequestArrived, i.Finished)
+    held_by = (RequestArrived, Finished)
 
     def __init__(
         self,
@@ -88,10 +92,12 @@
         self.lease = lease
 
     def clock(self) -> float:
+        """Return the time in seconds, and keep it as the time of what is handled now."""
         self.now = time.monotonic()
         return self.now
 
     def carry_out(self, action: Any) -> None:
+        """Carry out one action of the router."""
         match action:
             case LeaseCredits():
                 self.lease(action.call)
@@ -100,14 +106,14 @@
             case AbandonAttempt():
                 request = self.table.get(action.request)
                 if request is not None and (attempt := request.out.get(action.attempt)) is not None:
-                    attempt.give_up(i.Outcome.TIMEOUT)
-            case i.Fail():
+                    attempt.give_up(Outcome.TIMEOUT)
+            case Fail():
                 self.fail(action.request)
             case _:
                 super().carry_out(action)
 
     def fail(self, number: int) -> None:
-        """The server's own answer where there is one; else one that promises nothing."""
+        """Answer a request that failed: with its server's answer, else with a 502, which leaves open whether it ran."""
         request = self.table.get(number)
         reply = request.last if request is not None else None
         if isinstance(reply, UpstreamReply):
@@ -122,132 +128,171 @@
         done: Callable[[Result], None],
         begun: Callable[[Flow], Sink | None],
     ) -> Attempt:
-        def ended(result: Result) -> None:
-            if isinstance(result, UpstreamReply) and result.outcome is i.Outcome.ERROR:
+        """Return a new attempt of a request; a server's own answer of a failure is kept for the client."""
+
+        def on_result(result: Result) -> None:
+            if isinstance(result, UpstreamReply) and result.outcome is Outcome.ERROR:
                 request.last = result
             done(result)
 
-        return UpstreamAttempt(request.mark, payload, ended, begun, request.upload)
+        return UpstreamAttempt(request.mark, payload, on_result, begun, request.upload)
 
     def answer_all(self) -> None:
-        """The process ends: what no server has seen is promised not to have run, the rest gets its answer."""
+        """Answer every open request, as the process ends.
+
+        A request that went to no server gets a 503, which says that it has not run.
+        """
         for request in list(self.table.values()):
             if not request.settled and not request.sent:
                 self.end(request.number, FinalAnswer(503, retry_after=NOT_READY_RETRY_AFTER))
-                self.post(i.Left(request.number))
+                self.post(Left(request.number))
         super().answer_all()
 
     def served(self, result: Result) -> Answer:
+        """Return the answer of a request that a server has carried out."""
         reply = cast(UpstreamReply, result)
         return FinalAnswer(reply.status, reply.body, headers=reply.headers)
 
 
+@dataclass(slots=True, frozen=True)
+class RequestTerms:
+    """What decides how a request is served; `timeout` in seconds."""
+
+    route: Route
+    tenant: Tenant | None
+    attempt_id: bytes
+    timeout: float
+
+
 class ClientConnection(Client):
     """One client connection."""
 
     __slots__ = ()
 
     def take(self, exchange: Exchange) -> None:
-        front = cast(ClientListener, self.server)
+        """Submit a request to the router, or refuse it; raises BadRequest where the client is at fault."""
+        listener = cast(ClientListener, self.server)
         if exchange.client.surplus:
             exchange.keep_alive = False
-            exchange.reply(FinalAnswer(503, retry_after=NOT_READY_RETRY_AFTER))
+            refuse(exchange)
             return
-        try:
-            path = httptools.parse_url(self.url).path or b"/"
-        except httptools.HttpParserInvalidURLError:
-            raise BadRequest("malformed target") from None
+        path = self.path()
         headers = dict(self.headers)
         if len(headers) != len(self.headers):
             self.no_repeats(SINGLE_HEADERS)
-        word = front.configuration
-        if word is None:
-            exchange.reply(FinalAnswer(503, retry_after=NOT_READY_RETRY_AFTER))
+        configuration = listener.configuration
+        if configuration is None:
+            refuse(exchange)
             return
-        host = headers.get(b"host", b"").decode("latin-1").lower()
-        route = word.find_route(host, path.decode("latin-1")) or word.find_route(
-            host.rpartition(":")[0], path.decode("latin-1")
-        )
-        tenant = self.tenant(word, route, headers.get(b"authorization", b"")) if route is not None else None
-        unknown = route is None or (tenant is None and not route.open_access and bool(word.tenants))
-        if unknown and not front.is_confirmed():  # the route or the key may be newer than what is known here
-            exchange.reply(FinalAnswer(503, retry_after=NOT_READY_RETRY_AFTER))
+        route = find_route(configuration, headers.get(HOST_HEADER, b""), path)
+        tenant = find_tenant(configuration, route, headers.get(AUTHORIZATION_HEADER, b""))
+        unknown = is_unknown(configuration, route, tenant)
+        if (
+            unknown and not listener.is_confirmed()
+        ):  # the route or the key may be newer than what is known here
+            refuse(exchange)
             return
         if route is None:
             raise BadRequest("no such route", 404)
         if unknown:
             raise BadRequest("no such key", 401)
-        id_ = headers.get(ATTEMPT_ID_HEADER, b"")
-        if not id_ or len(id_) > 256:
-            raise BadRequest("no X-Hazelspring-Attempt-Id")
-        timeout = route.timeout
-        if (left := headers.get(REMAINING_HEADER)) is not None:
-            if not left.isdigit() or len(left) > 9:
-                raise BadRequest("malformed X-Hazelspring-Remaining-Milliseconds")
-            timeout = min(timeout, int(left) / 1000)
-        self.submit(exchange, front, route, tenant, id_, timeout)
+        terms = RequestTerms(route, tenant, attempt_id(headers), time_limit(headers, route.timeout))
+        self.submit(exchange, listener, terms)
+
+    def path(self) -> str:
+        """Return the path of the request's target; raises BadRequest where the target is malformed."""
+        try:
+            path = httptools.parse_url(self.url).path or b"/"
+        except httptools.HttpParserInvalidURLError:
+            raise BadRequest("malformed target") from None
+        return path.decode("latin-1")
 
     def reject(self, error: BadRequest) -> None:
-        """A body that broke off: no promise once a part of it went to a server."""
+        """Answer a request whose body broke off.
+
+        Once a part of it went to a server, no status is used that says that the request has not run.
+        """
         request = self.exchange.request if self.exchange is not None else None
         if error.status in NOT_EXECUTED_STATUSES and request is not None and request.sent:
             error = BadRequest(str(error), 502)
         super().reject(error)
 
-    def tenant(self, word: Configuration, route: Route, authorization: bytes) -> Tenant | None:
-        if route.open_access or authorization[: len(BEARER_PREFIX)].lower() != BEARER_PREFIX:
-            return None
-        return word.tenants_by_key.get(authorization[len(BEARER_PREFIX) :].strip().decode("latin-1"))
-
-    def submit(
-        self,
-        exchange: Exchange,
-        front: ClientListener,
-        route: Route,
-        tenant: Tenant | None,
-        id_: bytes,
-        timeout: float,
-    ) -> None:
+    def submit(self, exchange: Exchange, listener: ClientListener, terms: RequestTerms) -> None:
+        """Hand a request to the router; refuse it where the bodies that are held take too much memory."""
         method, body, upload = self.parser.get_method(), b"".join(self.body), exchange.upload
-        if front.held + len(body) > MOST_HELD:
-            exchange.reply(
-                FinalAnswer(503, retry_after=NOT_READY_RETRY_AFTER)
-            )  # nothing has run: memory is bounded
+        if listener.held + len(body) > MOST_HELD:
+            refuse(exchange)
             return
         exchange.held = len(body)
-        front.held += len(body)
-        one = set[bytes]()  # headers that concern this connection alone
-        for name, value in self.headers:
-            if name == b"connection":
-                one.update(part.strip() for part in value.lower().split(b","))
-        head = b"%s %s HTTP/1.1\r\n" % (method, self.url) + b"".join(
-            b"%s: %s\r\n" % pair
-            for pair in self.headers
-            if pair[0] not in REPLACED_HEADERS and pair[0] not in one
-        )
-        if tenant is not None:
-            head += b"X-Hazelspring-Tenant-Name: %b\r\n" % tenant.name.encode()
-        if upload is not None:
-            head += upload.framing()
-        elif body or method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
-            head += b"Content-Length: %d\r\n" % len(body)
-        servers = front.host.gateway.fleet.servers
-
-        def payload(left: float, backend: int) -> bytes:
-            server = servers.get(backend)
-            life = server.id.encode() if server is not None else b"-"
-            return b"%bX-Hazelspring-Expected-Instance: %b\r\nX-Hazelspring-Remaining-Milliseconds: %d\r\n\r\n%b" % (
-                head, life, max(1, int(left * 1000)), body,
-            )  # fmt: skip
+        listener.held += len(body)
+        route, tenant, timeout = terms.route, terms.tenant, terms.timeout
+        head = forwarded_head(method, self.url, self.headers, tenant.name if tenant is not None else None)
+        head += upload.framing() if upload is not None else body_framing(method, body)
+        servers = listener.host.gateway.fleet.servers
+
+        def payload(remaining: float, number: int) -> bytes:
+            server = servers.get(number)
+            instance = server.id.encode() if server is not None else UNKNOWN_INSTANCE
+            return attempt_payload(head, body, instance, remaining)
 
         def make(request: int) -> Any:
             return RequestArrived(request, route, tenant, timeout)
 
-        exchange.request = front.host.request(make, route.kind, timeout, payload, exchange, upload, id_)
+        exchange.request = listener.host.request(
+            make, route.kind, timeout, payload, exchange, upload, terms.attempt_id
+        )
+
+
+def refuse(exchange: Exchange) -> None:
+    """Answer that a request has not run and may be sent again soon."""
+    exchange.reply(FinalAnswer(503, retry_after=NOT_READY_RETRY_AFTER))
+
+
+def find_route(configuration: Configuration, host: bytes, path: str) -> Route | None:
+    """Return the route of a Host header and a path; a route of the name with its port is preferred."""
+    name = host.decode("latin-1").lower()
+    return configuration.find_route(name, path) or configuration.find_route(name.rpartition(":")[0], path)
+
+
+def find_tenant(configuration: Configuration, route: Route | None, authorization: bytes) -> Tenant | None:
+    """Return the tenant of an Authorization header; None where the route asks for none, or no key is known."""
+    if route is None or route.open_access:
+        return None
+    if authorization[: len(BEARER_PREFIX)].lower() != BEARER_PREFIX:
+        return None
+    return configuration.tenants_by_key.get(authorization[len(BEARER_PREFIX) :].strip().decode("latin-1"))
+
+
+def is_unknown(configuration: Configuration, route: Route | None, tenant: Tenant | None) -> bool:
+    """Return whether the configuration lacks a request's route, or the tenant that the route asks for."""
+    if route is None:
+        return True
+    return tenant is None and not route.open_access and bool(configuration.tenants)
+
+
+def attempt_id(headers: dict[bytes, bytes]) -> bytes:
+    """Return the id that the request's answer must bear; raises BadRequest where there is none or it is too long."""
+    found = headers.get(ATTEMPT_ID_HEADER, b"")
+    if not found or len(found) > MAX_ATTEMPT_ID_BYTES:
+        raise BadRequest("no X-Hazelspring-Attempt-Id")
+    return found
+
+
+def time_limit(headers: dict[bytes, bytes], timeout: float) -> float:
+    """Return the seconds for a request: the route's `timeout`, or less where the client has less left.
+
+    Raises BadRequest where the client's remaining time is malformed.
+    """
+    remaining = headers.get(REMAINING_TIME_HEADER)
+    if remaining is None:
+        return timeout
+    if not remaining.isdigit() or len(remaining) > MAX_REMAINING_DIGITS:
+        raise BadRequest("malformed X-Hazelspring-Remaining-Milliseconds")
+    return min(timeout, int(remaining) / 1000)
 
 
 class ClientListener(Listener):
-    """The door's address for clients."""
+    """The node's listening address for clients."""
 
     encode = staticmethod(encode)
     flow_head = staticmethod(flow_head)
@@ -255,14 +300,17 @@
     host: RouterHost
 
     def __init__(
-        self, listen: Address, carrier: RouterHost, most_clients: int, fresh: Callable[[], bool]
+        self, listen: Address, host: RouterHost, max_clients: int, is_confirmed: Callable[[], bool]
     ) -> None:
-        super().__init__(listen, None, carrier, most_clients)
+        """`is_confirmed` returns whether the configuration here is known to be the newest."""
+        super().__init__(listen, None, host, max_clients)
         self.make = ClientConnection
         self.configuration: Configuration | None = None
-        self.is_confirmed = fresh
+        self.is_confirmed = is_confirmed
 
-    def use_configuration(self, word: Configuration) -> None:
-        self.configuration, limits = word, word.limits
+    def use_configuration(self, configuration: Configuration) -> None:
+        """Serve requests by a configuration from now on."""
+        self.configuration = configuration
+        limits = configuration.limits
         self.most_head, self.most_body = limits.max_head_bytes, limits.max_body_bytes
         self.head_timeout, self.idle_timeout = limits.head_timeout, limits.idle_timeout
