--- a/tests/golden/recording.py
+++ b/tests/golden/recording.py
@@ -313,7 +313,7 @@
 
 def write() -> None:
     """Write all files anew."""
-    from tests.test_rescue_command import format_1
+    from tests.test_recovery_command import format_1
 
     messages, sums = record_messages()
     files = {
--- a/tests/test_front_stress.py
+++ b/tests/test_client_listener_stress.py
@@ -1,4 +1,7 @@
-"""The whole front of a door between hostile servers and clients; `python -m tests.test_front_stress 1 9` plays more."""
+"""The client listener between hostile servers and clients.
+
+`python -m tests.test_client_listener_stress 1 9` plays more.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 import uvloop
 
 from hazelspring.configuration.model import parse_configuration
-from hazelspring.daemon import client_listener as front
+from hazelspring.daemon import client_listener
 from hazelspring.daemon.client_listener import ClientConnection, ClientListener, RouterHost
 from hazelspring.daemon.upstream_servers import UpstreamConnection, UpstreamServers
 from hazelspring.quota.credits import CounterCall, CounterUnavailable, CreditsGranted
@@ -63,7 +66,7 @@
 
 
 class Stage:
-    """One door's front with all behind it, its servers and its clients, on loopback addresses."""
+    """One node's client listener with all behind it, its servers and its clients, on loopback addresses."""
 
     def __init__(self, seed: str, stalling: float = 0.02, ways: tuple[str, ...] = ()) -> None:
         self.ledger, self.stalling = Ledger(seed), stalling
@@ -78,11 +81,11 @@
         self.router = RequestRouter(SharedLimits(retry_ratio=1.0, retry_slack=1e6), fleet, 1)
         self.upstream = UpstreamServers(1.0, pick.choice((0.4, 9.0)), 800, counts)
         self.upstream.per_backend = pick.choice((12, 60))
-        self.carrier = RouterHost(self.router, self.upstream, counts, self.lease)
-        self.front = ClientListener(Address("127.0.0.1", 0), self.carrier, 400, lambda: True)
+        self.host = RouterHost(self.router, self.upstream, counts, self.lease)
+        self.listener = ClientListener(Address("127.0.0.1", 0), self.host, 400, lambda: True)
         self.leaves = pick.random() < 0.3  # the door is told to end, some time before the last client
         word = parse_configuration(configuration())
-        self.front.use_configuration(word)
+        self.listener.use_configuration(word)
         self.router.use_configuration(word)
         self.router.fresh_until = 1e18
         self.addresses: list[str] = []
@@ -95,10 +98,10 @@
             answer = CounterUnavailable(call.tenant)
         if pick.random() < 0.9:
             late = pick.choice((0.001, 0.02, 0.2))
-            self.carrier.loop.call_later(late, self.carrier.post, answer)
+            self.host.loop.call_later(late, self.host.post, answer)
 
     def list_servers(self) -> None:
-        now = self.carrier.clock()
+        now = self.host.clock()
         listed = [
             ServerEntry(server.id, address, server.zone, True, 40, "v1")
             for server, address in zip(self.servers, self.addresses, strict=True)
@@ -113,21 +116,21 @@
         count, pick = 0, random.Random(self.ledger.random.random())
         while True:
             await asyncio.sleep(0.05)
-            self.carrier.post(TimerTick())  # type: ignore[arg-type]
+            self.host.post(TimerTick())  # type: ignore[arg-type]
             count += 1
             if count % round(RESTART / 0.05) == 0:
                 self.list_servers()
                 pick.choice(self.servers).lives += 1
                 self.router.set_evacuated_zones(
-                    self.carrier.clock(), frozenset(("a2",) if count // 20 % 4 == 1 else ())
+                    self.host.clock(), frozenset(("a2",) if count // 20 % 4 == 1 else ())
                 )
 
     async def play(self) -> Ledger:
         self.addresses = [await server.start("127.0.0.1") for server in self.servers]
         self.list_servers()
-        await self.front.start()
-        assert self.front.server is not None
-        port = self.front.server.sockets[0].getsockname()[1]
+        await self.listener.start()
+        assert self.listener.server is not None
+        port = self.listener.server.sockets[0].getsockname()[1]
         crowd = Crowd(self.ledger, f"127.0.0.1:{port}", self.stalling)
         tasks = [asyncio.create_task(self.tick())]
         if self.leaves:
@@ -138,8 +141,8 @@
         finally:
             for task in tasks:
                 task.cancel()
-            self.front.close()
-            self.front.stop_listening()
+            self.listener.close()
+            self.listener.stop_listening()
             for server in self.servers:
                 await server.close()
             self.upstream.close()
@@ -150,13 +153,13 @@
         """As `Door.drain`, with little time: what is under way then ends by `answer_all`."""
         await asyncio.sleep(0.3 + self.ledger.random.random())
         crowd.ends = self.router.leaving = True
-        self.front.stop_listening()
-        self.front.close_idle()
-        end = self.carrier.clock() + self.ledger.random.choice((0.0, 0.1, 0.4))
-        while (self.carrier.waiting or self.front.owes()) and self.carrier.clock() < end:
+        self.listener.stop_listening()
+        self.listener.close_idle()
+        end = self.host.clock() + self.ledger.random.choice((0.0, 0.1, 0.4))
+        while (self.host.waiting or self.listener.owes()) and self.host.clock() < end:
             await asyncio.sleep(0.02)
-        self.carrier.answer_all()
-        self.front.close()
+        self.host.answer_all()
+        self.listener.close()
         await asyncio.sleep(0.05)
         self.upstream.close()
 
@@ -173,8 +176,8 @@
     def left(self) -> dict[str, Any]:
         pools = self.upstream.pools.values()
         found = {
-            "open requests": len(self.carrier.table), "waiting": self.carrier.waiting, "held": self.front.held,
-            "jobs": len(self.router.pending), "clients": len(self.front.clients),
+            "open requests": len(self.host.table), "waiting": self.host.waiting, "held": self.listener.held,
+            "jobs": len(self.router.pending), "clients": len(self.listener.clients),
             "out": sum(server.in_flight for server in self.router.fleet.servers.values()),
             "busy": sum(link.attempt is not None for pool in pools for link in pool.links),
             "waiting attempts": sum(not attempt.over for pool in pools for attempt in pool.waiting),
@@ -211,7 +214,7 @@
         assert ledger.faults == []
 
 
-# --- that the check bites: one fence at a time is taken out ---------------------------------------------------------
+# The check itself is tested: one safeguard at a time is taken out.
 
 
 def believes_any_answer(patch: pytest.MonkeyPatch) -> None:
@@ -219,7 +222,7 @@
 
 
 def believes_any_promise(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(front, "client_status", lambda reply: reply.status)
+    patch.setattr(client_listener, "client_status", lambda reply: reply.status)
 
 
 def takes_a_reset_for_a_refusal(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_rescue_processes.py
+++ b/tests/test_rescue_processes.py
@@ -19,7 +19,7 @@
 from hazelspring.storage.offline import inspect_store
 
 from .callers import number_in, put, read, told
-from .test_rescue_command import format_1
+from .test_recovery_command import format_1
 
 
 @pytest.fixture
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -20,7 +20,7 @@
 from ivymux.metrics import Counts
 
 from .test_request_router import ZONES, document, servers
-from .test_servers import Wire
+from .test_upstream_servers import Wire
 
 WORD = parse_configuration(json.dumps(document()).encode())
 HEAD = b"POST /w/1 HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer k2\r\nX-Hazelspring-Attempt-Id: me\r\n"
