--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -1,4 +1,4 @@
-"""One door: its parts wired together, started, told what is new, drained."""
+"""One node's process: wires its parts, starts them, ticks the node and executes the actions that it returns."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 import random
 import secrets
 import time
-from collections import Counter
 from typing import Any
 
 import cbor2
@@ -21,9 +20,13 @@
 from hazelspring.daemon.message_transport import MessageTransport
 from hazelspring.daemon.node_metrics import collect, render
 from hazelspring.daemon.operator_calls import OperatorCalls
+from hazelspring.daemon.readiness import NEVER, fresh_until, ready_until
 from hazelspring.daemon.settings import Settings
+from hazelspring.daemon.shutdown import close, drain
+from hazelspring.daemon.status import MAX_LOOKUP_LIFETIME, lookup_addresses, node_status
 from hazelspring.daemon.structured_log import log
 from hazelspring.daemon.supervisor import Supervisor
+from hazelspring.daemon.unserved_log import UnservedLog
 from hazelspring.daemon.upstream_servers import UpstreamServers
 from hazelspring.membership.node_info import NodeInfo
 from hazelspring.node.actions import (
@@ -49,36 +52,39 @@
 from ivymux.periodic import Periodic
 from ivymux.pool import PER_BACKEND
 
-MIN_CONNECTIONS = 4  # to one server, however many doors share it
-TICK_INTERVAL = 0.05  # seconds: an eighth of a beat, and well under the time for a lease's call
-CALM_TICK_INTERVAL = (
-    0.1  # seconds for looks at the core where a ready door keeps no word: a quarter of a beat
-)
-CONNECT_TIMEOUT = (
-    0.3  # seconds for a connection to a server: a lost opening packet comes again only after a second
-)
+MIN_CONNECTIONS = 4  # to one server, however many nodes share it
+TICK_INTERVAL = 0.05  # seconds: an eighth of a heartbeat's, and well under the time for a lease's call
+CALM_TICK_INTERVAL = 0.1  # seconds between ticks of a ready node without a disk: a quarter of a heartbeat's
+CONNECT_TIMEOUT = 0.3  # seconds for a connection to a server: a lost SYN is sent again only after a second
 SERVER_IDLE_TIME = 9.0  # seconds that servers keep idle connections at least, where they do not say
-STALE_PART = (
-    0.9  # part of the time for a revocation after which keyed requests stop where nothing fresh was heard
-)
-UNREADY_PART = 0.5  # part of it after which clients are sent elsewhere
-RESERVED_DESCRIPTORS = 400  # descriptors for files, calls and messages
-UNSERVED_LOG_INTERVAL = 2.0  # seconds between two lines on what was not served
-LINGER_TIME = 1.5  # seconds after SIGTERM in which clients that do not know yet still come
-MAX_LOOKUP_ADDRESSES = 64  # that a client's answer may hold
+RESERVED_DESCRIPTORS = 400  # file descriptors for files, API calls and messages
+CLIENT_SHARE = 2  # one part in this many of the other descriptors is for clients
+SERVER_SHARE = 3  # one part in this many of the other descriptors is for servers
 DISK_RETRY_INTERVAL = 1.0  # seconds until a disk that could not be read is tried again
-SHUTDOWN_MARGIN = 0.5  # seconds before the end of the grace period at which this process ends
+INCARNATION_RANDOM_BITS = 8  # below the time: two starts within a millisecond differ
+
+
+def new_incarnation() -> int:
+    """Return the number of this start of the process; a later start has a larger one."""
+    milliseconds = int(time.time() * 1000)
+    return (milliseconds << INCARNATION_RANDOM_BITS) + secrets.randbits(INCARNATION_RANDOM_BITS)
 
 
 class NodeProcess:
+    """All parts of one node in one process, on one event loop.
+
+    `node` is the node's own state machine; it is replaced where the disk is read only after the start.
+    """
+
+    node: Node
+    ticker: Periodic
+
     def __init__(self, settings: Settings, metrics_port: int = 0) -> None:
-        """`metrics_port`: a port of this machine's that answers `GET /-/metrics` beside the others; 0: none."""
+        """`metrics_port`: a further port of this machine that answers `GET /-/metrics`; 0: none."""
         self.settings = settings
         self.loop = asyncio.get_running_loop()
         self.counts = Counts()
-        self.incarnation = (int(time.time() * 1000) << 8) + secrets.randbits(
-            8
-        )  # the later life is the larger
+        self.incarnation = new_incarnation()
         self.supervisor = Supervisor(self.loop)
         self.disk = DiskWorker(settings.data_directory, self.supervisor) if settings.data_directory else None
         self.configuration: Configuration | None = None
@@ -87,29 +93,36 @@
             self.loop.time, lambda: self.node, lambda: self.loaded_configuration, self.execute_all
         )
         self.draining = False
-        self.reported: Counter[str] = Counter()
-        self.reported_at = 0.0
-        self.node_ticked_at = self.confirmed_at = -1e9
+        self.unserved_log = UnservedLog()
+        self.node_ticked_at = NEVER
+        self.confirmed_at = NEVER
         timing = ListTiming.within(settings.invariants.drain_cutoff)
         self.list_reader = ListReader(settings.platform_address, settings.platform_rate, timing.timeout)
-        most = settings.max_descriptors - RESERVED_DESCRIPTORS
-        fleet = EndpointSet(settings.zone, settings.region, settings.zones, random.Random(self.incarnation))
-        self.router = RequestRouter(settings.shared_limits, fleet, self.incarnation)
-        self.servers = UpstreamServers(CONNECT_TIMEOUT, SERVER_IDLE_TIME, most // 3, self.counts)
-        self.router_host = RouterHost(self.router, self.servers, self.counts, self.lease_credits)
-        self.client_listener = ClientListener(
-            settings.client_address, self.router_host, most // 2, self.is_confirmed
-        )
+        self.make_request_path(settings)
         self.transport = MessageTransport(
             settings.ip, settings.internal_port, self.on_message, self.supervisor
         )
         self.apis = self.make_apis(settings)
         metrics = Address(settings.ip, metrics_port)
         self.metrics_api = HttpApi(metrics, self, frozenset()) if metrics_port else None
-        self.node: Node
+
+    def make_request_path(self, settings: Settings) -> None:
+        """Make all that requests pass through: the clients' listener, the router, the connections to servers."""
+        descriptors = settings.max_descriptors - RESERVED_DESCRIPTORS
+        endpoints = EndpointSet(
+            settings.zone, settings.region, settings.zones, random.Random(self.incarnation)
+        )
+        self.router = RequestRouter(settings.shared_limits, endpoints, self.incarnation)
+        self.servers = UpstreamServers(
+            CONNECT_TIMEOUT, SERVER_IDLE_TIME, descriptors // SERVER_SHARE, self.counts
+        )
+        self.router_host = RouterHost(self.router, self.servers, self.counts, self.lease_credits)
+        self.client_listener = ClientListener(
+            settings.client_address, self.router_host, descriptors // CLIENT_SHARE, self.is_confirmed
+        )
 
     def make_apis(self, settings: Settings) -> list[HttpApi]:
-        """A desk for each address that calls come to; one that serves two roles takes both kinds."""
+        """Return a listener for each address of the API; one that several roles name takes the calls of all."""
         roles: dict[Address, set[ApiRole]] = {}
         for address, role in (
             (settings.readiness_address, ApiRole.READY),
@@ -117,11 +130,10 @@
             (settings.directory_address, ApiRole.DIRECTORY),
         ):
             roles.setdefault(address, set()).add(role)
-        return [HttpApi(address, self, frozenset(of)) for address, of in roles.items()]
-
-    # --- start ------------------------------------------------------------------------------------------
+        return [HttpApi(address, self, frozenset(named)) for address, named in roles.items()]
 
     async def start(self) -> None:
+        """Read the disk, listen, and tick from now on.  Raises OSError where an address cannot be listened on."""
         settings = self.settings
         records = await self.read_disk()
         self.node = self.make_node(records, settings.first_start)
@@ -133,15 +145,16 @@
         for listener in [*self.apis, self.client_listener]:
             await listener.start()
         await self.start_metrics()
-        told, name, first = self.node.control.acceptor.version_fields(), settings.name, settings.first_start
-        log.write("daemon", "started", name=name, disk=bool(self.node.me.disk_id), first=first, **told)
+        versions = self.node.control.acceptor.version_fields()
+        has_disk, first = bool(self.node.me.disk_id), settings.first_start
+        log.write("daemon", "started", name=settings.name, disk=has_disk, first=first, **versions)
         self.tick()
         self.ticker = Periodic(
             self.loop, self.time_until_tick, self.tick, lambda error: self.supervisor.failed("tick", error)
         )
 
     async def start_metrics(self) -> None:
-        """Listen for who fetches metrics; a port that is taken keeps this door from nothing else."""
+        """Listen on the port for metrics; where it is taken, the node serves without it."""
         if self.metrics_api is None:
             return
         try:
@@ -152,11 +165,14 @@
             self.apis.append(self.metrics_api)
 
     async def read_disk(self) -> dict[str, bytes] | None:
-        """What the disk holds, nothing where there is none; None where it does not say."""
+        """Return the records on disk, none where there is no disk; None where they could not be read."""
         return await self.disk.load() if self.disk is not None else {}
 
     async def await_disk(self) -> None:
-        """Take the disk up once it can be read, as a new life of this door: what this one promised was on no disk."""
+        """Use the disk once it can be read.
+
+        The node begins anew, as another incarnation: what the one so far has promised is on no disk.
+        """
         records = None
         while records is None:
             await asyncio.sleep(DISK_RETRY_INTERVAL)
@@ -164,26 +180,32 @@
         self.operator_calls.fail_all("the disk was taken up")
         self.incarnation += 1
         self.node = self.make_node(records, False)
-        for what in (CONFIGURATION, ZONES):
-            self.on_state_changed(what)
+        self.on_state_changed(CONFIGURATION)
+        self.on_state_changed(ZONES)
         log.write("control", "reads the disk again", **self.node.control.acceptor.version_fields())
 
     def make_node(self, records: dict[str, bytes] | None, first: bool) -> Node:
-        """The core on what the disk held; on an empty disk where that makes no sense, as what it promised is lost."""
+        """Return a node that continues from the records of its disk; None: they could not be read.
+
+        Records that make no sense are put aside: the node then begins with an empty disk, and never as a first start,
+        as what it promised is lost.
+        """
         settings = self.settings
-        disk = self.incarnation if self.disk is not None and records is not None else 0
-        about = NodeInfo(settings.ip, settings.zone, settings.region, disk, self.incarnation)
+        disk_id = self.incarnation if self.disk is not None and records is not None else 0
+        info = NodeInfo(settings.ip, settings.zone, settings.region, disk_id, self.incarnation)
         start = NodeStart(
-            about, list(settings.seeds), first, records or {}, settings.link_bandwidth, settings.invariants
+            info, list(settings.seeds), first, records or {}, settings.link_bandwidth, settings.invariants
         )
         try:
             return Node(self.loop.time(), start, settings.shared_limits.quota.window, self.tenant_limit)
         except (ValueError, cbor2.CBORDecodeError) as error:
-            assert self.disk is not None
+            if self.disk is None:
+                raise
             self.disk.discard(str(error))
             return self.make_node({}, False)
 
     def tenant_limit(self, tenant: str) -> float:
+        """Return the units that a tenant may use in one window of its quota; 0: none are limited or known."""
         found = self.configuration.tenants.get(tenant) if self.configuration is not None else None
         if found is None or found.rate <= 0:
             return 0.0
@@ -191,9 +213,8 @@
             found.rate, found.burst, self.node.peers.max_node_count
         )
 
-    # --- time and messages ----------------------------------------------------------------------------------
-
     def tick(self) -> None:
+        """Advance the router, and the node where its own tick is due."""
         now = self.loop.time()
         if now - self.node_ticked_at > self.tick_interval() - TICK_INTERVAL / 2:
             self.node_ticked_at = now
@@ -205,16 +226,15 @@
         )
 
     def tick_interval(self) -> float:
-        """Seconds between looks at the core."""
-        return (
-            CALM_TICK_INTERVAL if self.node.ready and self.disk is None else TICK_INTERVAL
-        )  # else duties or a start wait for it
+        """Return the seconds between ticks of the node: fewer while leases, saves or a start wait for it."""
+        return CALM_TICK_INTERVAL if self.node.ready and self.disk is None else TICK_INTERVAL
 
     def time_until_tick(self) -> float:
-        """Seconds until the next tick."""
+        """Return the seconds until the next tick."""
         return TICK_INTERVAL if self.router.pending else self.tick_interval()
 
     def tick_node(self, now: float) -> None:
+        """Advance the node, and hand what it knows to the parts that serve requests."""
         self.update_confirmed_at(now)
         self.node.ready = self.is_ready()
         self.execute_all(self.node.tick(now))
@@ -222,19 +242,20 @@
         self.router.list_known = LIST_KNOWN not in self.node.invariants.violated
         self.servers.per_backend = self.connections_per_server()
         self.list_reader.log_role(self.node.list_reader_role.holds(now))
-        self.log_unserved(now)
+        self.unserved_log.write(now, self.router.ends)
 
     def connections_per_server(self) -> int:
-        """Connections to one server that are this door's: an even part of what the server takes from all."""
-        limits = (
-            [s.connection_limit for s in self.configuration.services.values() if s.connection_limit]
-            if self.configuration
-            else []
-        )
-        return max(MIN_CONNECTIONS, min(limits, default=PER_BACKEND) // max(1, self.router.node_count))
+        """Return how many connections to one server this node may open: its even part of what the server takes."""
+        services = self.configuration.services.values() if self.configuration is not None else ()
+        limits = [service.connection_limit for service in services if service.connection_limit]
+        per_node = min(limits, default=PER_BACKEND) // max(1, self.router.node_count)
+        return max(MIN_CONNECTIONS, per_node)
 
     def reload(self, settings: Settings) -> None:
-        """New settings: seeds, the platform, times for revocations and the end; all else waits for the next start."""
+        """Use new settings: seeds, the platform, the time for revocations and the grace period.
+
+        All else is used from the next start on.
+        """
         if settings == self.settings:
             return
         self.settings = settings
@@ -242,16 +263,8 @@
         self.list_reader.reconfigure(settings.platform_address, settings.platform_rate)
         log.write("daemon", "uses new settings", seeds=",".join(settings.seeds))
 
-    def log_unserved(self, now: float) -> None:
-        """Say what was not served of late, and why, where anything was."""
-        if now - self.reported_at < UNSERVED_LOG_INTERVAL:
-            return
-        new = self.router.ends - self.reported
-        if new:
-            log.write("routing", "did not serve", **new)
-        self.reported, self.reported_at = self.router.ends.copy(), now
-
     def on_message(self, source: str, message: Message) -> None:
+        """Hand a message of another node to this one's."""
         now = self.loop.time()
         actions = self.node.on_message(now, source, message)
         self.execute_all(actions)
@@ -261,20 +274,25 @@
             self.update_confirmed_at(now)
 
     def update_confirmed_at(self, now: float) -> None:
+        """Note up to which time every acknowledged change is known here."""
         self.confirmed_at = self.node.confirmed_at(now)
-        self.router.fresh_until = self.confirmed_at + STALE_PART * self.settings.revocation_time
+        self.router.fresh_until = fresh_until(self.confirmed_at, self.settings.revocation_time)
 
     def is_confirmed(self) -> bool:
+        """Return whether what is known here is fresh enough to refuse requests by it."""
         return self.loop.time() <= self.router.fresh_until
 
     def is_ready(self) -> bool:
-        """Whether clients may come: there is a configuration, servers are known, and the core was heard."""
-        sure = self.confirmed_at + UNREADY_PART * self.settings.revocation_time
+        """Return whether clients may be sent here: configuration and servers are known, and recently confirmed."""
         known = self.configuration is not None and bool(self.node.registry.tables)
-        return known and not self.draining and self.loop.time() <= sure
+        until = ready_until(self.confirmed_at, self.settings.revocation_time)
+        return known and not self.draining and self.loop.time() <= until
 
     def execute_all(self, actions: list[Action]) -> None:
-        """One that fails does not keep the others from being carried out: a save or an answer may be among them."""
+        """Execute actions in order.
+
+        One that fails does not keep the others from being executed: a save or an answer may be among them.
+        """
         for action in actions:
             try:
                 self.execute(action)
@@ -282,6 +300,7 @@
                 self.supervisor.failed(type(action).__name__, error)
 
     def execute(self, action: Action) -> None:
+        """Execute one action of the node."""
         match action:
             case Send():
                 self.transport.send(action.to, action.message)
@@ -300,16 +319,16 @@
             case InvariantViolated():
                 log.write("daemon", "an invariant is violated", name=action.name)
 
-    # --- the operator's word -----------------------------------------------------------------------------------
-
     async def save(self, save: Save) -> None:
-        assert self.disk is not None
-        core = self.node
-        good = await self.disk.save(save.records)
-        if core is self.node:
-            self.execute_all(core.on_saved(self.loop.time(), save.serial, good))
+        """Put records on disk, and report the end to the node that asked, unless it was replaced meanwhile."""
+        assert self.disk is not None  # a node without a disk asks for no saves
+        node = self.node
+        saved = await self.disk.save(save.records)
+        if node is self.node:
+            self.execute_all(node.on_saved(self.loop.time(), save.serial, saved))
 
     def on_state_changed(self, what: str) -> None:
+        """Use the new value of a part of the state: configuration, zones, members or `service:NAME`."""
         now = self.loop.time()
         state = self.node.control.state
         if what == CONFIGURATION:
@@ -338,7 +357,7 @@
                 self.servers.place(server.number, parse_address(server.address), 0.0)
 
     def log_table(self, service: str) -> None:
-        """Say which state of a service's servers is used from now on."""
+        """Log which table of a service's servers is used from now on."""
         table = self.node.registry.tables[service]
         draining = sum(not server.accepting for server in table.servers.values())
         count, version = len(table.servers), table.version
@@ -346,84 +365,43 @@
             "registry", "uses a table", service=service, version=version, servers=count, draining=draining
         )
 
-    # --- others ---------------------------------------------------------------------------------------------
-
     async def read_list(self, number: int) -> None:
-        core = self.node
-        found = await self.list_reader.read()
-        if core is self.node:  # else a core that was given up asked for it
-            self.execute_all(core.on_list_read(self.loop.time(), int(time.time() * 1000), found, number))
+        """Read the platform's list, and report the end to the node that asked, unless it was replaced meanwhile."""
+        node = self.node
+        servers = await self.list_reader.read()
+        if node is self.node:
+            milliseconds = int(time.time() * 1000)
+            self.execute_all(node.on_list_read(self.loop.time(), milliseconds, servers, number))
 
     def lease_credits(self, call: CounterCall) -> None:
+        """Ask a tenant's counter for units, for the router."""
         self.execute_all(self.node.lease_credits(self.loop.time(), call.tenant, call.number, call.units))
 
     def is_zone_known(self, zone: str) -> bool:
+        """Return whether the settings name a zone."""
         return zone in self.settings.zones
 
     @property
     def lookup_lifetime(self) -> float:
-        return min(2.0, self.settings.max_lookup_lifetime)
+        """Seconds for which a client may use the result of a lookup."""
+        return min(MAX_LOOKUP_LIFETIME, self.settings.max_lookup_lifetime)
 
     def lookup(self, region: str) -> list[str]:
-        """Doors for a client of a region."""
-        return [
-            f"{ip}:{self.settings.client_address.port}"
-            for ip in self.node.peers.nodes_for_clients(region)[:MAX_LOOKUP_ADDRESSES]
-        ]
+        """Return the addresses of nodes for a client of a region."""
+        return lookup_addresses(self, region)
 
     def metrics(self) -> bytes:
-        """This door's figures as text."""
+        """Return the node's metrics in the Prometheus text format."""
         return render(collect(self, self.loop.time()))
 
     def status(self) -> dict[str, Any]:
-        now, core = self.loop.time(), self.node
-        state = core.control.state
-        return {
-            "name": self.settings.name,
-            "ready": self.is_ready(),
-            "configuration": self.configuration.version if self.configuration is not None else None,
-            "closedZones": sorted(state.evacuated_zones) if state is not None else [],
-            **core.control.acceptor.version_fields(),
-            "core": {ip: core.heartbeats.is_responsive(now, ip) for ip in sorted(core.peers.core_nodes)},
-            "member": core.control.is_member(),
-            "dropped": dict(core.dropped),
-            "doors": [row[0] for row in core.peers.roster_rows if row[5]],
-            "notServed": dict(self.router.ends),
-            "freshForS": round(self.router.fresh_until - now, 2),
-            "servers": {service: len(table.servers) for service, table in core.registry.tables.items()},
-        }
-
-    # --- the end -----------------------------------------------------------------------------------------------
+        """Return the body of the answer to `GET /-/status`."""
+        return node_status(self, self.loop.time())
 
     async def drain(self) -> None:
-        """Leave in order: clients are sent elsewhere, duties go to others, what is held is finished."""
-        began = self.loop.time()
-        self.draining = self.router.leaving = True
-        self.supervisor.guard("give duties up", lambda: self.execute_all(self.node.drain(began)))
-        log.write("daemon", "drains", open=self.router_host.waiting)
-        await asyncio.sleep(LINGER_TIME)
-        self.client_listener.stop_listening()
-        self.client_listener.close_idle()
-        while self.loop.time() - began < self.settings.grace_period - SHUTDOWN_MARGIN:
-            if not (
-                self.router_host.waiting or self.client_listener.owes() or self.node.control.must_stay_up()
-            ):
-                break
-            await asyncio.sleep(0.02)
-        log.write("daemon", "ends", open=self.router_host.waiting)
-        await self.close()
+        """Stop in order; see `hazelspring.daemon.shutdown`."""
+        await drain(self)
 
     async def close(self) -> None:
-        self.ticker.cancel()
-        self.router_host.answer_all()
-        self.client_listener.close()
-        for api in self.apis:
-            api.stop_listening()
-            api.close()
-        await asyncio.sleep(0.05)  # the last answers leave
-        self.transport.close()
-        self.list_reader.close()
-        self.servers.close()
-        self.supervisor.close()
-        if self.disk is not None:
-            self.disk.close()
+        """Answer what is open, and close everything."""
+        await close(self)
--- /dev/null
+++ b/hazelspring/daemon/shutdown.py
@@ -0,0 +1,57 @@
+"""The end of a node's process: clients are sent elsewhere, roles are released, open requests are finished."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING
+
+from hazelspring.daemon.structured_log import log
+
+if TYPE_CHECKING:
+    from hazelspring.daemon.node_process import NodeProcess
+
+LINGER_TIME = 1.5  # seconds after SIGTERM in which clients still come that were not yet sent elsewhere
+SHUTDOWN_MARGIN = 0.5  # seconds before the end of the grace period at which the process ends
+CHECK_INTERVAL = 0.02  # seconds between checks whether anything is still open
+FLUSH_TIME = 0.05  # seconds for the last answers to leave
+
+
+async def drain(process: NodeProcess) -> None:
+    """Stop in order, within the grace period of the settings, and close all that the process holds open."""
+    began = process.loop.time()
+    process.draining = process.router.leaving = True
+    process.supervisor.guard("give duties up", lambda: process.execute_all(process.node.drain(began)))
+    log.write("daemon", "drains", open=process.router_host.waiting)
+    await asyncio.sleep(LINGER_TIME)
+    process.client_listener.stop_listening()
+    process.client_listener.close_idle()
+    while process.loop.time() - began < process.settings.grace_period - SHUTDOWN_MARGIN:
+        if not has_open_work(process):
+            break
+        await asyncio.sleep(CHECK_INTERVAL)
+    log.write("daemon", "ends", open=process.router_host.waiting)
+    await process.close()
+
+
+def has_open_work(process: NodeProcess) -> bool:
+    """Return whether requests or answers are open, or the control replicas still need this node."""
+    return bool(
+        process.router_host.waiting or process.client_listener.owes() or process.node.control.must_stay_up()
+    )
+
+
+async def close(process: NodeProcess) -> None:
+    """Answer what is open, and close listeners, connections, tasks and the disk."""
+    process.ticker.cancel()
+    process.router_host.answer_all()
+    process.client_listener.close()
+    for api in process.apis:
+        api.stop_listening()
+        api.close()
+    await asyncio.sleep(FLUSH_TIME)
+    process.transport.close()
+    process.list_reader.close()
+    process.servers.close()
+    process.supervisor.close()
+    if process.disk is not None:
+        process.disk.close()
--- /dev/null
+++ b/hazelspring/daemon/status.py
@@ -0,0 +1,41 @@
+"""Views of a node's process for the HTTP API: its status, and addresses for clients."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:
+    from hazelspring.daemon.node_process import NodeProcess
+
+MAX_LOOKUP_ADDRESSES = 64  # in one answer
+MAX_LOOKUP_LIFETIME = 2.0  # seconds; the settings may ask for less
+ADDRESS_COLUMN = 0  # of a row of the roster
+READY_COLUMN = 5  # of a row of the roster
+
+
+def lookup_addresses(process: NodeProcess, region: str) -> list[str]:
+    """Return the addresses, `HOST:PORT`, of nodes for a client of a region."""
+    port = process.settings.client_address.port
+    nodes = process.node.peers.nodes_for_clients(region)
+    return [f"{ip}:{port}" for ip in nodes[:MAX_LOOKUP_ADDRESSES]]
+
+
+def node_status(process: NodeProcess, now: float) -> dict[str, Any]:
+    """Return the body of `GET /-/status`; `now` in the seconds of the process's event loop."""
+    node = process.node
+    state = node.control.state
+    configuration = process.configuration
+    return {
+        "name": process.settings.name,
+        "ready": process.is_ready(),
+        "configuration": configuration.version if configuration is not None else None,
+        "closedZones": sorted(state.evacuated_zones) if state is not None else [],
+        **node.control.acceptor.version_fields(),
+        "core": {ip: node.heartbeats.is_responsive(now, ip) for ip in sorted(node.peers.core_nodes)},
+        "member": node.control.is_member(),
+        "dropped": dict(node.dropped),
+        "doors": [row[ADDRESS_COLUMN] for row in node.peers.roster_rows if row[READY_COLUMN]],
+        "notServed": dict(process.router.ends),
+        "freshForS": round(process.router.fresh_until - now, 2),
+        "servers": {service: len(table.servers) for service, table in node.registry.tables.items()},
+    }
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -333,7 +333,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play(node: NodeProcess) -> None:
-        monkeypatch.setattr("hazelspring.daemon.node_process.LINGER_TIME", 0.01)
+        monkeypatch.setattr("hazelspring.daemon.shutdown.LINGER_TIME", 0.01)
         monkeypatch.setattr(node.node, "drain", fail)
         await node.drain()
         assert node.client_listener.stopping and node.supervisor.failures["give duties up"] == 1
