--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -8,8 +8,6 @@
 import time
 from typing import Any
 
-import cbor2
-
 from hazelspring.configuration.incremental import LoadedConfiguration, load_configuration
 from hazelspring.configuration.model import Configuration
 from hazelspring.consensus.proposal import ProposalOutcome
@@ -18,7 +16,9 @@
 from hazelspring.daemon.http_api import ApiRole, HttpApi
 from hazelspring.daemon.list_reader import ListReader
 from hazelspring.daemon.message_transport import MessageTransport
+from hazelspring.daemon.node_factory import NodeFactory
 from hazelspring.daemon.node_metrics import collect, render
+from hazelspring.daemon.node_shares import connections_per_server, tenant_window_limit
 from hazelspring.daemon.operator_calls import OperatorCalls
 from hazelspring.daemon.readiness import NEVER, fresh_until, ready_until
 from hazelspring.daemon.settings import Settings
@@ -28,7 +28,6 @@
 from hazelspring.daemon.supervisor import Supervisor
 from hazelspring.daemon.unserved_log import UnservedLog
 from hazelspring.daemon.upstream_servers import UpstreamServers
-from hazelspring.membership.node_info import NodeInfo
 from hazelspring.node.actions import (
     Action,
     InvariantViolated,
@@ -41,7 +40,7 @@
 from hazelspring.node.control_replica import CONFIGURATION, MEMBERS, ZONES
 from hazelspring.node.invariants import LIST_KNOWN
 from hazelspring.node.messages import LoadReport, Message
-from hazelspring.node.node import Node, NodeStart
+from hazelspring.node.node import Node
 from hazelspring.quota.credits import CounterCall, CounterUnavailable, CreditsGranted
 from hazelspring.registry.list_reader_role import ListTiming
 from hazelspring.routing.endpoint_set import EndpointSet
@@ -50,9 +49,7 @@
 from ivymux.config import Address, parse_address
 from ivymux.metrics import Counts
 from ivymux.periodic import Periodic
-from ivymux.pool import PER_BACKEND
 
-MIN_CONNECTIONS = 4  # to one server, however many nodes share it
 TICK_INTERVAL = 0.05  # seconds: an eighth of a heartbeat's, and well under the time for a lease's call
 CALM_TICK_INTERVAL = 0.1  # seconds between ticks of a ready node without a disk: a quarter of a heartbeat's
 CONNECT_TIMEOUT = 0.3  # seconds for a connection to a server: a lost SYN is sent again only after a second
@@ -184,34 +181,15 @@
         self.on_state_changed(ZONES)
         log.write("control", "reads the disk again", **self.node.control.acceptor.version_fields())
 
-    def make_node(self, records: dict[str, bytes] | None, first: bool) -> Node:
-        """Return a node that continues from the records of its disk; None: they could not be read.
-
-        Records that make no sense are put aside: the node then begins with an empty disk, and never as a first start,
-        as what it promised is lost.
-        """
-        settings = self.settings
-        disk_id = self.incarnation if self.disk is not None and records is not None else 0
-        info = NodeInfo(settings.ip, settings.zone, settings.region, disk_id, self.incarnation)
-        start = NodeStart(
-            info, list(settings.seeds), first, records or {}, settings.link_bandwidth, settings.invariants
-        )
-        try:
-            return Node(self.loop.time(), start, settings.shared_limits.quota.window, self.tenant_limit)
-        except (ValueError, cbor2.CBORDecodeError) as error:
-            if self.disk is None:
-                raise
-            self.disk.discard(str(error))
-            return self.make_node({}, False)
+    def make_node(self, records: dict[str, bytes] | None, first_start: bool) -> Node:
+        """Return a node that continues from the records of its disk; None: they could not be read."""
+        factory = NodeFactory(self.loop.time, self.settings, self.disk, self.tenant_limit)
+        return factory.make(self.incarnation, records, first_start)
 
     def tenant_limit(self, tenant: str) -> float:
-        """Return the units that a tenant may use in one window of its quota; 0: none are limited or known."""
-        found = self.configuration.tenants.get(tenant) if self.configuration is not None else None
-        if found is None or found.rate <= 0:
-            return 0.0
-        return self.settings.shared_limits.quota.window_limit(
-            found.rate, found.burst, self.node.peers.max_node_count
-        )
+        """Return the units that a tenant may use in one window of its quota."""
+        node_count = self.node.peers.max_node_count
+        return tenant_window_limit(self.configuration, tenant, self.settings.shared_limits, node_count)
 
     def tick(self) -> None:
         """Advance the router, and the node where its own tick is due."""
@@ -240,17 +218,10 @@
         self.execute_all(self.node.tick(now))
         self.router.node_count = self.node.peers.max_node_count
         self.router.list_known = LIST_KNOWN not in self.node.invariants.violated
-        self.servers.per_backend = self.connections_per_server()
+        self.servers.per_backend = connections_per_server(self.configuration, self.router.node_count)
         self.list_reader.log_role(self.node.list_reader_role.holds(now))
         self.unserved_log.write(now, self.router.ends)
 
-    def connections_per_server(self) -> int:
-        """Return how many connections to one server this node may open: its even part of what the server takes."""
-        services = self.configuration.services.values() if self.configuration is not None else ()
-        limits = [service.connection_limit for service in services if service.connection_limit]
-        per_node = min(limits, default=PER_BACKEND) // max(1, self.router.node_count)
-        return max(MIN_CONNECTIONS, per_node)
-
     def reload(self, settings: Settings) -> None:
         """Use new settings: seeds, the platform, the time for revocations and the grace period.
 
