--- a/hazelspring/daemon/disk_worker.py
+++ b/hazelspring/daemon/disk_worker.py
@@ -1,4 +1,4 @@
-"""A node's store, driven by a thread of its own, so that the event loop never waits for the disk."""
+"""Access to a node's store from a thread of its own, so that the event loop never waits for the disk."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class DiskWorker:
-    """Loads and saves records one after another; how each ends is told as a value, whatever error ended it."""
+    """Loads and saves records one after another.
+
+    Each returns its result as a value, whatever error ended it, as the node waits for every one of them.
+    """
 
     def __init__(self, folder: str, supervisor: Supervisor) -> None:
         self.store = ReplicaStore(folder)
@@ -21,13 +24,13 @@
         self.thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
 
     async def load(self) -> dict[str, bytes] | None:
-        """What the disk holds; None where it does not say: it is not taken for an empty one then."""
+        """Return the records on disk; None where they could not be read, which is not the same as an empty disk."""
         try:
             records = await self.loop.run_in_executor(self.thread, self.store.load)
         except StoreError as error:
-            log.write("control", "cannot read the disk, goes on without it", error=error)
+            log.write("control", "cannot read the disk, continues without it", error=error)
             return None
-        except Exception as error:  # who awaits the disk tries again
+        except Exception as error:  # the caller tries again
             self.supervisor.failed("read the disk", error)
             return None
         while self.store.quarantined:
@@ -35,22 +38,22 @@
         return records
 
     async def save(self, records: Mapping[str, bytes | None]) -> bool:
-        """Put records on disk, all or none, None for one that is to go; whether they are there."""
+        """Put records on disk, all or none, and remove those that are None; return whether that succeeded."""
         try:
             await self.loop.run_in_executor(self.thread, self.store.save, records)
         except StoreError as error:
             log.write("control", "could not save", records=",".join(records), error=error)
-        except Exception as error:  # the core waits for every save to end
+        except Exception as error:  # the node waits for every save to end
             self.supervisor.failed("save", error)
         else:
             return True
         return False
 
-    def discard(self, why: str) -> None:
+    def discard(self, reason: str) -> None:
         """Put aside what is on disk, as it makes no sense."""
-        log.write("control", "put aside what could not be read", what=why)
-        self.store.discard(why)
+        log.write("control", "put aside what could not be read", what=reason)
+        self.store.discard(reason)
 
     def close(self) -> None:
-        """Begin no further load or save; one that is under way is not waited for."""
+        """Begin no further load or save; do not wait for one that is under way."""
         self.thread.shutdown(wait=False, cancel_futures=True)
--- a/hazelspring/daemon/operator_calls.py
+++ b/hazelspring/daemon/operator_calls.py
@@ -1,4 +1,4 @@
-"""Orders of operators: those that this node has begun, and who waits to hear how each ends."""
+"""Orders of operators: those that this node has proposed, and the callbacks that wait for their results."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderResult:
-    """How an order ended: `conflict` where another body holds its number; `body` is what was read, packed."""
+    """The result of an order.
+
+    `conflict`: another configuration has its number; `body`: the packed configuration of a read.
+    """
 
     succeeded: bool
     conflict: bool = False
@@ -27,64 +30,63 @@
 
 
 class OperatorCalls:
-    """Hands orders to the core and their ends to those who sent them; each is answered once.
-
-    `core` gives the core in use, `held` the configuration in use, `carry_out` carries out what the core wants done.
-    """
+    """Hands orders to the node, and their results to the callers; each is answered once."""
 
     def __init__(
         self,
         clock: Callable[[], float],
-        core: Callable[[], Node],
-        held: Callable[[], LoadedConfiguration | None],
-        carry_out: Callable[[list[Action]], None],
+        node: Callable[[], Node],
+        loaded_configuration: Callable[[], LoadedConfiguration | None],
+        execute: Callable[[list[Action]], None],
     ) -> None:
+        """`node` and `loaded_configuration` return those in use; `execute` executes the node's actions."""
         self.clock = clock
-        self.node = core
-        self.loaded_configuration = held
-        self.execute = carry_out
-        self.token = 0
+        self.node = node
+        self.loaded_configuration = loaded_configuration
+        self.execute = execute
+        self.token = 0  # of the last order
         self.replies: dict[int, Reply] = {}
 
-    def put_configuration(self, body: bytes, done: Reply) -> None:
-        """A new configuration.  Raises hazelspring.configuration.validation.Invalid, and nothing is ordered then."""
+    def put_configuration(self, body: bytes, reply: Reply) -> None:
+        """Order a new configuration; raises InvalidConfigurationError, and orders nothing then."""
         checked = validate_change(body, self.loaded_configuration())
-        self._begin(lambda token: self.node().put_configuration(self.clock(), token, body, checked), done)
+        self._propose(lambda token: self.node().put_configuration(self.clock(), token, body, checked), reply)
 
-    def read_configuration(self, done: Reply) -> None:
-        """The newest configuration."""
-        self._begin(lambda token: self.node().read_configuration(self.clock(), token), done)
+    def read_configuration(self, reply: Reply) -> None:
+        """Read the newest configuration."""
+        self._propose(lambda token: self.node().read_configuration(self.clock(), token), reply)
 
-    def set_evacuation(self, zone: str, closed: bool, done: Reply) -> None:
-        """Close a zone, or open it again."""
-        self._begin(lambda token: self.node().set_evacuation(self.clock(), token, zone, closed), done)
+    def set_evacuation(self, zone: str, closed: bool, reply: Reply) -> None:
+        """Evacuate a zone (`closed`), or use it again."""
+        self._propose(lambda token: self.node().set_evacuation(self.clock(), token, zone, closed), reply)
 
-    def retire_member(self, ip: str, done: Reply) -> None:
-        """Take a member out of the core for good."""
-        self._begin(lambda token: self.node().retire_member(self.clock(), token, ip), done)
+    def retire_member(self, ip: str, reply: Reply) -> None:
+        """Remove a member from the core for good."""
+        self._propose(lambda token: self.node().retire_member(self.clock(), token, ip), reply)
 
-    def on_outcome(self, end: ProposalOutcome) -> None:
-        """An order has ended."""
-        reply = self.replies.pop(end.token, None)
+    def on_outcome(self, outcome: ProposalOutcome) -> None:
+        """Answer the order that has ended."""
+        reply = self.replies.pop(outcome.token, None)
         if reply is None:
             return
-        if not end.succeeded:
-            log.write(
-                "api", "refused an order" if end.conflict else "could not settle an order", why=end.reason
-            )
-        reply(OrderResult(end.succeeded, end.conflict, end.reason, end.configuration or b""))
-
-    def fail_all(self, why: str) -> None:
-        """The core that the orders were begun at is given up."""
+        if not outcome.succeeded:
+            sentence = "refused an order" if outcome.conflict else "could not settle an order"
+            log.write("api", sentence, why=outcome.reason)
+        body = outcome.configuration or b""
+        reply(OrderResult(outcome.succeeded, outcome.conflict, outcome.reason, body))
+
+    def fail_all(self, reason: str) -> None:
+        """Fail all open orders, as the node that they were proposed at is replaced."""
         for token in list(self.replies):
-            self.on_outcome(ProposalOutcome(token, False, why))
+            self.on_outcome(ProposalOutcome(token, False, reason))
 
-    def _begin(self, begin: Callable[[int], list[Action]], reply: Reply) -> None:
+    def _propose(self, propose: Callable[[int], list[Action]], reply: Reply) -> None:
+        """Propose an order under a token of its own; an error of the node is the caller's."""
         self.token += 1
         self.replies[self.token] = reply
         try:
-            actions = begin(self.token)
+            actions = propose(self.token)
         except Exception:
-            del self.replies[self.token]  # its caller hears of the error
+            del self.replies[self.token]
             raise
         self.execute(actions)
--- a/hazelspring/daemon/structured_log.py
+++ b/hazelspring/daemon/structured_log.py
@@ -1,4 +1,4 @@
-"""The log: short sentences by eliot, a fixed prefix for each part, so many a second and no more."""
+"""The log on standard error: one line a message, a fixed prefix for each part of the process, limited in rate."""
 
 from __future__ import annotations
 
@@ -6,21 +6,27 @@
 import sys
 import time
 import traceback
-from typing import Any
+from typing import Any, Literal
 
 import eliot
 
-MAX_TRACE_CALLS = 3  # of an error's trace
-MAX_LINES_PER_SECOND = 40  # sentences a second: an error that comes with every request must not fill the log
+MAX_TRACE_CALLS = 3  # calls logged of an error's traceback
+MAX_LINES_PER_SECOND = 40  # an error that comes with every request must not fill the log
+META_FIELDS = ("message_type", "say", "task_uuid", "task_level", "timestamp")  # of eliot, and the sentence
+
+Part = Literal["api", "control", "daemon", "registry", "routing", "transport"]
 
 
 class StructuredLog:
-    """Writes to standard error; what is too much for a second is counted, and said with the next sentence."""
+    """Writes messages; those beyond a second's limit are counted, and the next message has their number."""
 
     def __init__(self) -> None:
-        self.second, self.written, self.left_out = 0, 0, 0
+        self.second = 0  # of the monotonic clock
+        self.written = 0  # messages in that second
+        self.left_out = 0  # messages not written since the last one that was
 
-    def write(self, part: str, sentence: str, **fields: Any) -> None:
+    def write(self, part: Part, sentence: str, **fields: Any) -> None:
+        """Write a sentence with fields, under the prefix of a part."""
         second = int(time.monotonic())
         if second != self.second:
             self.second, self.written = second, 0
@@ -32,15 +38,15 @@
             fields["left_out"], self.left_out = self.left_out, 0
         eliot.log_message(message_type=part, say=sentence, **fields)
 
-    def write_failure(self, part: str, sentence: str, error: BaseException, **fields: Any) -> None:
-        """Say that something ended by an error that nobody foresaw, and where it arose."""
+    def write_failure(self, part: Part, sentence: str, error: BaseException, **fields: Any) -> None:
+        """Write a sentence with an unforeseen error, and with the calls in which it arose."""
         self.write(
             part, sentence, error=f"{type(error).__name__}: {error}", at=error_location(error), **fields
         )
 
 
 def error_location(error: BaseException) -> str:
-    """The innermost Python calls in which an error arose, the last first: `FILE:LINE`, three at most."""
+    """Return the innermost Python calls in which an error arose, the last first, as `FILE:LINE,FILE:LINE`."""
     calls = [call for call in traceback.extract_tb(error.__traceback__) if call.filename.endswith(".py")]
     return ",".join(
         f"{os.path.basename(call.filename)}:{call.lineno}" for call in reversed(calls[-MAX_TRACE_CALLS:])
@@ -48,14 +54,12 @@
 
 
 class LineDestination:
-    """eliot's destination: one plain line a message, `PART sentence field=value`."""
+    """A destination of eliot that writes one plain line a message: `PART: sentence field=value`."""
 
     def __call__(self, message: dict[str, Any]) -> None:
-        rest = " ".join(
-            f"{key}={value}" for key, value in message.items()
-            if key not in ("message_type", "say", "task_uuid", "task_level", "timestamp")
-        )  # fmt: skip
-        line = f"{message.get('message_type', 'daemon')}: {message.get('say', '')} {rest}".rstrip()
+        fields = " ".join(f"{key}={value}" for key, value in message.items() if key not in META_FIELDS)
+        part, sentence = message.get("message_type", "daemon"), message.get("say", "")
+        line = f"{part}: {sentence} {fields}".rstrip()
         sys.stderr.write(line.replace("\n", " ") + "\n")
 
 
@@ -63,4 +67,5 @@
 
 
 def start() -> None:
+    """Write all messages to standard error from now on."""
     eliot.add_destinations(LineDestination())
--- a/hazelspring/daemon/supervisor.py
+++ b/hazelspring/daemon/supervisor.py
@@ -1,4 +1,4 @@
-"""Keeps an unforeseen error from ending more than what it arose in: each is counted, logged and passed over."""
+"""Supervision of tasks and calls: an unforeseen error ends only what it arose in; it is counted and logged."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
         loop.set_exception_handler(self._callback_failed)
 
     def start(self, name: str, work: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine beside all else."""
+        """Run a coroutine as a task of its own."""
         task = self.loop.create_task(work, name=name)
         self.tasks.add(task)
         task.add_done_callback(self._ended)
 
     def guard(self, name: str, call: Callable[[], object]) -> None:
-        """Make a call that must not keep its caller from going on."""
+        """Make a call whose error must not end its caller."""
         try:
             call()
         except Exception as error:
             self.failed(name, error)
 
     def failed(self, name: str, error: BaseException) -> None:
-        """Something ended by an error that nobody foresaw."""
+        """Count and log an unforeseen error."""
         self.failures[name] += 1
         log.write_failure("daemon", "failed", error, what=name)
 
@@ -45,12 +45,13 @@
             task.cancel()
 
     def _ended(self, task: asyncio.Task[Any]) -> None:
+        """Forget a task that has ended, and count its error."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.failed(task.get_name(), error)
 
     def _callback_failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """The event loop's handler: an error in a callback, or of a task that nobody awaited."""
+        """Handle an error of the event loop: in a callback, or of a task that nobody awaited."""
         error = context.get("exception")
         if isinstance(error, BaseException):
             self.failed(CALLBACK, error)
