--- a/hazelspring/daemon/__main__.py
+++ b/hazelspring/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""The program that runs on every machine: start, signals, end."""
+"""The program `hazelspringd`, which runs on every machine: its command line, its signals and its end."""
 
 from __future__ import annotations
 
@@ -9,117 +9,142 @@
 import signal
 import sys
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 
 import uvloop
 
-from hazelspring.daemon import recovery_command as rescue
-from hazelspring.daemon import structured_log as log
+from hazelspring.daemon import recovery_command, structured_log
 from hazelspring.daemon.node_process import NodeProcess
 from hazelspring.daemon.settings import Settings, SettingsError, UnreadableSettingsError, load_settings
+from hazelspring.daemon.structured_log import log
 from ivymux.periodic import Periodic
 
 MAX_PORT = 65_535
-NO_FILE = (0, 0)
-SETTINGS_CHECK_INTERVAL = (
-    1.0  # seconds between looks whether the settings file has changed: what it may change is needed seldom
-)
+SETTINGS_CHECK_INTERVAL = 1.0  # seconds between checks of the settings file: it changes seldom
+SETTINGS_VARIABLE = "HAZELSPRING_SETTINGS"  # the environment variable with the path of the settings file
+SUCCESS = 0
+USAGE = 2  # the exit status where an option or the settings file is wrong
+COMMANDS = {
+    "serve": "serve",
+    "check": "say whether the settings file can be used",
+    "recover": "make a new core from a stopped door's disk, or say what the disk holds",
+}  # with the help of each
+
+
+@dataclass(slots=True, frozen=True)
+class FileStamp:
+    """What distinguishes two states of a file: the time of its change, in nanoseconds, and its size in bytes."""
+
+    modified_ns: int
+    size: int
+
+
+NO_FILE = FileStamp(0, 0)
 
 
 class SettingsWatcher:
-    """The settings file, which may change with a SIGHUP or without a word."""
+    """Follows changes of the settings file, which come with a SIGHUP or without."""
 
-    def __init__(self, path: str, take: Callable[[Settings], None]) -> None:
-        self.path, self.take = path, take
-        self.last_seen = self.stamp()  # of the last file that was taken or refused
+    def __init__(self, path: str, apply: Callable[[Settings], None]) -> None:
+        self.path = path
+        self.apply = apply
+        self.last_seen = self.stamp()  # of the last file that was applied or refused
 
-    def stamp(self) -> tuple[int, int]:
-        """What tells two states of the file apart; NO_FILE where it can't be looked at."""
+    def stamp(self) -> FileStamp:
+        """Return the file's stamp; NO_FILE where it cannot be inspected."""
         try:
-            found = os.stat(self.path)
-            return found.st_mtime_ns, found.st_size
+            status = os.stat(self.path)
         except OSError:
             return NO_FILE
+        return FileStamp(status.st_mtime_ns, status.st_size)
 
-    def check(self, asked: bool = False) -> None:
-        """Take the file where it was changed.  One that can't be used is logged, and changes nothing; one that can't
-        be read, or is not taken for an error that nobody foresaw, is tried again with the next look."""
+    def check(self, forced: bool = False) -> None:
+        """Apply the settings of a file that was changed, or of any file where that is `forced`.
+
+        A file that cannot be used is logged, and changes nothing.  One that cannot be read, or whose settings raise
+        an unforeseen error when they are applied, is tried again with the next check.
+        """
         stamp = self.stamp()
-        if stamp in (self.last_seen, NO_FILE) and not asked:
+        if stamp in (self.last_seen, NO_FILE) and not forced:
             return
         try:
             settings = load_settings(self.path)
         except SettingsError as error:
-            log.log.write("daemon", "new settings cannot be used", problem=error)
+            log.write("daemon", "new settings cannot be used", problem=error)
             if not isinstance(error, UnreadableSettingsError):
                 self.last_seen = stamp
             return
-        self.take(settings)
+        self.apply(settings)
         self.last_seen = stamp
 
 
 async def serve(settings: Settings, path: str, metrics_port: int = 0) -> None:
+    """Run a node until SIGTERM or SIGINT; a SIGHUP reads the settings at `path` again."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    node = NodeProcess(settings, metrics_port)
-    watched = SettingsWatcher(path, node.reload)
-    loop.add_signal_handler(signal.SIGHUP, watched.check, True)
-    await node.start()
+    process = NodeProcess(settings, metrics_port)
+    watcher = SettingsWatcher(path, process.reload)
+    loop.add_signal_handler(signal.SIGHUP, watcher.check, True)
+    await process.start()
     Periodic(
         loop,
         SETTINGS_CHECK_INTERVAL,
-        watched.check,
-        lambda error: node.supervisor.failed("look at the settings", error),
+        watcher.check,
+        lambda error: process.supervisor.failed("look at the settings", error),
     )
     gc.collect()
-    gc.freeze()  # what lives as long as the process need not be looked at again
+    gc.freeze()  # objects that live as long as the process need not be examined again
     await stop.wait()
-    await node.drain()
+    await process.drain()
 
 
 def port(text: str) -> int:
-    """A port's number, or 0.  Raises ValueError, which argparse tells."""
+    """Return a port's number, or 0; raises ValueError, which argparse reports."""
     number = int(text)
     if not 0 <= number <= MAX_PORT:
         raise ValueError(text)
     return number
 
 
-def main(arguments: Sequence[str] | None = None) -> int:
+def make_parser() -> argparse.ArgumentParser:
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="hazelspringd", description="A door of hazelspring, on any machine."
     )
     calls = parser.add_subparsers(dest="call", required=True)
-    for name, text in (
-        ("serve", "serve"),
-        ("check", "say whether the settings file can be used"),
-        ("recover", "make a new core from a stopped door's disk, or say what the disk holds"),
-    ):
+    path = os.environ.get(SETTINGS_VARIABLE)
+    for name, text in COMMANDS.items():
         call = calls.add_parser(name, help=text)
-        path = os.environ.get("HAZELSPRING_SETTINGS")
         call.add_argument("--settings", default=path, help="path of the settings file")
         if name == "recover":
-            rescue.add(call)
+            recovery_command.add_arguments(call)
         elif name == "serve":
-            text = "also answer GET /-/metrics on this port of the machine (0: no)"
-            call.add_argument("--metrics-port", type=port, default=0, metavar="PORT", help=text)
-    chosen = parser.parse_args(arguments)
-    if chosen.call == "recover":
-        return rescue.run(chosen)
-    if not chosen.settings:
-        parser.error("no settings file: name one, or set HAZELSPRING_SETTINGS")
+            metrics_help = "also answer GET /-/metrics on this port of the machine (0: no)"
+            call.add_argument("--metrics-port", type=port, default=0, metavar="PORT", help=metrics_help)
+    return parser
+
+
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Run the program; return its exit status."""
+    parser = make_parser()
+    options = parser.parse_args(arguments)
+    if options.call == "recover":
+        return recovery_command.run(options)
+    if not options.settings:
+        parser.error(f"no settings file: name one, or set {SETTINGS_VARIABLE}")
     try:
-        settings = load_settings(chosen.settings)
+        settings = load_settings(options.settings)
     except SettingsError as error:
         print(f"hazelspringd: {error.code}: {error}", file=sys.stderr)
-        return 2
-    if chosen.call == "check":
-        print(f"{chosen.settings}: can be used by {settings.name}")
-        return 0
-    log.start()
-    uvloop.run(serve(settings, chosen.settings, chosen.metrics_port))
-    return 0
+        return USAGE
+    if options.call == "check":
+        print(f"{options.settings}: can be used by {settings.name}")
+        return SUCCESS
+    structured_log.start()
+    uvloop.run(serve(settings, options.settings, options.metrics_port))
+    return SUCCESS
 
 
 if __name__ == "__main__":
--- a/hazelspring/daemon/recovery_command.py
+++ b/hazelspring/daemon/recovery_command.py
@@ -1,4 +1,4 @@
-"""hazelspringd recover: a new core by hand from a stopped door's disk, after more was lost than the core bears."""
+"""`hazelspringd recover`: make a new core from the disk of a stopped node, after a majority of the core was lost."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import sys
 import time
 from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 
 import cbor2
@@ -30,18 +31,28 @@
     source_from_acceptor,
     source_from_items,
 )
-from hazelspring.daemon.settings import SettingsError
-from hazelspring.daemon.settings import load_settings as load_settings
+from hazelspring.daemon.settings import Settings, SettingsError, load_settings
+from hazelspring.errors import HazelspringError
 from hazelspring.storage.offline import StoreContents, inspect_store, replace_contents
 from hazelspring.storage.replica_store import StoreError
 
-FILE, ASIDE = "comb.sqlite", "comb.sqlite.aside"
-USAGE = 2
+STORE_FILE = "comb.sqlite"
+ASIDE_FILE = "comb.sqlite.aside"  # a store that was put aside
+OLD_FORMAT = 1  # items and marks, before there was an agreement
+NODE_COUNT_MARK = "doors"  # of the old format
+NODE_COUNT_RECORD = "mark doors"
+MARK_PREFIX = "mark "
+DISK_RECORD = "disk"
+ID_RANDOM_BITS = 8  # below the time, in the id of the new disk
+SUCCESS = 0
+REFUSED = 1  # nothing is changed
+USAGE = 2  # an option or the settings file is wrong
 HELP = """Exit status 0: listed, or the disk now holds the new core; 1: refused, and nothing is changed (the file is in
 use, damaged, or holds nothing that was agreed on); 2: a word of the command or the settings file is wrong."""
 
 
-def add(call: argparse.ArgumentParser) -> None:
+def add_arguments(call: argparse.ArgumentParser) -> None:
+    """Add the command's options to its parser."""
     call.epilog = HELP
     call.add_argument("--list", action="store_true", help="say what the disk holds, and write nothing")
     call.add_argument("--data", help="the folder of the disk, where it is not the one of the settings file")
@@ -54,118 +65,163 @@
                       help="no majority of the old core runs, or will, out of reach of this door")  # fmt: skip
 
 
-def run(chosen: argparse.Namespace) -> int:
-    """Carry out the call; the exit status, see HELP."""
+class UsageError(HazelspringError):
+    """The command lacks an option, or the settings file; nothing was done."""
+
+    code = "usage"
+
+
+@dataclass(slots=True, frozen=True)
+class RecoveryInput:
+    """The state to continue from, and the marks of the store that are kept."""
+
+    source: RecoverySource
+    marks: dict[str, bytes]
+
+
+def run(options: argparse.Namespace) -> int:
+    """Carry out the command; return its exit status, see HELP."""
     try:
-        settings = load_settings(chosen.settings) if chosen.settings else None
-        folder = chosen.data or (settings.data_directory if settings is not None else "")
-        files = [Path(file) for file in chosen.files]
-        if not folder and not (chosen.list and files):
-            return refuse("settings: no disk is named: use --settings or --data", USAGE)
-        if chosen.list:
-            there = files or [Path(folder) / name for name in (FILE, ASIDE)]
-            return show([path for path in there if files or path.exists()] or there[:1])
-        if settings is None:
-            return refuse("settings: a rescue wants the door's settings file", USAGE)
-        if not chosen.stopped:
-            return refuse("say --old-core-is-stopped once it is so: two cores would serve and decide", USAGE)
-        target = Path(folder) / FILE
-        found = [inspect_store(path) for path in files or [target]]
-        source, marks = chosen_source(found, chosen.take == "accepted")
-        if not (chosen.size or source.state.target_size):
-            return refuse("size: format 1 does not tell it: use --size", USAGE)
-        ensure_usable(source)
-        now = (int(time.time() * 1000) << 8) + secrets.randbits(8)
-        member = Member(settings.ip, settings.zone, settings.region, now)
-        register = recovered_acceptor(source, member, chosen.size, now)
-        records = {name: body for name, body in register.take_dirty_records().items() if body is not None}
-        kept = Path(f"{target}.before-{now}")
-        replace_contents(target, marks | records, kept)
+        settings = load_settings(options.settings) if options.settings else None
+        folder = options.data or (settings.data_directory if settings is not None else "")
+        files = [Path(file) for file in options.files]
+        if not folder and not (options.list and files):
+            raise UsageError("settings: no disk is named: use --settings or --data")
+        if options.list:
+            return print_contents(files or stores_in(Path(folder)))
+        return recover(options, settings, Path(folder), files)
+    except UsageError as error:
+        return print_error(str(error), USAGE)
     except SettingsError as error:
-        return refuse(f"{error.code}: {error}", USAGE)
+        return print_error(f"{error.code}: {error}", USAGE)
     except (StoreError, UnrecoverableError) as error:
-        return refuse(f"{error.code}: {error}", 1)
-    assert register.decided is not None
-    print(f"{target}: holds a new core; what it held is in {kept}")
-    print(f"  {told(*register.decided)}")
-    return 0
-
-
-def refuse(text: str, status: int) -> int:
+        return print_error(f"{error.code}: {error}", REFUSED)
+
+
+def recover(options: argparse.Namespace, settings: Settings | None, folder: Path, files: list[Path]) -> int:
+    """Replace the store in a folder by one of a new core.
+
+    Raises UsageError, StoreError or UnrecoverableError; nothing is changed then.
+    """
+    if settings is None:
+        raise UsageError("settings: a rescue wants the door's settings file")
+    if not options.stopped:
+        raise UsageError("say --old-core-is-stopped once it is so: two cores would serve and decide")
+    target = folder / STORE_FILE
+    stores = [inspect_store(path) for path in files or [target]]
+    chosen = recovery_input(stores, options.take == "accepted")
+    if not (options.size or chosen.source.state.target_size):
+        raise UsageError("size: format 1 does not tell it: use --size")
+    ensure_usable(chosen.source)
+    disk_id = (int(time.time() * 1000) << ID_RANDOM_BITS) + secrets.randbits(ID_RANDOM_BITS)
+    member = Member(settings.ip, settings.zone, settings.region, disk_id)
+    acceptor = recovered_acceptor(chosen.source, member, options.size, disk_id)
+    records = {name: body for name, body in acceptor.take_dirty_records().items() if body is not None}
+    backup = Path(f"{target}.before-{disk_id}")
+    replace_contents(target, chosen.marks | records, backup)
+    print(f"{target}: holds a new core; what it held is in {backup}")
+    if acceptor.decided is not None:
+        print(f"  {describe_state(*acceptor.decided)}")
+    return SUCCESS
+
+
+def print_error(text: str, status: int) -> int:
+    """Print why the command ends, and return its exit status."""
     print(f"hazelspringd: {text}", file=sys.stderr)
     return status
 
 
-def chosen_source(found: list[StoreContents], accepted: bool) -> tuple[RecoverySource, dict[str, bytes]]:
-    """What to go on from, and the marks to keep; raises Unfit."""
-    wrong = [name for one in found for name in one.corrupt]
-    if wrong:
-        raise UnrecoverableError(f"the sum of {', '.join(wrong)} is wrong")
-    if {one.format for one in found} == {1}:
-        nodes = max(int(one.marks.get("doors", b"0")) for one in found)
-        return source_from_items(newest_items(one.items for one in found)), {
-            "mark doors": str(nodes).encode()
-        }
-    if len(found) > 1:
+def stores_in(folder: Path) -> list[Path]:
+    """Return the store files that a folder has; where it has none, the one that it should have."""
+    paths = [folder / STORE_FILE, folder / ASIDE_FILE]
+    return [path for path in paths if path.exists()] or paths[:1]
+
+
+def recovery_input(stores: list[StoreContents], accepted: bool) -> RecoveryInput:
+    """Return what to continue from; raises UnrecoverableError.
+
+    `accepted`: a state that was accepted, and may have been decided, is preferred to the one known to be decided.
+    """
+    corrupt = [name for store in stores for name in store.corrupt]
+    if corrupt:
+        raise UnrecoverableError(f"the sum of {', '.join(corrupt)} is wrong")
+    if {store.format for store in stores} == {OLD_FORMAT}:
+        node_count = max(int(store.marks.get(NODE_COUNT_MARK, b"0")) for store in stores)
+        source = source_from_items(newest_items(store.items for store in stores))
+        return RecoveryInput(source, {NODE_COUNT_RECORD: str(node_count).encode()})
+    if len(stores) > 1:
         raise UnrecoverableError("only files of format 1 can be put together: name one")
-    marks = {name: body for name, body in found[0].records.items() if name.startswith("mark ")}
-    return source_from_acceptor(register_of(found[0]), accepted), marks
+    records = stores[0].records
+    marks = {name: body for name, body in records.items() if name.startswith(MARK_PREFIX)}
+    return RecoveryInput(source_from_acceptor(stored_acceptor(stores[0]), accepted), marks)
 
 
-def register_of(found: StoreContents) -> Acceptor:
-    """Raises Unfit where the records tell none."""
-    if "disk" not in found.records:
+def stored_acceptor(store: StoreContents) -> Acceptor:
+    """Return the acceptor that a store has; raises UnrecoverableError where its records hold none."""
+    if DISK_RECORD not in store.records:
         raise UnrecoverableError("nothing was ever kept here")
     try:
-        return load_acceptor(found.records, 0, False)
+        return load_acceptor(store.records, 0, False)
     except (ValueError, TypeError, cbor2.CBORDecodeError) as error:
         raise UnrecoverableError(str(error)) from None
 
 
-# --- what a disk holds ------------------------------------------------------------------------------------------------
-
-
-def show(paths: list[Path]) -> int:
-    """Say what files hold, a part a line; 1 where one of them cannot be read."""
-    bad = 0
+def print_contents(paths: list[Path]) -> int:
+    """Print what stores hold, a part a line; return REFUSED where one cannot be read or is damaged."""
+    status = SUCCESS
     for path in paths:
         try:
-            found = inspect_store(path)
-            lines = list(items_told(found) if found.format == 1 else register_told(register_of(found)))
+            store = inspect_store(path)
+            lines = list(describe_store(store))
         except (StoreError, UnrecoverableError) as error:
-            bad = refuse(f"{error.code}: {path}: {error}", 1)
+            status = print_error(f"{error.code}: {path}: {error}", REFUSED)
             continue
-        sums = "good" if not found.corrupt else f"WRONG of {', '.join(found.corrupt)}"
-        print(f"{path}: format {found.format}, sums {sums}")
+        sums = "good" if not store.corrupt else f"WRONG of {', '.join(store.corrupt)}"
+        print(f"{path}: format {store.format}, sums {sums}")
         for line in lines:
             print(f"  {line}")
-        bad |= bool(found.corrupt)
-    return bad
-
-
-def register_told(register: Acceptor) -> Iterator[str]:
-    count, _, proposer = register.promised
-    yield f"disk      {register.disk_id}  promised up to ballot {count} of {proposer or 'none'}"
-    yield f"decided   {told(*register.decided)}" if register.decided is not None else "decided   nothing"
-    if register.accepted is not None and register.pending is not None:
-        yield f"accepted  {told(*register.accepted)}, which may have been acknowledged"
+        if store.corrupt:
+            status = REFUSED
+    return status
 
 
-def told(ballot: Ballot, state: ControlState) -> str:
-    word = (
-        f"r{state.configuration_version} {state.configuration_digest.hex()}"
-        if state.configuration_digest != NO_CONFIGURATION
-        else "no configuration"
-    )
+def describe_store(store: StoreContents) -> Iterator[str]:
+    """Return the lines that describe a store; raises UnrecoverableError where its records make no sense."""
+    if store.format == OLD_FORMAT:
+        return describe_items(store)
+    return describe_acceptor(stored_acceptor(store))
+
+
+def describe_acceptor(acceptor: Acceptor) -> Iterator[str]:
+    """Yield the promise of an acceptor, the state that is decided, and the one that it accepted since."""
+    count, _, proposer = acceptor.promised
+    yield f"disk      {acceptor.disk_id}  promised up to ballot {count} of {proposer or 'none'}"
+    if acceptor.decided is not None:
+        yield f"decided   {describe_state(*acceptor.decided)}"
+    else:
+        yield "decided   nothing"
+    if acceptor.accepted is not None and acceptor.pending is not None:
+        yield f"accepted  {describe_state(*acceptor.accepted)}, which may have been acknowledged"
+
+
+def describe_state(ballot: Ballot, state: ControlState) -> str:
+    """Return one line on a state and the ballot that it was proposed under."""
+    if state.configuration_digest != NO_CONFIGURATION:
+        configuration = f"r{state.configuration_version} {state.configuration_digest.hex()}"
+    else:
+        configuration = "no configuration"
+    version = state.version % VERSIONS_PER_LINEAGE
+    closed = ",".join(sorted(state.evacuated_zones)) or "none"
     members = " ".join(f"{member.ip}/{member.disk_id}" for member in state.members)
     return (
-        f"lineage {lineage(state.version)} version {state.version % VERSIONS_PER_LINEAGE} ballot {ballot[0]}  {word}"
-        f"  closed {','.join(sorted(state.evacuated_zones)) or 'none'}  core of {state.target_size}: {members}"
+        f"lineage {lineage(state.version)} version {version} ballot {ballot[0]}  {configuration}"
+        f"  closed {closed}  core of {state.target_size}: {members}"
     )
 
 
-def items_told(found: StoreContents) -> Iterator[str]:
-    for key, ((number, tie), body) in found.items.items():
+def describe_items(store: StoreContents) -> Iterator[str]:
+    """Yield a line for each item of a store of the old format."""
+    for key, ((number, tie), body) in store.items.items():
         if key.startswith(ZONE_KEY_PREFIX):
             yield f"{key} {'closed' if body == b'1' else 'open'}  stamp {number} {tie.hex()}"
         else:
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -304,7 +304,7 @@
     )
     with monkeypatch.context() as patch:
         if where == "taken":
-            patch.setattr(watched, "take", fail)
+            patch.setattr(watched, "apply", fail)
             with pytest.raises(Unforeseen):
                 watched.check()
         else:
