--- a/tests/test_client_listener_stress.py
+++ b/tests/test_client_listener_stress.py
@@ -83,10 +83,10 @@
         self.upstream.per_backend = pick.choice((12, 60))
         self.host = RouterHost(self.router, self.upstream, counts, self.lease)
         self.listener = ClientListener(Address("127.0.0.1", 0), self.host, 400, lambda: True)
-        self.leaves = pick.random() < 0.3  # the door is told to end, some time before the last client
-        word = parse_configuration(configuration())
-        self.listener.use_configuration(word)
-        self.router.use_configuration(word)
+        self.leaves = pick.random() < 0.3  # the node is stopped some time before the last client has ended
+        configured = parse_configuration(configuration())
+        self.listener.use_configuration(configured)
+        self.router.use_configuration(configured)
         self.router.fresh_until = 1e18
         self.addresses: list[str] = []
 
@@ -112,7 +112,7 @@
             self.upstream.place(server.number, parse_address(server.address), 0.0)
 
     async def tick(self) -> None:
-        """What the door does in time: looks, and the list, which tells of a new life some time after it began."""
+        """What the process does in time: ticks, and reads of the list, which shows a restart some time after it."""
         count, pick = 0, random.Random(self.ledger.random.random())
         while True:
             await asyncio.sleep(0.05)
@@ -150,7 +150,7 @@
         return self.ledger
 
     async def leave(self, crowd: Crowd) -> None:
-        """As `Door.drain`, with little time: what is under way then ends by `answer_all`."""
+        """As `shutdown.drain`, with little time: requests still open then end by `answer_all`."""
         await asyncio.sleep(0.3 + self.ledger.random.random())
         crowd.ends = self.router.leaving = True
         self.listener.stop_listening()
--- a/tests/test_instance_list.py
+++ b/tests/test_instance_list.py
@@ -74,7 +74,9 @@
             assert set(listing.asked.values()) == {3} and listing.connections == 1  # what was read is kept
             bounds = 2 * [(0.05, 0.15), (0.1, 0.3)]
             assert all(low <= p <= high for p, (low, high) in zip(listing.paused, bounds, strict=True))
-        assert len({listing.paused[0] for listing in many}) > 1  # doors refused together do not come so again
+        assert (
+            len({listing.paused[0] for listing in many}) > 1
+        )  # nodes refused together do not return together
 
     run(play())
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -36,7 +36,7 @@
 
 
 def status(fleet: LocalFleet, n: int) -> Any:
-    """What a door says of itself; nothing while it does not answer."""
+    """A node's status; nothing while it does not answer."""
     try:
         return json.loads(call_once(fleet.controls()[n], "GET", "/-/status", None, 2).body)
     except OSError:
@@ -48,7 +48,7 @@
     return int(json.loads(answer.body)["versionNumber"][1:])
 
 
-def test_a_killed_node_with_a_wiped_disk_catches_up_and_has_its_seat_again(fleet: LocalFleet) -> None:
+def test_a_killed_node_with_a_wiped_disk_catches_up_and_is_a_member_again(fleet: LocalFleet) -> None:
     fleet.kill(1)
     fleet.wipe(1)
     call_until_settled([fleet.controls()[4]], "PUT", "/-/configuration", configuration(7))
@@ -59,7 +59,7 @@
 
 
 def figures(fleet: LocalFleet, n: int) -> dict[str, float]:
-    """A door's own figures by name and labels."""
+    """A node's metrics by name and labels."""
     text = call_once(fleet.controls()[n], "GET", "/-/metrics", None, 2).body.decode()
     return {name: float(value) for name, value in (line.rsplit(" ", 1) for line in text.splitlines())}
 
@@ -68,7 +68,7 @@
     fleet: LocalFleet,
 ) -> None:
     def readers() -> list[dict[str, float]]:
-        """Those that have the duty and have read the list: one that has just taken it has yet to."""
+        """The nodes that hold the list reader's lease and have read the list: a new holder has yet to."""
         found = [figures(fleet, n) for n in range(6)]
         return [
             one
@@ -84,7 +84,7 @@
         assert one['hazelspring_server_table_version{service="shop"}'] > 0
 
 
-def test_metrics_are_told_on_a_port_of_their_own_and_one_that_is_taken_keeps_from_nothing(
+def test_metrics_are_served_on_a_port_of_their_own_and_one_that_is_taken_keeps_from_nothing(
     tmp_path: Path,
 ) -> None:
     (wanted,) = free_ports(1)
@@ -119,7 +119,7 @@
     file.rmdir()
     file.with_name("kept").rename(file)
     fleet.until(lambda: status(fleet, 1).get("member"))
-    assert status(fleet, 1)["version"] == before  # its seat is its own still: nothing had to be agreed on
+    assert status(fleet, 1)["version"] == before  # it is a member still: nothing had to be agreed on
 
 
 def test_all_processes_are_killed_at_once_and_nothing_is_lost(fleet: LocalFleet) -> None:
@@ -203,7 +203,7 @@
     fleet: LocalFleet,
 ) -> None:
     for server in fleet.servers:
-        server.work = 2.0  # longer than the door listens on
+        server.work = 2.0  # longer than the node still listens
     found: list[tuple[int, bytes]] = []
     calls = [
         threading.Thread(target=lambda call=call: found.append(fleet.ask(4, *call)))
@@ -231,7 +231,7 @@
         wire.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         wire.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536
-        )  # the door's machine holds little of it, too
+        )  # the node's machine holds little of it, too
         wire.connect((fleet.ips[4], fleet.front))
         head = f"GET /read/a HTTP/1.1\r\nHost: shop.example\r\nAuthorization: Bearer {KEY}\r\n"
         wire.sendall(f"{head}X-Hazelspring-Attempt-Id: slow-1\r\n\r\n".encode())
--- a/tests/test_recovery_command.py
+++ b/tests/test_recovery_command.py
@@ -21,7 +21,7 @@
 
 
 def format_1(folder: Path, name: str, items: LegacyItems) -> None:
-    """A file as the doors wrote it before there was an agreement."""
+    """A file of format 1, from before there was an agreement."""
     folder.mkdir(exist_ok=True)
     base = sqlite3.connect(folder / name)
     base.executescript(
@@ -36,7 +36,7 @@
 
 
 def settings(tmp_path: Path) -> str:
-    path, disk = tmp_path / "door.conf", tmp_path / "disk"
+    path, disk = tmp_path / "node.conf", tmp_path / "disk"
     disk.mkdir(exist_ok=True)
     listens = ("front", "readiness", "controlAddress", "directoryAddress")
     lines = [f"network.listenAddresses.{name}=127.0.0.1:{n}" for n, name in enumerate(listens, 1)]
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("damage", ["sum", "foreign", "newer", "none", "body", "empty"])
-def test_the_command_refuses_what_cannot_go_on_and_changes_nothing(
+def test_the_command_refuses_what_cannot_continue_and_changes_nothing(
     tmp_path: Path, damage: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path, file = settings(tmp_path), tmp_path / "disk" / "comb.sqlite"
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -61,7 +61,7 @@
     run(test())
 
 
-def test_a_periodic_call_is_made_again_where_its_interval_cannot_be_told() -> None:
+def test_a_periodic_call_is_made_again_where_its_interval_cannot_be_computed() -> None:
     async def test() -> None:
         errors, calls = list[Exception](), list[int]()
 
@@ -167,7 +167,7 @@
 
 
 def with_node(folder: Path, play: Callable[[NodeProcess], Awaitable[None]]) -> None:
-    """Play something at a door that is alone, on loopback, with a disk and a stand-in platform."""
+    """Run a scenario at a node that is alone, on loopback, with a disk and a stand-in platform."""
 
     async def test() -> None:
         fleet = LocalFleet(folder, core=1, others=0, servers=1, nth=9)
@@ -190,7 +190,7 @@
     return node.disk.store
 
 
-def test_a_node_goes_on_ticking_whatever_fails_in_a_tick(
+def test_a_node_continues_to_tick_whatever_fails_in_a_tick(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play(node: NodeProcess) -> None:
@@ -213,7 +213,7 @@
     with_node(tmp_path, play)
 
 
-def test_what_a_core_wants_done_is_done_whatever_fails_before_it(tmp_path: Path) -> None:
+def test_actions_are_executed_whatever_fails_before_them(tmp_path: Path) -> None:
     async def play(node: NodeProcess) -> None:
         ends = list[bool]()
         node.operator_calls.replies[77] = lambda settled: ends.append(settled.succeeded)
--- a/tests/test_upstream_servers.py
+++ b/tests/test_upstream_servers.py
@@ -139,7 +139,7 @@
         (answer(200, "another").replace(b"Content-Length: 4\r\n", b""),),
         (),
     ],
-    ids=["cut short", "no stamp", "garbage", "another's alone", "another's without an end", "silence"],
+    ids=["cut short", "no seal", "garbage", "another's alone", "another's without an end", "silence"],
 )
 def test_what_is_not_whole_or_not_ours_is_no_answer(pieces: tuple[bytes, ...]) -> None:
     (result,), _ = play(*pieces, ends=True)
@@ -151,7 +151,7 @@
     assert isinstance(reply, UpstreamReply) and reply.body == b"body" and wire.closed
 
 
-def test_only_a_servers_word_makes_a_promise() -> None:
+def test_only_the_server_itself_promises_that_nothing_ran() -> None:
     for status in (408, 421, 429, 503):
         (reply,), _ = play(answer(status, seal=False))
         assert (
@@ -194,10 +194,10 @@
 def test_a_refusal_without_an_id_is_the_last_on_its_connection(status: int) -> None:
     """Come again late it would prove of the next request, too, that it never ran."""
     refusal = f"HTTP/1.1 {status} X\r\nContent-Length: 0\r\n"
-    told = f"X-Hazelspring-{'Answering-Instance: i-9' if status == 421 else 'Not-Executed: 1'}\r\n"
-    (result,), wire = play((refusal + told + "\r\n").encode())
+    not_executed = f"X-Hazelspring-{'Answering-Instance: i-9' if status == 421 else 'Not-Executed: 1'}\r\n"
+    (result,), wire = play((refusal + not_executed + "\r\n").encode())
     assert result.outcome is Outcome.FULL and wire.closed
-    (result,), wire = play((refusal + told + "X-Hazelspring-Attempt-Id: me\r\n\r\n").encode())
+    (result,), wire = play((refusal + not_executed + "X-Hazelspring-Attempt-Id: me\r\n\r\n").encode())
     assert result.outcome is Outcome.FULL and not wire.closed
 
 
@@ -213,13 +213,13 @@
 ) -> None:
     host = SimpleNamespace(left=lambda request: None, counts=Counts())
     loop = SimpleNamespace(call_later=lambda *_: None)
-    front = SimpleNamespace(held=0, host=host, loop=loop, encode=encode, keeps_none=lambda: False)
-    visitor, wire = ClientConnection(cast(Any, front)), Wire()
-    visitor.transport = wire
-    exchange = visitor.exchange = Exchange(visitor, keep_alive=True)
+    listener = SimpleNamespace(held=0, host=host, loop=loop, encode=encode, keeps_none=lambda: False)
+    connection, wire = ClientConnection(cast(Any, listener)), Wire()
+    connection.transport = wire
+    exchange = connection.exchange = Exchange(connection, keep_alive=True)
     exchange.request = cast(Any, SimpleNamespace(sent=tries))
-    visitor.pending.append(exchange)
-    visitor.reject(BadRequest("the request did not come whole", 408))
+    connection.pending.append(exchange)
+    connection.reject(BadRequest("the request did not come whole", 408))
     assert wire.sent.startswith(b"HTTP/1.1 %d " % status) and wire.closed
 
 
@@ -234,13 +234,13 @@
 
     async def ask(fresh: bool) -> bytes:
         host = SimpleNamespace(left=lambda request: None, counts=Counts())
-        front = ClientListener(Address("127.0.0.1", 0), cast(Any, host), 9, lambda: fresh)
-        front.use_configuration(
+        listener = ClientListener(Address("127.0.0.1", 0), cast(Any, host), 9, lambda: fresh)
+        listener.use_configuration(
             parse_configuration(json.dumps({"versionNumber": "r1", "resourceList": rows}).encode())
         )
-        visitor, wire = ClientConnection(front), Wire()
-        visitor.connection_made(wire)
-        visitor.parser.feed_data(text.encode())
+        connection, wire = ClientConnection(listener), Wire()
+        connection.connection_made(wire)
+        connection.parser.feed_data(text.encode())
         return bytes(wire.sent)
 
     assert asyncio.run(ask(True)).startswith(b"HTTP/1.1 %d " % status)
@@ -279,13 +279,13 @@
     async def run() -> None:
         counts = Counts()
         servers = UpstreamServers(0.3, 9.0, 100, counts)
-        carrier = RouterHost(cast(RequestRouter, Broken()), servers, counts, lambda call: None)
+        host = RouterHost(cast(RequestRouter, Broken()), servers, counts, lambda call: None)
 
         def make(request: int) -> Any:
             return RequestArrived(request, cast(Route, None), None, 9.0)
 
-        carrier.request(make, "read_only", 9.0, lambda left, backend: b"", cast(Any, Waits()))
-        assert [answer.status for answer in answers] == [503] and not carrier.table
+        host.request(make, "read_only", 9.0, lambda left, backend: b"", cast(Any, Waits()))
+        assert [answer.status for answer in answers] == [503] and not host.table
         servers.close()
 
     asyncio.run(run())
@@ -309,16 +309,16 @@
         line = UpstreamConnection(servers.pools[1])
         line.connection_made(Wire())
         servers.pools[1].put(line)
-        carrier = RouterHost(cast(RequestRouter, Sends()), servers, counts, lambda call: None)
+        host = RouterHost(cast(RequestRouter, Sends()), servers, counts, lambda call: None)
 
         def make(request: int) -> Any:
             return RequestArrived(request, cast(Route, None), None, 9.0)
 
         for name in ("held", "offered"):
             caller = SimpleNamespace(reply=lambda final, name=name: answers.update({name: final.status}))
-            carrier.request(make, "mutating", 9.0, lambda left, backend: b"x", cast(Any, caller))
-        carrier.answer_all()
-        assert carrier.waiting == 0 and line.why == "given_up"
+            host.request(make, "mutating", 9.0, lambda left, backend: b"x", cast(Any, caller))
+        host.answer_all()
+        assert host.waiting == 0 and line.why == "given_up"
         servers.close()
 
     asyncio.run(run())
