--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -157,7 +157,7 @@
         try:
             await self.metrics_api.start()
         except OSError as error:
-            log.write("daemon", "cannot listen for who fetches metrics", error=error)
+            log.write("daemon", "cannot listen on the metrics port", error=error)
         else:
             self.apis.append(self.metrics_api)
 
--- a/hazelspring/daemon/structured_log.py
+++ b/hazelspring/daemon/structured_log.py
@@ -57,6 +57,7 @@
     """A destination of eliot that writes one plain line a message: `PART: sentence field=value`."""
 
     def __call__(self, message: dict[str, Any]) -> None:
+        """Write one message."""
         fields = " ".join(f"{key}={value}" for key, value in message.items() if key not in META_FIELDS)
         part, sentence = message.get("message_type", "daemon"), message.get("say", "")
         line = f"{part}: {sentence} {fields}".rstrip()
--- a/hazelspring/daemon/upstream_servers.py
+++ b/hazelspring/daemon/upstream_servers.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from typing import cast
 
+from hazelspring.errors import HazelspringError
 from ivymux.caller import REASONS
 from ivymux.link import SMALL, Attempt, Flow, Link, Result
 from ivymux.metrics import Counts
@@ -30,6 +31,12 @@
 MISDIRECTED = 421  # another server has the address; where it says which one, the request did not run
 
 
+class MissingSealError(HazelspringError, ValueError):
+    """A server's success does not bear its seal; the connection ends as for a malformed answer."""
+
+    code = "missing_seal"
+
+
 @dataclass(slots=True)
 class UpstreamReply(Result):
     """A server's whole answer; `headers` are those that are forwarded."""
@@ -108,7 +115,7 @@
             self.seal = value
 
     def on_headers_complete(self) -> None:
-        """Decide whose answer this is; raises ValueError for a success that has no seal.
+        """Decide whose answer this is; raises MissingSealError for a success that has no seal.
 
         An answer that bears another id, or a success that bears none, is late: it answers a request that was given up.
         A success without a seal may be of something else than the server meant, so it is treated as broken.
@@ -121,7 +128,7 @@
         if status >= 200 and self.id != attempt.id and (self.id or status < 300):
             self.foreign = True  # it is read to its end, and dropped
         elif self.serves(status) and not self.seal:
-            raise ValueError("a success without its stamp")
+            raise MissingSealError("a success without its seal")
 
     def serves(self, status: int) -> bool:
         """Return whether a status is a success."""
