--- a/bench/scale/carry.py
+++ b/bench/scale/carry.py
@@ -104,20 +104,22 @@
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
         yard = LocalFleet(Path(folder), core=1, others=0, servers=SERVERS)
         for each in yard.servers:
-            each.slots, each.work = 64, 0.0
+            each.slots, each.work_seconds = 64, 0.0
         stands = multiprocessing.Process(target=stand, args=(yard.platform, yard.servers), daemon=True)
         stands.start()
         try:
             yard.start_all(first=True)
             pid = yard.processes[0].pid
             door, server = f"{yard.ips[0]}:{yard.front}", yard.servers[0].address
-            call_until_settled(yard.controls(), "PUT", "/-/configuration", word(1, 0.0), 30.0)
-            yard.until(lambda: yard.ask(0, "GET", "/read/first", "first")[0] == 200)
+            call_until_settled(yard.control_addresses(), "PUT", "/-/configuration", word(1, 0.0), 30.0)
+            yard.wait_until(lambda: yard.request(0, "GET", "/read/first", "first")[0] == 200)
             before = used(pid)
             time.sleep(SPAN)
             found["rest_cpu"] = (used(pid) - before) / SPAN
             for name, number, quota in (("no quota", 2, 0.0), ("a quota", 3, 1e6)):
-                call_until_settled(yard.controls(), "PUT", "/-/configuration", word(number, quota), 30.0)
+                call_until_settled(
+                    yard.control_addresses(), "PUT", "/-/configuration", word(number, quota), 30.0
+                )
                 time.sleep(1.0)
                 found[name] = max(
                     (full(pid, door, found["rest_cpu"]) for _ in range(ROUNDS)),
--- a/hazelspring/cli/__main__.py
+++ b/hazelspring/cli/__main__.py
@@ -12,7 +12,7 @@
 from hazelspring.cli.control_client import Answer, CallError, call_once, call_until_settled
 
 
-def parser() -> argparse.ArgumentParser:
+def make_parser() -> argparse.ArgumentParser:
     made = argparse.ArgumentParser(prog="hazelspringctl", description="Orders to hazelspring's doors.")
     made.add_argument(
         "--node", "--door", action="append", dest="nodes", metavar="HOST:PORT",
@@ -36,11 +36,11 @@
     return made
 
 
-def read(path: str) -> bytes:
+def read_input(path: str) -> bytes:
     return sys.stdin.buffer.read() if path == "-" else Path(path).read_bytes()
 
 
-def statuses(nodes: Sequence[str]) -> int:
+def print_statuses(nodes: Sequence[str]) -> int:
     """One line a door; the exit status tells whether all are ready."""
     bad = 0
     for node in nodes:
@@ -63,7 +63,7 @@
     return bad
 
 
-def write(path: str, body: bytes) -> None:
+def replace_file(path: str, body: bytes) -> None:
     """A file is there whole or as it was."""
     part = Path(f"{path}.part")
     part.write_bytes(body)
@@ -71,7 +71,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    chosen = parser().parse_args(arguments)
+    chosen = make_parser().parse_args(arguments)
     named = os.environ.get("HAZELSPRING_NODES") or os.environ.get("HAZELSPRING_DOORS", "")  # the name before
     nodes = chosen.nodes or [address for address in named.split(",") if address]
     try:
@@ -79,7 +79,7 @@
             from hazelspring.configuration.validation import InvalidConfigurationError, validate_configuration
 
             try:
-                print(f"{chosen.file}: would be taken as r{validate_configuration(read(chosen.file))}")
+                print(f"{chosen.file}: would be taken as r{validate_configuration(read_input(chosen.file))}")
             except InvalidConfigurationError as error:
                 print(f"{chosen.file}: {error}", file=sys.stderr)
                 return 1
@@ -90,15 +90,15 @@
         answer: Answer
         match chosen.call:
             case "status":
-                return statuses(nodes)
+                return print_statuses(nodes)
             case "put":
                 answer = call_until_settled(
-                    nodes, "PUT", "/-/configuration", read(chosen.file), chosen.patience
+                    nodes, "PUT", "/-/configuration", read_input(chosen.file), chosen.patience
                 )
             case "get":
                 answer = call_until_settled(nodes, "GET", "/-/configuration", None, chosen.patience)
                 if chosen.out:
-                    write(chosen.out, answer.body)
+                    replace_file(chosen.out, answer.body)
                 else:
                     print(answer.body.decode())
                 return 0
@@ -111,7 +111,7 @@
                 answer = call_until_settled(
                     nodes, method, f"/-/evacuation/{chosen.zone}", None, chosen.patience
                 )
-        print(f"acknowledged by {answer.node}")
+        print(f"acknowledged by {answer.address}")
         return 0
     except CallError as error:
         print(f"hazelspringctl: {error.code}: {error}", file=sys.stderr)
--- a/hazelspring/cli/control_client.py
+++ b/hazelspring/cli/control_client.py
@@ -27,7 +27,7 @@
 class Answer:
     status: int
     body: bytes
-    node: str
+    address: str
 
 
 def call_once(node: str, method: str, path: str, body: bytes | None, patience: float) -> Answer:
--- a/hazelspring/localfleet/__main__.py
+++ b/hazelspring/localfleet/__main__.py
@@ -11,13 +11,13 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from hazelspring.cli.__main__ import statuses
+from hazelspring.cli.__main__ import print_statuses
 from hazelspring.cli.control_client import call_until_settled
 from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration
 from hazelspring.localfleet.stand_ins import StandIns
 
 
-class Background:
+class BackgroundStandIns:
     """The stand-ins' loop, in a thread of its own."""
 
     def __init__(self, stands: StandIns) -> None:
@@ -46,17 +46,17 @@
         parser.error("there must be a door with a disk")
     with tempfile.TemporaryDirectory(prefix="hazelspring-") as folder:
         fleet = LocalFleet(Path(folder), chosen.core, chosen.others)
-        background = Background(StandIns(fleet.platform, fleet.servers))
+        background = BackgroundStandIns(StandIns(fleet.platform, fleet.servers))
         try:
             fleet.start_all(first=True)
-            call_until_settled(fleet.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
-            fleet.until(lambda: all(fleet.is_ready(n) for n in range(len(fleet.ips))))
-            nodes = ",".join(fleet.controls())
+            call_until_settled(fleet.control_addresses(), "PUT", "/-/configuration", configuration(1), 30.0)
+            fleet.wait_until(lambda: all(fleet.is_ready(n) for n in range(len(fleet.ips))))
+            nodes = ",".join(fleet.control_addresses())
             print(f"export HAZELSPRING_NODES={nodes}\nlogs and disks: {folder}\n")
-            statuses(fleet.controls())
-            fleet.until(lambda: fleet.ask(0, "GET", "/read/first", "first")[0] == 200)
+            print_statuses(fleet.control_addresses())
+            fleet.wait_until(lambda: fleet.request(0, "GET", "/read/first", "first")[0] == 200)
             for n, (method, path) in enumerate((("GET", "/read/a"), ("POST", "/write/a"))):
-                status, body = fleet.ask(n, method, path, f"try-{n}")
+                status, body = fleet.request(n, method, path, f"try-{n}")
                 print(f"{method} {path} at {fleet.ips[n]}:{fleet.front} -> {status} {body.decode().strip()}")
             print(f"\nas a client: Host: shop.example, Authorization: Bearer {KEY}; Ctrl-C ends it")
             end = time.monotonic() + chosen.seconds if chosen.seconds else float("inf")
--- a/hazelspring/localfleet/fleet.py
+++ b/hazelspring/localfleet/fleet.py
@@ -73,7 +73,7 @@
     ) -> None:
         self.folder, self.program, self.more = folder, program, settings or {}
         self.disks = set(range(core))  # doors that have one
-        self.gone: set[int] = set()  # doors that were lost for good
+        self.lost_nodes: set[int] = set()  # doors that were lost for good
         self.front, self.ready, self.control, self.directory, self.port, self.platform_port, web = free_ports(
             7
         )
@@ -84,15 +84,19 @@
         self.platform = f"{net}.{200 + nth}:{self.platform_port}"
         self.servers = [
             StandInServer(
-                f"i-{n}", "shop", f"{net}.{100 + first + n}:{web}", list(ZONES)[n % len(ZONES)], apart=apart
+                f"i-{n}",
+                "shop",
+                f"{net}.{100 + first + n}:{web}",
+                list(ZONES)[n % len(ZONES)],
+                separate_process=apart,
             )
             for n in range(servers)
         ]
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
-        self.lives: dict[int, subprocess.Popen[bytes]] = {}  # of servers that are processes
+        self.server_processes: dict[int, subprocess.Popen[bytes]] = {}  # of servers that are processes
         self.started = False
 
-    def settings(self, n: int, first: bool) -> Path:
+    def write_settings(self, n: int, first: bool) -> Path:
         ip, zone = self.ips[n], self.zones[n]
         data = self.folder / f"door-{n + 1}"
         if n in self.disks:
@@ -109,7 +113,9 @@
             "network.listenAddresses.controlAddress": f"{ip}:{self.control}",
             "network.listenAddresses.directoryAddress": f"{ip}:{self.directory}",
             "network.internalPorts": f"{self.port},{self.port}",
-            "network.seedNodes": ",".join([self.controls()[seed] for seed in self.there()][:3]),
+            "network.seedNodes": ",".join(
+                [self.control_addresses()[seed] for seed in self.remaining_nodes()][:3]
+            ),
             **{f"network.zones.{name}": region for name, region in ZONES.items()},
             "platformSettings.cloudInterface.address": self.platform,
             "timingTerms.ruleBounds.budgetSlack": "60",
@@ -121,7 +127,7 @@
         return path
 
     def start(self, n: int, first: bool = False) -> None:
-        environment = {**os.environ, "HAZELSPRING_SETTINGS": str(self.settings(n, first))}
+        environment = {**os.environ, "HAZELSPRING_SETTINGS": str(self.write_settings(n, first))}
         with (self.folder / f"door-{n + 1}.log").open("ab") as log:
             command = [sys.executable, *self.program]
             self.processes[n] = subprocess.Popen(command, cwd=ROOT, env=environment, stdout=log, stderr=log)
@@ -138,15 +144,15 @@
     def wipe(self, n: int) -> None:
         shutil.rmtree(self.folder / f"door-{n + 1}")
 
-    def there(self) -> list[int]:
+    def remaining_nodes(self) -> list[int]:
         """Doors that were not lost for good."""
-        return [n for n in range(len(self.ips)) if n not in self.gone]
+        return [n for n in range(len(self.ips)) if n not in self.lost_nodes]
 
     def replace(self, n: int) -> int:
         """Lose a door for good; the number of one in its zone, on a new address and with an empty disk if it had one,
         that has yet to be started."""
         self.kill(n)
-        self.gone.add(n)
+        self.lost_nodes.add(n)
         self.ips.append(f"{self.net}.{self.first + len(self.ips)}")
         self.zones.append(self.zones[n])
         if n in self.disks:
@@ -156,26 +162,26 @@
     def start_server(self, n: int) -> None:
         """Start a server as a process; what it runs it adds to a file."""
         server = self.servers[n]
-        words = [server.id, server.service, server.address, server.zone, str(self.ran_file(n))]
-        self.lives[n] = subprocess.Popen(
+        words = [server.id, server.service, server.address, server.zone, str(self.execution_log(n))]
+        self.server_processes[n] = subprocess.Popen(
             [sys.executable, "-m", "hazelspring.localfleet.stand_ins", *words], cwd=ROOT
         )
 
-    def ran_file(self, n: int) -> Path:
+    def execution_log(self, n: int) -> Path:
         return self.folder / f"server-{n}.ran"
 
     def close(self) -> None:
-        processes = [*self.processes.values(), *self.lives.values()]
+        processes = [*self.processes.values(), *self.server_processes.values()]
         for process in processes:
             process.send_signal(signal.SIGCONT)
             process.kill()
         for process in processes:
             process.wait(10)
 
-    def controls(self) -> list[str]:
+    def control_addresses(self) -> list[str]:
         return [f"{ip}:{self.control}" for ip in self.ips]
 
-    def ask(self, n: int, method: str, path: str, attempt: str, key: str = KEY) -> tuple[int, bytes]:
+    def request(self, n: int, method: str, path: str, attempt: str, key: str = KEY) -> tuple[int, bytes]:
         """A client's request at one door: status and body; status 0 where the connection ended without one."""
         headers = {
             "Host": "shop.example", "X-Hazelspring-Attempt-Id": attempt, "Authorization": f"Bearer {key}",
@@ -202,7 +208,7 @@
         except OSError:
             return False
 
-    def until(self, what: Any, seconds: float = 20.0) -> None:
+    def wait_until(self, what: Any, seconds: float = 20.0) -> None:
         """Wait for something to become true; raises TimeoutError after so long."""
         end = time.monotonic() + seconds
         while not what():
--- a/hazelspring/localfleet/stand_ins.py
+++ b/hazelspring/localfleet/stand_ins.py
@@ -58,14 +58,14 @@
     zone: str
     slots: int = 2
     state: str = "accepting"
-    work: float = 0.01
-    bulk: int = 0  # bytes more in its answers
-    cut: bool = False  # it runs a request and its answer is lost
-    ran: Counter[str] = field(default_factory=Counter)
-    last: Headers = field(default_factory=dict)  # of the request that it ran last
+    work_seconds: float = 0.01
+    padding_bytes: int = 0  # bytes more in its answers
+    drops_answers: bool = False  # it runs a request and its answer is lost
+    executions: Counter[str] = field(default_factory=Counter)
+    last_headers: Headers = field(default_factory=dict)  # of the request that it ran last
     busy: int = 0
-    apart: bool = False  # a process of its own serves it: here it is only listed
-    well: bool = True  # what its health says
+    separate_process: bool = False  # a process of its own serves it: here it is only listed
+    healthy: bool = True  # what its health says
     probes: int = 0  # health requests that it got
     misdirected: int = 0  # requests for another life that it turned away
     notes: int = -1  # the descriptor of a file that is told what runs, before it does
@@ -77,7 +77,7 @@
         """It leaves: the list says so from now on."""
         self.state, self.drained_at = "draining", time.monotonic()
 
-    def renew(self, id_: str) -> None:
+    def restart_as(self, id_: str) -> None:
         """A new life at the same address."""
         self.id, self.state, self.drained_at = id_, "accepting", math.inf
         self.after_drain.clear()
@@ -87,23 +87,23 @@
     ) -> tuple[int, Headers, bytes]:
         if path == "/health":
             self.probes += 1
-            return 200 if self.well else 503, {"X-Hazelspring-Answering-Instance": self.id}, b""
+            return 200 if self.healthy else 503, {"X-Hazelspring-Answering-Instance": self.id}, b""
         if headers.get("x-hazelspring-expected-instance", self.id) != self.id:
             self.misdirected += 1
             return 421, {"X-Hazelspring-Answering-Instance": self.id, "X-Hazelspring-Not-Executed": "1"}, b""
         attempt = headers.get("x-hazelspring-attempt-id", "")
         if not attempt:
             return 400, {"X-Hazelspring-Not-Executed": "1"}, b""
-        self.ran[attempt] += 1
+        self.executions[attempt] += 1
         if self.state == "draining":
             self.after_drain.append((time.monotonic(), attempt))
         if self.notes >= 0:
             os.write(self.notes, f"{attempt}\n".encode())
-        self.last = {**headers, "": f"{method} {path} {body.decode(errors='replace')}"}
+        self.last_headers = {**headers, "": f"{method} {path} {body.decode(errors='replace')}"}
         self.busy += 1
-        await asyncio.sleep(self.work)
+        await asyncio.sleep(self.work_seconds)
         self.busy -= 1
-        if self.cut:
+        if self.drops_answers:
             return 0, {}, b""
         return (
             200,
@@ -112,7 +112,7 @@
                 "X-Hazelspring-Server-Seal": f"seal-{self.id}",
                 "X-Hazelspring-Server-Load": f"{self.busy},0,{self.slots}",
             },
-            f"{self.id} {method} {path} {len(body)}\n".encode() + b"." * self.bulk,
+            f"{self.id} {method} {path} {len(body)}\n".encode() + b"." * self.padding_bytes,
         )
 
 
@@ -134,7 +134,7 @@
 
     async def start(self) -> None:
         for server in self.servers:
-            if not server.apart:
+            if not server.separate_process:
                 await self.listen(server.address, server.handle)
         await self.listen(self.platform, self.instances)
 
@@ -177,7 +177,7 @@
 
 async def serve_one(id_: str, service: str, address: str, zone: str, file: str) -> None:
     notes = os.open(file, os.O_CREAT | os.O_APPEND | os.O_WRONLY)
-    server = StandInServer(id_, service, address, zone, work=0.03, notes=notes)
+    server = StandInServer(id_, service, address, zone, work_seconds=0.03, notes=notes)
     await StandIns("", []).listen(address, server.handle)
     await asyncio.Event().wait()
 
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -18,15 +18,19 @@
 
 
 def core_nodes(yard: LocalFleet) -> list[int]:
-    return [n for n in yard.there() if n in yard.disks]
+    return [n for n in yard.remaining_nodes() if n in yard.disks]
 
 
 def other_nodes(yard: LocalFleet) -> list[int]:
-    return [n for n in yard.there() if n not in yard.disks]
+    return [n for n in yard.remaining_nodes() if n not in yard.disks]
 
 
 def controls(yard: LocalFleet, nodes: Sequence[int] | None = None, but: Sequence[int] = ()) -> list[str]:
-    return [yard.controls()[n] for n in (yard.there() if nodes is None else nodes) if n not in but]
+    return [
+        yard.control_addresses()[n]
+        for n in (yard.remaining_nodes() if nodes is None else nodes)
+        if n not in but
+    ]
 
 
 # --- calls that wait in a door's socket ---------------------------------------------------------------------------
@@ -64,11 +68,11 @@
 
 
 def put(yard: LocalFleet, n: int, body: bytes) -> Sent:
-    return Sent(yard.controls()[n], "PUT", "/-/configuration", body)
+    return Sent(yard.control_addresses()[n], "PUT", "/-/configuration", body)
 
 
 def read(yard: LocalFleet, n: int) -> Sent:
-    return Sent(yard.controls()[n], "GET", "/-/configuration")
+    return Sent(yard.control_addresses()[n], "GET", "/-/configuration")
 
 
 def ask(yard: LocalFleet, n: int, method: str, path: str, id_: str, key: str = KEY, left: int = 1500) -> Sent:
@@ -86,7 +90,7 @@
 
 def told(yard: LocalFleet, n: int) -> Any:
     """What a door says of itself; nothing while it does not answer."""
-    got = Sent(yard.controls()[n], "GET", "/-/status").end()
+    got = Sent(yard.control_addresses()[n], "GET", "/-/status").end()
     return json.loads(got.body) if got.status == 200 else {}
 
 
@@ -125,7 +129,7 @@
         self.sent |= {
             "same": put(yard, n, configuration(number, keys=(KEY, "coming"))),
             "other": put(yard, n, other_body(number)),
-            "close": Sent(yard.controls()[n], "POST", "/-/evacuation/south-2"),
+            "close": Sent(yard.control_addresses()[n], "POST", "/-/evacuation/south-2"),
         }
         return self
 
@@ -155,14 +159,14 @@
                 due = got.status == 200 or got.status > 500
             assert due or got.status in UNCLEAR, (self.mark, self.n, name, got)
         if "close" in self.sent and self.sent["close"].status == 200:  # then it is so at every door
-            for n in self.yard.there():
-                self.yard.until(lambda n=n: "south-2" in told(self.yard, n).get("closedZones", ()))
+            for n in self.yard.remaining_nodes():
+                self.yard.wait_until(lambda n=n: "south-2" in told(self.yard, n).get("closedZones", ()))
 
     def reopen(self) -> None:
         """Also an order that was left unclear may be carried out: the zone is open again at every door."""
         call_until_settled(controls(self.yard), "DELETE", "/-/evacuation/south-2")
-        for n in self.yard.there():
-            self.yard.until(lambda n=n: told(self.yard, n).get("closedZones") == [])
+        for n in self.yard.remaining_nodes():
+            self.yard.wait_until(lambda n=n: told(self.yard, n).get("closedZones") == [])
 
 
 def give_keys(yard: LocalFleet, nodes: Sequence[int]) -> None:
@@ -172,7 +176,7 @@
     )
     marks = itertools.count()
     for n in nodes:
-        yard.until(
+        yard.wait_until(
             lambda n=n: ask(yard, n, "GET", "/read/a", f"g{n}-{next(marks)}", "leaving").end().status == 200
         )
 
@@ -202,7 +206,7 @@
 
 def cut(yard: LocalFleet, n: int, ways: str) -> None:
     """Cut a door off from all others: in both directions, or only from what it hears (`in`) or says (`out`)."""
-    others = [other for other in yard.there() if other != n]
+    others = [other for other in yard.remaining_nodes() if other != n]
     if ways in ("both", "in"):
         links(yard, n, {yard.ips[other]: "" for other in others})
     for other in others if ways in ("both", "out") else ():
@@ -265,7 +269,7 @@
             thread.start()
 
     def run(self, n: int) -> None:
-        nodes = self.yard.there()
+        nodes = self.yard.remaining_nodes()
         wires: dict[int, http.client.HTTPConnection] = {}
         while not self.stopped.is_set():
             n += 1
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 
 from hazelspring.cli.control_client import call_once, call_until_settled
-from hazelspring.localfleet.__main__ import Background
+from hazelspring.localfleet.__main__ import BackgroundStandIns
 from hazelspring.localfleet.fleet import LocalFleet, configuration
 from hazelspring.localfleet.stand_ins import StandIns
 
@@ -83,7 +83,7 @@
         program = ("-m", "tests.cut_node", "serve")
         self.fleet = LocalFleet(folder, CORE, OTHERS, SERVERS, program, nth=nth)
         self.stands = StandIns(self.fleet.platform, self.fleet.servers)
-        self.background = Background(self.stands)
+        self.background = BackgroundStandIns(self.stands)
         self.faults: list[str] = []
         self.seen: dict[Path, int] = {}  # how far each log was read
         self.number = 0  # of the newest configuration that was acknowledged
@@ -98,7 +98,7 @@
         fleet = self.fleet
         try:
             fleet.start_all(first=True)
-            call_until_settled(fleet.controls(), "PUT", "/-/configuration", configuration(1), BACK)
+            call_until_settled(fleet.control_addresses(), "PUT", "/-/configuration", configuration(1), BACK)
             self.wait_until_whole()
             for _ in range(episodes):
                 self.episode(draw(self.chance))
@@ -114,7 +114,7 @@
 
     def episode(self, troubles: list[Trouble]) -> None:
         clients = Clients(self.fleet, 4)
-        operators = Operators(lambda: self.fleet.controls(), 1)
+        operators = Operators(lambda: self.fleet.control_addresses(), 1)
         leaving = self.chance.choice(self.fleet.servers)
         actions: list[tuple[float, Turn]] = [(self.chance.uniform(0.0, TROUBLE), leaving.drain)]
         for trouble in troubles:
@@ -137,14 +137,14 @@
         self.judge_operators(operators)
         self.judge_logs(troubles)
         self.lives += 1
-        leaving.renew(f"i-life-{self.lives}")
+        leaving.restart_as(f"i-life-{self.lives}")
 
     def turns(self, trouble: Trouble) -> tuple[Turn, Turn]:
         """What begins a trouble, and what ends it."""
         fleet, n = self.fleet, trouble.node
         deafen, answer = partial(self.deafen, trouble), partial(self.answer, trouble)
         reset = partial(self.background.loop.call_soon_threadsafe, self.stands.reset_platform)
-        lose_answers = partial(setattr, fleet.servers[n], "cut")
+        lose_answers = partial(setattr, fleet.servers[n], "drops_answers")
         turns: dict[str, tuple[Turn, Turn]] = {
             KILL: (partial(fleet.kill, n), partial(fleet.start, n)),
             STOP: (
@@ -181,16 +181,18 @@
     def draw_cuts(self) -> None:
         """What each door hears nothing of, by all the cuts there are now."""
         mute = {n for n, ways in self.cuts.items() if ways in ("both", "out")}
-        for n in self.fleet.there():
+        for n in self.fleet.remaining_nodes():
             deaf = self.cuts.get(n) in ("both", "in")
-            unheard = [other for other in self.fleet.there() if other != n and (deaf or other in mute)]
+            unheard = [
+                other for other in self.fleet.remaining_nodes() if other != n and (deaf or other in mute)
+            ]
             links(self.fleet, n, {self.fleet.ips[other]: "" for other in unheard})
 
     def reader(self, otherwise: int) -> int:
         """The door that reads the list now, where one that answers says so."""
         for n in range(CORE):
             with contextlib.suppress(OSError, http.client.HTTPException):
-                got = call_once(self.fleet.controls()[n], "GET", "/-/metrics", None, ASKING)
+                got = call_once(self.fleet.control_addresses()[n], "GET", "/-/metrics", None, ASKING)
                 if b"hazelspring_list_reader 1\n" in got.body:
                     return n
         return otherwise
@@ -207,8 +209,8 @@
                 said.get("ready") and said["member"] is (n in self.fleet.disks) and all(said["core"].values())
             )
 
-        for n in self.fleet.there():
-            self.fleet.until(lambda n=n: is_whole(n), BACK)
+        for n in self.fleet.remaining_nodes():
+            self.fleet.wait_until(lambda n=n: is_whole(n), BACK)
 
     # --- what is judged ------------------------------------------------------------------------------------
 
@@ -238,7 +240,7 @@
     def judge_clients(self, clients: Clients) -> None:
         self.faults += [f"MIXED: {text}" for text in clients.foreign]
         for id_, status in clients.ends.items():
-            ran = sum(server.ran[id_] for server in self.fleet.servers)
+            ran = sum(server.executions[id_] for server in self.fleet.servers)
             if is_write(id_) and ran > 1:
                 self.faults.append(f"TWICE: {id_} ran {ran} times")
             if is_write(id_) and ran and status in PROMISES:
@@ -248,7 +250,7 @@
         if not any(status == 200 for status in clients.ends.values()):
             self.faults.append("RECOVER: no request was served")
         for server in self.fleet.servers:
-            server.ran.clear()
+            server.executions.clear()
 
     def judge_operators(self, operators: Operators) -> None:
         self.faults += [f"ACKS: {text}" for text in operators.failed]
@@ -256,7 +258,7 @@
         self.read_back()
 
     def read_back(self) -> None:
-        answer = call_until_settled(self.fleet.controls(), "GET", "/-/configuration", patience=BACK)
+        answer = call_until_settled(self.fleet.control_addresses(), "GET", "/-/configuration", patience=BACK)
         number = int(json.loads(answer.body)["versionNumber"][1:])
         if number < self.number:
             self.faults.append(f"LOST: r{number} is in force, r{self.number} was acknowledged")
@@ -277,7 +279,7 @@
         lost = self.chance.randrange(CORE)
         for process in self.fleet.processes.values():
             process.kill()
-        for n in self.fleet.there():
+        for n in self.fleet.remaining_nodes():
             self.fleet.kill(n)
         self.fleet.wipe(lost)
         self.fleet.start_all()
--- a/tests/test_control_cut.py
+++ b/tests/test_control_cut.py
@@ -17,7 +17,7 @@
 import pytest
 
 from hazelspring.consensus.acceptor import load_acceptor
-from hazelspring.localfleet.__main__ import Background
+from hazelspring.localfleet.__main__ import BackgroundStandIns
 from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration
 from hazelspring.localfleet.stand_ins import StandIns
 from hazelspring.storage.replica_store import ReplicaStore
@@ -42,7 +42,7 @@
         settings = {"timingTerms.ruleBounds.revocationMs": str(int(REVOCATION * 1000))}
         program = ("-m", "tests.cut_node", *words, "serve")
         self.fleet = LocalFleet(folder, CORE, 1, 2, program, settings, nth=nth)
-        self.background = Background(StandIns(self.fleet.platform, self.fleet.servers))
+        self.background = BackgroundStandIns(StandIns(self.fleet.platform, self.fleet.servers))
         self.history = History(REVOCATION, EVACUATION)
         self.numbers, self.ids = itertools.count(13), itertools.count()
         self.is_cut, self.rush, self.tasks = False, False, set[asyncio.Task[None]]()
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -12,7 +12,7 @@
 import pytest
 
 from hazelspring.cli.control_client import call_until_settled
-from hazelspring.localfleet.__main__ import Background
+from hazelspring.localfleet.__main__ import BackgroundStandIns
 from hazelspring.localfleet.fleet import ZONES, LocalFleet, configuration
 from hazelspring.localfleet.stand_ins import StandIns
 
@@ -55,12 +55,12 @@
         settings={"timingTerms.ruleBounds.revocationMs": str(int(REVOCATION * 1000))},
         apart=True,
     )
-    background = Background(StandIns(made.platform, made.servers))
+    background = BackgroundStandIns(StandIns(made.platform, made.servers))
     try:
         for n in range(len(made.servers)):
             made.start_server(n)
         made.start_all(first=True)
-        call_until_settled(made.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
+        call_until_settled(made.control_addresses(), "PUT", "/-/configuration", configuration(1), 30.0)
         yield made
     finally:
         made.close()
@@ -71,15 +71,15 @@
 def fleet(founded: LocalFleet) -> LocalFleet:
     """All doors run, the core is whole, and nothing is cut or closed, also after a test that failed."""
     mend(founded)
-    for n in founded.there():
+    for n in founded.remaining_nodes():
         if n not in founded.processes:
             founded.start(n)
         founded.processes[n].send_signal(signal.SIGCONT)
     for zone in ZONES:
         call_until_settled(controls(founded), "DELETE", f"/-/evacuation/{zone}", patience=40)
     seats = {founded.ips[n] for n in core_nodes(founded)}
-    for n in founded.there():
-        founded.until(
+    for n in founded.remaining_nodes():
+        founded.wait_until(
             lambda n=n: (
                 (said := told(founded, n)).get("ready")
                 and set(said["core"]) == seats
@@ -106,12 +106,12 @@
     for n in away:
         fleet.processes[n].send_signal(signal.SIGSTOP)
         if late:
-            links(fleet, n, {fleet.ips[other]: str(late) for other in fleet.there() if other != n})
+            links(fleet, n, {fleet.ips[other]: str(late) for other in fleet.remaining_nodes() if other != n})
     number = change_keys(fleet, away)
     waiting = [Questions(fleet, n, number, f"w{at}").send_read() for n in away]
     for questions in () if late else waiting:
         questions.send_orders()
-    fleet.until(lambda: time.monotonic() - began > STOPPED)
+    fleet.wait_until(lambda: time.monotonic() - began > STOPPED)
     for questions in waiting:
         questions.send_keys()  # so long after the acknowledgement that none may get in by an older configuration
     for n in away:
@@ -130,11 +130,13 @@
     newest = next(numbers)
     for n in away:
         assert (
-            call_until_settled([fleet.controls()[n]], "PUT", "/-/configuration", configuration(newest)).status
+            call_until_settled(
+                [fleet.control_addresses()[n]], "PUT", "/-/configuration", configuration(newest)
+            ).status
             == 200
         )
-    for n in fleet.there():
-        answer = call_until_settled([fleet.controls()[n]], "GET", "/-/configuration")
+    for n in fleet.remaining_nodes():
+        answer = call_until_settled([fleet.control_addresses()[n]], "GET", "/-/configuration")
         assert json.loads(answer.body)["versionNumber"] == f"r{newest}"
     asked[0].reopen()
 
@@ -149,9 +151,9 @@
     number = change_keys(fleet, [n])
     acknowledged = time.monotonic()
     questions = Questions(fleet, n, number, f"cut-{ways}").send_read().send_orders()
-    fleet.until(lambda: time.monotonic() - acknowledged > REVOCATION)
+    fleet.wait_until(lambda: time.monotonic() - acknowledged > REVOCATION)
     questions.send_keys()  # a key that has just come may be refused for `configurationMs` after
-    passed_on = [fleet.controls()[n], *controls(fleet, but=[n])]
+    passed_on = [fleet.control_addresses()[n], *controls(fleet, but=[n])]
     began = time.monotonic()
     call_until_settled(passed_on, "POST", "/-/evacuation/south-1")  # another door takes it up
     assert time.monotonic() - began < ACKNOWLEDGE
@@ -159,7 +161,7 @@
     mend(fleet)
     after = Questions(fleet, n, number, f"after-{ways}").send()
     after.judge()
-    call_until_settled([fleet.controls()[n]], "DELETE", "/-/evacuation/south-1")
+    call_until_settled([fleet.control_addresses()[n]], "DELETE", "/-/evacuation/south-1")
     after.reopen()
 
 
@@ -187,8 +189,8 @@
         fleet.processes[hit].send_signal(signal.SIGCONT)
     for answer, won in zip([call.end() for call in sent], good, strict=True):
         assert answer.status in UNCLEAR or (answer.status == 200 if won else taken(answer)), (answer, won)
-    for n in fleet.there():
-        node = [fleet.controls()[n]]
+    for n in fleet.remaining_nodes():
+        node = [fleet.control_addresses()[n]]
         assert [settle(node, body) for body in bodies] == good
         assert call_until_settled(node, "GET", "/-/configuration").body == bodies[good.index(True)]
 
@@ -205,9 +207,9 @@
         call_until_settled(controls(fleet), "PUT", "/-/configuration", body)
         new = fleet.replace(lost)
         fleet.start(new)
-        fleet.until(lambda new=new: told(fleet, new))
+        fleet.wait_until(lambda new=new: told(fleet, new))
         began = time.monotonic()
-        fleet.until(lambda new=new: told(fleet, new).get("member"))
+        fleet.wait_until(lambda new=new: told(fleet, new).get("member"))
         assert time.monotonic() - began < CATCH_UP
         fleet.kill(next_lost)
         number = next(numbers)
@@ -215,28 +217,28 @@
         assert number_in(read(fleet, new).end()) == number
         fleet.start(next_lost)
         seats = {fleet.ips[n] for n in core_nodes(fleet)}
-        fleet.until(lambda seats=seats, n=next_lost: set(told(fleet, n).get("core", ())) == seats)
-        fleet.until(lambda n=next_lost: told(fleet, n).get("member"))
+        fleet.wait_until(lambda seats=seats, n=next_lost: set(told(fleet, n).get("core", ())) == seats)
+        fleet.wait_until(lambda n=next_lost: told(fleet, n).get("member"))
 
 
 def test_a_core_node_leaves_in_the_midst_of_orders_and_none_is_lost(fleet: LocalFleet) -> None:
     leaver = core_nodes(fleet)[0]
     operators = Operators(lambda: controls(fleet))
     try:
-        fleet.until(lambda: operators.confirmed > 10)
+        fleet.wait_until(lambda: operators.confirmed > 10)
         process = fleet.processes.pop(leaver)
         process.terminate()
         assert process.wait(10) == 0
         confirmed = operators.confirmed
-        fleet.until(lambda: operators.confirmed > confirmed + 10)
+        fleet.wait_until(lambda: operators.confirmed > confirmed + 10)
     finally:
         operators.stop()
     assert not operators.failed
-    for n in fleet.there():
+    for n in fleet.remaining_nodes():
         if n != leaver:
             assert number_in(read(fleet, n).end()) >= operators.highest
     fleet.start(leaver)
-    fleet.until(lambda: told(fleet, leaver).get("member") and told(fleet, leaver)["ready"])
+    fleet.wait_until(lambda: told(fleet, leaver).get("member") and told(fleet, leaver)["ready"])
     assert number_in(read(fleet, leaver).end()) >= operators.highest
 
 
@@ -250,7 +252,7 @@
     version = told(fleet, others[0])["version"]
     fleet.kill(late)
     for step in range(100):  # two at a time, as operators may have eight under way
-        node = fleet.controls()[others[step % 3]]
+        node = fleet.control_addresses()[others[step % 3]]
         number = next(numbers)
         zone = ("DELETE" if step % 2 else "POST", "/-/evacuation/south-1")
         early = Sent(node, *zone)
@@ -267,7 +269,7 @@
     ):  # killed at its start, and when it has just learnt the last one
         seen = log.read_text().count(line)
         fleet.start(late)
-        fleet.until(lambda seen=seen, line=line: log.read_text().count(line) > seen)
+        fleet.wait_until(lambda seen=seen, line=line: log.read_text().count(line) > seen)
         fleet.kill(late)
     fleet.start(late)
     answers: list[Sent] = []
@@ -275,7 +277,7 @@
         answers.append(read(fleet, late).end())
         assert answers[-1].status in (200, *UNCLEAR)
     assert number_in(answers[-1]) == last
-    fleet.until(lambda: told(fleet, late).get("member"))
+    fleet.wait_until(lambda: told(fleet, late).get("member"))
     assert told(fleet, late)["version"] >= newest and told(fleet, late)["configuration"] == last
 
 
@@ -289,18 +291,18 @@
 
     def go_on(count: int = 80) -> None:
         goal = len(clients.ends) + count
-        fleet.until(lambda: len(clients.ends) >= goal)
+        fleet.wait_until(lambda: len(clients.ends) >= goal)
 
     def new_life(n: int) -> None:
-        fleet.lives[n].kill()
-        fleet.lives[n].wait(10)
+        fleet.server_processes[n].kill()
+        fleet.server_processes[n].wait(10)
         go_on()
         fleet.servers[n].id += "-again"
         fleet.start_server(n)
         go_on()
 
     def ran() -> Counter[str]:
-        return Counter(line for n in range(4) for line in fleet.ran_file(n).read_text().split())
+        return Counter(line for n in range(4) for line in fleet.execution_log(n).read_text().split())
 
     def torn() -> bool:
         """Whether a write was at work at a server that was killed: it has run, and nobody was told."""
@@ -310,24 +312,24 @@
     try:
         go_on()
         for n in (0, 1):
-            fleet.lives[n].send_signal(signal.SIGSTOP)
+            fleet.server_processes[n].send_signal(signal.SIGSTOP)
             go_on()
-            fleet.lives[n].send_signal(signal.SIGCONT)
+            fleet.server_processes[n].send_signal(signal.SIGCONT)
             go_on()
-        fleet.lives[3].send_signal(signal.SIGSTOP)
+        fleet.server_processes[3].send_signal(signal.SIGSTOP)
         go_on()
         new_life(3)
         began, tries = time.monotonic(), 0
         while not torn() or tries < 2:
-            had = fleet.ran_file(2).stat().st_size
-            while fleet.ran_file(2).stat().st_size == had:
+            had = fleet.execution_log(2).stat().st_size
+            while fleet.execution_log(2).stat().st_size == had:
                 assert time.monotonic() - began < 20
             new_life(2)  # it has just begun with one
             tries += 1
     finally:
         clients.stop()
     for server in fleet.servers:  # what waits at a server has run once it answers on connections opened later
-        fleet.until(lambda a=server.address: Sent(a, "GET", "/health").end().status == 200)
+        fleet.wait_until(lambda a=server.address: Sent(a, "GET", "/health").end().status == 200)
     seen = ran()
     writes = {id_: status for id_, status in clients.ends.items() if is_write(id_)}
     assert not clients.foreign
--- a/tests/test_ill_servers.py
+++ b/tests/test_ill_servers.py
@@ -272,21 +272,22 @@
 
 
 def test_an_address_that_went_to_another_service_runs_nothing_of_the_old_one() -> None:
-    other, own = (StandInServer(name, "x", "", "a1", work=0.0) for name in ("i-late", "a1-1"))
+    other, own = (StandInServer(name, "x", "", "a1", work_seconds=0.0) for name in ("i-late", "a1-1"))
 
     async def play() -> None:
         async with standing(other) as taken, standing(own) as kept:
             door = Doorway([taken, kept])  # the list still names a1-0 at the first
             assert await door.ask_all(40, "/r/1", "/w/1") == {200}
             door.servers.close()
-        assert not other.ran and set(own.ran.values()) == {1} and other.misdirected > 0
+        assert not other.executions and set(own.executions.values()) == {1} and other.misdirected > 0
 
     run(play())
 
 
 def test_health_answers_are_not_asked_for_so_that_false_ones_change_nothing() -> None:
     liar, own = (
-        StandInServer(name, "x", "", "a1", work=0.0, well=name != "a1-0") for name in ("a1-0", "a1-1")
+        StandInServer(name, "x", "", "a1", work_seconds=0.0, healthy=name != "a1-0")
+        for name in ("a1-0", "a1-1")
     )
 
     async def play() -> None:
@@ -294,7 +295,7 @@
             door = Doorway([one, other])
             assert await door.ask_all(40, "/r/1") == {200}
             door.servers.close()
-        assert liar.probes == own.probes == 0 and liar.ran.total() > 0
+        assert liar.probes == own.probes == 0 and liar.executions.total() > 0
 
     run(play())
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -16,7 +16,7 @@
 
 from hazelspring.cli.__main__ import main as hazelspringctl
 from hazelspring.cli.control_client import CallError, call_once, call_until_settled
-from hazelspring.localfleet.__main__ import Background
+from hazelspring.localfleet.__main__ import BackgroundStandIns
 from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration, free_ports
 from hazelspring.localfleet.stand_ins import StandIns
 
@@ -24,11 +24,13 @@
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[LocalFleet]:
     made = LocalFleet(tmp_path_factory.mktemp("yard"))
-    background = Background(StandIns(made.platform, made.servers))
+    background = BackgroundStandIns(StandIns(made.platform, made.servers))
     try:
         made.start_all(first=True)
-        call_until_settled(made.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
-        made.until(lambda: all(made.ask(n, "GET", "/read/a", f"first-{n}")[0] == 200 for n in range(6)))
+        call_until_settled(made.control_addresses(), "PUT", "/-/configuration", configuration(1), 30.0)
+        made.wait_until(
+            lambda: all(made.request(n, "GET", "/read/a", f"first-{n}")[0] == 200 for n in range(6))
+        )
         yield made
     finally:
         made.close()
@@ -38,29 +40,29 @@
 def status(fleet: LocalFleet, n: int) -> Any:
     """A node's status; nothing while it does not answer."""
     try:
-        return json.loads(call_once(fleet.controls()[n], "GET", "/-/status", None, 2).body)
+        return json.loads(call_once(fleet.control_addresses()[n], "GET", "/-/status", None, 2).body)
     except OSError:
         return {}
 
 
 def number_at(fleet: LocalFleet, n: int) -> int:
-    answer = call_until_settled([fleet.controls()[n]], "GET", "/-/configuration")
+    answer = call_until_settled([fleet.control_addresses()[n]], "GET", "/-/configuration")
     return int(json.loads(answer.body)["versionNumber"][1:])
 
 
 def test_a_killed_node_with_a_wiped_disk_catches_up_and_is_a_member_again(fleet: LocalFleet) -> None:
     fleet.kill(1)
     fleet.wipe(1)
-    call_until_settled([fleet.controls()[4]], "PUT", "/-/configuration", configuration(7))
+    call_until_settled([fleet.control_addresses()[4]], "PUT", "/-/configuration", configuration(7))
     fleet.start(1)
-    fleet.until(lambda: status(fleet, 1).get("member"))
+    fleet.wait_until(lambda: status(fleet, 1).get("member"))
     assert number_at(fleet, 1) == 7
-    fleet.until(lambda: fleet.ask(1, "GET", "/read/a", "after-wipe")[0] == 200)
+    fleet.wait_until(lambda: fleet.request(1, "GET", "/read/a", "after-wipe")[0] == 200)
 
 
 def figures(fleet: LocalFleet, n: int) -> dict[str, float]:
     """A node's metrics by name and labels."""
-    text = call_once(fleet.controls()[n], "GET", "/-/metrics", None, 2).body.decode()
+    text = call_once(fleet.control_addresses()[n], "GET", "/-/metrics", None, 2).body.decode()
     return {name: float(value) for name, value in (line.rsplit(" ", 1) for line in text.splitlines())}
 
 
@@ -76,7 +78,7 @@
             if one["hazelspring_list_reader"] and one['hazelspring_list_reads_total{result="read"}']
         ]
 
-    fleet.until(lambda: len(readers()) == 1)
+    fleet.wait_until(lambda: len(readers()) == 1)
     (reader,) = readers()
     assert reader["hazelspring_list_read_ago_seconds"] < 5
     for one in [figures(fleet, n) for n in range(6)]:
@@ -90,14 +92,14 @@
     (wanted,) = free_ports(1)
     program = ("-m", "hazelspring.daemon", "serve", "--metrics-port", str(wanted))
     fleet = LocalFleet(tmp_path, core=1, others=1, servers=1, program=program, nth=5)
-    background = Background(StandIns(fleet.platform, fleet.servers))
+    background = BackgroundStandIns(StandIns(fleet.platform, fleet.servers))
     with socket.socket() as taken:
         taken.bind((fleet.ips[1], wanted))
         taken.listen()
         try:
             fleet.start_all(first=True)
-            call_until_settled(fleet.controls(), "PUT", "/-/configuration", configuration(1), 30.0)
-            fleet.until(lambda: fleet.is_ready(0) and fleet.is_ready(1))
+            call_until_settled(fleet.control_addresses(), "PUT", "/-/configuration", configuration(1), 30.0)
+            fleet.wait_until(lambda: fleet.is_ready(0) and fleet.is_ready(1))
             found = call_once(f"{fleet.ips[0]}:{wanted}", "GET", "/-/metrics", None, 2)
             assert found.status == 200 and b"hazelspring_list_reader 1" in found.body
             assert call_once(f"{fleet.ips[0]}:{wanted}", "PUT", "/-/configuration", b"", 2).status == 405
@@ -107,56 +109,58 @@
 
 
 def test_a_disk_that_cannot_be_read_is_not_taken_for_an_empty_one(fleet: LocalFleet) -> None:
-    fleet.until(lambda: status(fleet, 1).get("member"))
+    fleet.wait_until(lambda: status(fleet, 1).get("member"))
     before = status(fleet, 1)["version"]
     file = fleet.folder / "door-2" / "comb.sqlite"
     fleet.kill(1)
     file.rename(file.with_name("kept"))
     file.mkdir()  # nothing can be opened there
     fleet.start(1)
-    fleet.until(lambda: fleet.ask(1, "GET", "/read/a", "without-disk")[0] == 200)
+    fleet.wait_until(lambda: fleet.request(1, "GET", "/read/a", "without-disk")[0] == 200)
     assert not status(fleet, 1)["member"]
     file.rmdir()
     file.with_name("kept").rename(file)
-    fleet.until(lambda: status(fleet, 1).get("member"))
+    fleet.wait_until(lambda: status(fleet, 1).get("member"))
     assert status(fleet, 1)["version"] == before  # it is a member still: nothing had to be agreed on
 
 
 def test_all_processes_are_killed_at_once_and_nothing_is_lost(fleet: LocalFleet) -> None:
-    call_until_settled(fleet.controls(), "PUT", "/-/configuration", configuration(9))
-    call_until_settled(fleet.controls(), "POST", "/-/evacuation/south-1")
+    call_until_settled(fleet.control_addresses(), "PUT", "/-/configuration", configuration(9))
+    call_until_settled(fleet.control_addresses(), "POST", "/-/evacuation/south-1")
     for n in range(6):
         fleet.kill(n)
     fleet.start_all()
-    fleet.until(lambda: all(fleet.is_ready(n) for n in range(6)))
+    fleet.wait_until(lambda: all(fleet.is_ready(n) for n in range(6)))
     said = status(fleet, 5)
     assert said["configuration"] == 9 and said["closedZones"] == ["south-1"]
-    call_until_settled(fleet.controls(), "DELETE", "/-/evacuation/south-1")
-    fleet.until(lambda: all(fleet.ask(n, "GET", "/read/a", f"back-{n}")[0] == 200 for n in range(6)))
+    call_until_settled(fleet.control_addresses(), "DELETE", "/-/evacuation/south-1")
+    fleet.wait_until(lambda: all(fleet.request(n, "GET", "/read/a", f"back-{n}")[0] == 200 for n in range(6)))
 
 
 def test_a_node_that_was_stopped_lets_no_key_in_that_went_meanwhile(fleet: LocalFleet) -> None:
-    call_until_settled(fleet.controls(), "PUT", "/-/configuration", configuration(11, keys=(KEY, "leaving")))
-    fleet.until(lambda: fleet.ask(5, "GET", "/read/a", "before", "leaving")[0] == 200)
+    call_until_settled(
+        fleet.control_addresses(), "PUT", "/-/configuration", configuration(11, keys=(KEY, "leaving"))
+    )
+    fleet.wait_until(lambda: fleet.request(5, "GET", "/read/a", "before", "leaving")[0] == 200)
     process = fleet.processes[5]
     process.send_signal(signal.SIGSTOP)
-    call_until_settled(fleet.controls()[:5], "PUT", "/-/configuration", configuration(12))
-    fleet.until(
-        lambda: all(fleet.ask(n, "GET", "/read/a", f"gone-{n}", "leaving")[0] == 401 for n in range(5))
+    call_until_settled(fleet.control_addresses()[:5], "PUT", "/-/configuration", configuration(12))
+    fleet.wait_until(
+        lambda: all(fleet.request(n, "GET", "/read/a", f"gone-{n}", "leaving")[0] == 401 for n in range(5))
     )
     process.send_signal(signal.SIGCONT)
-    fleet.until(lambda: fleet.ask(5, "GET", "/read/a", "after", "leaving")[0] == 401)
-    assert fleet.ask(5, "GET", "/read/a", "after", KEY)[0] == 200
+    fleet.wait_until(lambda: fleet.request(5, "GET", "/read/a", "after", "leaving")[0] == 401)
+    assert fleet.request(5, "GET", "/read/a", "after", KEY)[0] == 200
 
 
 def test_a_write_whose_answer_is_lost_runs_once_and_gets_no_promise(fleet: LocalFleet) -> None:
     for server in fleet.servers:
-        server.cut = True
-    found, _ = fleet.ask(0, "POST", "/write/a", "lost-1")
+        server.drops_answers = True
+    found, _ = fleet.request(0, "POST", "/write/a", "lost-1")
     for server in fleet.servers:
-        server.cut = False
+        server.drops_answers = False
     assert found == 502
-    assert sum(server.ran["lost-1"] for server in fleet.servers) == 1
+    assert sum(server.executions["lost-1"] for server in fleet.servers) == 1
 
 
 def raw(fleet: LocalFleet, n: int, *lines: str) -> int:
@@ -177,7 +181,9 @@
     )
     assert raw(fleet, 0, "GET /read/a/../b?q=%20 HTTP/1.1", *good, *forged) == 200
     (seen,) = [
-        server.last for server in fleet.servers if server.last.get("x-hazelspring-attempt-id") == "raw-1"
+        server.last_headers
+        for server in fleet.servers
+        if server.last_headers.get("x-hazelspring-attempt-id") == "raw-1"
     ]
     assert seen[""] == "GET /read/a/../b?q=%20 " and seen["x-hazelspring-tenant-name"] == "green"
     assert seen["x-mine"] == "kept" and not {"authorization", "x-hop", "connection"} & set(seen)
@@ -192,40 +198,40 @@
 def test_a_node_leaves_in_order_and_answers_what_it_holds(fleet: LocalFleet) -> None:
     process = fleet.processes[4]
     process.send_signal(signal.SIGTERM)
-    fleet.until(lambda: not fleet.is_ready(4))
-    assert fleet.ask(4, "GET", "/read/a", "late")[0] in (200, 0)
+    fleet.wait_until(lambda: not fleet.is_ready(4))
+    assert fleet.request(4, "GET", "/read/a", "late")[0] in (200, 0)
     assert process.wait(10) == 0
     fleet.start(4)
-    fleet.until(lambda: fleet.is_ready(4))
+    fleet.wait_until(lambda: fleet.is_ready(4))
 
 
 def test_what_a_server_is_at_work_on_when_its_node_is_stopped_is_answered_and_runs_once(
     fleet: LocalFleet,
 ) -> None:
     for server in fleet.servers:
-        server.work = 2.0  # longer than the node still listens
+        server.work_seconds = 2.0  # longer than the node still listens
     found: list[tuple[int, bytes]] = []
     calls = [
-        threading.Thread(target=lambda call=call: found.append(fleet.ask(4, *call)))
+        threading.Thread(target=lambda call=call: found.append(fleet.request(4, *call)))
         for call in (("POST", "/write/a", "held-w"), ("POST", "/write/b", "held-v"))
     ]
     for one in calls:
         one.start()
-    fleet.until(lambda: sum(server.busy for server in fleet.servers) == 2)
+    fleet.wait_until(lambda: sum(server.busy for server in fleet.servers) == 2)
     for server in fleet.servers:
-        server.work = 0.01
+        server.work_seconds = 0.01
     fleet.processes[4].send_signal(signal.SIGTERM)
     for one in calls:
         one.join()
     assert [answered for answered, _ in found] == [200, 200] and fleet.processes[4].wait(10) == 0
-    assert sum(server.ran[name] for server in fleet.servers for name in ("held-w", "held-v")) == 2
+    assert sum(server.executions[name] for server in fleet.servers for name in ("held-w", "held-v")) == 2
     fleet.start(4)
-    fleet.until(lambda: fleet.is_ready(4))
+    fleet.wait_until(lambda: fleet.is_ready(4))
 
 
 def test_a_stopped_node_ends_only_when_its_last_answer_has_been_read(fleet: LocalFleet) -> None:
     for server in fleet.servers:
-        server.bulk = 100_000
+        server.padding_bytes = 100_000
     with socket.socket() as wire:
         wire.settimeout(10)
         wire.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -238,10 +244,10 @@
         answer = wire.makefile("rb")
         assert answer.readline().split()[1] == b"200"
         for server in fleet.servers:
-            server.bulk = 0
+            server.padding_bytes = 0
         process = fleet.processes[4]
         process.send_signal(signal.SIGTERM)
-        fleet.until(lambda: fleet.ask(4, "GET", "/read/a", "refused")[0] == 0)  # it listens no more
+        fleet.wait_until(lambda: fleet.request(4, "GET", "/read/a", "refused")[0] == 0)  # it listens no more
         with pytest.raises(subprocess.TimeoutExpired):
             process.wait(0.5)
         length = 0
@@ -250,24 +256,24 @@
         assert len(answer.read(length)) == length > 100_000
     assert process.wait(10) == 0
     fleet.start(4)
-    fleet.until(lambda: fleet.is_ready(4))
+    fleet.wait_until(lambda: fleet.is_ready(4))
 
 
 def test_settings_are_read_again_with_and_without_a_signal(fleet: LocalFleet) -> None:
     log, path = fleet.folder / "door-6.log", fleet.folder / "door-6.conf"
     text = path.read_text()
-    seeds = f"network.seedNodes={fleet.controls()[3]}"
+    seeds = f"network.seedNodes={fleet.control_addresses()[3]}"
     path.write_text(text + seeds + "\n")
-    fleet.until(lambda: f"uses new settings seeds={fleet.ips[3]}" in log.read_text())
+    fleet.wait_until(lambda: f"uses new settings seeds={fleet.ips[3]}" in log.read_text())
     path.write_text(text.replace("thisDoor.zone=", "thisDoor.zoned="))
     fleet.processes[5].send_signal(signal.SIGHUP)
-    fleet.until(lambda: "cannot be used problem=thisDoor.zone" in log.read_text())
+    fleet.wait_until(lambda: "cannot be used problem=thisDoor.zone" in log.read_text())
     path.write_text(text)
-    assert fleet.ask(5, "GET", "/read/a", "after-settings")[0] == 200
+    assert fleet.request(5, "GET", "/read/a", "after-settings")[0] == 200
 
 
 def test_the_operators_client(fleet: LocalFleet, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    nodes = [part for node in fleet.controls() for part in ("--door", node)]
+    nodes = [part for node in fleet.control_addresses() for part in ("--door", node)]
     good, bad, out = tmp_path / "good.json", tmp_path / "bad.json", tmp_path / "out.json"
     good.write_bytes(configuration(20))
     bad.write_bytes(configuration(21)[:-20])
@@ -276,7 +282,7 @@
     assert hazelspringctl([*nodes, "check", str(bad)]) == 1
     assert hazelspringctl([*nodes, "get", "--out", str(out)]) == 0 and out.read_bytes() == good.read_bytes()
     assert hazelspringctl([*nodes, "evacuate", "nowhere"]) == 1 and "no_such_zone" in capsys.readouterr().err
-    fleet.until(lambda: hazelspringctl([*nodes, "status"]) == 0)
+    fleet.wait_until(lambda: hazelspringctl([*nodes, "status"]) == 0)
     assert "configuration 20" in capsys.readouterr().out
     with pytest.raises(CallError, match="not settled"):
         call_until_settled([f"{fleet.ips[0]}:1"], "GET", "/-/configuration", patience=0.2)
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -173,7 +173,7 @@
         fleet = LocalFleet(folder, core=1, others=0, servers=1, nth=9)
         stands = StandIns(fleet.platform, fleet.servers)
         await stands.start()
-        node = NodeProcess(load_settings(str(fleet.settings(0, first=True))))
+        node = NodeProcess(load_settings(str(fleet.write_settings(0, first=True))))
         await node.start()
         try:
             await until(node.node.core_agreed)
@@ -300,7 +300,7 @@
     path.write_text("")
     watched = SettingsWatcher(str(path), taken.append)
     path.write_text(
-        LocalFleet(tmp_path, core=1, others=0, servers=1, nth=8).settings(0, first=True).read_text()
+        LocalFleet(tmp_path, core=1, others=0, servers=1, nth=8).write_settings(0, first=True).read_text()
     )
     with monkeypatch.context() as patch:
         if where == "taken":
