--- a/hazelspring/localfleet/fleet.py
+++ b/hazelspring/localfleet/fleet.py
@@ -98,11 +98,11 @@
 
     def write_settings(self, n: int, first: bool) -> Path:
         ip, zone = self.ips[n], self.zones[n]
-        data = self.folder / f"door-{n + 1}"
+        data = self.folder / f"node-{n + 1}"
         if n in self.disks:
             data.mkdir(parents=True, exist_ok=True)
         lines = {
-            "thisDoor.nodeName": f"door-{n + 1}",
+            "thisDoor.nodeName": f"node-{n + 1}",
             "thisDoor.internetAddress": ip,
             "thisDoor.zone": zone,
             "thisDoor.answerRegion": ZONES[zone],
@@ -122,13 +122,13 @@
             "timingTerms.ruleBounds.quotaSlack": "20",
             **self.more,
         }
-        path = self.folder / f"door-{n + 1}.conf"
+        path = self.folder / f"node-{n + 1}.conf"
         path.write_text("".join(f"{key}={value}\n" for key, value in lines.items()))
         return path
 
     def start(self, n: int, first: bool = False) -> None:
         environment = {**os.environ, "HAZELSPRING_SETTINGS": str(self.write_settings(n, first))}
-        with (self.folder / f"door-{n + 1}.log").open("ab") as log:
+        with (self.folder / f"node-{n + 1}.log").open("ab") as log:
             command = [sys.executable, *self.program]
             self.processes[n] = subprocess.Popen(command, cwd=ROOT, env=environment, stdout=log, stderr=log)
 
@@ -142,7 +142,7 @@
         process.wait(15)
 
     def wipe(self, n: int) -> None:
-        shutil.rmtree(self.folder / f"door-{n + 1}")
+        shutil.rmtree(self.folder / f"node-{n + 1}")
 
     def remaining_nodes(self) -> list[int]:
         """Doors that were not lost for good."""
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -199,7 +199,7 @@
 
 def links(yard: LocalFleet, n: int, lines: dict[str, str]) -> None:
     """What a door hears badly: see tests/cut_door.py."""
-    path = yard.folder / f"door-{n + 1}.cut"
+    path = yard.folder / f"node-{n + 1}.cut"
     path.with_suffix(".new").write_text("".join(f"{ip} {late}\n" for ip, late in lines.items()))
     path.with_suffix(".new").rename(path)
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -198,7 +198,7 @@
         return otherwise
 
     def platform_file(self, n: int) -> Path:
-        return self.fleet.folder / f"door-{n + 1}.platform"
+        return self.fleet.folder / f"node-{n + 1}.platform"
 
     def wait_until_whole(self) -> None:
         """Every door is ready, and each member of the core has its seat and hears the others."""
--- a/tests/test_control_cut.py
+++ b/tests/test_control_cut.py
@@ -177,7 +177,7 @@
                 if other != n
                 and ((n in AWAY and self.ways != "out") or (other in AWAY and self.ways != "in"))
             ]
-            path = self.fleet.folder / f"door-{n + 1}.cut"
+            path = self.fleet.folder / f"node-{n + 1}.cut"
             path.with_suffix(".new").write_text("".join(f"{ip}\n" for ip in unheard))
             path.with_suffix(".new").rename(path)
         for n in AWAY if self.ways == "stopped" else ():
@@ -254,7 +254,7 @@
         held = dict[str, Disk]()
         for n in self.fleet.disks:
             self.fleet.kill(n)
-            register = load_acceptor(ReplicaStore(str(self.fleet.folder / f"door-{n + 1}")).load(), 0, False)
+            register = load_acceptor(ReplicaStore(str(self.fleet.folder / f"node-{n + 1}")).load(), 0, False)
             states = tuple(pair[1] for pair in (register.accepted, register.decided) if pair is not None)
             held[self.fleet.ips[n]] = (register.disk_id, register.may_bootstrap, states)
         decided = [states[-1] for _, _, states in held.values()]
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -262,7 +262,7 @@
     last = number_in(read(fleet, others[0]).end())
     newest = told(fleet, others[0])["version"]
     assert newest >= version + 100  # one round may carry two orders
-    log = fleet.folder / f"door-{late + 1}.log"
+    log = fleet.folder / f"node-{late + 1}.log"
     for line in (
         "daemon: started",
         f"number={last}",
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -111,7 +111,7 @@
 def test_a_disk_that_cannot_be_read_is_not_taken_for_an_empty_one(fleet: LocalFleet) -> None:
     fleet.wait_until(lambda: status(fleet, 1).get("member"))
     before = status(fleet, 1)["version"]
-    file = fleet.folder / "door-2" / "comb.sqlite"
+    file = fleet.folder / "node-2" / "comb.sqlite"
     fleet.kill(1)
     file.rename(file.with_name("kept"))
     file.mkdir()  # nothing can be opened there
@@ -260,7 +260,7 @@
 
 
 def test_settings_are_read_again_with_and_without_a_signal(fleet: LocalFleet) -> None:
-    log, path = fleet.folder / "door-6.log", fleet.folder / "door-6.conf"
+    log, path = fleet.folder / "node-6.log", fleet.folder / "node-6.conf"
     text = path.read_text()
     seeds = f"network.seedNodes={fleet.control_addresses()[3]}"
     path.write_text(text + seeds + "\n")
@@ -272,6 +272,34 @@
     assert fleet.request(5, "GET", "/read/a", "after-settings")[0] == 200
 
 
+@pytest.mark.parametrize("spelling", ["--node", "--door", "HAZELSPRING_NODES", "HAZELSPRING_DOORS"])
+def test_the_operators_client_takes_the_nodes_addresses_in_each_spelling(
+    fleet: LocalFleet, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], spelling: str
+) -> None:
+    monkeypatch.delenv("HAZELSPRING_NODES", raising=False)
+    monkeypatch.delenv("HAZELSPRING_DOORS", raising=False)
+    first, second = fleet.control_addresses()[:2]
+    assert hazelspringctl(["status"]) == 2 and "no node: use --node" in capsys.readouterr().err
+    options = [spelling, first, spelling, second]
+    if spelling.startswith("HAZELSPRING"):
+        monkeypatch.setenv(spelling, f"{first},{second}")
+        options = []
+    fleet.wait_until(lambda: hazelspringctl([*options, "status"]) == 0)
+    lines = capsys.readouterr().out.splitlines()[-2:]
+    assert [line.split()[:3] for line in lines] == [[first, "node-1", "ready"], [second, "node-2", "ready"]]
+    assert all(f"  nodes {len(fleet.ips)}  closed " in line for line in lines)
+
+
+def test_the_newer_variable_counts_where_both_are_set(
+    fleet: LocalFleet, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    first, second = fleet.control_addresses()[:2]
+    monkeypatch.setenv("HAZELSPRING_NODES", first)
+    monkeypatch.setenv("HAZELSPRING_DOORS", second)
+    fleet.wait_until(lambda: hazelspringctl(["status"]) == 0)
+    assert capsys.readouterr().out.splitlines()[-1].startswith(f"{first}  node-1  ready")
+
+
 def test_the_operators_client(fleet: LocalFleet, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     nodes = [part for node in fleet.control_addresses() for part in ("--door", node)]
     good, bad, out = tmp_path / "good.json", tmp_path / "bad.json", tmp_path / "out.json"
@@ -286,4 +314,4 @@
     assert "configuration 20" in capsys.readouterr().out
     with pytest.raises(CallError, match="not settled"):
         call_until_settled([f"{fleet.ips[0]}:1"], "GET", "/-/configuration", patience=0.2)
-    assert os.path.exists(fleet.folder / "door-1" / "comb.sqlite")
+    assert os.path.exists(fleet.folder / "node-1" / "comb.sqlite")
--- a/tests/test_rescue_processes.py
+++ b/tests/test_rescue_processes.py
@@ -80,7 +80,7 @@
     for n in fleet.remaining_nodes():
         fleet.kill(n)
     old = fleet.folder / "old"
-    shutil.copytree(fleet.folder / "door-2", old)
+    shutil.copytree(fleet.folder / "node-2", old)
     for n in (1, 2, 3):
         fleet.wipe(n)
     for n in fleet.remaining_nodes():
@@ -104,7 +104,7 @@
     # a disk of the old core that was not lost after all
     fleet.kill(1)
     fleet.wipe(1)
-    shutil.copytree(old, fleet.folder / "door-2")
+    shutil.copytree(old, fleet.folder / "node-2")
     assert "lineage 0" in rescue(fleet, 1, "--list").stdout
     fleet.start(1)
     whole(fleet)
@@ -115,22 +115,22 @@
     for n in fleet.remaining_nodes():
         fleet.kill(n)
     for n in fleet.disks:
-        found = load_acceptor(inspect_store(fleet.folder / f"door-{n + 1}" / "comb.sqlite").records, 0, False)
+        found = load_acceptor(inspect_store(fleet.folder / f"node-{n + 1}" / "comb.sqlite").records, 0, False)
         word = found.current_configuration()
         assert found.state is not None and word is not None
         fleet.wipe(n)
         old = {"word": ((5, found.state.configuration_digest), word), "zone/south-1": ((1, b"life"), b"1")}
-        format_1(fleet.folder / f"door-{n + 1}", "comb.sqlite", old if n in (0, 3) else {})
+        format_1(fleet.folder / f"node-{n + 1}", "comb.sqlite", old if n in (0, 3) else {})
     for n in fleet.remaining_nodes():
         fleet.start(n)
     for n in fleet.disks:
         fleet.wait_until(
-            lambda n=n: told(fleet, n) and (fleet.folder / f"door-{n + 1}" / "comb.sqlite.aside").exists()
+            lambda n=n: told(fleet, n) and (fleet.folder / f"node-{n + 1}" / "comb.sqlite.aside").exists()
         )
     unsettled(fleet)  # the hole
     assert all(told(fleet, n)["configuration"] is None for n in fleet.remaining_nodes())
     fleet.kill(3)
-    aside = str(fleet.folder / "door-4" / "comb.sqlite.aside")
+    aside = str(fleet.folder / "node-4" / "comb.sqlite.aside")
     listed = rescue(fleet, 3, "--list")
     assert "format 1" in listed.stdout and "zone/south-1 closed" in listed.stdout
     assert rescue(fleet, 3, "--old-core-is-stopped", "--from", aside, "--size", "4").returncode == 0
