--- a/hazelspring/localfleet/fleet.py
+++ b/hazelspring/localfleet/fleet.py
@@ -1,4 +1,4 @@
-"""Doors and servers as processes on loopback addresses: settings, start, signals, disks, and a client's request."""
+"""Nodes and servers as processes on loopback addresses: settings, start, signals, disks, and a client's request."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 import time
 import urllib.error
 import urllib.request
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from hazelspring.localfleet.stand_ins import StandInServer
 
@@ -22,20 +23,30 @@
 KEY = "key-of-green"
 
 
+SEEDS = 3
+ADDRESSES_PER_FLEET = 16  # of nodes; servers have as many
+FIRST_SERVER, FIRST_PLATFORM = 100, 200  # last parts of addresses
+START_TIMEOUT = 20.0  # seconds
+STOP_TIMEOUT = 15.0  # seconds from a signal to a node's end
+REQUEST_TIMEOUT = 5.0  # seconds
+READINESS_TIMEOUT = 1.0  # seconds
+POLL_INTERVAL = 0.05  # seconds
+
+
 def free_ports(count: int, host: str = "127.0.0.1") -> list[int]:
-    """Ports that nobody listened on a moment ago."""
-    held = []
+    """Return ports that nobody listened on a moment ago."""
+    sockets = []
     for _ in range(count):
-        held.append(socket.socket())
-        held[-1].bind((host, 0))
-    ports = [one.getsockname()[1] for one in held]
-    for one in held:
-        one.close()
+        sockets.append(socket.socket())
+        sockets[-1].bind((host, 0))
+    ports = [held.getsockname()[1] for held in sockets]
+    for held in sockets:
+        held.close()
     return ports
 
 
 def configuration(number: int, timeout_ms: int = 4000, keys: tuple[str, ...] = (KEY,)) -> bytes:
-    """A small configuration: reads and writes of one service, one tenant."""
+    """Return a small configuration: reads and writes of one service, one tenant."""
 
     def route(name: str, prefix: str, kind: str) -> dict[str, Any]:
         spec = {
@@ -55,10 +66,20 @@
     return json.dumps({"versionNumber": f"r{number}", "resourceList": resources}).encode()
 
 
+class ClientAnswer(NamedTuple):
+    """What a client got; the status is 0 where the connection ended without an answer."""
+
+    status: int
+    body: bytes
+
+
 class LocalFleet:
-    """So many core doors and others; each has an address of its own in 127.0.0.0/8, and all have the same ports.
-    `program` is what runs a door, `settings` are lines beside the usual ones, `apart` gives each server a process;
-    `nth` keeps the addresses of several yards of one process apart."""
+    """Core nodes and others, numbered from 0.
+
+    Each has an address of its own in 127.0.0.0/8, and all have the same ports. ``program`` is what runs a node,
+    ``settings`` are lines beside the usual ones, ``apart`` gives each server a process, and ``nth`` keeps the
+    addresses of several fleets of one process apart.
+    """
 
     def __init__(
         self,
@@ -67,38 +88,43 @@
         others: int = 2,
         servers: int = 4,
         program: tuple[str, ...] = ("-m", "hazelspring.daemon", "serve"),
+        *,
         settings: dict[str, str] | None = None,
         apart: bool = False,
         nth: int = 0,
     ) -> None:
-        self.folder, self.program, self.more = folder, program, settings or {}
-        self.disks = set(range(core))  # doors that have one
-        self.lost_nodes: set[int] = set()  # doors that were lost for good
-        self.front, self.ready, self.control, self.directory, self.port, self.platform_port, web = free_ports(
-            7
+        self.folder = folder
+        self.program = program
+        self.more_settings = settings or {}
+        self.disks = set(range(core))  # nodes that have one
+        self.lost_nodes: set[int] = set()  # for good
+        ports = free_ports(7)
+        self.front, self.ready, self.control, self.directory, self.port, self.platform_port, server_port = (
+            ports
         )
-        net = self.net = f"127.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
-        self.first = first = 1 + 16 * nth
-        self.ips = [f"{net}.{first + n}" for n in range(core + others)]
-        self.zones = [list(ZONES)[n % len(ZONES)] for n in range(core + others)]
-        self.platform = f"{net}.{200 + nth}:{self.platform_port}"
+        self.net = f"127.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
+        self.first = 1 + ADDRESSES_PER_FLEET * nth
+        zones = list(ZONES)
+        self.ips = [f"{self.net}.{self.first + n}" for n in range(core + others)]
+        self.zones = [zones[n % len(zones)] for n in range(core + others)]
+        self.platform = f"{self.net}.{FIRST_PLATFORM + nth}:{self.platform_port}"
         self.servers = [
             StandInServer(
                 f"i-{n}",
                 "shop",
-                f"{net}.{100 + first + n}:{web}",
-                list(ZONES)[n % len(ZONES)],
+                f"{self.net}.{FIRST_SERVER + self.first + n}:{server_port}",
+                zones[n % len(zones)],
                 separate_process=apart,
             )
             for n in range(servers)
         ]
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
-        self.server_processes: dict[int, subprocess.Popen[bytes]] = {}  # of servers that are processes
-        self.started = False
+        self.server_processes: dict[int, subprocess.Popen[bytes]] = {}
 
     def write_settings(self, n: int, first: bool) -> Path:
+        """Write a node's settings file, and make its data directory; ``first`` allows the start of a new core."""
         ip, zone = self.ips[n], self.zones[n]
-        data = self.folder / f"node-{n + 1}"
+        data = self.data_directory(n)
         if n in self.disks:
             data.mkdir(parents=True, exist_ok=True)
         lines = {
@@ -114,43 +140,53 @@
             "network.listenAddresses.directoryAddress": f"{ip}:{self.directory}",
             "network.internalPorts": f"{self.port},{self.port}",
             "network.seedNodes": ",".join(
-                [self.control_addresses()[seed] for seed in self.remaining_nodes()][:3]
+                [self.control_addresses()[seed] for seed in self.remaining_nodes()][:SEEDS]
             ),
             **{f"network.zones.{name}": region for name, region in ZONES.items()},
             "platformSettings.cloudInterface.address": self.platform,
             "timingTerms.ruleBounds.budgetSlack": "60",
             "timingTerms.ruleBounds.quotaSlack": "20",
-            **self.more,
+            **self.more_settings,
         }
         path = self.folder / f"node-{n + 1}.conf"
         path.write_text("".join(f"{key}={value}\n" for key, value in lines.items()))
         return path
 
+    def data_directory(self, n: int) -> Path:
+        """Return where a node's disk is, if it has one."""
+        return self.folder / f"node-{n + 1}"
+
     def start(self, n: int, first: bool = False) -> None:
+        """Start a node's process; its log goes to a file beside its settings."""
         environment = {**os.environ, "HAZELSPRING_SETTINGS": str(self.write_settings(n, first))}
         with (self.folder / f"node-{n + 1}.log").open("ab") as log:
             command = [sys.executable, *self.program]
             self.processes[n] = subprocess.Popen(command, cwd=ROOT, env=environment, stdout=log, stderr=log)
 
     def start_all(self, first: bool = False) -> None:
+        """Start every node."""
         for n in range(len(self.ips)):
             self.start(n, first)
 
     def kill(self, n: int, number: signal.Signals = signal.SIGKILL) -> None:
+        """End a node by a signal; raises TimeoutExpired where it goes on."""
         process = self.processes.pop(n)
         process.send_signal(number)
-        process.wait(15)
+        process.wait(STOP_TIMEOUT)
 
     def wipe(self, n: int) -> None:
-        shutil.rmtree(self.folder / f"node-{n + 1}")
+        """Lose a node's disk; a new one is empty."""
+        shutil.rmtree(self.data_directory(n))
 
     def remaining_nodes(self) -> list[int]:
-        """Doors that were not lost for good."""
+        """Return the nodes that were not lost for good."""
         return [n for n in range(len(self.ips)) if n not in self.lost_nodes]
 
     def replace(self, n: int) -> int:
-        """Lose a door for good; the number of one in its zone, on a new address and with an empty disk if it had one,
-        that has yet to be started."""
+        """Lose a node for good, and return the number of its replacement, which has yet to be started.
+
+        That is in the same zone, at a new address and with an empty disk if the lost one had a disk.
+        """
         self.kill(n)
         self.lost_nodes.add(n)
         self.ips.append(f"{self.net}.{self.first + len(self.ips)}")
@@ -160,58 +196,62 @@
         return len(self.ips) - 1
 
     def start_server(self, n: int) -> None:
-        """Start a server as a process; what it runs it adds to a file."""
+        """Start a server as a process, which logs the requests that it executes."""
         server = self.servers[n]
-        words = [server.id, server.service, server.address, server.zone, str(self.execution_log(n))]
+        arguments = [server.id, server.service, server.address, server.zone, str(self.execution_log(n))]
         self.server_processes[n] = subprocess.Popen(
-            [sys.executable, "-m", "hazelspring.localfleet.stand_ins", *words], cwd=ROOT
+            [sys.executable, "-m", "hazelspring.localfleet.stand_ins", *arguments], cwd=ROOT
         )
 
     def execution_log(self, n: int) -> Path:
+        """Return the file to which a server process appends the attempt id of each request that it executes."""
         return self.folder / f"server-{n}.ran"
 
     def close(self) -> None:
+        """Kill all processes, also stopped ones."""
         processes = [*self.processes.values(), *self.server_processes.values()]
         for process in processes:
             process.send_signal(signal.SIGCONT)
             process.kill()
         for process in processes:
-            process.wait(10)
+            process.wait(STOP_TIMEOUT)
 
     def control_addresses(self) -> list[str]:
+        """Return the control address of each node, also of lost ones."""
         return [f"{ip}:{self.control}" for ip in self.ips]
 
-    def request(self, n: int, method: str, path: str, attempt: str, key: str = KEY) -> tuple[int, bytes]:
-        """A client's request at one door: status and body; status 0 where the connection ended without one."""
+    def request(self, n: int, method: str, path: str, attempt: str, key: str = KEY) -> ClientAnswer:
+        """Send a client's request to one node."""
         headers = {
-            "Host": "shop.example", "X-Hazelspring-Attempt-Id": attempt, "Authorization": f"Bearer {key}",
+            "Host": "shop.example",
+            "X-Hazelspring-Attempt-Id": attempt,
+            "Authorization": f"Bearer {key}",
             "X-Hazelspring-Remaining-Milliseconds": "3000",
-        }  # fmt: skip
+        }
         body = b"" if method == "POST" else None
-        request = urllib.request.Request(
-            f"http://{self.ips[n]}:{self.front}{path}", body, headers, method=method
-        )
+        url = f"http://{self.ips[n]}:{self.front}{path}"
+        request = urllib.request.Request(url, body, headers, method=method)
         try:
-            with urllib.request.urlopen(request, timeout=5) as answer:
-                return answer.status, answer.read()
+            with urllib.request.urlopen(request, timeout=REQUEST_TIMEOUT) as answer:
+                return ClientAnswer(answer.status, answer.read())
         except urllib.error.HTTPError as error:
-            return error.code, error.read()
+            return ClientAnswer(error.code, error.read())
         except OSError:
-            return 0, b""
+            return ClientAnswer(0, b"")
 
     def is_ready(self, n: int) -> bool:
+        """Whether a node answers that it is ready."""
+        url = f"http://{self.ips[n]}:{self.ready}/-/readiness"
         try:
-            with urllib.request.urlopen(
-                f"http://{self.ips[n]}:{self.ready}/-/readiness", timeout=1
-            ) as answer:
+            with urllib.request.urlopen(url, timeout=READINESS_TIMEOUT) as answer:
                 return bool(answer.status == 200)
         except OSError:
             return False
 
-    def wait_until(self, what: Any, seconds: float = 20.0) -> None:
-        """Wait for something to become true; raises TimeoutError after so long."""
+    def wait_until(self, condition: Callable[..., object], seconds: float = START_TIMEOUT) -> None:
+        """Wait for a condition to become true; raises TimeoutError after so many seconds."""
         end = time.monotonic() + seconds
-        while not what():
+        while not condition():
             if time.monotonic() > end:
                 raise TimeoutError(f"not within {seconds} s")
-            time.sleep(0.05)
+            time.sleep(POLL_INTERVAL)
--- a/hazelspring/localfleet/stand_ins.py
+++ b/hazelspring/localfleet/stand_ins.py
@@ -1,7 +1,8 @@
-"""A stand-in platform and stand-in servers: the published protocol, as much of it as doors use.
+"""A stand-in platform and stand-in servers: as much of the published protocols as nodes use.
 
-`python -m hazelspring.localfleet.stand_ins
-ID SERVICE ADDRESS ZONE FILE` is one server as a process, which notes what it runs."""
+``python -m hazelspring.localfleet.stand_ins ID SERVICE ADDRESS ZONE FILE`` is one server as a process, which logs the
+requests that it executes.
+"""
 
 from __future__ import annotations
 
@@ -17,13 +18,55 @@
 from collections import Counter
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
+from enum import StrEnum
+from http import HTTPStatus
+from typing import NamedTuple
+
+PROCESS_WORK_SECONDS = 0.03  # that a request takes at a server with a process of its own
 
 Headers = dict[str, str]
-Handler = Callable[[str, str, Headers, bytes], Awaitable[tuple[int, Headers, bytes]]]
+
+
+class StandInAnswer(NamedTuple):
+    """What a stand-in answers; without a status it ends the connection instead."""
+
+    status: int | None
+    headers: Headers
+    body: bytes = b""
+
+
+NO_ANSWER = StandInAnswer(None, {})
+Handler = Callable[[str, str, Headers, bytes], Awaitable[StandInAnswer]]
+
+
+class ServerState(StrEnum):
+    """A server's state as the platform lists it."""
+
+    ACCEPTING = "accepting"
+    DRAINING = "draining"
+
+
+@dataclass(frozen=True, slots=True)
+class LateRequest:
+    """A request that reached a server after its drain had begun."""
+
+    at: float  # by the monotonic clock, in seconds
+    attempt: str
+
+
+async def read_body(reader: asyncio.StreamReader, headers: Headers) -> bytes:
+    """Return a request's body, which has a length or comes in chunks."""
+    body = await reader.readexactly(int(headers.get("content-length", 0)))
+    while headers.get("transfer-encoding") == "chunked":
+        size = int((await reader.readline()).strip(), 16)
+        body += (await reader.readexactly(size + len(b"\r\n")))[:size]
+        if not size:
+            break
+    return body
 
 
 async def serve(handler: Handler, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Requests of one connection, one after another; bodies with a length or in chunks."""
+    """Answer the requests of one connection, one after another."""
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, ValueError):
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
@@ -32,81 +75,77 @@
                 key.lower(): value.strip()
                 for key, _, value in (line.partition(":") for line in head[1:] if line)
             }
-            body = await reader.readexactly(int(headers.get("content-length", 0)))
-            while headers.get("transfer-encoding") == "chunked":
-                size = int((await reader.readline()).strip(), 16)
-                body += (await reader.readexactly(size + 2))[:size]
-                if not size:
-                    break
-            status, more, answer = await handler(method, path, headers, body)
-            if status == 0:
-                break  # cut: the request has run, and nobody is told
-            text = f"HTTP/1.1 {status} Answer\r\nContent-Length: {len(answer)}\r\n"
-            text += "".join(f"{key}: {value}\r\n" for key, value in more.items())
-            writer.write(text.encode() + b"\r\n" + answer)
+            body = await read_body(reader, headers)
+            answer = await handler(method, path, headers, body)
+            if answer.status is None:
+                break
+            text = f"HTTP/1.1 {answer.status} Answer\r\nContent-Length: {len(answer.body)}\r\n"
+            text += "".join(f"{key}: {value}\r\n" for key, value in answer.headers.items())
+            writer.write(text.encode() + b"\r\n" + answer.body)
             await writer.drain()
     writer.close()
 
 
 @dataclass
 class StandInServer:
-    """A server's life; what it ran is counted by attempt id."""
+    """A server of the platform's list; it counts the requests that it executes by attempt id."""
 
     id: str
     service: str
     address: str
     zone: str
     slots: int = 2
-    state: str = "accepting"
-    work_seconds: float = 0.01
-    padding_bytes: int = 0  # bytes more in its answers
-    drops_answers: bool = False  # it runs a request and its answer is lost
+    state: ServerState = ServerState.ACCEPTING
+    work_seconds: float = 0.01  # that a request takes
+    padding_bytes: int = 0  # added to each of its answers
+    drops_answers: bool = False  # it executes a request and its answer is lost
     executions: Counter[str] = field(default_factory=Counter)
-    last_headers: Headers = field(default_factory=dict)  # of the request that it ran last
-    busy: int = 0
+    last_headers: Headers = field(
+        default_factory=dict
+    )  # of the last executed request; its first line and body: ""
+    busy: int = 0  # requests in execution
     separate_process: bool = False  # a process of its own serves it: here it is only listed
-    healthy: bool = True  # what its health says
-    probes: int = 0  # health requests that it got
-    misdirected: int = 0  # requests for another life that it turned away
-    notes: int = -1  # the descriptor of a file that is told what runs, before it does
-    drained_at: float = math.inf  # when it was listed as draining, in steady seconds
-    # what came later: when, and attempt ids
-    after_drain: list[tuple[float, str]] = field(default_factory=list)
+    healthy: bool = True  # what its health check answers
+    probes: int = 0  # health checks that it got
+    misdirected: int = 0  # requests for another incarnation that it refused
+    execution_log: int | None = None  # descriptor of a file that gets each attempt id before the execution
+    drained_at: float = math.inf  # when it was listed as draining, by the monotonic clock
+    after_drain: list[LateRequest] = field(default_factory=list)
 
     def drain(self) -> None:
-        """It leaves: the list says so from now on."""
-        self.state, self.drained_at = "draining", time.monotonic()
+        """Be listed as draining from now on."""
+        self.state = ServerState.DRAINING
+        self.drained_at = time.monotonic()
 
     def restart_as(self, id_: str) -> None:
-        """A new life at the same address."""
-        self.id, self.state, self.drained_at = id_, "accepting", math.inf
+        """Become a new incarnation at the same address."""
+        self.id = id_
+        self.state = ServerState.ACCEPTING
+        self.drained_at = math.inf
         self.after_drain.clear()
 
-    async def handle(
-        self, method: str, path: str, headers: Headers, body: bytes
-    ) -> tuple[int, Headers, bytes]:
+    async def handle(self, method: str, path: str, headers: Headers, body: bytes) -> StandInAnswer:
+        """Answer a health check, refuse a request for another incarnation, or execute a request."""
         if path == "/health":
             self.probes += 1
-            return 200 if self.healthy else 503, {"X-Hazelspring-Answering-Instance": self.id}, b""
+            status = HTTPStatus.OK if self.healthy else HTTPStatus.SERVICE_UNAVAILABLE
+            return StandInAnswer(status.value, {"X-Hazelspring-Answering-Instance": self.id})
         if headers.get("x-hazelspring-expected-instance", self.id) != self.id:
             self.misdirected += 1
-            return 421, {"X-Hazelspring-Answering-Instance": self.id, "X-Hazelspring-Not-Executed": "1"}, b""
+            refusal = {"X-Hazelspring-Answering-Instance": self.id, "X-Hazelspring-Not-Executed": "1"}
+            return StandInAnswer(HTTPStatus.MISDIRECTED_REQUEST.value, refusal)
         attempt = headers.get("x-hazelspring-attempt-id", "")
         if not attempt:
-            return 400, {"X-Hazelspring-Not-Executed": "1"}, b""
-        self.executions[attempt] += 1
-        if self.state == "draining":
-            self.after_drain.append((time.monotonic(), attempt))
-        if self.notes >= 0:
-            os.write(self.notes, f"{attempt}\n".encode())
+            return StandInAnswer(HTTPStatus.BAD_REQUEST.value, {"X-Hazelspring-Not-Executed": "1"})
+        self.record_execution(attempt)
         self.last_headers = {**headers, "": f"{method} {path} {body.decode(errors='replace')}"}
         self.busy += 1
         await asyncio.sleep(self.work_seconds)
         self.busy -= 1
         if self.drops_answers:
-            return 0, {}, b""
-        return (
-            200,
+            return NO_ANSWER
+        return StandInAnswer(
+            HTTPStatus.OK.value,
             {
                 "X-Hazelspring-Attempt-Id": attempt,
                 "X-Hazelspring-Server-Seal": f"seal-{self.id}",
@@ -115,16 +154,24 @@
             f"{self.id} {method} {path} {len(body)}\n".encode() + b"." * self.padding_bytes,
         )
 
+    def record_execution(self, attempt: str) -> None:
+        """Note a request that is about to be executed."""
+        self.executions[attempt] += 1
+        if self.state is ServerState.DRAINING:
+            self.after_drain.append(LateRequest(time.monotonic(), attempt))
+        if self.execution_log is not None:
+            os.write(self.execution_log, f"{attempt}\n".encode())
+
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
     """End a connection by a reset, as a machine that has forgotten it does."""
-    wire = writer.get_extra_info("socket")
-    wire.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    connection = writer.get_extra_info("socket")
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 class StandIns:
-    """The platform and all servers, in one loop."""
+    """The platform and all servers, in one event loop."""
 
     def __init__(self, platform: str, servers: list[StandInServer]) -> None:
         self.platform, self.servers = platform, servers
@@ -133,12 +180,14 @@
         self.platform_writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
+        """Listen at the platform's address and at those of the servers that are no processes of their own."""
         for server in self.servers:
             if not server.separate_process:
                 await self.listen(server.address, server.handle)
-        await self.listen(self.platform, self.instances)
+        await self.listen(self.platform, self.list_instances)
 
     async def listen(self, address: str, handler: Handler) -> None:
+        """Answer the requests to an address by a handler."""
         host, _, port = address.rpartition(":")
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -149,21 +198,25 @@
 
         self.listening.append(await asyncio.start_server(accept, host, int(port)))
 
-    async def instances(
-        self, method: str, path: str, headers: Headers, body: bytes
-    ) -> tuple[int, Headers, bytes]:
+    async def list_instances(self, _method: str, path: str, _headers: Headers, _body: bytes) -> StandInAnswer:
+        """Answer a call to the platform: the list of all servers, in one page."""
         self.calls += 1
         if not path.startswith("/instances"):
-            return 404, {}, b""
+            return StandInAnswer(HTTPStatus.NOT_FOUND.value, {})
         listed = {
-            s.id: {
-                "service": s.service, "address": s.address, "zone": s.zone, "versionNumber": "v1",
-                "capacitySlots": s.slots, "serverState": s.state, "coldRemainingMs": 0,
+            server.id: {
+                "service": server.service,
+                "address": server.address,
+                "zone": server.zone,
+                "versionNumber": "v1",
+                "capacitySlots": server.slots,
+                "serverState": server.state,
+                "coldRemainingMs": 0,
             }
-            for s in self.servers
-        }  # fmt: skip
-        answer = json.dumps({"instanceList": listed, "nextToken": None}).encode()
-        return 200, {"Content-Type": "application/json"}, answer
+            for server in self.servers
+        }
+        body = json.dumps({"instanceList": listed, "nextToken": None}).encode()
+        return StandInAnswer(HTTPStatus.OK.value, {"Content-Type": "application/json"}, body)
 
     def reset_platform(self) -> None:
         """Reset every connection to the platform."""
@@ -171,13 +224,17 @@
             reset_connection(writer)
 
     def close(self) -> None:
+        """Listen no longer."""
         for server in self.listening:
             server.close()
 
 
 async def serve_one(id_: str, service: str, address: str, zone: str, file: str) -> None:
-    notes = os.open(file, os.O_CREAT | os.O_APPEND | os.O_WRONLY)
-    server = StandInServer(id_, service, address, zone, work_seconds=0.03, notes=notes)
+    """Run one server until the process ends; it appends the attempt ids of its executions to the file."""
+    execution_log = os.open(file, os.O_CREAT | os.O_APPEND | os.O_WRONLY)
+    server = StandInServer(
+        id_, service, address, zone, work_seconds=PROCESS_WORK_SECONDS, execution_log=execution_log
+    )
     await StandIns("", []).listen(address, server.handle)
     await asyncio.Event().wait()
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -226,7 +226,8 @@
         late = self.time_to_know(troubles)
         core = max((began + one.ends for one in troubles if one.strikes_core()), default=-math.inf)
         for server in self.fleet.servers:
-            for at, attempt in server.after_drain:
+            for late_request in server.after_drain:
+                at, attempt = late_request.at, late_request.attempt
                 node = clients.nodes[attempt]
                 own = (began + one.ends for one in troubles if one.kind in AT_NODES and one.node == node)
                 in_touch = max(core, *own, -math.inf) + IN_TOUCH
--- a/tests/test_control_cut.py
+++ b/tests/test_control_cut.py
@@ -41,7 +41,7 @@
         self.ways = ways
         settings = {"timingTerms.ruleBounds.revocationMs": str(int(REVOCATION * 1000))}
         program = ("-m", "tests.cut_node", *words, "serve")
-        self.fleet = LocalFleet(folder, CORE, 1, 2, program, settings, nth=nth)
+        self.fleet = LocalFleet(folder, CORE, 1, 2, program, settings=settings, nth=nth)
         self.background = BackgroundStandIns(StandIns(self.fleet.platform, self.fleet.servers))
         self.history = History(REVOCATION, EVACUATION)
         self.numbers, self.ids = itertools.count(13), itertools.count()
