--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -284,6 +284,7 @@
     if spelling.startswith("HAZELSPRING"):
         monkeypatch.setenv(spelling, f"{first},{second}")
         options = []
+    fleet.wait_until(lambda: all(len(status(fleet, n).get("doors", ())) == len(fleet.ips) for n in (0, 1)))
     fleet.wait_until(lambda: hazelspringctl([*options, "status"]) == 0)
     lines = capsys.readouterr().out.splitlines()[-2:]
     assert [line.split()[:3] for line in lines] == [[first, "node-1", "ready"], [second, "node-2", "ready"]]
