--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -6,11 +6,20 @@
 import re
 import sys
 import tomllib
+from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
 POLICY = [ROOT / "orchidhill" / "gateway.py", *sorted((ROOT / "orchidhill" / "policy").glob("*.py"))]
 
+# Packages outside `hazelspring` that only some of its packages may import, and what of them: a module or a package.
+SHARED = {
+    "ivymux": {"daemon", "localfleet"},
+    "orchidhill.interface": {"routing", "daemon"},
+    "orchidhill.policy.sizing": {"quota"},
+}
+
 
 def test_the_policy_files_hold_1200_lines_at_most_blank_ones_counted() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -59,3 +68,94 @@
         tree = ast.parse((POLICY[1].parent / f"{room}.py").read_text())
         asked = {n.module for n in ast.walk(tree) if isinstance(n, ast.ImportFrom) and n.module}
         assert {m.split(".")[-1] for m in asked if m.startswith("orchidhill.policy.")} <= set(order[at + 1 :])
+
+
+@dataclass(frozen=True)
+class Import:
+    """One imported name, spelled out from its top package on."""
+
+    path: Path
+    line: int
+    name: str
+
+    def __str__(self) -> str:
+        return f"{self.path.relative_to(ROOT)}:{self.line} imports {self.name}"
+
+
+def imports_of(path: Path) -> Iterator[Import]:
+    """Every import of a file, also those in functions and for type checks alone."""
+    package = path.relative_to(ROOT).parent.parts
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.Import):
+            for alias in node.names:
+                yield Import(path, node.lineno, alias.name)
+        elif isinstance(node, ast.ImportFrom):
+            parents = package[: len(package) + 1 - node.level] if node.level else ()
+            module = ".".join((*parents, *((node.module,) if node.module else ())))
+            for alias in node.names:
+                yield Import(path, node.lineno, f"{module}.{alias.name}")
+
+
+def package_table() -> dict[str, str]:
+    """What each package may import, in the words of docs/architecture.md, in the order of its table."""
+    text = (ROOT / "docs" / "architecture.md").read_text()
+    _, _, section = text.partition("\n## Packages\n")
+    section, _, _ = section.partition("\n## ")
+    table, found = (
+        dict[str, str](),
+        re.findall(r"^\| `(\w+)` \|[^|\n]*\|[^|\n]*\|([^|\n]*)\|[^|\n]*\|$", section, re.M),
+    )
+    for name, may_import in found:
+        assert name not in table, f"docs/architecture.md lists {name} twice"
+        table[name] = may_import.strip()
+    return table
+
+
+def allowed_imports(table: dict[str, str], package: str) -> set[str]:
+    """Which packages the table lets a package import: those that it names, or all below with exceptions."""
+    order = list(table)
+    may_import, _, exceptions = table[package].partition(" but ")
+    named = set(re.findall(r"`(\w+)`", may_import)) & set(order)
+    if may_import.startswith("all below"):
+        named |= set(order[order.index(package) + 1 :]) - set(re.findall(r"`(\w+)`", exceptions))
+    return named
+
+
+def is_shared(name: str, package: str) -> bool:
+    """Whether a package may import a name of the shared packages outside `hazelspring`."""
+    return any(
+        package in packages and (name == shared or name.startswith(f"{shared}."))
+        for shared, packages in SHARED.items()
+    )
+
+
+def declared_dependencies() -> set[str]:
+    """The packages that an installation of the system brings, as they are imported."""
+    project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
+    declared = [*project["dependencies"], *project["optional-dependencies"]["system"]]
+    return {re.split(r"[^\w-]", name)[0].replace("-", "_") for name in declared}
+
+
+def test_packages_import_in_one_direction() -> None:
+    """The table in docs/architecture.md lists the packages so that each imports only those below it."""
+    table = package_table()
+    folders = {path.name for path in (ROOT / "hazelspring").iterdir() if any(path.glob("*.py"))}
+    assert set(table) == folders, f"docs/architecture.md and hazelspring/ differ: {set(table) ^ folders}"
+    order = list(table)
+    for at, package in enumerate(order):
+        above = allowed_imports(table, package) - set(order[at + 1 :])
+        assert not above, f"docs/architecture.md lets {package} import what is not below it: {above}"
+    outside = sys.stdlib_module_names | declared_dependencies()
+    wrong = []
+    for path in sorted((ROOT / "hazelspring").rglob("*.py")):
+        package, *inner = path.relative_to(ROOT / "hazelspring").parts
+        allowed = {package, "errors", *allowed_imports(table, package)} if inner else set[str]()
+        for one in imports_of(path):
+            top, _, rest = one.name.partition(".")
+            if top == "hazelspring":
+                right = rest.partition(".")[0] in allowed
+            else:
+                right = top in outside or is_shared(one.name, package)
+            if not right:
+                wrong.append(str(one))
+    assert not wrong, "\n".join(wrong)
