--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -50,16 +50,16 @@
 from ivymux.metrics import Counts
 from orchidhill.interface import Attached, Detached, Processes
 
-from .test_uploads import Held, feed
+from .test_uploads import PausableTransport, feed
 
 FOLDER = Path(__file__).parent / "golden_edges"
 Record = dict[str, Any]
 CASES: Record = json.loads((FOLDER / "cases.json").read_text())
 
 
-def exchange(connection: Client, request: bytes) -> Held:
+def exchange(connection: Client, request: bytes) -> PausableTransport:
     """A new connection's transport, once these bytes have come on it."""
-    transport = Held()
+    transport = PausableTransport()
     connection.connection_made(transport)
     feed(cast(Any, connection), request)
     return transport
@@ -178,7 +178,7 @@
 
 async def list_requests() -> str:
     """What the platform is asked for: the list's first page, and the one that its answer names."""
-    client, transport = InstanceListClient(Address("10.200.0.160", 8382), 44.0, 5.0), Held()
+    client, transport = InstanceListClient(Address("10.200.0.160", 8382), 44.0, 5.0), PausableTransport()
     bodies = [b'{"nextToken":"a b/c&d"}', b"{}"]
 
     async def one_answer(size: int) -> bytes:
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -1,4 +1,4 @@
-"""Large bodies passed on to servers: what becomes of them once nobody waits for their answer, without sockets."""
+"""Large bodies forwarded to servers, and what happens once nobody waits for their answer, without sockets."""
 
 from __future__ import annotations
 
@@ -22,53 +22,53 @@
 from .test_request_router import ZONES, document, servers
 from .test_upstream_servers import Wire
 
-WORD = parse_configuration(json.dumps(document()).encode())
+CONFIGURATION = parse_configuration(json.dumps(document()).encode())
 HEAD = b"POST /w/1 HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer k2\r\nX-Hazelspring-Attempt-Id: me\r\n"
 BODY = b"y" * (SMALL + 9)
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(BODY), BODY)
 SIZED = HEAD + b"Content-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
 
 
-class Held(Wire):
-    """One that may be told not to read."""
+class PausableTransport(Wire):
+    """A transport whose reading can be paused."""
 
     def pause_reading(self) -> None: ...
 
     def resume_reading(self) -> None: ...
 
 
-def node() -> ClientListener:
-    """A front whose connections to servers never come up by themselves."""
+def make_listener() -> ClientListener:
+    """A client listener whose connections to servers are established by the test only."""
     counts = Counts()
     fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
     router, upstream = RequestRouter(SharedLimits(), fleet, 1), UpstreamServers(0.3, 9.0, 100, counts)
     carrier = RouterHost(router, upstream, counts, lambda call: None)
-    front = ClientListener(Address("127.0.0.1", 9), carrier, 100, lambda: True)
-    front.use_configuration(WORD)
-    router.use_configuration(WORD)
+    listener = ClientListener(Address("127.0.0.1", 9), carrier, 100, lambda: True)
+    listener.use_configuration(CONFIGURATION)
+    router.use_configuration(CONFIGURATION)
     router.fresh_until = 1e18
     router.update_endpoints(carrier.clock(), "shop", servers("a1-0", "a1-1"))
     for number in fleet.servers:
         upstream.place(number, Address("127.0.0.1", 9), 0.0)
-    return front
+    return listener
 
 
-def feed(visitor: ClientConnection, data: bytes) -> None:
+def feed(client: ClientConnection, data: bytes) -> None:
     for n in range(0, len(data), SMALL):
         piece = data[n : n + SMALL]
         READ[: len(piece)] = piece
-        visitor.buffer_updated(len(piece))
+        client.buffer_updated(len(piece))
 
 
-def connect(front: ClientListener) -> list[bytes]:
-    """What servers get on the connections that are waited for, once they have come up."""
+def connect(listener: ClientListener) -> list[bytes]:
+    """Establish the awaited connections, and return what servers receive on them."""
     sent = []
-    for pool in cast(UpstreamServers, front.host.upstream).pools.values():
+    for pool in cast(UpstreamServers, listener.host.upstream).pools.values():
         while pool.waiting:
-            line, wire = UpstreamConnection(pool), Held()
-            line.connection_made(wire)
-            if pool.give(line):
-                sent.append(wire.sent)
+            connection, transport = UpstreamConnection(pool), PausableTransport()
+            connection.connection_made(transport)
+            if pool.give(connection):
+                sent.append(transport.sent)
     return sent
 
 
@@ -76,23 +76,23 @@
 @pytest.mark.parametrize("end", ["left", "at the process's end"])
 def test_a_large_request_that_nobody_waits_for_is_not_sent_without_its_body(data: bytes, end: str) -> None:
     async def run() -> None:
-        front = node()
-        visitor, wire = ClientConnection(cast(Any, front)), Held()
-        visitor.connection_made(wire)
-        feed(visitor, data)
-        (request,) = front.host.table.values()
+        listener = make_listener()
+        client, transport = ClientConnection(cast(Any, listener)), PausableTransport()
+        client.connection_made(transport)
+        feed(client, data)
+        (request,) = listener.host.table.values()
         assert [attempt.link for attempt in request.out.values()] == [None]  # it waits for a connection
         if end == "left":
-            visitor.connection_lost(None)
+            client.connection_lost(None)
         else:
-            front.host.answer_all()
-            assert wire.sent.startswith(b"HTTP/1.1 504 ")
-        assert connect(front) == []
+            listener.host.answer_all()
+            assert transport.sent.startswith(b"HTTP/1.1 504 ")
+        assert connect(listener) == []
         await asyncio.sleep(0)
-        assert not front.host.table and front.host.waiting == 0 and front.held == 0
-        assert [server.in_flight for server in front.host.gateway.fleet.servers.values()] == [0, 0]
-        front.close()
-        cast(UpstreamServers, front.host.upstream).close()
+        assert not listener.host.table and listener.host.waiting == 0 and listener.held == 0
+        assert [server.in_flight for server in listener.host.gateway.fleet.servers.values()] == [0, 0]
+        listener.close()
+        cast(UpstreamServers, listener.host.upstream).close()
 
     asyncio.run(run())
 
@@ -100,13 +100,13 @@
 @pytest.mark.parametrize("data", [CHUNKED, SIZED], ids=["chunked", "sized"])
 def test_a_large_request_that_waited_for_a_connection_is_sent_whole(data: bytes) -> None:
     async def run() -> None:
-        front = node()
-        visitor = ClientConnection(cast(Any, front))
-        visitor.connection_made(Held())
-        feed(visitor, data)
-        (sent,) = connect(front)
+        listener = make_listener()
+        client = ClientConnection(cast(Any, listener))
+        client.connection_made(PausableTransport())
+        feed(client, data)
+        (sent,) = connect(listener)
         assert BODY in sent and sent.endswith(b"0\r\n\r\n" if data is CHUNKED else BODY)
-        front.close()
-        cast(UpstreamServers, front.host.upstream).close()
+        listener.close()
+        cast(UpstreamServers, listener.host.upstream).close()
 
     asyncio.run(run())
