--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The one runner of tests/scenarios: plain sentences on a simulated world."""
+"""The steps of the scenarios in tests/scenarios, which run on a simulated world."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Stage:
-    """A scenario's world and the orders given in it."""
+    """A scenario's world and the calls made in it."""
 
     world: World
     lost: str = ""
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self.tokens: dict[int, list[int]] = {}
-        self.holder_gaps: dict[int, float] = {}  # seconds for which a duty has had no holder, the longest
+        self.holder_gaps: dict[int, float] = {}  # the longest time in seconds without a holder, by role
 
     def names(self, text: str) -> list[str]:
         return [f"d{number}" for number in re.findall(r"\d+", text)]
@@ -64,8 +64,8 @@
     stage.world.run(4.0)
 
 
-@given(parsers.parse("configuration {number:d} is everywhere"))
-def everywhere(stage: Stage, number: int) -> None:
+@given(parsers.parse("configuration {number:d} has reached every node"))
+def reached_every_node(stage: Stage, number: int) -> None:
     put(stage, number, 1)
     stage.world.run(2.0)
     assert stage.acknowledged(number) == [True] and set(stage.numbers().values()) == {number}
@@ -105,26 +105,26 @@
     stage.world.wipe(f"d{machine}")
 
 
-@when(parsers.parse("node {machine:d} comes back"))
-def back(stage: Stage, machine: int) -> None:
+@when(parsers.parse("node {machine:d} restarts"))
+def restart(stage: Stage, machine: int) -> None:
     stage.world.start(f"d{machine}")
 
 
-@when(parsers.re(r"every node loses power, and (?P<which>none|node \d+) its disk"))
+@when(parsers.re(r"every node loses power, and (?P<which>none|node \d+) loses its disk"))
 def power(stage: Stage, which: str) -> None:
     for name in stage.world.up():
         stage.world.wipe(name) if name in stage.names(which) else stage.world.kill(name)
 
 
-@when("every node comes back")
-def all_back(stage: Stage) -> None:
+@when("every node restarts")
+def restart_all(stage: Stage) -> None:
     for name, machine in stage.world.machines.items():
         if machine.core is None:
             stage.world.start(name)
 
 
-@when(parsers.parse("every node comes back within {seconds:f} seconds"))
-def all_back_by_and_by(stage: Stage, seconds: float) -> None:
+@when(parsers.parse("every node restarts within {seconds:f} seconds"))
+def restart_all_within(stage: Stage, seconds: float) -> None:
     world = stage.world
     for name in world.machines:
         world.at(world.now + seconds * world.random.random(), partial(world.start, name))
@@ -150,12 +150,12 @@
     cut_off(stage.world, f"d{machine}")
 
 
-@when(parsers.parse("node {machine:d} hears nothing from the core"))
+@when(parsers.parse("node {machine:d} receives nothing from the core"))
 def cut_incoming(stage: Stage, machine: int) -> None:
     cut_off(stage.world, f"d{machine}", "in")
 
 
-@when("the holder of the list is cut off from the core")
+@when("the holder of the list reader role is cut off from the core")
 def holder_cut(stage: Stage) -> None:
     holder = stage.holder()
     assert holder is not None
@@ -165,7 +165,7 @@
 @when("the holder of a tenant's counter is cut off from the core nodes alone")
 def counter_cut(stage: Stage) -> None:
     held = {stage.holder(1 + shard(f"t{n}", TENANT_SHARDS)): f"t{n}" for n in range(40)}
-    holder = max(name for name in held if name is not None)  # where doors disagree they believe the last name
+    holder = max(name for name in held if name is not None)  # where nodes disagree they use the last name
     stage.tenant = held[holder]
     for other in [
         name for name, machine in stage.world.machines.items() if machine.about.disk_id and name != holder
@@ -183,12 +183,12 @@
             stage.world.actions(name, core.lease_credits(stage.world.now, stage.tenant, number, 1.0))
         stage.world.run(0.3)
         for name in names:
-            heard = [
+            granted = [
                 action
                 for action in stage.world.machines[name].on_message
                 if isinstance(action, CreditsGranted) and action.number == number
             ]
-            assert len(heard) == 1, name
+            assert len(granted) == 1, name
 
 
 @when(parsers.parse("a spare node with a disk joins as node {machine:d}"))
@@ -196,32 +196,32 @@
     stage.world.add(f"d{machine}")
 
 
-@when("the links are mended")
+@when("the links are restored")
 def restore_links(stage: Stage) -> None:
     stage.world.cut.clear()
 
 
-@when("the holder of the list is killed")
+@when("the holder of the list reader role is killed")
 def holder_killed(stage: Stage) -> None:
     holder = stage.holder()
     assert holder is not None
     stage.world.kill(holder)
 
 
-@when("the holder of the list leaves in order")
-def holder_leaves(stage: Stage) -> None:
+@when("the holder of the list reader role drains")
+def holder_drains(stage: Stage) -> None:
     holder = stage.holder()
     assert holder is not None
     core: Any = stage.world.machines[holder].core
     stage.world.actions(holder, core.drain(stage.world.now))
 
 
-@when(
-    parsers.parse("every node leaves in order and is back {down:f} seconds later, one each {gap:f} seconds")
-)
+@when(parsers.parse("every node drains and is back {down:f} seconds later, one every {gap:f} seconds"))
 def roll(stage: Stage, down: float, gap: float) -> None:
-    """As hazelspring.daemon.node_process
-    drains: duties are given up at once, the process ends once clients know; then the next."""
+    """Drain as hazelspring.daemon.node_process does.
+
+    Roles are given up at once, the process ends once clients know; then the next node follows.
+    """
     world = stage.world
 
     def leave(name: str) -> None:
@@ -247,7 +247,7 @@
 
 @when(
     parsers.parse(
-        "meanwhile {seconds:f} seconds in the operator sends configuration {number:d} to node {machine:d} "
+        "{seconds:f} seconds later the operator sends configuration {number:d} to node {machine:d} "
         "and a server is drained"
     )
 )
@@ -256,8 +256,8 @@
     stage.world.at(stage.world.now + seconds, lambda: drained(stage))
 
 
-@when("the nodes that do not hold the list are killed and come back while its holder is cut off from one")
-def forgetful(stage: Stage) -> None:
+@when("the nodes without the list reader role are killed and restarted while its holder is cut off from one")
+def restart_all_but_the_holder(stage: Stage) -> None:
     holder = stage.holder()
     others = [name for name in stage.world.up() if name != holder]
     assert holder is not None
@@ -275,16 +275,20 @@
         disk.full = True
 
 
-@when("the disks have room again")
-def room(stage: Stage) -> None:
+@when("the disks have free space again")
+def free_space(stage: Stage) -> None:
     for machine in stage.world.machines.values():
         if machine.disk is not None:
             machine.disk.full = False
 
 
-@when(parsers.re(r"the operator (?P<what>closes|opens) zone (?P<zone>\w+) at node (?P<machine>\d+)"))
+@when(
+    parsers.re(
+        r"the operator (?P<what>evacuates|ends the evacuation of) zone (?P<zone>\w+) at node (?P<machine>\d+)"
+    )
+)
 def evacuate(stage: Stage, what: str, zone: str, machine: str) -> None:
-    stage.world.evacuate(f"d{machine}", zone, what == "closes")
+    stage.world.evacuate(f"d{machine}", zone, what == "evacuates")
 
 
 @when("a server is drained")
@@ -299,7 +303,7 @@
     assert stage.acknowledged(int(number))[-1] is (no is None)
 
 
-@then(parsers.parse("configuration {number:d} is acknowledged as soon as can be"))
+@then(parsers.parse("configuration {number:d} is acknowledged within a second"))
 def acknowledged_soon(stage: Stage, number: int) -> None:
     for _ in range(200):
         stage.world.run(0.005)
@@ -308,7 +312,9 @@
     raise AssertionError("it was not acknowledged within a second")
 
 
-@then(parsers.parse("one of the two is acknowledged and the other refused as {number:d} is taken"))
+@then(
+    parsers.parse("one of the two is acknowledged and the other refused because number {number:d} is in use")
+)
 def one_of_two(stage: Stage, number: int) -> None:
     ends = [call.done for call in stage.calls(number)]
     assert len(ends) == 2 and all(end is not None for end in ends)
@@ -340,7 +346,7 @@
     assert len({core.control.state.configuration_digest for core in cores}) == 1
 
 
-@then(parsers.re(r"reading at node (?P<machine>\d+) gives (?P<what>nothing|configuration (?P<number>\d+))"))
+@then(parsers.re(r"a read at node (?P<machine>\d+) returns (?P<what>nothing|configuration (?P<number>\d+))"))
 def reading(stage: Stage, machine: str, what: str, number: str | None) -> None:
     token = stage.world.read(f"d{machine}")
     stage.world.run(3.5)
@@ -350,14 +356,14 @@
         assert stage.world.number(call) == int(number)
 
 
-@then(parsers.re(r"node (?P<machine>\d+) has (?P<what>no|its) seat"))
+@then(parsers.re(r"node (?P<machine>\d+) is (?P<what>no|a) member of the core"))
 def is_member(stage: Stage, machine: str, what: str) -> None:
     core: Any = stage.world.machines[f"d{machine}"].core
-    assert core.control.is_member() is (what == "its")
+    assert core.control.is_member() is (what == "a")
 
 
-@then(parsers.re(r"node (?P<machine>\d+) lets (?P<no>no )?keyed requests in"))
-def lets_in(stage: Stage, machine: str, no: str | None) -> None:
+@then(parsers.re(r"node (?P<machine>\d+) accepts (?P<no>no )?requests with keys"))
+def accepts_keys(stage: Stage, machine: str, no: str | None) -> None:
     assert stage.world.fresh(f"d{machine}") is (no is None)
 
 
@@ -380,24 +386,24 @@
     assert len(stage.holder_gaps) == TENANT_SHARDS + 1 and max(stage.holder_gaps.values()) <= seconds
 
 
-@then("every node has had a new life")
+@then("every node has been restarted")
 def all_restarted(stage: Stage) -> None:
     assert {machine.lives for machine in stage.world.machines.values()} == {2}
 
 
-@then("the list has a holder")
+@then("the list reader role has a holder")
 def has_holder(stage: Stage) -> None:
     assert stage.holder() is not None
 
 
-@then(parsers.re(r"(zone (?P<zone>\w+)|no zone) is closed at (every|any) node"))
-def closed(stage: Stage, zone: str | None) -> None:
+@then(parsers.re(r"(zone (?P<zone>\w+)|no zone) is evacuated at (every|any) node"))
+def evacuated(stage: Stage, zone: str | None) -> None:
     for name in stage.world.up():
         core: Any = stage.world.machines[name].core
         assert core.control.state.evacuated_zones == (frozenset((zone,)) if zone else frozenset())
 
 
-@then("every node knows that it is drained")
+@then("every node knows that the server drains")
 def knows(stage: Stage) -> None:
     for name in stage.world.up():
         core: Any = stage.world.machines[name].core
