--- a/hazelspring/cli/__main__.py
+++ b/hazelspring/cli/__main__.py
@@ -51,7 +51,7 @@
     get.add_argument("--out", help="write it to a file, whole or not at all")
     evacuate = calls.add_parser("evacuate", help="send nothing to a zone's servers")
     evacuate.add_argument("zone")
-    end_evacuation = calls.add_parser("return", help="take an evacuation back")
+    end_evacuation = calls.add_parser("return", help="end an evacuation")
     end_evacuation.add_argument("zone")
     retire = calls.add_parser("retire", help="remove a core node for good that does not come back")
     retire.add_argument("address", help="its address, as status names it")
--- a/hazelspring/localfleet/fleet.py
+++ b/hazelspring/localfleet/fleet.py
@@ -121,19 +121,19 @@
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
         self.server_processes: dict[int, subprocess.Popen[bytes]] = {}
 
-    def write_settings(self, n: int, first: bool) -> Path:
+    def write_settings(self, node: int, first: bool) -> Path:
         """Write a node's settings file, and make its data directory; ``first`` allows the start of a new core."""
-        ip, zone = self.ips[n], self.zones[n]
-        data = self.data_directory(n)
-        if n in self.disks:
+        ip, zone = self.ips[node], self.zones[node]
+        data = self.data_directory(node)
+        if node in self.disks:
             data.mkdir(parents=True, exist_ok=True)
         lines = {
-            "thisDoor.nodeName": f"node-{n + 1}",
+            "thisDoor.nodeName": f"node-{node + 1}",
             "thisDoor.internetAddress": ip,
             "thisDoor.zone": zone,
             "thisDoor.answerRegion": ZONES[zone],
             "thisDoor.firstStart": str(first).lower(),
-            "thisDoor.dataDirectory": str(data) if n in self.disks else "",
+            "thisDoor.dataDirectory": str(data) if node in self.disks else "",
             "network.listenAddresses.front": f"{ip}:{self.front}",
             "network.listenAddresses.readiness": f"{ip}:{self.ready}",
             "network.listenAddresses.controlAddress": f"{ip}:{self.control}",
@@ -148,64 +148,66 @@
             "timingTerms.ruleBounds.quotaSlack": "20",
             **self.more_settings,
         }
-        path = self.folder / f"node-{n + 1}.conf"
+        path = self.folder / f"node-{node + 1}.conf"
         path.write_text("".join(f"{key}={value}\n" for key, value in lines.items()))
         return path
 
-    def data_directory(self, n: int) -> Path:
+    def data_directory(self, node: int) -> Path:
         """Return where a node's disk is, if it has one."""
-        return self.folder / f"node-{n + 1}"
+        return self.folder / f"node-{node + 1}"
 
-    def start(self, n: int, first: bool = False) -> None:
+    def start(self, node: int, first: bool = False) -> None:
         """Start a node's process; its log goes to a file beside its settings."""
-        environment = {**os.environ, "HAZELSPRING_SETTINGS": str(self.write_settings(n, first))}
-        with (self.folder / f"node-{n + 1}.log").open("ab") as log:
+        environment = {**os.environ, "HAZELSPRING_SETTINGS": str(self.write_settings(node, first))}
+        with (self.folder / f"node-{node + 1}.log").open("ab") as log:
             command = [sys.executable, *self.program]
-            self.processes[n] = subprocess.Popen(command, cwd=ROOT, env=environment, stdout=log, stderr=log)
+            self.processes[node] = subprocess.Popen(
+                command, cwd=ROOT, env=environment, stdout=log, stderr=log
+            )
 
     def start_all(self, first: bool = False) -> None:
         """Start every node."""
-        for n in range(len(self.ips)):
-            self.start(n, first)
+        for node in range(len(self.ips)):
+            self.start(node, first)
 
-    def kill(self, n: int, number: signal.Signals = signal.SIGKILL) -> None:
+    def kill(self, node: int, number: signal.Signals = signal.SIGKILL) -> None:
         """End a node by a signal; raises TimeoutExpired where it goes on."""
-        process = self.processes.pop(n)
+        process = self.processes.pop(node)
         process.send_signal(number)
         process.wait(STOP_TIMEOUT)
 
-    def wipe(self, n: int) -> None:
+    def wipe(self, node: int) -> None:
         """Lose a node's disk; a new one is empty."""
-        shutil.rmtree(self.data_directory(n))
+        shutil.rmtree(self.data_directory(node))
 
     def remaining_nodes(self) -> list[int]:
         """Return the nodes that were not lost for good."""
-        return [n for n in range(len(self.ips)) if n not in self.lost_nodes]
+        return [node for node in range(len(self.ips)) if node not in self.lost_nodes]
 
-    def replace(self, n: int) -> int:
+    def replace(self, node: int) -> int:
         """Lose a node for good, and return the number of its replacement, which has yet to be started.
 
         That is in the same zone, at a new address and with an empty disk if the lost one had a disk.
         """
-        self.kill(n)
-        self.lost_nodes.add(n)
+        self.kill(node)
+        self.lost_nodes.add(node)
         self.ips.append(f"{self.net}.{self.first + len(self.ips)}")
-        self.zones.append(self.zones[n])
-        if n in self.disks:
-            self.disks = self.disks - {n} | {len(self.ips) - 1}
+        self.zones.append(self.zones[node])
+        if node in self.disks:
+            self.disks = self.disks - {node} | {len(self.ips) - 1}
         return len(self.ips) - 1
 
-    def start_server(self, n: int) -> None:
+    def start_server(self, server: int) -> None:
         """Start a server as a process, which logs the requests that it executes."""
-        server = self.servers[n]
-        arguments = [server.id, server.service, server.address, server.zone, str(self.execution_log(n))]
-        self.server_processes[n] = subprocess.Popen(
+        listed = self.servers[server]
+        arguments = [listed.id, listed.service, listed.address, listed.zone, str(self.execution_log(server))]
+        self.server_processes[server] = subprocess.Popen(
             [sys.executable, "-m", "hazelspring.localfleet.stand_ins", *arguments], cwd=ROOT
         )
 
-    def execution_log(self, n: int) -> Path:
+    def execution_log(self, server: int) -> Path:
         """Return the file to which a server process appends the attempt id of each request that it executes."""
-        return self.folder / f"server-{n}.ran"
+        return self.folder / f"server-{server}.ran"
 
     def close(self) -> None:
         """Kill all processes, also stopped ones."""
@@ -220,7 +222,7 @@
         """Return the control address of each node, also of lost ones."""
         return [f"{ip}:{self.control}" for ip in self.ips]
 
-    def request(self, n: int, method: str, path: str, attempt: str, key: str = KEY) -> ClientAnswer:
+    def request(self, node: int, method: str, path: str, attempt: str, key: str = KEY) -> ClientAnswer:
         """Send a client's request to one node."""
         headers = {
             "Host": "shop.example",
@@ -229,7 +231,7 @@
             "X-Hazelspring-Remaining-Milliseconds": "3000",
         }
         body = b"" if method == "POST" else None
-        url = f"http://{self.ips[n]}:{self.front}{path}"
+        url = f"http://{self.ips[node]}:{self.front}{path}"
         request = urllib.request.Request(url, body, headers, method=method)
         try:
             with urllib.request.urlopen(request, timeout=REQUEST_TIMEOUT) as answer:
@@ -239,9 +241,9 @@
         except OSError:
             return ClientAnswer(0, b"")
 
-    def is_ready(self, n: int) -> bool:
+    def is_ready(self, node: int) -> bool:
         """Whether a node answers that it is ready."""
-        url = f"http://{self.ips[n]}:{self.ready}/-/readiness"
+        url = f"http://{self.ips[node]}:{self.ready}/-/readiness"
         try:
             with urllib.request.urlopen(url, timeout=READINESS_TIMEOUT) as answer:
                 return bool(answer.status == 200)
--- a/tests/cut_node.py
+++ b/tests/cut_node.py
@@ -48,7 +48,7 @@
 
 
 def disable_confirmation() -> None:
-    """Take everything known for confirmed."""
+    """Serve by everything known, confirmed or not."""
     ControlReplica.is_confirmed_for = lambda control, order, now: True  # type: ignore[assignment, method-assign]
     ControlReplica.confirmed_at = lambda control, now: now  # type: ignore[assignment, method-assign]
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -32,7 +32,7 @@
 CORE, OTHERS, SERVERS = 4, 2, 8
 DRAIN_CUTOFF, IN_TOUCH = 3.0, 4.0  # seconds: `drainCutoffMs` and `inTouchMs` of the settings
 HANDING_ON = 2.5  # seconds more for each node besides one that the platform does not answer
-TROUBLE = 4.0  # seconds in which an episode's failures begin and end
+FAILURE_PHASE = 4.0  # seconds in which an episode's failures begin and end
 MARGIN = 0.2  # seconds between what a server notes and the moment at which a request reached it
 ASKING = 0.3  # seconds for a node's answer whether it reads the list: it may be stopped
 BACK = 40.0  # seconds until all nodes are whole again
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
+class Failure:
     """One failure.
 
     `node` is the one that it affects, or the server whose answers are lost; `hang` and `fail` affect the list's reader
@@ -62,16 +62,16 @@
         return self.kind in AT_NODES and self.node < CORE
 
 
-def draw(chance: random.Random) -> list[Trouble]:
+def draw(chance: random.Random) -> list[Failure]:
     """Two or three failures of an episode, at least two of which overlap; no node has two at once."""
     nodes = chance.sample(range(CORE + OTHERS), chance.choice((2, 3)))
-    middle = TROUBLE / 2
+    middle = FAILURE_PHASE / 2
     return [
-        Trouble(
+        Failure(
             chance.choice(KINDS),
             node,
             chance.uniform(0.0, middle - 0.2),
-            chance.uniform(middle + 0.2, TROUBLE),
+            chance.uniform(middle + 0.2, FAILURE_PHASE),
             chance.choice(("both", "in", "out")),
         )
         for node in nodes
@@ -92,7 +92,7 @@
         self.number = 0  # of the newest configuration that was acknowledged
         self.server_restarts = 0
         self.cuts: dict[int, str] = {}  # nodes that are cut off, and in which directions
-        self.unanswered: dict[Trouble, int] = {}  # nodes that the platform does not answer
+        self.unanswered: dict[Failure, int] = {}  # nodes that the platform does not answer
         for server in self.fleet.servers:
             server.slots = 4
 
@@ -113,14 +113,14 @@
             self.background.close()
         return self.faults
 
-    def episode(self, troubles: list[Trouble]) -> None:
+    def episode(self, failures: list[Failure]) -> None:
         clients = Clients(self.fleet, 4)
         operators = Operators(lambda: self.fleet.control_addresses(), 1)
         leaving = self.chance.choice(self.fleet.servers)
-        actions: list[tuple[float, Turn]] = [(self.chance.uniform(0.0, TROUBLE), leaving.drain)]
-        for trouble in troubles:
-            begin, end = self.turns(trouble)
-            actions += [(trouble.begins, begin), (trouble.ends, end)]
+        actions: list[tuple[float, Turn]] = [(self.chance.uniform(0.0, FAILURE_PHASE), leaving.drain)]
+        for failure in failures:
+            begin, end = self.turns(failure)
+            actions += [(failure.begins, begin), (failure.ends, end)]
         began = time.monotonic()
         for at, action in sorted(actions, key=lambda one: one[0]):
             time.sleep(max(0.0, began + at - time.monotonic()))
@@ -128,23 +128,23 @@
         calm = time.monotonic()
         self.wait_until_whole()
         whole = time.monotonic()
-        late = self.time_to_know(troubles)
+        late = self.time_to_know(failures)
         time.sleep(max(0.0, max(calm, whole - late) + IN_TOUCH + late - time.monotonic()))
         time.sleep(max(0.0, leaving.drained_at + late + 1.0 - time.monotonic()))
         operators.stop()
         clients.stop()
-        self.judge_drain(clients, troubles, began)
+        self.judge_drain(clients, failures, began)
         self.judge_clients(clients)
         self.judge_operators(operators)
-        self.judge_logs(troubles)
+        self.judge_logs(failures)
         self.server_restarts += 1
         leaving.restart_as(f"i-restart-{self.server_restarts}")
 
-    def turns(self, trouble: Trouble) -> tuple[Turn, Turn]:
+    def turns(self, failure: Failure) -> tuple[Turn, Turn]:
         """What begins a failure, and what ends it."""
-        fleet, n = self.fleet, trouble.node
-        stop_answers = partial(self.stop_list_answers, trouble)
-        resume_answers = partial(self.resume_list_answers, trouble)
+        fleet, n = self.fleet, failure.node
+        stop_answers = partial(self.stop_list_answers, failure)
+        resume_answers = partial(self.resume_list_answers, failure)
         reset = partial(self.background.loop.call_soon_threadsafe, self.stand_ins.reset_platform)
         lose_answers = partial(setattr, fleet.servers[n], "drops_answers")
         turns: dict[str, tuple[Turn, Turn]] = {
@@ -153,13 +153,13 @@
                 partial(self.send_signal, n, signal.SIGSTOP),
                 partial(self.send_signal, n, signal.SIGCONT),
             ),
-            CUT: (partial(self.cut_off, n, trouble.ways), partial(self.reconnect, n)),
+            CUT: (partial(self.cut_off, n, failure.ways), partial(self.reconnect, n)),
             HANG: (stop_answers, resume_answers),
             FAIL: (stop_answers, resume_answers),
             RESET: (reset, reset),
             LOST: (partial(lose_answers, True), partial(lose_answers, False)),
         }
-        return turns[trouble.kind]
+        return turns[failure.kind]
 
     def send_signal(self, n: int, number: signal.Signals) -> None:
         self.fleet.processes[n].send_signal(number)
@@ -172,13 +172,13 @@
         del self.cuts[n]
         self.draw_cuts()
 
-    def stop_list_answers(self, trouble: Trouble) -> None:
+    def stop_list_answers(self, failure: Failure) -> None:
         """The platform no longer answers the list's reader, in the failure's way."""
-        self.unanswered[trouble] = self.reader(trouble.node)
-        self.platform_file(self.unanswered[trouble]).write_text(trouble.kind)
+        self.unanswered[failure] = self.reader(failure.node)
+        self.platform_file(self.unanswered[failure]).write_text(failure.kind)
 
-    def resume_list_answers(self, trouble: Trouble) -> None:
-        self.platform_file(self.unanswered.pop(trouble)).unlink(missing_ok=True)
+    def resume_list_answers(self, failure: Failure) -> None:
+        self.platform_file(self.unanswered.pop(failure)).unlink(missing_ok=True)
 
     def draw_cuts(self) -> None:
         """Write for each node from which addresses it receives nothing, by all present cuts."""
@@ -219,24 +219,24 @@
             self.fleet.wait_until(lambda n=n: is_whole(n), BACK)
 
     @staticmethod
-    def time_to_know(troubles: Sequence[Trouble]) -> float:
+    def time_to_know(failures: Sequence[Failure]) -> float:
         """Seconds in which every connected node must know of a server that drains.
 
         A holder that the platform does not answer hands its role over in time; a second one, or one that has just
         acquired it from one that ended, is late.
         """
-        unanswered = sum(trouble.kind in AT_PLATFORM for trouble in troubles)
-        alone = not any(trouble.strikes_core() for trouble in troubles)
+        unanswered = sum(failure.kind in AT_PLATFORM for failure in failures)
+        alone = not any(failure.strikes_core() for failure in failures)
         return DRAIN_CUTOFF + HANDING_ON * max(0, unanswered - alone)
 
-    def judge_drain(self, clients: Clients, troubles: list[Trouble], began: float) -> None:
-        late = self.time_to_know(troubles)
-        core = max((began + one.ends for one in troubles if one.strikes_core()), default=-math.inf)
+    def judge_drain(self, clients: Clients, failures: list[Failure], began: float) -> None:
+        late = self.time_to_know(failures)
+        core = max((began + one.ends for one in failures if one.strikes_core()), default=-math.inf)
         for server in self.fleet.servers:
             for late_request in server.after_drain:
                 at, attempt = late_request.at, late_request.attempt
                 node = clients.nodes[attempt]
-                own = (began + one.ends for one in troubles if one.kind in AT_NODES and one.node == node)
+                own = (began + one.ends for one in failures if one.kind in AT_NODES and one.node == node)
                 in_touch = max(core, *own, -math.inf) + IN_TOUCH
                 bound = max(server.drained_at + late, in_touch + late - DRAIN_CUTOFF) + MARGIN
                 if at > bound:
@@ -271,9 +271,9 @@
         if number < self.number:
             self.faults.append(f"LOST: r{number} is in force, r{self.number} was acknowledged")
 
-    def judge_logs(self, troubles: list[Trouble]) -> None:
+    def judge_logs(self, failures: list[Failure]) -> None:
         """Check the logs for violated invariants and errors, also those of processes that have ended."""
-        excused = self.time_to_know(troubles) > DRAIN_CUTOFF  # the list can be known no sooner
+        excused = self.time_to_know(failures) > DRAIN_CUTOFF  # the list can be known no sooner
         for path in sorted(self.fleet.folder.glob("*.log")):
             text = path.read_text(errors="replace")
             new, self.seen[path] = text[self.seen.get(path, 0) :], len(text)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -172,22 +172,22 @@
 # 2: one number, one body
 
 
-@pytest.mark.parametrize("trouble", [signal.SIGKILL, signal.SIGSTOP])
+@pytest.mark.parametrize("failure", [signal.SIGKILL, signal.SIGSTOP])
 @pytest.mark.parametrize(("one", "two", "moment"), [(0, 3, 0.0), (1, 4, 0.004), (2, 0, 0.012), (5, 1, 0.03)])
 def test_of_two_bodies_under_one_number_exactly_one_is_confirmed_for_good(
-    fleet: LocalFleet, trouble: signal.Signals, one: int, two: int, moment: float
+    fleet: LocalFleet, failure: signal.Signals, one: int, two: int, moment: float
 ) -> None:
     nodes = [*core_nodes(fleet), *other_nodes(fleet)]
     hit, well, number = nodes[one], nodes[two], next(numbers)
     bodies = [configuration(number), other_body(number)]
     sent = [send_put(fleet, n, body) for n, body in zip((hit, well), bodies, strict=True)]
     time.sleep(moment)  # which step it hits; what is asserted holds whichever it is
-    fleet.processes[hit].send_signal(trouble)
-    if trouble is signal.SIGKILL:
+    fleet.processes[hit].send_signal(failure)
+    if failure is signal.SIGKILL:
         fleet.kill(hit)
     good = [is_confirmed(control_addresses(fleet, but=[hit]), body) for body in bodies]
     assert sum(good) == 1
-    if trouble is signal.SIGKILL:
+    if failure is signal.SIGKILL:
         fleet.start(hit)
     else:
         fleet.processes[hit].send_signal(signal.SIGCONT)
