--- a/hazelspring/cli/control_client.py
+++ b/hazelspring/cli/control_client.py
@@ -21,14 +21,19 @@
 
 
 class CallError(HazelspringError):
-    """A call that was refused, or that no node has settled: the text names the call and the node.
+    """A call that had no effect, or whose effect is unknown: the text names the call and the node."""
 
-    ``code`` is ``refused`` or ``unsettled``.
-    """
 
-    def __init__(self, code: str, text: str) -> None:
-        super().__init__(text)
-        self.code = code
+class CallRefusedError(CallError):
+    """A node refused the call, and so would every other."""
+
+    code = "refused"
+
+
+class CallUnsettledError(CallError):
+    """No node settled the call in time; it may still take effect."""
+
+    code = "unsettled"
 
 
 @dataclass(frozen=True)
@@ -81,7 +86,9 @@
     """Settle a call at one of the nodes, asked in turn for ``patience`` seconds.
 
     A call whose outcome is unclear is sent again unchanged, which is safe: a configuration is identified by its number,
-    and an evacuation asks for a state. Raises CallError where it is refused or not settled in time.
+    and an evacuation asks for a state.
+
+    Raises CallRefusedError, or CallUnsettledError where no node settles it in time.
     """
     end = time.monotonic() + patience
     timeout = ANSWER_TIMEOUT + TIMEOUT_PER_MEGABYTE * len(body or b"") / 1e6
@@ -98,11 +105,11 @@
                 return answer
             last_failure = f"{method} {path} at {address}: {answer.status} {problem_of(answer.body)}"
             if is_refusal(answer.status):
-                raise CallError("refused", last_failure)
+                raise CallRefusedError(last_failure)
         delay = BACKOFF_DELAYS[min(tries, len(BACKOFF_DELAYS) - 1)]
         sleep(min(delay, max(0.0, end - time.monotonic())))
         tries += 1
-    raise CallError("unsettled", f"not settled within {patience:g} s; last: {last_failure}")
+    raise CallUnsettledError(f"not settled within {patience:g} s; last: {last_failure}")
 
 
 def problem_of(body: bytes) -> str:
--- a/hazelspring/localfleet/fleet.py
+++ b/hazelspring/localfleet/fleet.py
@@ -98,6 +98,7 @@
         self.more_settings = settings or {}
         self.disks = set(range(core))  # nodes that have one
         self.lost_nodes: set[int] = set()  # for good
+        # Ports: clients, readiness, control calls, look-ups, messages between nodes, the platform, servers
         ports = free_ports(7)
         self.front, self.ready, self.control, self.directory, self.port, self.platform_port, server_port = (
             ports
