--- a/hazelspring/configuration/validation.py
+++ b/hazelspring/configuration/validation.py
@@ -18,13 +18,8 @@
 from marshmallow import ValidationError
 
 from hazelspring.configuration.blocks import PackedError, pack
-from hazelspring.configuration.incremental import (
-    LoadedConfiguration,
-    NotIncrementalError,
-    ValidatedConfiguration,
-    apply_change,
-    diff_blocks,
-)
+from hazelspring.configuration.change import NotIncrementalError, apply_change
+from hazelspring.configuration.incremental import LoadedConfiguration, ValidatedConfiguration, diff_blocks
 from hazelspring.configuration.model import (
     Configuration,
     ResourceDocument,
