--- a/tests/test_replica_store.py
+++ b/tests/test_replica_store.py
@@ -1,4 +1,4 @@
-"""Records on disk: kills at every step, damage, foreign files; what cannot be read is never served."""
+"""The store of a replica: killed writers, damage, foreign files; what cannot be read is never used."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from hazelspring.storage.replica_store import ReplicaStore, StoreError
 
-ROOT = Path(__file__).parent.parent
+REPOSITORY = Path(__file__).parent.parent
 WRITER = """
 import sys
 from hazelspring.storage.replica_store import ReplicaStore
@@ -24,41 +24,43 @@
 """
 
 
-def test_a_killed_writer_leaves_what_it_has_said(tmp_path: Path) -> None:
+def test_a_killed_writer_leaves_all_records_that_it_reported_saved(tmp_path: Path) -> None:
     for _ in range(4):
         process = subprocess.Popen(
-            [sys.executable, "-c", WRITER, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE
+            [sys.executable, "-c", WRITER, str(tmp_path)], cwd=REPOSITORY, stdout=subprocess.PIPE
         )
         assert process.stdout is not None
-        said = [int(process.stdout.readline()) for _ in range(40)][-1]
+        last_reported = [int(process.stdout.readline()) for _ in range(40)][-1]
         process.send_signal(signal.SIGKILL)
-        said = int((process.stdout.read().split() or [str(said).encode()])[-1])
+        unread = process.stdout.read().split()
+        if unread:
+            last_reported = int(unread[-1])
         process.wait()
         store = ReplicaStore(str(tmp_path))
         records = store.load()
         store.close()
-        assert int(records["vote"]) >= said and records["word"] == records["vote"] * 50
+        assert int(records["vote"]) >= last_reported and records["word"] == records["vote"] * 50
         (tmp_path / "comb.sqlite").unlink()
-        for rest in tmp_path.glob("comb.sqlite-*"):
-            rest.unlink()
+        for companion in tmp_path.glob("comb.sqlite-*"):
+            companion.unlink()
 
 
-def test_what_is_written_anew_or_removed_goes_with_the_rest(tmp_path: Path) -> None:
+def test_one_save_replaces_adds_and_removes_records(tmp_path: Path) -> None:
     store = ReplicaStore(str(tmp_path))
     store.save({"word 1": b"one", "vote": b"1"})
     store.save({"word 2": b"two", "vote": b"2", "word 1": None})
     assert store.load() == {"word 2": b"two", "vote": b"2"}
 
 
-def test_a_changed_row_makes_the_disk_an_empty_one(tmp_path: Path) -> None:
-    """What this door promised is not known any more, so it must not go on as the same disk."""
+def test_a_record_with_a_wrong_checksum_empties_the_store(tmp_path: Path) -> None:
+    """What this replica promised is not known any more, so it must not go on as the same disk."""
     store = ReplicaStore(str(tmp_path))
     store.save({"word": b"three", "disk": b"7"})
     store.close()
-    base = sqlite3.connect(tmp_path / "comb.sqlite")
-    base.execute("update record set body = ? where name = 'word'", (b"threE",))
-    base.commit()
-    base.close()
+    connection = sqlite3.connect(tmp_path / "comb.sqlite")
+    connection.execute("update record set body = ? where name = 'word'", (b"threE",))
+    connection.commit()
+    connection.close()
     store = ReplicaStore(str(tmp_path))
     assert store.load() == {} and "word" in store.quarantined[0]
     assert (tmp_path / "comb.sqlite.aside").exists()
@@ -68,22 +70,22 @@
 
 
 @pytest.mark.parametrize("damage", ["foreign", "cut", "newer", "flipped"])
-def test_a_file_that_cannot_be_read_is_put_aside(tmp_path: Path, damage: str) -> None:
+def test_a_file_that_cannot_be_read_is_quarantined(tmp_path: Path, damage: str) -> None:
     path = tmp_path / "comb.sqlite"
     store = ReplicaStore(str(tmp_path))
     store.save({f"word {n}": b"1" * 3000 for n in range(20)})
     store.close()
-    whole = path.read_bytes()
+    intact = path.read_bytes()
     if damage == "foreign":
         path.write_bytes(b"no database at all" * 100)
     elif damage == "cut":
-        os.truncate(path, len(whole) // 2)
+        os.truncate(path, len(intact) // 2)
     elif damage == "flipped":
-        path.write_bytes(bytes(b ^ 255 if 4096 <= n < 4200 else b for n, b in enumerate(whole)))
+        path.write_bytes(bytes(byte ^ 255 if 4096 <= at < 4200 else byte for at, byte in enumerate(intact)))
     else:
-        base = sqlite3.connect(path)
-        base.execute("pragma user_version=99")
-        base.close()
+        connection = sqlite3.connect(path)
+        connection.execute("pragma user_version=99")
+        connection.close()
     store = ReplicaStore(str(tmp_path))
     assert store.load() == {} and store.quarantined
     assert (tmp_path / "comb.sqlite.aside").exists()
@@ -91,7 +93,7 @@
     assert store.load() == {"word": b"new"}
 
 
-def test_a_disk_that_refuses_says_so_and_serves_again_later(tmp_path: Path) -> None:
+def test_a_full_disk_is_an_error_and_the_store_works_once_there_is_space(tmp_path: Path) -> None:
     store = ReplicaStore(str(tmp_path))
     store.save({"word": b"one"})
     assert store.connection is not None
@@ -105,7 +107,7 @@
     assert store.load() == {"word": b"three"}
 
 
-def test_many_configurations_keep_the_file_small(tmp_path: Path) -> None:
+def test_many_saved_configurations_keep_the_file_small(tmp_path: Path) -> None:
     store = ReplicaStore(str(tmp_path))
     for number in range(500):
         store.save(
