--- a/hazelspring/quota/__init__.py
+++ b/hazelspring/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants' quotas: credits leased by each node from the counter of a tenant."""
+"""Quotas of tenants: each node leases credits from the quota counter of the tenant and spends them locally."""
