--- a/hazelspring/routing/endpoint.py
+++ b/hazelspring/routing/endpoint.py
@@ -92,9 +92,11 @@
         They are this node's, those of other nodes' load reports and, fading with the age of the server's own
         report, what that counted beyond them.
         """
-        unseen = max(0, self.running + self.waiting - self.in_flight_at_report)
-        freshness = max(0.0, 1 - (now - self.reported_at) / LOAD_HEADER_LIFETIME)
-        return self.in_flight + self.in_flight_elsewhere + unseen * freshness
+        known = self.in_flight + self.in_flight_elsewhere
+        unseen = self.running + self.waiting - self.in_flight_at_report
+        if unseen <= 0:
+            return known
+        return known + unseen * max(0.0, 1 - (now - self.reported_at) / LOAD_HEADER_LIFETIME)
 
     def crowding(self, now: float) -> float:
         """Return how many times as long as alone one more request would take; at least 1."""
