--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -1,4 +1,4 @@
-"""Requests at one door, without sockets: what runs twice, what is promised, where it may go, how much a tenant gets."""
+"""Requests at one node, without sockets: retries, promises, candidates, and the quotas of tenants."""
 
 from __future__ import annotations
 
@@ -71,238 +71,245 @@
     return [ServerEntry(name, f"{name}:1", name.split("-")[0], accepting, 2, "v1") for name in names]
 
 
-class Gate:
+class RouterHarness:
+    """A router with the servers that are named, its clock, and the numbers of its requests."""
+
     def __init__(self, *names: str) -> None:
         fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
-        self.router, self.now, self.number = RequestRouter(SharedLimits(), fleet, 1), 10.0, 0
+        self.router = RequestRouter(SharedLimits(), fleet, 1)
+        self.now = 10.0
+        self.last_request = 0
         self.router.use_configuration(CONFIGURATION)
         self.router.update_endpoints(self.now, "shop", servers(*names))
         self.router.fresh_until = 1e9
-        self.router.node_count = (
-            31  # whose shares of a small quota's reserve are none, and of further tries one
-        )
+        # So many that an even share of a small quota's reserve is no request, and of the retry slack one.
+        self.router.node_count = 31
 
-    def ask(self, path: str, tenant: str = "free", left: float = 4.0) -> list[Any]:
-        self.number += 1
+    def request(self, path: str, tenant: str = "free", left: float = 4.0) -> list[Any]:
+        self.last_request += 1
         route = CONFIGURATION.find_route("h", path)
         assert route is not None
-        return self.handle(RequestArrived(self.number, route, CONFIGURATION.tenants[tenant], left))
+        return self.handle(RequestArrived(self.last_request, route, CONFIGURATION.tenants[tenant], left))
 
     def handle(self, event: Any) -> list[Any]:
         return list(self.router.handle(self.now, event))
 
-    def ends(self, send: i.Send, outcome: Outcome, spent: float = 0.2) -> list[Any]:
+    def finish(self, send: i.Send, outcome: Outcome, spent: float = 0.2) -> list[Any]:
         self.now += spent
         return self.handle(i.Finished(send.request, 0, send.backend, outcome, False, spent, 0, 0, ()))
 
-    def name(self, send: i.Send) -> str:
+    def server_of(self, send: i.Send) -> str:
         return self.router.fleet.servers[send.backend].id
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR, Outcome.TIMEOUT])
-def test_a_write_that_may_have_run_is_sent_to_nobody_else_and_promised_nothing(outcome: Outcome) -> None:
-    gate = Gate("a1-0", "a1-1")
-    (send,) = gate.ask("/w/1")
-    assert gate.ends(send, outcome) == [i.Fail(send.request)]
+def test_a_write_that_may_have_run_is_not_retried_and_answered_without_a_promise(outcome: Outcome) -> None:
+    harness = RouterHarness("a1-0", "a1-1")
+    (send,) = harness.request("/w/1")
+    assert harness.finish(send, outcome) == [i.Fail(send.request)]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED])
-def test_a_write_that_never_ran_goes_to_another_server_then_is_refused(outcome: Outcome) -> None:
-    gate = Gate("a1-0", "a1-1")
-    (send,) = gate.ask("/w/1")
-    (again,) = gate.ends(send, outcome)
-    assert isinstance(again, i.Send) and gate.name(again) != gate.name(send)
-    (refused,) = gate.ends(again, outcome)
+def test_a_write_that_never_ran_is_retried_once_then_rejected(outcome: Outcome) -> None:
+    harness = RouterHarness("a1-0", "a1-1")
+    (send,) = harness.request("/w/1")
+    (again,) = harness.finish(send, outcome)
+    assert isinstance(again, i.Send) and harness.server_of(again) != harness.server_of(send)
+    (refused,) = harness.finish(again, outcome)
     assert isinstance(refused, i.Refuse) and refused.retry_after > 0
 
 
-def test_a_read_is_tried_elsewhere_until_its_attempts_or_the_allowance_end() -> None:
-    gate = Gate("a1-0", "a1-1", "a1-2")
-    (send,) = gate.ask("/r/1")
-    (again,) = gate.ends(send, Outcome.RESET)
+def test_a_read_is_retried_until_its_attempts_or_the_retry_budget_are_used_up() -> None:
+    harness = RouterHarness("a1-0", "a1-1", "a1-2")
+    (send,) = harness.request("/r/1")
+    (again,) = harness.finish(send, Outcome.RESET)
     assert isinstance(again, i.Send)
-    assert gate.ends(again, Outcome.RESET) == [i.Fail(send.request)]
-    gate.router.node_count, further = 1, 0
-    for _ in range(200):  # all fail: further tries stay within half of the rule's ratio and slack
-        (send,) = [a for a in gate.ask("/r/1") if isinstance(a, i.Send)]
-        further += any(isinstance(a, i.Send) for a in gate.ends(send, Outcome.RESET, 0.0))
-    assert 30 < further + 1 <= 0.1 * 201 + 31
+    assert harness.finish(again, Outcome.RESET) == [i.Fail(send.request)]
+    harness.router.node_count, retries = 1, 0
+    for _ in range(200):  # all fail: retries stay within half of the limit's ratio and slack
+        (send,) = [a for a in harness.request("/r/1") if isinstance(a, i.Send)]
+        retries += any(isinstance(a, i.Send) for a in harness.finish(send, Outcome.RESET, 0.0))
+    assert 30 < retries + 1 <= 0.1 * 201 + 31
 
 
-def silent(gate: Gate, seconds: float) -> list[Any]:
-    """What is done while no server answers."""
+def tick_without_answers(harness: RouterHarness, seconds: float) -> list[Any]:
+    """Return the instructions of so many seconds in which no server answers."""
     found = []
     for _ in range(round(seconds / 0.05)):
-        gate.now += 0.05
-        found += gate.handle(TimerTick())
+        harness.now += 0.05
+        found += harness.handle(TimerTick())
     return found
 
 
-def test_a_slow_server_is_left_only_for_another_one_that_is_sure() -> None:
-    gate = Gate("a1-0", "a1-1")
-    (send,) = gate.ask("/r/1")
-    assert send.timeout == 0  # its server is told all the time that is left
-    (leave,) = silent(gate, 2.0)
-    assert leave == AbandonAttempt(send.request, 0)
-    gate.router.node_count = 1000  # whose shares are none: the try is taken already
-    (again,) = gate.ends(send, Outcome.TIMEOUT)
-    assert isinstance(again, i.Send) and gate.name(again) != gate.name(send)
-    assert silent(gate, 1.0) == []  # its last attempt
-    (write,) = gate.ask("/w/1")
-    assert isinstance(write, i.Send) and silent(gate, 2.0) == []
-
-
-@pytest.mark.parametrize("why", ["no allowance", "no other server", "no time", "it ends soon"])
-def test_a_server_at_work_is_not_broken_off_where_nothing_could_follow(why: str) -> None:
-    gate = Gate("a1-0", *(["a1-1"] if why != "no other server" else []))
-    if why == "no allowance":
-        gate.router.node_count = 1000
-    gate.router.leaving = why == "it ends soon"
-    (send,) = gate.ask("/r/1", left=1.3 if why == "no time" else 4.0)
+def test_a_slow_attempt_is_abandoned_only_for_a_server_that_has_room() -> None:
+    harness = RouterHarness("a1-0", "a1-1")
+    (send,) = harness.request("/r/1")
+    assert send.timeout == 0  # its server gets all the time that is left
+    (abandon,) = tick_without_answers(harness, 2.0)
+    assert abandon == AbandonAttempt(send.request, 0)
+    harness.router.node_count = 1000  # whose shares are none: the retry is reserved already
+    (again,) = harness.finish(send, Outcome.TIMEOUT)
+    assert isinstance(again, i.Send) and harness.server_of(again) != harness.server_of(send)
+    assert tick_without_answers(harness, 1.0) == []  # its last attempt
+    (write,) = harness.request("/w/1")
+    assert isinstance(write, i.Send) and tick_without_answers(harness, 2.0) == []
+
+
+@pytest.mark.parametrize("why", ["no retry budget", "no other server", "no time", "the node leaves"])
+def test_an_attempt_is_not_abandoned_where_no_other_could_follow(why: str) -> None:
+    harness = RouterHarness("a1-0", *(["a1-1"] if why != "no other server" else []))
+    if why == "no retry budget":
+        harness.router.node_count = 1000
+    harness.router.leaving = why == "the node leaves"
+    (send,) = harness.request("/r/1", left=1.3 if why == "no time" else 4.0)
     if why == "no time":
-        gate.router.fleet.route_latencies["reads"] = RouteLatency(1.5)
-    assert isinstance(send, i.Send) and send.timeout == 0 and silent(gate, 3.5) == []
-
-
-def test_a_server_is_spared_what_may_be_repeated_once_its_client_has_gone_and_finishes_all_else() -> None:
-    gate = Gate("a1-0", "a1-1")
-    (read_,), (write,) = gate.ask("/r/1"), gate.ask("/w/1")
-    assert gate.handle(i.Left(read_.request)) == [i.Cancel(read_.request, 0)]
-    assert gate.handle(i.Left(write.request)) == [] and gate.handle(i.Left(read_.request)) == []
-    assert gate.ends(read_, Outcome.CANCELLED) == gate.ends(write, Outcome.OK) == []
-    (read_,) = gate.ask("/r/2")
-    (again,) = gate.ends(read_, Outcome.RESET)
-    assert gate.handle(i.Left(again.request)) == [i.Cancel(again.request, 1)]
-    gate.ends(again, Outcome.CANCELLED)
-    ill = [server.failures or server.in_flight for server in gate.router.fleet.servers.values()]
-    assert sum(ill) == 1  # by the reset; nothing is counted as out, and who was left is not taken for ill
-    assert isinstance(gate.ask("/r/3")[0], i.Send)
-
-
-def test_homes_evacuations_draining_and_cold_servers_leave_none() -> None:
-    gate = Gate("a1-0", "b1-0")
-    (send,) = gate.ask("/h/1")
-    assert gate.name(send) == "b1-0"
-    gate.router.set_evacuated_zones(gate.now, frozenset(("b1",)))
-    assert isinstance(gate.ask("/h/1")[0], i.Refuse)
-    gate.router.set_evacuated_zones(gate.now, frozenset())
-    assert isinstance(gate.ask("/h/1")[0], i.Refuse)  # taken back: its servers may be cold
-    gate.now += 4.0
-    assert isinstance(gate.ask("/h/1")[0], i.Send)
-    gate.router.update_endpoints(gate.now, "shop", servers("a1-0", "b1-9"))  # a new life is cold
-    assert isinstance(gate.ask("/h/1")[0], i.Refuse)
-    gate.router.update_endpoints(gate.now, "shop", servers("a1-0", "b1-9", accepting=False))
-    gate.now += 9.0
-    assert isinstance(gate.ask("/h/1")[0], i.Refuse) and isinstance(gate.ask("/r/1")[0], i.Refuse)
-
-
-def test_a_node_that_heard_nothing_fresh_refuses_keyed_requests_at_once() -> None:
-    gate = Gate("a1-0")
-    gate.router.fresh_until = gate.now - 0.01
-    (refused,) = gate.ask("/w/1")
+        harness.router.fleet.route_latencies["reads"] = RouteLatency(1.5)
+    assert isinstance(send, i.Send) and send.timeout == 0 and tick_without_answers(harness, 3.5) == []
+
+
+def test_attempts_of_a_client_that_has_gone_are_cancelled_where_idempotent() -> None:
+    harness = RouterHarness("a1-0", "a1-1")
+    (read,), (write,) = harness.request("/r/1"), harness.request("/w/1")
+    assert harness.handle(i.Left(read.request)) == [i.Cancel(read.request, 0)]
+    assert harness.handle(i.Left(write.request)) == [] and harness.handle(i.Left(read.request)) == []
+    assert harness.finish(read, Outcome.CANCELLED) == harness.finish(write, Outcome.OK) == []
+    (read,) = harness.request("/r/2")
+    (again,) = harness.finish(read, Outcome.RESET)
+    assert harness.handle(i.Left(again.request)) == [i.Cancel(again.request, 1)]
+    harness.finish(again, Outcome.CANCELLED)
+    marked = [server.failures or server.in_flight for server in harness.router.fleet.servers.values()]
+    assert sum(marked) == 1  # the reset's: nothing is in flight, and a cancellation is no failure
+    assert isinstance(harness.request("/r/3")[0], i.Send)
+
+
+def test_home_regions_evacuations_draining_and_slow_start_leave_no_candidate() -> None:
+    harness = RouterHarness("a1-0", "b1-0")
+    (send,) = harness.request("/h/1")
+    assert harness.server_of(send) == "b1-0"
+    harness.router.set_evacuated_zones(harness.now, frozenset(("b1",)))
+    assert isinstance(harness.request("/h/1")[0], i.Refuse)
+    harness.router.set_evacuated_zones(harness.now, frozenset())
+    assert isinstance(harness.request("/h/1")[0], i.Refuse)  # no longer evacuated: its servers may be cold
+    harness.now += 4.0
+    assert isinstance(harness.request("/h/1")[0], i.Send)
+    harness.router.update_endpoints(harness.now, "shop", servers("a1-0", "b1-9"))  # a new incarnation is cold
+    assert isinstance(harness.request("/h/1")[0], i.Refuse)
+    harness.router.update_endpoints(harness.now, "shop", servers("a1-0", "b1-9", accepting=False))
+    harness.now += 9.0
+    assert isinstance(harness.request("/h/1")[0], i.Refuse) and isinstance(
+        harness.request("/r/1")[0], i.Refuse
+    )
+
+
+def test_requests_with_access_keys_are_rejected_on_a_stale_configuration() -> None:
+    harness = RouterHarness("a1-0")
+    harness.router.fresh_until = harness.now - 0.01
+    (refused,) = harness.request("/w/1")
     assert isinstance(refused, i.Refuse) and refused.retry_after > 0
 
 
-def test_load_that_others_tell_of_sends_requests_elsewhere() -> None:
-    gate = Gate("a1-0", "a1-1")
-    gate.router.fleet.on_load_report(gate.now, "d2", {server_tag("a1-0"): 6})
-    assert {gate.name(gate.ask("/r/1")[0]) for _ in range(3)} == {"a1-1"}
-    gate.now += 2.0
-    gate.handle(TimerTick())
-    assert "a1-0" in {gate.name(gate.ask("/r/1")[0]) for _ in range(6)}
+def test_load_reports_of_other_nodes_send_requests_elsewhere() -> None:
+    harness = RouterHarness("a1-0", "a1-1")
+    harness.router.fleet.on_load_report(harness.now, "d2", {server_tag("a1-0"): 6})
+    assert {harness.server_of(harness.request("/r/1")[0]) for _ in range(3)} == {"a1-1"}
+    harness.now += 2.0
+    harness.handle(TimerTick())
+    assert "a1-0" in {harness.server_of(harness.request("/r/1")[0]) for _ in range(6)}
 
 
-def test_what_others_have_out_is_the_sum_of_their_last_words_whoever_is_silent_or_listed() -> None:
-    chance, names = random.Random(3), [f"a1-{n}" for n in range(6)]
-    gate, told = Gate(*names), dict[str, tuple[float, dict[int, int]]]()
+def test_load_elsewhere_is_the_sum_of_the_last_reports_whoever_is_silent_or_listed() -> None:
+    draws, names = random.Random(3), [f"a1-{n}" for n in range(6)]
+    harness, reports = RouterHarness(*names), dict[str, tuple[float, dict[int, int]]]()
     for _ in range(400):
-        gate.now += chance.choice([0.0, 0.05, 0.7])
-        machine, outs = (
-            f"d{chance.randrange(5)}",
-            {server_tag(n): chance.randrange(4) for n in chance.sample(names, 3)},
+        harness.now += draws.choice([0.0, 0.05, 0.7])
+        node, in_flight = (
+            f"d{draws.randrange(5)}",
+            {server_tag(n): draws.randrange(4) for n in draws.sample(names, 3)},
         )
-        told[machine] = (gate.now, outs)
-        gate.router.fleet.on_load_report(gate.now, machine, outs)
-        if chance.random() < 0.2:
-            gate.router.update_endpoints(gate.now, "shop", servers(*chance.sample(names, 4)))
-        if chance.random() < 0.5:
+        reports[node] = (harness.now, in_flight)
+        harness.router.fleet.on_load_report(harness.now, node, in_flight)
+        if draws.random() < 0.2:
+            harness.router.update_endpoints(harness.now, "shop", servers(*draws.sample(names, 4)))
+        if draws.random() < 0.5:
             with pytest.raises((AttributeError, TypeError)):
-                gate.router.fleet.on_load_report(gate.now, machine, {server_tag(names[0]): "x"})  # type: ignore[dict-item]
-        gate.handle(TimerTick())
-        for server in gate.router.fleet.servers.values():
-            heard = [outs for at, outs in told.values() if gate.now - at <= LOAD_REPORT_LIFETIME]
-            assert server.in_flight_elsewhere == sum(outs.get(server_tag(server.id), 0) for outs in heard)
-
-
-def test_a_denied_lease_refuses_until_the_edge_and_a_lost_counter_shortly() -> None:
-    gate = Gate("a1-0")
-    (lease,) = gate.ask("/r/1", "green")
+                harness.router.fleet.on_load_report(harness.now, node, {server_tag(names[0]): "x"})  # type: ignore[dict-item]
+        harness.handle(TimerTick())
+        for server in harness.router.fleet.servers.values():
+            recent = [counts for at, counts in reports.values() if harness.now - at <= LOAD_REPORT_LIFETIME]
+            assert server.in_flight_elsewhere == sum(
+                counts.get(server_tag(server.id), 0) for counts in recent
+            )
+
+
+def test_denied_credits_reject_until_the_window_ends_and_a_lost_counter_for_a_short_time() -> None:
+    harness = RouterHarness("a1-0")
+    (lease,) = harness.request("/r/1", "green")
     assert isinstance(lease, LeaseCredits)
-    assert gate.ask("/r/1", "green") == []  # one lease in flight: others wait for it
-    denied = gate.handle(CreditsGranted("green", lease.call.number, 0.0, 0.6, 1.0))
+    assert harness.request("/r/1", "green") == []  # one lease in flight: others wait for it
+    denied = harness.handle(CreditsGranted("green", lease.call.number, 0.0, 0.6, 1.0))
     assert [type(action) for action in denied] == [RejectOverQuota, RejectOverQuota] and 0.5 < denied[
         0
     ].retry_after <= 0.6
-    assert isinstance(gate.ask("/r/1", "green")[0], RejectOverQuota)
-    gate.now += 0.7
-    (lease,) = gate.ask("/r/1", "green")
-    (refused,) = gate.handle(CounterUnavailable("green"))
+    assert isinstance(harness.request("/r/1", "green")[0], RejectOverQuota)
+    harness.now += 0.7
+    (lease,) = harness.request("/r/1", "green")
+    (refused,) = harness.handle(CounterUnavailable("green"))
     assert isinstance(refused, i.Refuse)
-    gate.ask("/r/1", "green")
+    harness.request("/r/1", "green")
     for _ in range(10):
-        gate.now += 0.1
-        ended = [a for a in gate.handle(TimerTick()) if isinstance(a, i.Refuse)]
+        harness.now += 0.1
+        ended = [a for a in harness.handle(TimerTick()) if isinstance(a, i.Refuse)]
         if ended:
             break
     assert ended  # a counter that does not answer is given up on
 
 
-def test_a_node_lets_its_even_share_in_alone_where_no_counter_answers() -> None:
-    gate = Gate("a1-0")
-    gate.router.node_count = 5
+def test_a_node_admits_its_even_share_of_the_reserve_where_no_counter_answers() -> None:
+    harness = RouterHarness("a1-0")
+    harness.router.node_count = 5
     sent = 0
     for _ in range(100):  # ten seconds
-        gate.now += 0.1
-        for action in gate.ask("/r/1", "green"):
+        harness.now += 0.1
+        for action in harness.request("/r/1", "green"):
             if isinstance(action, LeaseCredits):
-                sent += sum(isinstance(a, i.Send) for a in gate.handle(CounterUnavailable("green")))
-    assert sent == 2 * gate.router.limits.quota.reserve(10, 10, 5) > 0  # in each span of five
+                sent += sum(isinstance(a, i.Send) for a in harness.handle(CounterUnavailable("green")))
+    assert sent == 2 * harness.router.limits.quota.reserve(10, 10, 5) > 0  # in each span of five
 
 
-def test_no_span_sees_more_than_the_rule_whatever_nodes_and_owners_do() -> None:
-    """Eleven doors ask as fast as they can, calls are lost, and the counter moves to a new owner twice."""
-    rule, rate, burst, dice = QuotaLimits(), 10.0, 10.0, random.Random(5)
-    machines = [CreditLeases(rule) for _ in range(11)]
+def test_no_span_sees_more_than_the_limit_whatever_nodes_and_owners_do() -> None:
+    """Eleven nodes ask as fast as they can, calls are lost, and the counter moves to a new owner twice."""
+    limits, rate, burst, draws = QuotaLimits(), 10.0, 10.0, random.Random(5)
+    nodes = [CreditLeases(limits) for _ in range(11)]
     served: list[float] = []
-    counter, until, now = QuotaCounter(rule.window), 0.0, 50.0
-    flying: list[tuple[float, CreditLeases, CounterCall]] = []
+    counter, lease_end, now = QuotaCounter(limits.window), 0.0, 50.0
+    in_transit: list[tuple[float, CreditLeases, CounterCall]] = []
     for tick in range(3000):
         now += 0.01
         if tick in (900, 1700):  # its owner died: a new one starts when the old one's lease has ended
-            counter, dead = QuotaCounter(rule.window), until
-        owner = tick < 900 or now >= dead
-        until = now + 1.0 if owner else until
-        for machine in machines:
-            machine.request_credit(now, "green", rate, burst, tick, 11)
-            machine.tick(now)
-            flying += [(now + dice.choice((0.001, 0.02, 0.04)), machine, call) for call in machine.calls]
-            machine.calls = []
-            served += [now for verdict in machine.verdicts if verdict.admitted]
-            machine.verdicts = []
-        due, flying = [f for f in flying if f[0] <= now], [f for f in flying if f[0] > now]
-        for _, machine, call in due:
-            if owner and dice.random() > 0.1:
-                limit, caller = rule.window_limit(rate, burst, 11), ("door", machines.index(machine))
-                granted = counter.grant(now, until, "green", call.units, limit, caller, call.number)
-                machine.on_granted(now, CreditsGranted("green", call.number, *granted))
+            counter, free_at = QuotaCounter(limits.window), lease_end
+        owner = tick < 900 or now >= free_at
+        lease_end = now + 1.0 if owner else lease_end
+        for node in nodes:
+            node.request_credit(now, "green", rate, burst, tick, 11)
+            node.tick(now)
+            in_transit += [(now + draws.choice((0.001, 0.02, 0.04)), node, call) for call in node.calls]
+            node.calls = []
+            served += [now for verdict in node.verdicts if verdict.admitted]
+            node.verdicts = []
+        due, in_transit = [f for f in in_transit if f[0] <= now], [f for f in in_transit if f[0] > now]
+        for _, node, call in due:
+            if owner and draws.random() > 0.1:
+                limit, caller = limits.window_limit(rate, burst, 11), ("node", nodes.index(node))
+                granted = counter.grant(now, lease_end, "green", call.units, limit, caller, call.number)
+                node.on_granted(now, CreditsGranted("green", call.number, *granted))
     most = max(
-        sum(start <= t < start + rule.span for t in served) for start in [50 + n * 0.1 for n in range(250)]
+        sum(start <= t < start + limits.span for t in served) for start in [50 + n * 0.1 for n in range(250)]
     )
-    assert most <= (rate * rule.span + burst) * (1 + rule.overage) + rule.slack
+    assert most <= (rate * limits.span + burst) * (1 + limits.overage) + limits.slack
     assert len(served) / 30 > rate  # and the tenant gets what it pays for
 
 
-def test_what_is_given_back_counts_once_and_only_of_what_its_window_granted_its_giver() -> None:
+def test_credits_given_back_count_once_and_only_those_that_the_window_granted_to_the_caller() -> None:
     counter, one, other = QuotaCounter(10.0), ("a", 1), ("b", 1)
 
     def call(now: float, caller: tuple[str, int], number: int, units: float) -> float:
@@ -312,7 +319,7 @@
     for _ in range(3):  # comes more than once
         call(2, one, 2, -10.0)
     assert call(3, other, 2, 40.0) == 10.0
-    call(4, ("a", 2), 1, -20.0)  # of another life
+    call(4, ("a", 2), 1, -20.0)  # of another incarnation
     assert call(5, other, 3, 40.0) == 0.0
     assert call(11, one, 4, 5.0) == 5.0
     call(12, one, 3, -20.0)  # of the window before, late
@@ -361,7 +368,7 @@
     assert validate_configuration(json.dumps(document()).encode()) == 3
 
 
-def test_a_page_that_is_none_is_no_list() -> None:
+def test_a_malformed_page_is_no_instance_list() -> None:
     entry = {
         "service": "s",
         "address": "x:1",
