--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -30,14 +30,17 @@
 from hazelspring.daemon.upstream_servers import UpstreamServers
 from hazelspring.node.actions import (
     Action,
+    ConfigurationChanged,
+    EvacuatedZonesChanged,
     InvariantViolated,
     LoadReported,
+    MembersChanged,
     ReadList,
     Save,
     Send,
     StateChanged,
+    TableChanged,
 )
-from hazelspring.node.control_replica import CONFIGURATION, MEMBERS, ZONES
 from hazelspring.node.invariants import LIST_KNOWN
 from hazelspring.node.messages import LoadReport, Message
 from hazelspring.node.node import Node
@@ -136,8 +139,8 @@
         self.node = self.make_node(records, settings.first_start)
         if records is None:
             self.supervisor.start("await the disk", self.await_disk())
-        self.on_state_changed(CONFIGURATION)
-        self.on_state_changed(ZONES)
+        self.use_current_configuration()
+        self.use_evacuated_zones()
         await self.transport.start()
         for listener in [*self.apis, self.client_listener]:
             await listener.start()
@@ -177,8 +180,8 @@
         self.operator_calls.fail_all("the disk was taken up")
         self.incarnation += 1
         self.node = self.make_node(records, False)
-        self.on_state_changed(CONFIGURATION)
-        self.on_state_changed(ZONES)
+        self.use_current_configuration()
+        self.use_evacuated_zones()
         log.write("control", "reads the disk again", **self.node.control.acceptor.version_fields())
 
     def make_node(self, records: dict[str, bytes] | None, first_start: bool) -> Node:
@@ -277,8 +280,8 @@
                 self.transport.send(action.to, action.message)
             case Save():
                 self.supervisor.start("save", self.save(action))
-            case StateChanged():
-                self.on_state_changed(action.what)
+            case ConfigurationChanged() | EvacuatedZonesChanged() | MembersChanged() | TableChanged():
+                self.on_state_changed(action)
             case ReadList():
                 self.supervisor.start("read the list", self.read_list(action.number))
             case CreditsGranted() | CounterUnavailable():
@@ -298,34 +301,45 @@
         if node is self.node:
             self.execute_all(node.on_saved(self.loop.time(), save.serial, saved))
 
-    def on_state_changed(self, what: str) -> None:
-        """Use the new value of a part of the state: configuration, zones, members or `service:NAME`."""
-        now = self.loop.time()
+    def on_state_changed(self, change: StateChanged) -> None:
+        """Use what is new of the control state or of the servers."""
+        match change:
+            case ConfigurationChanged():
+                self.use_current_configuration()
+            case EvacuatedZonesChanged():
+                self.use_evacuated_zones()
+            case MembersChanged():
+                state = self.node.control.state
+                members = state.members if state is not None else ()
+                log.write("control", "the core is", members=",".join(member.ip for member in members))
+            case TableChanged():
+                self.use_table(change.service)
+
+    def use_current_configuration(self) -> None:
+        """Use the configuration in force, where there is one."""
+        if (packed := self.node.control.acceptor.current_configuration()) is None:
+            return
+        self.loaded_configuration = load_configuration(packed, self.loaded_configuration)
+        self.configuration = self.loaded_configuration.configuration
+        self.client_listener.use_configuration(self.configuration)
+        self.router.use_configuration(self.configuration)
+        log.write("control", "uses a configuration", number=self.configuration.version)
+
+    def use_evacuated_zones(self) -> None:
+        """Route by the zones that are evacuated."""
         state = self.node.control.state
-        if what == CONFIGURATION:
-            if (packed := self.node.control.acceptor.current_configuration()) is None:
-                return
-            self.loaded_configuration = load_configuration(packed, self.loaded_configuration)
-            self.configuration = self.loaded_configuration.configuration
-            self.client_listener.use_configuration(self.configuration)
-            self.router.use_configuration(self.configuration)
-            log.write("control", "uses a configuration", number=self.configuration.version)
-        elif what == ZONES:
-            closed = state.evacuated_zones if state is not None else frozenset()
-            self.router.set_evacuated_zones(now, closed)
-            log.write("control", "closed zones", zones=",".join(sorted(closed)) or "none")
-        elif what == MEMBERS:
-            members = state.members if state is not None else ()
-            log.write("control", "the core is", members=",".join(member.ip for member in members))
-        elif what.startswith("service:"):
-            service = what.partition(":")[2]
-            self.log_table(service)
-            for server in self.router.update_endpoints(
-                now, service, self.node.registry.tables[service].servers.values()
-            ):
-                self.servers.remove(server.number)
-            for server in self.router.fleet.services[service].values():
-                self.servers.place(server.number, parse_address(server.address), 0.0)
+        zones = state.evacuated_zones if state is not None else frozenset()
+        self.router.set_evacuated_zones(self.loop.time(), zones)
+        log.write("control", "closed zones", zones=",".join(sorted(zones)) or "none")
+
+    def use_table(self, service: str) -> None:
+        """Route a service's requests by its table of servers."""
+        self.log_table(service)
+        servers = self.node.registry.tables[service].servers.values()
+        for server in self.router.update_endpoints(self.loop.time(), service, servers):
+            self.servers.remove(server.number)
+        for server in self.router.fleet.services[service].values():
+            self.servers.place(server.number, parse_address(server.address), 0.0)
 
     def log_table(self, service: str) -> None:
         """Log which table of a service's servers is used from now on."""
--- a/hazelspring/node/actions.py
+++ b/hazelspring/node/actions.py
@@ -31,10 +31,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StateChanged:
-    """Something is seen anew: the key of an item, or `service:NAME`."""
+class ConfigurationChanged:
+    """Another configuration is in force."""
 
-    what: str
+
+@dataclass(slots=True, frozen=True)
+class EvacuatedZonesChanged:
+    """Other zones are evacuated."""
+
+
+@dataclass(slots=True, frozen=True)
+class MembersChanged:
+    """The core has other members."""
+
+
+@dataclass(slots=True, frozen=True)
+class TableChanged:
+    """The table of a service's servers has changed."""
+
+    service: str
+
+
+StateChanged = ConfigurationChanged | EvacuatedZonesChanged | MembersChanged | TableChanged
 
 
 @dataclass(slots=True, frozen=True)
--- a/hazelspring/node/control_replica.py
+++ b/hazelspring/node/control_replica.py
@@ -40,11 +40,17 @@
 from hazelspring.consensus.proposer import Proposer
 from hazelspring.membership.peer_table import PeerTable
 from hazelspring.membership.rendezvous import owner
-from hazelspring.node.actions import Action, Save, Send, StateChanged
+from hazelspring.node.actions import (
+    Action,
+    ConfigurationChanged,
+    EvacuatedZonesChanged,
+    MembersChanged,
+    Save,
+    Send,
+)
 from hazelspring.node.messages import ControlVersions
 from hazelspring.node.reconfiguration import Reconfiguration
 
-CONFIGURATION, ZONES, MEMBERS = "word", "zones", "members"  # what may be seen anew; the core's members
 ADMITTED_ROUND_TIME = (
     1.0  # seconds for which a round that was let in may go first: syncs of a slow disk and round trips
 )
@@ -223,13 +229,13 @@
         for source, held in self.proposer.forwarded.pop_waiting(state):
             self.send_state(source, held)
         if before is None or state.configuration_digest != before.configuration_digest:
-            self.actions.append(StateChanged(CONFIGURATION))
+            self.actions.append(ConfigurationChanged())
         if before is None or state.evacuated_zones != before.evacuated_zones:
-            self.actions.append(StateChanged(ZONES))
+            self.actions.append(EvacuatedZonesChanged())
         if before is None or state.members != before.members:
             self.peers.set_members(state.members)
             self.reconfiguration.on_members_changed(now, before)
-            self.actions.append(StateChanged(MEMBERS))
+            self.actions.append(MembersChanged())
 
     def catch_up(self, now: float) -> None:
         """Ask for a newer state that another door has told of, whole; the nearest first, each in turn."""
--- a/hazelspring/node/dissemination.py
+++ b/hazelspring/node/dissemination.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from hazelspring.membership.peer_table import PeerTable
-from hazelspring.node.actions import Action, Send, StateChanged
+from hazelspring.node.actions import Action, Send, TableChanged
 from hazelspring.node.load_reporter import InFlightByTag, LoadReporter, report_budget
 from hazelspring.node.messages import TableRequest, TableUpdate
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node
@@ -26,7 +26,7 @@
         actions: list[Action] = []
         me = self.peers.me.ip
         for service in self.registry.update_from_list(now, wall_ms, found):
-            actions.append(StateChanged(f"service:{service}"))
+            actions.append(TableChanged(service))
             message = TableUpdate(self.registry.encode_change(now, service))
             zones = sorted({row[1] for row in self.peers.roster_rows})
             homes = {home_node(service, zone, self.peers.ready_nodes(zone=zone)) for zone in zones}
@@ -43,7 +43,7 @@
                 self.peers.other_core_nodes()[:1] if self.registry.outdated({service: news.version}) else []
             )
             return [Send(ip, TableRequest(service)) for ip in core]
-        return [StateChanged(f"service:{service}"), *self.forward_to_zone(service, news)]
+        return [TableChanged(service), *self.forward_to_zone(service, news)]
 
     def forward_to_zone(self, service: str, message: TableUpdate) -> list[Action]:
         """The home node tells the others of its zone."""
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -22,11 +22,14 @@
 from hazelspring.node import codec
 from hazelspring.node.actions import (
     Action,
+    ConfigurationChanged,
+    EvacuatedZonesChanged,
     InvariantViolated,
     LoadReported,
+    MembersChanged,
     ReadList,
     Save,
-    StateChanged,
+    TableChanged,
 )
 from hazelspring.node.messages import Message
 from hazelspring.node.node import Node
@@ -54,13 +57,14 @@
 from .world import Call, World
 
 LABELS: dict[type, str] = {
-    ReadList: "read list", StateChanged: "changed", LoadReported: "load told", InvariantViolated: "violated",
+    ReadList: "read list", ConfigurationChanged: "changed", EvacuatedZonesChanged: "changed",
+    MembersChanged: "changed", TableChanged: "changed", LoadReported: "load told", InvariantViolated: "violated",
     CreditsGranted: "granted", CounterUnavailable: "lapsed", RejectOverQuota: "deny", LeaseCredits: "lease",
     AbandonAttempt: "leave", CounterCall: "counter call", i.Send: "send",
     i.Refuse: "refuse", i.Fail: "fail", i.Cancel: "cancel", i.SetTimer: "set timer", i.Probe: "probe",
     i.CloseIdle: "close idle", i.Tell: "tell", i.Log: "log", i.Watch: "watch", i.Pull: "pull", i.Count: "count",
 }  # fmt: skip
-WITHOUT_VALUES = (StateChanged,)  # its value is a key of this process alone, not of an interface
+WITHOUT_VALUES = (TableChanged,)  # its value was a key of this process alone when the digests were made
 SPLIT = [{"service": "shop", "shareWeight": 3}, {"service": "cart", "shareWeight": 1}]
 SERVERS = [f"{zone}-{n}" for zone in ("a1", "a2", "b1") for n in range(4)]
 OUTCOMES = (*[Outcome.OK] * 12, *Outcome)
--- a/tests/golden/recording.py
+++ b/tests/golden/recording.py
@@ -219,7 +219,9 @@
 
 
 # labels of actions in the record, by the names of their classes
-LABELS = {"StateChanged": "Changed", "LoadReported": "Danced"}
+LABELS = {"LoadReported": "Danced"} | dict.fromkeys(
+    ("ConfigurationChanged", "EvacuatedZonesChanged", "MembersChanged", "TableChanged"), "Changed"
+)
 
 
 def act(action: Action) -> str:
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -17,7 +17,7 @@
 from hazelspring.daemon.settings import Settings, load_settings
 from hazelspring.localfleet.fleet import LocalFleet, configuration
 from hazelspring.localfleet.stand_ins import StandIns
-from hazelspring.node.actions import StateChanged
+from hazelspring.node.actions import TableChanged
 from hazelspring.node.messages import LoadReport
 from hazelspring.storage.replica_store import ReplicaStore
 from ivymux.caller import Client, Listener
@@ -217,8 +217,8 @@
     async def play(node: NodeProcess) -> None:
         ends = list[bool]()
         node.operator_calls.replies[77] = lambda settled: ends.append(settled.succeeded)
-        node.execute_all([StateChanged("service:unknown"), ProposalOutcome(77, True, "")])
-        assert ends == [True] and node.supervisor.failures["StateChanged"] == 1
+        node.execute_all([TableChanged("unknown"), ProposalOutcome(77, True, "")])
+        assert ends == [True] and node.supervisor.failures["TableChanged"] == 1
 
     with_node(tmp_path, play)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -20,12 +20,15 @@
 from hazelspring.membership.node_info import NodeInfo
 from hazelspring.node.actions import (
     Action,
+    ConfigurationChanged,
+    EvacuatedZonesChanged,
     InvariantViolated,
     LoadReported,
+    MembersChanged,
     ReadList,
     Save,
     Send,
-    StateChanged,
+    TableChanged,
 )
 from hazelspring.node.messages import Message
 from hazelspring.node.node import Node, NodeStart
@@ -241,9 +244,10 @@
                     self.actions(
                         name, core.on_list_read(self.now, int(self.now * 1000), self.listing, action.number)
                     )
-                case StateChanged():
-                    if not action.what.startswith("service:"):
-                        self.saw(name, core)
+                case ConfigurationChanged() | EvacuatedZonesChanged() | MembersChanged():
+                    self.saw(name, core)
+                case TableChanged():
+                    pass
                 case ProposalOutcome():
                     self.done(action)
                 case InvariantViolated():
