--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -22,7 +22,8 @@
 from hazelspring.node.actions import Action, LoadReported, ReadList, Save, Send
 from hazelspring.node.load_reporter import LEASE_CALL_BYTES
 from hazelspring.node.messages import Message
-from hazelspring.node.node import TENANT_SHARDS, Node, NodeStart
+from hazelspring.node.node import Node, NodeStart
+from hazelspring.node.quota_calls import TENANT_SHARDS
 from hazelspring.quota.counter import QuotaCounter
 from hazelspring.quota.credits import CreditLeases
 from hazelspring.quota.limits import QuotaLimits
--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -4,7 +4,7 @@
 
 import random
 from collections.abc import Callable, Collection, Iterable
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, replace
 
 from hazelspring.consensus.acceptor import Acceptor
 from hazelspring.consensus.control_state import (
@@ -29,7 +29,9 @@
     ProposalsForwarded,
     RoundEnded,
 )
+from hazelspring.consensus.outcomes import outcome_of
 from hazelspring.consensus.proposal import Proposal, ProposalKind, ProposalOutcome
+from hazelspring.consensus.round import Round
 
 RESEND_INTERVAL = 0.25  # seconds between sendings to a member that has not answered
 LINK_BANDWIDTH = (
@@ -55,33 +57,6 @@
     message: ConsensusMessage
 
 
-@dataclass(slots=True)
-class Round:
-    """One ballot of one door: promises of so many that any majority has one of them, then a majority's acceptances."""
-
-    ballot: Ballot
-    base: ControlState  # the newest decided state that its door knows
-    highest_accepted: tuple[Ballot, ControlState]  # the highest that was accepted, of those who promised
-    promises: dict[str, Voter] = field(default_factory=dict)
-    acceptances: dict[str, Voter] = field(default_factory=dict)
-    rejections: set[str] = field(default_factory=set)
-    known_digests: dict[str, list[bytes]] = field(
-        default_factory=dict
-    )  # digests that a member has the bytes of
-    sent_at: dict[str, float] = field(default_factory=dict)
-    payload_sent_at: dict[str, float] = field(
-        default_factory=dict
-    )  # when a member was sent the configuration's bytes
-    configurations: dict[bytes, bytes] = field(default_factory=dict)  # configurations that came with promises
-    value: ControlState | None = None
-    started_at: float = 0.0
-    phase_started_at: float = 0.0
-    without_deltas: bool = False  # a configuration came with a promise by differences that lead nowhere here
-    deferred_by: set[str] = field(default_factory=set)  # members that said so to what they were last asked
-    contended: bool = False  # a member lets another round go first
-    rival_wait: float = 0.0  # seconds for which a round that outbid this one may take
-
-
 class Proposer:
     """A door's proposer.  One round at a time carries all its orders; a round that finds a state which may have
     been decided brings that to its end first."""
@@ -140,7 +115,11 @@
         for order in list(self.proposals):
             if state is not None and state.version > 0 and not order.confirmed and sure(order):
                 self.proposals[self.proposals.index(order)] = order = replace(order, confirmed=True)
-            if state is not None and state.version > 0 and (done := self.outcome_of(order, state, sure)):
+            if (
+                state is not None
+                and state.version > 0
+                and (done := outcome_of(order, state, self.acceptor, sure))
+            ):
                 ended.append(done)
             elif now - order.started_at > PROPOSAL_TIMEOUT:
                 ended.append(ProposalOutcome(order.token, False, self.stall_reason()))
@@ -149,40 +128,6 @@
             self.proposals.remove(order)
         return [done for done in ended if done.token]
 
-    def outcome_of(
-        self, order: Proposal, state: ControlState, sure: Callable[[Proposal], bool]
-    ) -> ProposalOutcome | None:
-        if order.kind == ProposalKind.RESOLVE:
-            return ProposalOutcome(order.token, True, state=state) if self.acceptor.pending is None else None
-        if order.apply(state) is not state:
-            return None
-        # that these bytes are in force, or a higher number, stays true whoever tells it; all else may have been so only
-        # before the order came, but for the newest of some time since and what was decided above it
-        conflicts = order.conflicts_with(state)
-        lasting = (
-            order.kind == ProposalKind.PUT_CONFIGURATION
-            and state.version > order.base_version
-            and not conflicts
-        )
-        if not lasting and not order.confirmed:
-            return None  # what stands here may be old
-        if conflicts and not sure(order):
-            return None  # it may have been acknowledged below a higher number since
-        if conflicts:
-            return ProposalOutcome(
-                order.token, False, f"r{state.configuration_version} is another body", True, state
-            )
-        if order.kind == ProposalKind.READ and state.configuration_digest == NO_CONFIGURATION:
-            return ProposalOutcome(
-                order.token, False, "look: no configuration was ever acknowledged", state=state
-            )
-        return ProposalOutcome(
-            order.token,
-            True,
-            state=state,
-            configuration=self.acceptor.current_configuration() if order.kind == ProposalKind.READ else None,
-        )
-
     def stall_reason(self) -> str:
         if self.round is None:
             return "look: too few voices"
@@ -356,8 +301,7 @@
                 word  # its order may end before the round does
             )
             self.acceptor.compute_delta(current.base.configuration_digest, target.configuration_digest, word)
-        current.value, current.sent_at, current.rejections = target, {}, set()
-        current.phase_started_at, current.deferred_by, current.contended = now, set(), False
+        current.start_accept_phase(now, target)
 
     def can_reach_majority(self, now: float, current: Round, target: ControlState) -> bool:
         """Whether a majority is there to accept.  A state that too few can accept would stay half agreed on, and keep
--- a/hazelspring/node/heartbeats.py
+++ b/hazelspring/node/heartbeats.py
@@ -10,7 +10,7 @@
 from hazelspring.membership.peer import Peer
 from hazelspring.membership.peer_table import PeerTable
 from hazelspring.membership.roster import RosterChange
-from hazelspring.node.codec import node_state_checksum
+from hazelspring.node.codec_node import node_state_checksum
 from hazelspring.node.control_replica import ControlReplica
 from hazelspring.node.messages import Heartbeat, HeartbeatReply, NodeState
 from hazelspring.registry.list_freshness import AGE_UNIT, ListFreshness
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -15,17 +15,15 @@
 from hazelspring.consensus.control_state import Member, lineage
 from hazelspring.consensus.proposal import Proposal, ProposalKind
 from hazelspring.leases.singleton_roles import SingletonRoles
-from hazelspring.membership.node_info import NodeIdentity, NodeInfo
+from hazelspring.membership.node_info import NodeInfo
 from hazelspring.membership.peer_table import PeerTable
-from hazelspring.membership.rendezvous import shard
 from hazelspring.membership.timeouts import LEASE_TERM
 from hazelspring.node.actions import Action, LoadReported, ReadList, Send
 from hazelspring.node.codec import kind_of
-from hazelspring.node.control_replica import REQUEST_INTERVAL, ControlReplica
+from hazelspring.node.control_replica import ControlReplica
 from hazelspring.node.dissemination import Disseminator
 from hazelspring.node.heartbeats import FAR_INTERVAL, NEAR_INTERVAL, Heartbeats
 from hazelspring.node.invariants import InvariantBounds, Invariants
-from hazelspring.node.load_reporter import LEASE_CALL_BYTES
 from hazelspring.node.messages import (
     CounterUnavailableNotice,
     CreditGrant,
@@ -40,13 +38,14 @@
     TableUpdate,
     UnknownMessage,
 )
+from hazelspring.node.quota_calls import TENANT_SHARDS, QuotaCalls
+from hazelspring.node.table_requests import TableRequests
 from hazelspring.quota.counter import QuotaCounter
 from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
 from hazelspring.registry.list_freshness import ListFreshness
 from hazelspring.registry.list_reader_role import LIST_READER, ListReaderRole, ListTiming
 from hazelspring.registry.tables import ServerEntry
 
-TENANT_SHARDS = 8  # of tenants; fixed, as two doors that differ in it would both own a tenant
 EMPTY_REGISTRY_GRACE = (
     0.15  # seconds without any table, as none else has one, after which a core door asks for itself
 )
@@ -82,6 +81,10 @@
         self.disseminator = Disseminator(self.peers, start.link_bandwidth)
         self.registry = self.disseminator.registry
         self.freshness = ListFreshness(now)
+        self.table_requests = TableRequests(self.peers, self.registry, self.freshness)
+        self.quota_calls = QuotaCalls(
+            me, self.roles, self.disseminator.load_reporter, self.quota_counter, limit
+        )
         self.heartbeats = Heartbeats(self.peers, self.control, self.roles, self.registry, self.freshness, now)
         self.ready = False
         self.list_reader_role = ListReaderRole(self.roles, ListTiming.within(start.bounds.drain_cutoff))
@@ -93,9 +96,6 @@
             list_reader_role=self.list_reader_role,
             freshness=self.freshness,
         )
-        # of each member, the versions of tables that it told and those known here when none of its was newer
-        self.tables_in_sync: dict[str, tuple[dict[str, int], dict[str, int]]] = {}
-        self.table_requests: dict[str, tuple[float, int]] = {}  # what was asked for, when, and how often
         self.was_member = self.control.is_member()
         self.members = self.control.state.members if self.control.state is not None else ()
         self.dropped: dict[str, int] = {}  # messages of or to another life, by kind
@@ -181,7 +181,7 @@
             self.peers.record_heartbeat(now, self.me, self.ready)
             self.peers.update_roster(now)
             self.quota_counter.expire(now)
-        self.request_missing_tables(now)
+        self.actions += self.table_requests.request_missing(now)
         if self.me.disk_id and self.peers.max_node_count > self.saved_node_count:
             self.saved_node_count = self.peers.max_node_count
             self.control.write_record(NODE_COUNT_RECORD, str(self.saved_node_count).encode())
@@ -217,40 +217,6 @@
             Send(ip, self.heartbeats.make_heartbeat(now, ip, self.ready and not self.roles.has_left, wants))
         )
 
-    def request_missing_tables(self, now: float) -> None:
-        """Ask for news of servers that others told of and this door lacks."""
-        for ip in self.peers.core_nodes:
-            peer = self.peers.peers.get(ip)
-            if peer is None or ip == self.me.ip:
-                continue
-            told, known = self.tables_in_sync.get(ip, (None, None))
-            if told is not peer.table_versions or known is not self.registry.versions():
-                newer = self.registry.outdated(peer.table_versions)
-                for service in newer:
-                    self.request_table(now, service, peer.table_versions[service])
-                if newer:
-                    continue
-                self.tables_in_sync[ip] = (peer.table_versions, self.registry.versions())
-            self.freshness.confirm(peer.list_read_at)  # what it knows is known here
-
-    def request_table(self, now: float, service: str, version: int) -> None:
-        if not self.may_request(now, f"news {service}"):
-            return
-        has = self.peers.other_core_nodes_where(lambda peer: peer.table_versions.get(service, 0) >= version)
-        self.request_from_one(now, f"news {service}", has, TableRequest(service))
-
-    def may_request(self, now: float, what: str) -> bool:
-        """Whether what was asked for last has had its time."""
-        return now - self.table_requests.get(what, (-1e9, 0))[0] >= REQUEST_INTERVAL
-
-    def request_from_one(self, now: float, what: str, have: list[str], message: Message) -> None:
-        """Ask the nearest that has it; one that did not answer in time, and the next one, in turn."""
-        _, times = self.table_requests.get(what, (-1e9, 0))
-        if have and self.may_request(now, what):
-            alive = [ip for ip in have if self.peers.is_alive(now, ip)] or have
-            self.actions.append(Send(alive[times % len(alive)], message))
-            self.table_requests[what] = (now, times + 1)
-
     # --- duties ------------------------------------------------------------------------------------------
 
     def perform_roles(self, now: float) -> None:
@@ -305,33 +271,8 @@
     # --- quotas -----------------------------------------------------------------------------------------------
 
     def lease_credits(self, now: float, tenant: str, number: int, units: float) -> list[Action]:
-        """A call of this door to the counter of a tenant."""
-        self.actions = []
-        holder = self.roles.holder(now, self.counter_role(tenant))
-        if holder is not None and holder != self.me.ip:
-            request = CreditRequest(tenant, number, int(units), self.me.incarnation)
-            self.actions.append(Send(holder, request))
-            self.disseminator.load_reporter.record_other_bytes(LEASE_CALL_BYTES)
-        elif (granted := self.grant_credits(now, tenant, self.me.identity(), number, units)) is None:
-            self.actions.append(CounterUnavailable(tenant))
-        elif units > 0:
-            self.actions.append(granted)
-        return self.actions
-
-    @staticmethod
-    def counter_role(tenant: str) -> int:
-        """The duty that a tenant's counter belongs to."""
-        return 1 + shard(tenant, TENANT_SHARDS)
-
-    def grant_credits(
-        self, now: float, tenant: str, caller: NodeIdentity, number: int, units: float
-    ) -> CreditsGranted | None:
-        """Add to a counter of this door; nothing where it is not this door's."""
-        until = self.roles.held_until(self.counter_role(tenant))
-        if until <= now:
-            return None
-        found = self.quota_counter.grant(now, until, tenant, units, self.tenant_limit(tenant), caller, number)
-        return CreditsGranted(tenant, number, *found)
+        """Call a tenant's counter for this node."""
+        return self.quota_calls.lease(now, tenant, number, units)
 
     # --- messages -----------------------------------------------------------------------------------------
 
@@ -354,7 +295,7 @@
             case RolesDeclined():
                 self.roles.on_declined(message.member.identity(), message.roles)
             case CreditRequest():
-                self.on_credit_request(now, source, message)
+                self.actions += self.quota_calls.on_request(now, source, message)
             case CreditGrant():
                 self.on_credit_grant(message)
             case CounterUnavailableNotice():
@@ -382,7 +323,7 @@
     def on_table_update(self, now: float, news: TableUpdate) -> None:
         """Apply a table, or a change of one."""
         self.actions += self.disseminator.apply_update(now, news)
-        self.table_requests.pop(f"news {news.service}", None)
+        self.table_requests.on_update(news.service)
 
     def on_heartbeat(self, now: float, source: str, message: Heartbeat) -> None:
         """Note who sent a heartbeat, and reply."""
@@ -398,7 +339,7 @@
         """Take a reply; tables that it told of are asked for at once, and again with a tick where none comes."""
         self.apply_heartbeat_reply(now, source, message)
         if message.state is not None:
-            self.request_missing_tables(now)
+            self.actions += self.table_requests.request_missing(now)
 
     def apply_heartbeat_reply(self, now: float, source: str, message: HeartbeatReply) -> None:
         """Note what a reply tells, but for one of an earlier incarnation, or to one."""
@@ -417,24 +358,6 @@
         for member in message.core_nodes or ():
             self.peers.observe(now, member)
 
-    def on_credit_request(self, now: float, source: str, message: CreditRequest) -> None:
-        """Grant credits of a tenant's quota where this node holds the counter, or say that it does not."""
-        caller = NodeIdentity(source, message.incarnation)
-        granted = self.grant_credits(now, message.tenant, caller, message.number, message.units)
-        if granted is None:
-            notice = CounterUnavailableNotice(message.tenant, message.incarnation)
-            self.actions.append(Send(source, notice))
-        elif message.units > 0:
-            grant = CreditGrant(
-                message.incarnation,
-                granted.tenant,
-                granted.number,
-                int(granted.units),
-                int(1000 * granted.lifetime),
-                int(100 * granted.granted_part),
-            )
-            self.actions.append(Send(source, grant))
-
     def on_credit_grant(self, message: CreditGrant) -> None:
         """Pass on credits that another node's counter granted."""
         if message.incarnation != self.me.incarnation:
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -16,6 +16,7 @@
 from hazelspring.consensus.proposal import Proposal, ProposalKind
 from hazelspring.node import codec
 from hazelspring.node.codec import kind_of
+from hazelspring.node.codec_fields import MalformedMessageError
 from hazelspring.node.messages import Message
 
 from .test_control import settled_world
@@ -82,7 +83,7 @@
     carried.expire(FORWARDED_LIFETIME + 0.1, state(4))
     assert not carried.proposals
     retiring = ProposalsForwarded(4, (ForwardedChange("retire", -1, b"", None, "", False),))
-    with pytest.raises(codec.MalformedMessageError):
+    with pytest.raises(MalformedMessageError):
         codec.decode(codec.encode(retiring))
 
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -10,7 +10,8 @@
 from hazelspring.consensus.control_state import ControlState
 from hazelspring.consensus.messages import Accept, Decision, DeltaPath, HeldConfiguration, Prepare, Promise
 from hazelspring.node import codec
-from hazelspring.node.codec import Fields, MalformedMessageError
+from hazelspring.node.codec_fields import Fields, MalformedMessageError
+from hazelspring.node.codec_node import node_state_checksum
 from hazelspring.node.messages import Heartbeat, HeartbeatReply, UnknownMessage
 
 from .golden.recording import read
@@ -211,5 +212,5 @@
     newer = codec.from_fields(fields_of("echo") | {"z": NODE_STATE | {"later": {"a": 1}}})
     assert isinstance(known, HeartbeatReply) and isinstance(newer, HeartbeatReply)
     assert known.state is not None and known.state == newer.state
-    assert known.state_checksum == codec.node_state_checksum(known.state) == 460542934
+    assert known.state_checksum == node_state_checksum(known.state) == 460542934
     assert newer.state_checksum == 3895817491
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -11,7 +11,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from hazelspring.membership.rendezvous import shard
-from hazelspring.node.node import TENANT_SHARDS
+from hazelspring.node.quota_calls import TENANT_SHARDS
 from hazelspring.quota.credits import CreditsGranted
 from hazelspring.registry.list_reader_role import LIST_READER
 
