--- a/tests/test_configuration_change.py
+++ b/tests/test_configuration_change.py
@@ -1,4 +1,4 @@
-"""A configuration by its difference: exact bytes, the same verdict and the same tables as when it is read whole."""
+"""Packed bodies, deltas and incremental reading: exact bytes, and the verdict and tables of the whole document."""
 
 from __future__ import annotations
 
@@ -13,13 +13,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-import hazelspring.configuration.blocks
-import hazelspring.configuration.delta
+import hazelspring.configuration.blocks as blocks_module
+import hazelspring.configuration.delta as delta_module
 from bench.scale.words import configuration
 from hazelspring.configuration.blocks import pack, unpack
 from hazelspring.configuration.delta import DeltaError, apply_deltas, make_delta
 from hazelspring.configuration.incremental import LoadedConfiguration, load_configuration
-from hazelspring.configuration.model import Configuration, configuration_digest, parse_configuration
+from hazelspring.configuration.model import (
+    Configuration,
+    ResourceDocument,
+    configuration_digest,
+    parse_configuration,
+)
 from hazelspring.configuration.validation import (
     InvalidConfigurationError,
     validate_change,
@@ -27,8 +32,7 @@
     validate_incrementally,
 )
 
-Entry = dict[str, Any]
-QUIET = settings(max_examples=300, deadline=None, derandomize=True)
+PROPERTY = settings(max_examples=300, deadline=None, derandomize=True)
 
 
 @pytest.fixture(autouse=True, scope="module")
@@ -36,20 +40,20 @@
     """Blocks of a few resources, so that small configurations have many."""
     with pytest.MonkeyPatch.context() as patch:
         for name, value in (("MIN_BLOCK_BYTES", 300), ("MAX_BLOCK_BYTES", 2000), ("BOUNDARY_MASK", 3)):
-            patch.setattr(hazelspring.configuration.blocks, name, value)
-        patch.setattr(hazelspring.configuration.delta, "MIN_BLOCK_BYTES", 300)
+            patch.setattr(blocks_module, name, value)
+        patch.setattr(delta_module, "MIN_BLOCK_BYTES", 300)
         yield
 
 
-def entry(kind: str, name: str, **spec: Any) -> Entry:
+def resource(kind: str, name: str, **spec: Any) -> ResourceDocument:
     return {"resourceKind": kind, "metadata": {"name": name}, "specification": spec}
 
 
-def entries(seed: int) -> list[Entry]:
+def resources(seed: int) -> list[ResourceDocument]:
     draw = random.Random(seed)
-    found = [entry("serviceTable", f"s{n}", connectionLimit=n) for n in range(5)]
+    found = [resource("serviceTable", f"s{n}", connectionLimit=n) for n in range(5)]
     for n in range(24):
-        spec: Entry = {
+        spec: ResourceDocument = {
             "hostName": f"H{n // 4}.example",
             "pathPrefix": f"/{'ab' * (n % 4)}",
             "routeKind": "upload",
@@ -59,38 +63,38 @@
         else:
             weights = [{"service": f"s{draw.randrange(5)}", "shareWeight": w} for w in (0, 1)]
             spec["weightedSplit"] = weights
-        found.append(entry("routeTable", f"r{n}", **spec))
+        found.append(resource("routeTable", f"r{n}", **spec))
     for n in range(30):
         keys = [f"k{n}", f"k{n}-{draw.randrange(3)}"]
-        found.append(entry("tenantTable", f"t{n}", accessKeys=keys, requestsPerS=draw.randrange(9)))
-    found += [entry("limits", f"l{n}", bodyBytes=1000 + n) for n in range(seed % 3)]
+        found.append(resource("tenantTable", f"t{n}", accessKeys=keys, requestsPerS=draw.randrange(9)))
+    found += [resource("limits", f"l{n}", bodyBytes=1000 + n) for n in range(seed % 3)]
     if seed % 2:
         draw.shuffle(found)
     return found
 
 
-def text(found: list[Any], number: Any = "r7", indent: int | None = None) -> bytes:
+def document_bytes(found: list[Any], number: Any = "r7", indent: int | None = None) -> bytes:
     document = {"versionNumber": number, "resourceList": found, "after": {"resourceKind": []}}
     return json.dumps(document, indent=indent).encode()
 
 
-ODD: list[Any] = [
+ODD_VALUES: list[Any] = [
     None, "", "s1", "s9", "k1", "k2", "t1", "/ab", True, 0, 1.0, -1, 10**30, "read_only", [], ["k3", "k4"], {}, ["s1"],
     [{"service": "s2", "shareWeight": 0}], [{"service": "s8", "shareWeight": 1}], "upload", "H1.example", "h1.EXAMPLE",
     {"resourceKind": "limits"}, [{"resourceKind": "routeTable", "metadata": {}}, {"resourceKind": 1}], float("nan"),
 ]  # fmt: skip
-FIELDS = [
+FIELD_NAMES = [
     "hostName", "pathPrefix", "routeKind", "service", "weightedSplit", "accessKeys", "requestsPerS", "homeRegions",
     "connectionLimit", "bodyBytes", "priority", "timeoutMs", "targetAnswerMs",
 ]  # fmt: skip
 EDITS = st.lists(
     st.tuples(
         st.sampled_from(["drop", "twice", "move", "swap", "name", "kind", "put", "set", "set", "set", "odd", "key"]),
-        st.integers(0, 400), st.integers(0, 400), st.sampled_from(FIELDS), st.sampled_from(ODD),
+        st.integers(0, 400), st.integers(0, 400), st.sampled_from(FIELD_NAMES), st.sampled_from(ODD_VALUES),
     ),
     max_size=4,
 )  # fmt: skip
-NOISE = st.lists(
+BYTE_EDITS = st.lists(
     st.tuples(
         st.integers(0, 8000),
         st.integers(0, 30),
@@ -122,7 +126,7 @@
         elif what == "kind":
             it["resourceKind"] = value
         elif what == "put":
-            found.insert(to, entry("tenantTable", f"n{one}", accessKeys=[f"m{other}"], priority=other))
+            found.insert(to, resource("tenantTable", f"n{one}", accessKeys=[f"m{other}"], priority=other))
         elif what == "key":
             found[at] = {"x": it.pop("resourceKind", 0), **it}
         else:
@@ -137,8 +141,8 @@
         return str(error)
 
 
-def unshared(old: Configuration, new: Configuration) -> int:
-    """How many entries are the same and not the same objects."""
+def count_unshared(old: Configuration, new: Configuration) -> int:
+    """Return how many resources are equal in both configurations and not the same objects."""
     routes = {route: route for routes in old.routes_by_host.values() for route in routes}
     now = [route for of in new.routes_by_host.values() for route in of]
     tables: list[tuple[dict[Any, Any], dict[Any, Any]]] = [(routes, {route: route for route in now})]
@@ -150,16 +154,16 @@
     )
 
 
-@QUIET
+@PROPERTY
 @given(
     st.integers(0, 11),
     EDITS,
     EDITS,
-    NOISE,
+    BYTE_EDITS,
     st.sampled_from([None, None, None, 1]),
     st.sampled_from(["r8", 8]),
 )
-def test_a_change_is_judged_and_read_as_the_whole_is(
+def test_a_change_has_the_verdict_and_the_tables_of_the_whole_document(
     seed: int,
     first: list[Any],
     then: list[Any],
@@ -167,13 +171,13 @@
     indent: int | None,
     number: Any,
 ) -> None:
-    """Over two changes, as the second stands on tables and blocks that the first has made."""
-    body = text(entries(seed))
-    held, found = load_configuration(pack(body), None), entries(seed)
+    """Over two changes, as the second builds on tables and blocks that the first has made."""
+    body = document_bytes(resources(seed))
+    held, found = load_configuration(pack(body), None), resources(seed)
     assert held.block_aligned and held.configuration == parse_configuration(body)
     for edits in (first, then):
         found = edited(found, edits)
-        body = text(found, number if edits is then else "r8", indent)
+        body = document_bytes(found, number if edits is then else "r8", indent)
         if edits is then:
             for at, length, other in noise:
                 body = body[:at] + other + body[at + length :]
@@ -191,22 +195,22 @@
             held.block_aligned
             and max(old.configuration.limits_entries, held.configuration.limits_entries) < 2
         ):
-            assert unshared(old.configuration, held.configuration) <= len(edits)
+            assert count_unshared(old.configuration, held.configuration) <= len(edits)
         assert all(
             held.configuration.tenants[tenant.name] is tenant
             for tenant in held.configuration.tenants_by_key.values()
         )
 
 
-def test_a_usual_change_is_read_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    body = text(entries(3))
+def test_a_usual_change_is_read_without_the_whole_document(monkeypatch: pytest.MonkeyPatch) -> None:
+    body = document_bytes(resources(3))
     held = load_configuration(pack(body))
     for edits in (
         [("put", 5, 7, "", None)],
         [("drop", 3, 0, "", None)],
         [("set", 20, 0, "priority", 4), ("put", 9, 50, "", 0)],
     ):
-        changed = text(edited(entries(3), edits), "r8")
+        changed = document_bytes(edited(resources(3), edits), "r8")
         packed = pack(changed, held.packed)
         assert validate_incrementally(held, packed) == 8
         with monkeypatch.context() as patch:
@@ -218,9 +222,9 @@
 @pytest.mark.parametrize(
     "head", ['{"resourceList": ["x"], "resourceList": [', '{"a": {"resourceList": [', "[["]
 )
-def test_entries_that_stand_elsewhere_are_not_taken_for_resources(head: str) -> None:
-    held = load_configuration(pack(text(entries(0))))
-    middle = ", ".join(json.dumps(each) for each in entries(0))
+def test_entries_outside_of_the_resource_list_are_not_taken_for_resources(head: str) -> None:
+    held = load_configuration(pack(document_bytes(resources(0))))
+    middle = ", ".join(json.dumps(each) for each in resources(0))
     for tail in (
         "]}",
         ']}, "resourceList": [], "versionNumber": "r8"}',
@@ -231,23 +235,22 @@
         assert verdict(body, held) == verdict(body)
 
 
-def test_a_packed_body_is_a_zlib_stream_whose_blocks_stay() -> None:
-    found = entries(4)
-    one, two = text(found), text(edited(found, [("set", 12, 0, "priority", 5)]), "r8")
+def test_a_packed_body_is_a_zlib_stream_and_a_change_keeps_its_other_blocks() -> None:
+    found = resources(4)
+    one, two = document_bytes(found), document_bytes(edited(found, [("set", 12, 0, "priority", 5)]), "r8")
     packed = pack(one)
     assert unpack(packed) == one and zlib.decompress(packed) == one
     blocks = [
-        {block.packed for block in hazelspring.configuration.blocks.read_blocks(each)}
-        for each in (packed, pack(two, packed))
+        {block.packed for block in blocks_module.read_blocks(each)} for each in (packed, pack(two, packed))
     ]
     assert len(blocks[0]) > 6 and len(blocks[1] - blocks[0]) <= 3
-    old = zlib.compress(one, 6)  # as it was packed before
+    old = zlib.compress(one, 6)  # as earlier versions packed it
     assert apply_deltas(old, [make_delta(old, pack(two))], configuration_digest(two)) == apply_deltas(
         packed, [make_delta(packed, pack(two))], configuration_digest(two)
     )
 
 
-def test_a_difference_is_as_large_as_the_change() -> None:
+def test_the_size_of_a_delta_is_that_of_the_change() -> None:
     bodies = [configuration(routes) for routes in (100, 1000)]
     sizes = []
     for body in bodies:
@@ -258,15 +261,15 @@
     assert max(sizes) < 400 and abs(sizes[0] - sizes[1]) < 40
 
 
-def test_a_wrong_difference_makes_nothing() -> None:
+def test_a_wrong_delta_is_refused() -> None:
     one, two = (
-        text(entries(1)),
-        text(edited(entries(1), [("put", 5, 7, "", None), ("drop", 9, 0, "", None)]), "r8"),
+        document_bytes(resources(1)),
+        document_bytes(edited(resources(1), [("put", 5, 7, "", None), ("drop", 9, 0, "", None)]), "r8"),
     )
     packed = pack(one)
     right = make_delta(packed, pack(two))
     assert unpack(apply_deltas(packed, [right], configuration_digest(two))) == two
-    plain, other = zlib.decompress(right), pack(text(entries(2)))
+    plain, other = zlib.decompress(right), pack(document_bytes(resources(2)))
     wrong = [b"", b"x", right[:-5], other, make_delta(other, packed)]
     for seed in range(400):
         draw, bent = random.Random(seed), bytearray(plain)
@@ -274,14 +277,11 @@
         wrong.append(zlib.compress(bytes(bent)))
     wrong.append(
         zlib.compress(
-            hazelspring.configuration.delta.DELTA_HEADER.pack(1 << 30, 1)
-            + hazelspring.configuration.delta.RUN_HEADER.pack(0, 1 << 30, 0)
+            delta_module.DELTA_HEADER.pack(1 << 30, 1) + delta_module.RUN_HEADER.pack(0, 1 << 30, 0)
         )
     )
-    wrong.append(zlib.compress(bytes(hazelspring.configuration.delta.MAX_NEW_BYTES + 1)))
-    twice = hazelspring.configuration.delta.DELTA_HEADER.pack(
-        3 * len(one), 3
-    ) + 3 * hazelspring.configuration.delta.RUN_HEADER.pack(0, len(one), 0)
+    wrong.append(zlib.compress(bytes(delta_module.MAX_NEW_BYTES + 1)))
+    twice = delta_module.DELTA_HEADER.pack(3 * len(one), 3) + 3 * delta_module.RUN_HEADER.pack(0, len(one), 0)
     wrong.append(zlib.compress(twice))
     raised = 0
     for delta in wrong:
@@ -299,15 +299,15 @@
     with pytest.raises(DeltaError, match="too many"):
         apply_deltas(
             packed,
-            [right] * (hazelspring.configuration.delta.MAX_CHAINED_DELTAS + 1),
+            [right] * (delta_module.MAX_CHAINED_DELTAS + 1),
             configuration_digest(two),
         )
 
 
-def fault(what: str) -> tuple[list[Any], list[Any]]:
-    """Entries that are right, and the same with one that goes against an entry which did not change."""
-    right = entries(0)
-    right.insert(0, entry("serviceTable", "s5"))
+def conflicting(what: str) -> tuple[list[Any], list[Any]]:
+    """Return valid resources, and the same with one that conflicts with a resource which did not change."""
+    right = resources(0)
+    right.insert(0, resource("serviceTable", "s5"))
     right[6]["specification"]["weightedSplit"] = [
         {"service": name, "shareWeight": weight} for name, weight in (("s0", 1), ("s5", 0))
     ]
@@ -331,15 +331,15 @@
 
 
 @pytest.mark.parametrize("what", ["place", "key", "route", "tenant", "service", "s5", "s0"])
-def test_an_entry_that_goes_against_one_which_stays_is_refused(what: str) -> None:
-    right, wrong = fault(what)
-    held = load_configuration(pack(text(right)))
-    assert held.block_aligned and verdict(text(right, "r8"), held) == 8
-    assert verdict(text(wrong, "r8"), held) == verdict(text(wrong, "r8")) != 8
+def test_a_resource_that_conflicts_with_an_unchanged_one_is_refused(what: str) -> None:
+    right, wrong = conflicting(what)
+    held = load_configuration(pack(document_bytes(right)))
+    assert held.block_aligned and verdict(document_bytes(right, "r8"), held) == 8
+    assert verdict(document_bytes(wrong, "r8"), held) == verdict(document_bytes(wrong, "r8")) != 8
 
 
-def test_entries_that_do_not_begin_as_usual_or_are_not_parted_are_not_passed_over() -> None:
-    body = text(entries(0))
+def test_entries_that_begin_otherwise_or_lack_a_comma_are_not_passed_over() -> None:
+    body = document_bytes(resources(0))
     held = load_configuration(pack(body))
     first = body.replace(
         b'List": [', b'List": [{ "resourceKind": "limits", "metadata": {}, "specification": 1}, '
