--- a/hazelspring/configuration/model.py
+++ b/hazelspring/configuration/model.py
@@ -11,7 +11,7 @@
 
 import hashlib
 import json
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import Any, NamedTuple
@@ -43,6 +43,11 @@
     UPLOAD = "upload"
 
 
+# A member looked up by its class, or by a call, takes ten times as long: requests and large documents would pay it.
+READ_ONLY = RouteKind.READ_ONLY
+ROUTE_KIND_BY_VALUE = {kind.value: kind for kind in RouteKind}
+
+
 class WeightedService(NamedTuple):
     """One service of a route's weighted split.
 
@@ -106,10 +111,12 @@
     @property
     def idempotent(self) -> bool:
         """Whether a request may be sent again without changing the result."""
-        return self.kind == RouteKind.READ_ONLY
+        return self.kind is READ_ONLY
 
     def pick_service(self, chance: float) -> str:
         """Return the service for a request, by a random number in [0, 1) that is drawn for it."""
+        if len(self.weighted_services) == 1:  # nearly all routes
+            return self.weighted_services[0].name
         total_weight = self.weighted_services[-1].cumulative_weight
         for name, cumulative_weight in self.weighted_services:
             if chance * total_weight < cumulative_weight:
@@ -268,7 +275,7 @@
         name=name,
         host=specification["hostName"].lower(),
         path_prefix=specification["pathPrefix"],
-        kind=RouteKind(specification["routeKind"]),
+        kind=ROUTE_KIND_BY_VALUE[specification["routeKind"]],
         timeout=timeout_ms / MS_PER_S,
         latency_target=(specification.get("targetAnswerMs") or timeout_ms) / MS_PER_S,
         priority=int(specification.get("priority") or 0),
@@ -330,18 +337,35 @@
 
 def add_resource(configuration: Configuration, resource: ResourceDocument) -> None:
     """Add one checked resource to the tables; the routes of its host are left unsorted."""
-    kind, name = resource["resourceKind"], resource_name(resource)
-    specification = resource["specification"]
-    if kind == ResourceKind.ROUTE:
-        route = parse_route(name, specification)
-        configuration.routes_by_host.setdefault(route.host, []).append(route)
-    elif kind == ResourceKind.SERVICE:
-        configuration.services[name] = parse_service(name, specification)
-    elif kind == ResourceKind.TENANT:
-        tenant = parse_tenant(name, specification)
-        configuration.tenants[name] = tenant
-        for key in specification.get("accessKeys") or ():
-            configuration.tenants_by_key[key] = tenant
-    elif kind == ResourceKind.LIMITS:
-        configuration.limits = parse_limits(specification)
-        configuration.limits_entries += 1
+    add = RESOURCE_ADDERS.get(resource["resourceKind"])
+    if add is not None:
+        add(configuration, resource["metadata"].get("name", ""), resource["specification"])
+
+
+def _add_route(configuration: Configuration, name: str, specification: Specification) -> None:
+    route = parse_route(name, specification)
+    configuration.routes_by_host.setdefault(route.host, []).append(route)
+
+
+def _add_service(configuration: Configuration, name: str, specification: Specification) -> None:
+    configuration.services[name] = parse_service(name, specification)
+
+
+def _add_tenant(configuration: Configuration, name: str, specification: Specification) -> None:
+    tenant = parse_tenant(name, specification)
+    configuration.tenants[name] = tenant
+    for key in specification.get("accessKeys") or ():
+        configuration.tenants_by_key[key] = tenant
+
+
+def _set_limits(configuration: Configuration, _: str, specification: Specification) -> None:
+    configuration.limits = parse_limits(specification)
+    configuration.limits_entries += 1
+
+
+RESOURCE_ADDERS: dict[str, Callable[[Configuration, str, Specification], None]] = {
+    ResourceKind.ROUTE: _add_route,
+    ResourceKind.SERVICE: _add_service,
+    ResourceKind.TENANT: _add_tenant,
+    ResourceKind.LIMITS: _set_limits,
+}
