--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -31,7 +31,7 @@
 )
 from hazelspring.consensus.outcomes import outcome_of
 from hazelspring.consensus.proposal import Proposal, ProposalKind, ProposalOutcome
-from hazelspring.consensus.round import Round
+from hazelspring.consensus.round import LONG_AGO, Round
 
 RESEND_INTERVAL = 0.25  # seconds between sendings to a member that has not answered
 LINK_BANDWIDTH = (
@@ -74,10 +74,10 @@
         self.round: Round | None = None
         self.abandoned_ballot = NO_BALLOT  # of the last round that ended without a decision
         self.highest_count = 0  # the highest ballot's count that was heard of
-        self.failed_rounds, self.backoff_until = 0, -1e9
+        self.failed_rounds, self.backoff_until = 0, LONG_AGO
         self.outbox: list[OutgoingMessage] = []  # that rounds have ended, and orders for other doors
         self.forwarded, self.forwarder = ForwardedProposals(), ProposalForwarder()
-        self.confirmed_since = -1e9  # when the last round began that a majority has brought to its end
+        self.confirmed_since = LONG_AGO  # when the last round began that a majority has brought to its end
 
     def submit(self, order: Proposal) -> None:
         order.base_version = self.acceptor.version
@@ -87,7 +87,7 @@
         """A newer state has come: whoever was in the way is done.  Orders that met others go to who decided it, and
         this door goes alone only where they are not carried out in time."""
         met = self.failed_rounds > 0 or bool(self.forwarder.tokens_by_node)
-        self.failed_rounds, self.backoff_until = 0, -1e9
+        self.failed_rounds, self.backoff_until = 0, LONG_AGO
         decided = self.acceptor.decided
         if not met or decided is None or decided[0][2] == self.me[0]:
             return
@@ -210,7 +210,7 @@
             if (
                 ip in have
                 or ip in current.rejections
-                or now - current.sent_at.get(ip, -1e9) < RESEND_INTERVAL
+                or now - current.sent_at.get(ip, LONG_AGO) < RESEND_INTERVAL
             ):
                 continue
             current.sent_at[ip] = now
@@ -235,7 +235,7 @@
         payload = self.payload_for(ip, value.configuration_digest, current)
         if isinstance(payload, FullConfiguration):
             transfer_time = len(payload.packed) * recipients / LINK_BANDWIDTH
-            if now - current.payload_sent_at.get(ip, -1e9) < max(RESEND_INTERVAL, transfer_time):
+            if now - current.payload_sent_at.get(ip, LONG_AGO) < max(RESEND_INTERVAL, transfer_time):
                 return None
             current.payload_sent_at[ip] = now
         return payload
--- a/hazelspring/consensus/round.py
+++ b/hazelspring/consensus/round.py
@@ -6,6 +6,8 @@
 
 from hazelspring.consensus.control_state import Ballot, ControlState, Voter
 
+LONG_AGO = -1e9  # seconds of the steady clock: before anything that is timed by it
+
 
 @dataclass(slots=True)
 class Round:
--- a/hazelspring/node/control_replica.py
+++ b/hazelspring/node/control_replica.py
@@ -38,24 +38,20 @@
 )
 from hazelspring.consensus.proposal import Proposal
 from hazelspring.consensus.proposer import Proposer
+from hazelspring.consensus.round import LONG_AGO
 from hazelspring.membership.peer_table import PeerTable
-from hazelspring.membership.rendezvous import owner
 from hazelspring.node.actions import (
     Action,
     ConfigurationChanged,
     EvacuatedZonesChanged,
     MembersChanged,
-    Save,
     Send,
 )
+from hazelspring.node.admitted_round import ADMITTED_ROUND_TIME, NO_ROUND, AdmittedRound
+from hazelspring.node.durable_replies import DurableReplies
 from hazelspring.node.messages import ControlVersions
 from hazelspring.node.reconfiguration import Reconfiguration
-
-ADMITTED_ROUND_TIME = (
-    1.0  # seconds for which a round that was let in may go first: syncs of a slow disk and round trips
-)
-REQUEST_INTERVAL = 0.3  # seconds until what was asked for is asked for again, of another door
-NO_ROUND = (-1e9, "", -1, False)
+from hazelspring.node.sent_request import NOT_SENT, SentRequest
 
 
 class ControlReplica:
@@ -74,21 +70,10 @@
             self.acceptor, (me.ip, me.incarnation), random.Random(me.incarnation), peers.is_member_alive
         )
         self.reconfiguration = Reconfiguration(now, peers, self.acceptor, self.proposer, first)
-        self.other_records: dict[str, bytes | None] = {}  # other records that are to be written
-        self.save_number = 0
-        self.records_being_saved: dict[str, bytes | None] | None = None  # on their way to the disk
-        self.replies_after_current_save: list[
-            tuple[str, ConsensusMessage]
-        ] = []  # answers that wait for the save under way,
-        self.replies_after_next_save: list[tuple[str, ConsensusMessage]] = []  # and for the next one
-        self.save_failed = False
-        # whose round is under way here: until when, whose, on what base, and whether it has chosen
-        self.admitted_round = NO_ROUND
+        self.saves = DurableReplies(self.acceptor, bool(me.disk_id))
+        self.admitted_round = NO_ROUND  # whose round is under way here
         self.loopback_messages: list[ConsensusMessage] = []  # messages of this door to itself
-        self.last_state_request: tuple[float, int] = (
-            -1e9,
-            0,
-        )  # when a newer state was asked for, and how often
+        self.last_state_request = NOT_SENT  # for a newer state
         self.nodes_behind: dict[str, None] = {}  # doors that told of a lower lineage than the one here
         self.actions: list[Action] = []
         if self.acceptor.version > 0:
@@ -151,9 +136,9 @@
         """All that was decided up to then is known here: one of so many voices would have told."""
         state, times = self.state, self.confirmation_times(now)
         if state is None or state.configuration_digest == NO_CONFIGURATION:
-            return -1e9
+            return LONG_AGO
         needed = read_quorum(len(state.members))
-        return times[needed - 1] if len(times) >= needed else -1e9
+        return times[needed - 1] if len(times) >= needed else LONG_AGO
 
     def is_confirmed_for(self, order: Proposal, now: float) -> bool:
         """Whether the state in force here holds all that was decided before an order came."""
@@ -168,7 +153,7 @@
 
     def tick(self, now: float) -> list[Action]:
         self.actions = []
-        self.save_failed = False
+        self.saves.has_failed = False
         self.reconfiguration.tick(now)
         return self.advance(now)
 
@@ -242,11 +227,11 @@
         while self.nodes_behind:
             self.send_state(self.nodes_behind.popitem()[0], HOLDS_NOTHING)
         has = self.peers.nodes_above_version(self.acceptor.version)
-        at, times = self.last_state_request
-        if has and now - at >= REQUEST_INTERVAL:
+        last = self.last_state_request
+        if has and last.is_due(now):
             alive = [ip for ip in has if self.peers.is_alive(now, ip)] or has
-            self.request_state(alive[times % len(alive)])
-            self.last_state_request = (now, times + 1)
+            self.request_state(alive[last.count % len(alive)])
+            self.last_state_request = SentRequest(now, last.count + 1)
 
     def request_state(self, of: str, whole: bool = False) -> None:
         """Ask a node for the state in force there, with its configuration; `whole`: not as deltas."""
@@ -257,51 +242,27 @@
     # --- the disk --------------------------------------------------------------------------------------------
 
     def reply_when_durable(self, to: str, message: ConsensusMessage) -> None:
-        """Send an answer once all that it stands for is on disk."""
-        if self.acceptor.dirty_records and self.peers.me.disk_id:
-            self.replies_after_next_save.append((to, message))
-        elif self.records_being_saved is not None:
-            self.replies_after_current_save.append((to, message))
-        else:
+        """Send a reply once all that it stands for is on disk."""
+        if not self.saves.defer(to, message):
             self.send(to, message)
 
     def write_record(self, name: str, body: bytes) -> None:
-        self.other_records[name] = body
+        """Write a record that is no part of the agreement, with the next save."""
+        self.saves.other_records[name] = body
 
     def save_dirty_records(self) -> None:
         """Write what is to be written, one save at a time."""
-        if not self.peers.me.disk_id:
-            self.acceptor.dirty_records.clear()
-            return
-        if (
-            self.records_being_saved is not None
-            or self.save_failed
-            or not (self.acceptor.dirty_records or self.other_records)
-        ):
-            return
-        self.records_being_saved = {**self.acceptor.take_dirty_records(), **self.other_records}
-        self.other_records = {}
-        self.replies_after_current_save, self.replies_after_next_save = self.replies_after_next_save, []
-        self.save_number += 1
-        self.actions.append(Save(self.save_number, self.records_being_saved))
+        if (save := self.saves.begin_save()) is not None:
+            self.actions.append(save)
 
     def on_saved(self, now: float, serial: int, good: bool) -> list[Action]:
-        """A save has ended.  What waited for one that failed gets no answer, and its sender asks again."""
+        """Go on once a save has ended."""
         self.actions = []
-        if serial != self.save_number or self.records_being_saved is None:
+        replies = self.saves.end_save(serial, good)
+        if replies is None:
             return self.actions
-        records, answers = self.records_being_saved, self.replies_after_current_save
-        self.records_being_saved, self.replies_after_current_save = None, []
-        if good:
-            for to, message in answers:
-                self.send(to, message)
-        else:
-            self.save_failed = True  # until the next tick
-            marks = {name: body for name, body in records.items() if name.startswith("mark ")}
-            self.acceptor.restore_dirty_records(
-                {name: body for name, body in records.items() if name not in marks}
-            )
-            self.other_records = {**marks, **self.other_records}
+        for reply in replies:
+            self.send(reply.to, reply.message)
         return self.advance(now)
 
     # --- messages ----------------------------------------------------------------------------------------------
@@ -367,7 +328,7 @@
         if not acceptor.prepare(message.ballot):
             self.reject(now, source, message, waits=False)
             return
-        self.admitted_round = (now + ADMITTED_ROUND_TIME, source, base, False)
+        self.admitted_round = AdmittedRound(now + ADMITTED_ROUND_TIME, source, base)
         accepted, payload = None, None
         if acceptor.accepted is not None:
             accepted = AcceptedState(*acceptor.accepted)
@@ -411,9 +372,10 @@
             self.send(source, ConfigurationMissing(message.ballot))
             return
         if not accepted:  # who is outbid while it brings a state lets the higher ballot end first
-            self.reject(now, source, message, waits=self.admitted_round[1] != source)
+            self.reject(now, source, message, waits=self.admitted_round.source != source)
             return
-        self.admitted_round = (now + ADMITTED_ROUND_TIME, source, message.base_version, True)
+        until, base = now + ADMITTED_ROUND_TIME, message.base_version
+        self.admitted_round = AdmittedRound(until, source, base, has_majority=True)
         self.reply_when_durable(source, Accepted(message.ballot, self.voter()))
 
     def on_rejected(self, now: float, source: str, message: Rejected) -> None:
@@ -423,12 +385,12 @@
 
     def on_round_ended(self, source: str, message: RoundEnded) -> None:
         """Let other rounds in again, once the one that was admitted is over."""
-        if self.admitted_round[1] == source and message.ballot >= self.acceptor.promised:
+        if self.admitted_round.source == source and message.ballot >= self.acceptor.promised:
             self.admitted_round = NO_ROUND
 
     def reject(self, now: float, source: str, message: Prepare | Accept, waits: bool) -> None:
         """Refuse; `waits`: for no longer than another node's round may take here."""
-        wait_ms = max(0, int(1000 * (self.admitted_round[0] - now))) if waits else 0
+        wait_ms = max(0, int(1000 * (self.admitted_round.until - now))) if waits else 0
         if wait_ms:
             held = message.held if isinstance(message, Prepare) else HOLDS_NOTHING
             self.proposer.forwarded.waiting_nodes[source] = held
@@ -436,15 +398,8 @@
         self.send(source, Rejected(message.ballot, self.acceptor.promised, wait_ms, of_accept))
 
     def must_yield_to(self, now: float, source: str, base: int) -> bool:
-        """Whether another door's round goes first here.  Who knows the newer state does; of two that know the same
-        one, who has a majority's promises, or else whom the hash of it names.  So rounds that meet do not outbid each
-        other for ever, and none is first always."""
-        until, guest, its_base, chose = self.admitted_round
-        if now >= until or guest == source:
-            return False
-        if base != its_base:
-            return base < its_base
-        return chose or owner(f"version {base}", (guest, source)) == guest
+        """Return whether another node's round goes first here; see `AdmittedRound`."""
+        return self.admitted_round.goes_before(now, source, base)
 
     def send_state(self, to: str, held: HeldConfiguration) -> None:
         """Send the state in force here, with its configuration where the other node does not hold that."""
@@ -468,6 +423,6 @@
             if state.version > self.acceptor.version:
                 packed = self.acceptor.open_payload(message.payload, state.configuration_digest)
             self.learn(now, message.ballot, state, packed)
-            self.last_state_request = (-1e9, self.last_state_request[1])
+            self.last_state_request = SentRequest(count=self.last_state_request.count)
         except MissingConfigurationError:
             self.request_state(source, whole=isinstance(message.payload, DeltaPath))
--- a/hazelspring/node/table_requests.py
+++ b/hazelspring/node/table_requests.py
@@ -2,28 +2,14 @@
 
 from __future__ import annotations
 
-import math
-from dataclasses import dataclass
-
 from hazelspring.membership.peer_table import PeerTable
 from hazelspring.node.actions import Action, Send
-from hazelspring.node.control_replica import REQUEST_INTERVAL
 from hazelspring.node.messages import TableRequest
+from hazelspring.node.sent_request import NOT_SENT, SentRequest
 from hazelspring.registry.list_freshness import ListFreshness
 from hazelspring.registry.tables import ServerRegistry
 
 
-@dataclass(slots=True, frozen=True)
-class SentRequest:
-    """When a table was asked for last, and how often until then without an answer."""
-
-    sent_at: float = -math.inf
-    count: int = 0
-
-
-NOT_SENT = SentRequest()
-
-
 class TableRequests:
     """Asks other nodes of the core for tables, one node at a time for each."""
 
@@ -54,8 +40,8 @@
     def request(self, now: float, service: str, version: int) -> list[Action]:
         """Ask the nearest node that has a version; one that did not answer in time, and the next one, in turn."""
         last = self.sent.get(service, NOT_SENT)
-        if now - last.sent_at < REQUEST_INTERVAL:
-            return []  # what was asked for last has not had its time
+        if not last.is_due(now):
+            return []
         holders = self.peers.other_core_nodes_where(
             lambda peer: peer.table_versions.get(service, 0) >= version
         )
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -26,6 +26,7 @@
 from hazelspring.membership.peer_table import PeerTable
 from hazelspring.node import codec
 from hazelspring.node.actions import Action, Save, Send
+from hazelspring.node.sent_request import NOT_SENT
 
 from .control_node import NEVER, Event, ModelNode, consensus_message, once, spent_at
 from .control_rules import Disk, chain, copies, kept, undone, unread
@@ -150,9 +151,9 @@
             elif isinstance(action, ProposalOutcome):
                 end = (action.token, action.succeeded, action.conflict, action.state)
                 ended |= 1 << self.ends.of(end, (self.orders[action.token], action))
-        node.replies_after_current_save, node.replies_after_next_save = (
-            once(node.replies_after_current_save),
-            once(node.replies_after_next_save),
+        node.saves.after_current_save, node.saves.after_next_save = (
+            once(node.saves.after_current_save),
+            once(node.saves.after_next_save),
         )
         orders, answering = node.proposer, node.peers.me.ip not in self.case.deaf
         orders.is_responsive = lambda now, member: answering
@@ -170,12 +171,12 @@
 
     @staticmethod
     def save(node: ModelNode) -> list[Action]:
-        for name, body in (node.records_being_saved or {}).items():
+        for name, body in (node.saves.records_being_saved or {}).items():
             if body is None:
                 node.records.pop(name, None)
             else:
                 node.records[name] = body
-        return list(node.on_saved(node.now, node.save_number, True))
+        return list(node.on_saved(node.now, node.saves.save_number, True))
 
     def letter(self, source: str, to: str, message: ConsensusMessage) -> int:
         packed = (source, to, codec.encode(message))
@@ -194,7 +195,7 @@
         old = self.nodes.values[number]
         node, me = old.twin(), old.peers.me
         if what == "save":
-            return self.finish(node, self.save(node)) if old.records_being_saved is not None else None
+            return self.finish(node, self.save(node)) if old.saves.records_being_saved is not None else None
         if isinstance(what, int):  # a round, by its count
             held, orders = node.acceptor, node.proposer
             highest = max(orders.highest_count, held.promised[0], (held.decided or (NO_BALLOT,))[0][0])
@@ -210,9 +211,9 @@
                 return None  # it has been told
             peer = node.peers.peer(NodeInfo(what, "", "", 0, 1))
             peer.control_versions = (1 << 30, -1)
-            node.actions, node.last_state_request = [], (-1e9, 0)
+            node.actions, node.last_state_request = [], NOT_SENT
             node.catch_up(node.now)
-            actions, node.last_state_request = node.actions, (-1e9, 0)
+            actions, node.last_state_request = node.actions, NOT_SENT
             node.peers = PeerTable(me, 0.0)
             return self.finish(node, actions)
         if isinstance(what, tuple):  # it hands its orders to another door
@@ -227,10 +228,10 @@
             order = replace(event.order, started_at=float(node.clock))
             return self.finish(node, node.propose(float(node.clock), order))
         if event.what == "fail":
-            if old.records_being_saved is None:
+            if old.saves.records_being_saved is None:
                 return None
-            actions = node.on_saved(node.now, node.save_number, False)
-            node.save_failed = False  # as the next tick has it
+            actions = node.on_saved(node.now, node.saves.save_number, False)
+            node.saves.has_failed = False  # as the next tick has it
             return self.finish(node, [*actions, *node.proceed(node.now)])
         wiped = event.what == "wipe"
         about = replace(me, incarnation=me.incarnation + 1, disk_id=me.disk_id + 10 if wiped else me.disk_id)
--- a/tests/control_node.py
+++ b/tests/control_node.py
@@ -25,6 +25,7 @@
     ProposalsForwarded,
 )
 from hazelspring.consensus.proposal import Proposal
+from hazelspring.consensus.proposer import OutgoingMessage
 from hazelspring.membership.node_info import NodeInfo
 from hazelspring.membership.peer_table import PeerTable
 from hazelspring.node import codec
@@ -80,9 +81,11 @@
             )
         new.reconfiguration = Reconfiguration(0.0, new.peers, held, orders, self.first)
         new.records, new.actions = dict(self.records), []
-        new.replies_after_current_save, new.replies_after_next_save = (
-            list(self.replies_after_current_save),
-            list(self.replies_after_next_save),
+        saves = new.saves = copy.copy(self.saves)
+        saves.acceptor = held
+        saves.after_current_save, saves.after_next_save = (
+            list(saves.after_current_save),
+            list(saves.after_next_save),
         )
         return new
 
@@ -117,9 +120,9 @@
             tuple((o.valid_from_version, o.source, forwarded_change(o)) for o in orders.forwarded.proposals),
             (
                 frozenset(self.records.items()),
-                repr(self.records_being_saved),
-                tuple((to, codec.encode(message)) for to, message in self.replies_after_current_save),
-                tuple((to, codec.encode(message)) for to, message in self.replies_after_next_save),
+                repr(self.saves.records_being_saved),
+                tuple((each.to, codec.encode(each.message)) for each in self.saves.after_current_save),
+                tuple((each.to, codec.encode(each.message)) for each in self.saves.after_next_save),
             ),
         )
 
@@ -142,9 +145,9 @@
     return message
 
 
-def once(answers: list[tuple[str, ConsensusMessage]]) -> list[tuple[str, ConsensusMessage]]:
+def once(answers: list[OutgoingMessage]) -> list[OutgoingMessage]:
     """Answers that wait for a save, in a settled order, each once: a message that was sent may come often anyway."""
-    found = {(to, codec.encode(message)): (to, message) for to, message in answers}
+    found = {(answer.to, codec.encode(answer.message)): answer for answer in answers}
     return [found[key] for key in sorted(found)]
 
 
