--- a/hazelspring/consensus/acceptor.py
+++ b/hazelspring/consensus/acceptor.py
@@ -1,4 +1,4 @@
-"""One door's part in the agreement: what it promised, what it accepted, what it knows as decided, and its records."""
+"""One node's part in the agreement: what it promised, what it accepted, what it knows as decided, and its records."""
 
 from __future__ import annotations
 
@@ -29,13 +29,11 @@
 CONFIGURATION_RECORD_PREFIX = "word "  # begins the record of a configuration's bytes, by its digest
 
 
-# Bytes of differences that are kept: what one costs who lacks it is some hundred bytes, and what brings a door from
+# Bytes of deltas that are kept: what one costs who lacks it is some hundred bytes, and what brings a node from
 MAX_KEPT_DELTA_BYTES = (
     1 << 20
-)  # further back is no smaller than most configurations, so such a door gets the whole one.
-MIN_BYTES_FOR_DELTA = (
-    1000  # bytes of a whole that goes in one datagram: a difference would spare nothing there
-)
+)  # further back is no smaller than most configurations, so such a node gets the whole one.
+MIN_BYTES_FOR_DELTA = 1000  # bytes of a whole that goes in one datagram: a delta would spare nothing there
 
 
 class MissingConfigurationError(Exception):
@@ -45,8 +43,9 @@
 
 
 class Acceptor:
-    """The acceptor and learner of one door (docs/control.md).  It changes at once; whoever answers for a change
-    waits until `take_records` has been saved.  A ballot once promised is never gone below, also by a decision."""
+    """The acceptor and learner of one node (docs/control.md).  It changes at once; whoever answers for a change
+    waits until `take_records` has been saved.  A ballot once promised is never gone below, also by a decision.
+    """
 
     def __init__(self, disk: int, founder: bool) -> None:
         self.disk_id, self.may_bootstrap = disk, founder
@@ -55,9 +54,7 @@
         self.decided: tuple[Ballot, ControlState] | None = None
         self.highest_lineage = 0  # the highest lineage that was heard of
         self.configurations: dict[bytes, bytes] = {}  # configurations by digest, packed
-        self.deltas: dict[
-            bytes, tuple[bytes, bytes]
-        ] = {}  # soft: by digest, that before it, and the difference
+        self.deltas: dict[bytes, tuple[bytes, bytes]] = {}  # soft: by digest, that before it, and the delta
         self.dirty_records: set[str] = set()  # records that have to be written anew
         self.stored_records: set[str] = set()
 
@@ -79,18 +76,19 @@
         return self.accepted[1]
 
     def version_fields(self) -> dict[str, int]:
-        """The version in force for people: its number, and the lineage where there was a rescue."""
+        """The version in force for people: its number, and the lineage where there was a recovery by an operator."""
         number = {"version": self.version % VERSIONS_PER_LINEAGE if self.version >= 0 else -1}
         return number | ({"lineage": lineage(self.version)} if self.version >= VERSIONS_PER_LINEAGE else {})
 
     def observe_version(self, version: int) -> None:
-        """Another door told of a version."""
+        """Another node told of a version."""
         self.highest_lineage = max(self.highest_lineage, lineage(version))
 
     def is_superseded(self) -> bool:
-        """Whether the core was rescued (hazelspring/consensus/disaster_recovery.py),
+        """Whether the core was recovered by an operator (hazelspring/consensus/disaster_recovery.py),
         and the state that goes on has yet to come here.  Until then
-        this door says, confirms and votes on nothing by what it holds."""
+        this node says, confirms and votes on nothing by what it holds.
+        """
         return self.highest_lineage > lineage(self.version)
 
     def current_configuration(self) -> bytes | None:
@@ -113,22 +111,22 @@
             self.dirty_records.add("vote")
         return True
 
-    def accept(self, ballot: Ballot, state: ControlState, word: bytes | None = None) -> bool:
+    def accept(self, ballot: Ballot, state: ControlState, packed: bytes | None = None) -> bool:
         """Accept a state; False where a higher ballot is promised; raises Lacking."""
         if ballot < self.promised:
             return False
-        self.keep_configuration(state, word)
+        self.keep_configuration(state, packed)
         if self.accepted is None or self.accepted[0] != ballot:
             self.promised, self.accepted = ballot, (ballot, state)
             self.dirty_records.add("vote")
         self.prune_configurations()
         return True
 
-    def learn(self, ballot: Ballot, state: ControlState, word: bytes | None = None) -> bool:
-        """A state was decided at a ballot; whether that is news here; raises Lacking."""
+    def learn(self, ballot: Ballot, state: ControlState, packed: bytes | None = None) -> bool:
+        """A state was decided at a ballot; whether that is updates here; raises Lacking."""
         if state.version <= self.version or lineage(state.version) < self.highest_lineage:
             return False
-        self.keep_configuration(state, word)
+        self.keep_configuration(state, packed)
         if self.state is not None:
             self.compute_delta(
                 self.state.configuration_digest,
@@ -147,15 +145,16 @@
         self.prune_configurations()
         return True
 
-    def keep_configuration(self, state: ControlState, word: bytes | None) -> None:
+    def keep_configuration(self, state: ControlState, packed: bytes | None) -> None:
+        """Keep the configuration that a state names; raises MissingConfigurationError where it is not here."""
         if (
             state.configuration_digest == NO_CONFIGURATION
             or state.configuration_digest in self.configurations
         ):
             return
-        if word is None:
+        if packed is None:
             raise MissingConfigurationError(f"configuration {state.configuration_version}")
-        self.configurations[state.configuration_digest] = word
+        self.configurations[state.configuration_digest] = packed
         self.dirty_records.add(CONFIGURATION_RECORD_PREFIX + state.configuration_digest.hex())
 
     def prune_configurations(self) -> None:
@@ -165,20 +164,20 @@
             del self.configurations[digest]
             self.dirty_records.add(CONFIGURATION_RECORD_PREFIX + digest.hex())
 
-    # --- differences: soft, for others that hold an older configuration --------------------------------------
+    # --- deltas: soft, for others that hold an older configuration --------------------------------------
 
-    def compute_delta(self, base: bytes, digest: bytes, word: bytes | None) -> None:
-        """Make the difference from a configuration that is held here to another, where none is kept; and keep it."""
-        if word is None or digest in self.deltas or base == digest or base not in self.configurations:
+    def compute_delta(self, base: bytes, digest: bytes, packed: bytes | None) -> None:
+        """Make the delta from a configuration that is held here to another, where none is kept; and keep it."""
+        if packed is None or digest in self.deltas or base == digest or base not in self.configurations:
             return
         with contextlib.suppress(DeltaError):
-            self.keep_delta(base, digest, make_delta(self.configurations[base], word), word)
+            self.keep_delta(base, digest, make_delta(self.configurations[base], packed), packed)
 
-    def keep_delta(self, base: bytes, digest: bytes, delta: bytes, word: bytes) -> None:
-        """Keep a difference, and so many of the youngest as are together smaller than the whole they lead to."""
+    def keep_delta(self, base: bytes, digest: bytes, delta: bytes, packed: bytes) -> None:
+        """Keep a delta, and so many of the youngest as are together smaller than the whole they lead to."""
         self.deltas.pop(digest, None)
         self.deltas[digest] = (base, delta)
-        left = min(MAX_KEPT_DELTA_BYTES, len(word))
+        left = min(MAX_KEPT_DELTA_BYTES, len(packed))
         for n, old in enumerate(reversed(list(self.deltas))):
             left -= len(self.deltas[old][1])
             if left < 0 or n >= MAX_CHAINED_DELTAS:
@@ -201,11 +200,11 @@
             return None
         return self.follow_delta_path(payload, digest)
 
-    def delta_path(self, holds: Iterable[bytes], digest: bytes, word: bytes) -> DeltaPath | None:
+    def delta_path(self, holds: Iterable[bytes], digest: bytes, packed: bytes) -> DeltaPath | None:
         """What leads who holds one of some configurations to another; none where the whole is smaller."""
-        if len(word) <= MIN_BYTES_FOR_DELTA:
+        if len(packed) <= MIN_BYTES_FOR_DELTA:
             return None
-        held, steps, left, at = set(holds) - {NO_CONFIGURATION}, list[DeltaStep](), len(word), digest
+        held, steps, left, at = set(holds) - {NO_CONFIGURATION}, list[DeltaStep](), len(packed), digest
         while at not in held and at in self.deltas and len(steps) < MAX_CHAINED_DELTAS:
             before, delta = self.deltas[at]
             steps.insert(0, DeltaStep(at, delta))
@@ -220,14 +219,14 @@
         if base not in self.configurations or not steps or steps[-1].digest != digest:
             return None
         try:
-            word = apply_deltas(self.configurations[base], [delta for _, delta in steps], digest)
+            packed = apply_deltas(self.configurations[base], [delta for _, delta in steps], digest)
         except (DeltaError, ValueError, TypeError, LookupError):
             return None
         for at, delta in steps:
             if at not in self.deltas:
-                self.keep_delta(base, at, delta, word)
+                self.keep_delta(base, at, delta, packed)
             base = at
-        return word
+        return packed
 
     # --- on disk -------------------------------------------------------------------------------------------
 
@@ -243,9 +242,9 @@
             elif name == "decided" and self.decided is not None:
                 found[name] = cbor2.dumps([list(self.decided[0]), self.decided[1].encode()])
             elif name.startswith(CONFIGURATION_RECORD_PREFIX):
-                word = self.configurations.get(bytes.fromhex(name[len(CONFIGURATION_RECORD_PREFIX) :]))
-                if word is not None or name in self.stored_records:
-                    found[name] = word
+                packed = self.configurations.get(bytes.fromhex(name[len(CONFIGURATION_RECORD_PREFIX) :]))
+                if packed is not None or name in self.stored_records:
+                    found[name] = packed
         self.dirty_records.clear()
         self.stored_records |= found.keys()
         self.stored_records -= {name for name, body in found.items() if body is None}
@@ -259,7 +258,8 @@
 
 def load_acceptor(records: Mapping[str, bytes], disk: int, first: bool) -> Acceptor:
     """The register as its records tell it.  Without them the disk is empty and gets the number `disk`; only at the
-    first start of all may it found.  Raises ValueError where the records cannot be read."""
+    first start of all may it found.  Raises ValueError where the records cannot be read.
+    """
     if "disk" not in records:
         made = Acceptor(disk, first)
         made.dirty_records.add("disk")
--- a/hazelspring/consensus/forwarding.py
+++ b/hazelspring/consensus/forwarding.py
@@ -1,5 +1,6 @@
-"""Orders that doors hand to each other when their rounds meet: what is handed, to whom, and to which versions it may
-be applied (docs/control.md)."""
+"""Proposals that nodes hand to each other when their rounds meet: what is handed, to whom, and to which versions it may
+be applied (docs/control.md).
+"""
 
 from __future__ import annotations
 
@@ -10,69 +11,71 @@
 from hazelspring.consensus.messages import HOLDS_NOTHING, ForwardedChange, HeldConfiguration
 from hazelspring.consensus.proposal import Proposal, ProposalKind
 
-FORWARDED_LIFETIME = 1.0  # seconds for which a door keeps an order that it was handed
+FORWARDED_LIFETIME = 1.0  # seconds for which a node keeps a proposal that it was handed
 VALID_VERSIONS = (
-    2  # versions in a row that an order may be applied to: that in force where it was handed, and the next
+    2  # versions in a row that a proposal may be applied to: that in force where it was handed, and the next
 )
-MAX_RECIPIENTS = 2  # doors that are handed an order on one version
-MAX_FORWARDED = 64  # orders that a door keeps of others; what is beyond its own doors see to
+MAX_RECIPIENTS = 2  # nodes that are handed a proposal on one version
+MAX_FORWARDED = 64  # proposals that a node keeps of others; what is beyond its own nodes see to
 
 FORWARDABLE_KINDS = (ProposalKind.PUT_CONFIGURATION, ProposalKind.SET_EVACUATION)
 
 
-def can_forward(order: Proposal, state: ControlState) -> bool:
-    """Whether an order is one that another door may carry: an operator's, which a state does not settle yet."""
+def can_forward(proposal: Proposal, state: ControlState) -> bool:
+    """Whether a proposal is one that another node may carry: an operator's, which a state does not settle yet."""
     return (
-        order.token != 0
-        and order.kind in FORWARDABLE_KINDS
+        proposal.token != 0
+        and proposal.kind in FORWARDABLE_KINDS
         and state.version > 0
-        and order.apply(state) is not state
+        and proposal.apply(state) is not state
     )
 
 
-def forwarded_change(order: Proposal) -> ForwardedChange:
+def forwarded_change(proposal: Proposal) -> ForwardedChange:
     """Return an operator's proposal as it is forwarded to another node."""
     return ForwardedChange(
-        order.kind.value,
-        order.configuration_version,
-        order.configuration_digest,
-        order.configuration,
-        order.zone,
-        order.evacuate,
+        proposal.kind.value,
+        proposal.configuration_version,
+        proposal.configuration_digest,
+        proposal.configuration,
+        proposal.zone,
+        proposal.evacuate,
     )
 
 
 @dataclass(slots=True)
 class ForwardedProposal(Proposal):
-    """Another door's order, of which nobody here waits for the end.  It may be applied to version `on` and the next
+    """Another node's order, of which nobody here waits for the end.  It may be applied to version `on` and the next
     one and to no other: once it is in force in one of these, whatever undoes it is decided after both, so that a copy
-    which is late or comes twice can undo nothing."""
+    which is late or comes twice can undo nothing.
+    """
 
     valid_from_version: int = -1
-    source: str = ""  # the door that handed it
+    source: str = ""  # the node that handed it
 
     def is_valid_for(self, state: ControlState) -> bool:
         return 0 <= state.version - self.valid_from_version < VALID_VERSIONS
 
     def apply(self, state: ControlState) -> ControlState:
+        """Return what is to follow a state; the same state where the proposal is not valid for it."""
         # named, as a class with slots is made anew and `super()` would look in the old one
         return Proposal.apply(self, state) if self.is_valid_for(state) else state
 
 
 @dataclass(slots=True)
 class ForwardedProposals:
-    """What a door was handed, in the order it came; soft, and ends by itself."""
+    """What a node was handed, in the order it came; soft, and ends by itself."""
 
     proposals: list[ForwardedProposal] = field(default_factory=list)
     waiting_nodes: dict[str, HeldConfiguration] = field(
         default_factory=dict
-    )  # doors that wait for what is under way, and with what
+    )  # nodes that wait for what is under way, and with what
 
     def add(self, now: float, source: str, on: int, changes: Iterable[ForwardedChange]) -> None:
-        """Orders of another door come, which waits.  One that is here already stays."""
+        """Proposals of another node come, which waits.  One that is here already stays."""
         self.waiting_nodes.setdefault(source, HOLDS_NOTHING)
         for change in changes:
-            order = ForwardedProposal(
+            proposal = ForwardedProposal(
                 0,
                 now,
                 ProposalKind(change.kind),
@@ -85,9 +88,9 @@
                 source=source,
             )
             if len(self.proposals) < MAX_FORWARDED and not any(
-                self.is_same(order, held) for held in self.proposals
+                self.is_same(proposal, held) for held in self.proposals
             ):
-                self.proposals.append(order)
+                self.proposals.append(proposal)
 
     @staticmethod
     def is_same(one: ForwardedProposal, other: ForwardedProposal) -> bool:
@@ -106,38 +109,44 @@
         ]
 
     def pop_waiting(self, state: ControlState) -> list[tuple[str, HeldConfiguration]]:
-        """Doors without a seat that wait for a state which is in force now; who still has orders here waits on."""
+        """Return nodes outside the core that wait for a state which is in force now.
+
+        Those that still have proposals here wait on.
+        """
         due = [
             (source, asking)
             for source, asking in self.waiting_nodes.items()
             if state.member_at(source) is None
         ]
         self.waiting_nodes = {
-            order.source: self.waiting_nodes.get(order.source, HOLDS_NOTHING)
-            for order in self.applicable(state)
+            proposal.source: self.waiting_nodes.get(proposal.source, HOLDS_NOTHING)
+            for proposal in self.applicable(state)
         }
         return due
 
     def applicable(self, base: ControlState) -> list[ForwardedProposal]:
         """Those that a state does not settle yet.  One that it does is left out, as it must not undo what another
-        order of the same round makes of it."""
-        return [order for order in self.proposals if order.apply(base) is not base]
+        order of the same round makes of it.
+        """
+        return [proposal for proposal in self.proposals if proposal.apply(base) is not base]
 
 
 @dataclass(slots=True)
 class ProposalForwarder:
-    """To whom a door has handed its orders, on the version in force here."""
+    """To whom a node has handed its proposals, on the version in force here."""
 
     version: int = -1
-    tokens_by_node: dict[str, set[int]] = field(default_factory=dict)  # tokens by door
+    tokens_by_node: dict[str, set[int]] = field(default_factory=dict)  # tokens by node
 
-    def select(self, state: ControlState, to: str, orders: Iterable[Proposal]) -> list[ForwardedChange]:
-        """What is to be handed to a door; empty where it has it all, or enough others have."""
+    def select(self, state: ControlState, to: str, proposals: Iterable[Proposal]) -> list[ForwardedChange]:
+        """What is to be handed to a node; empty where it has it all, or enough others have."""
         if state.version != self.version:
             self.version, self.tokens_by_node = state.version, {}
         if to not in self.tokens_by_node and len(self.tokens_by_node) >= MAX_RECIPIENTS:
             return []
         had = self.tokens_by_node.setdefault(to, set())
-        new = [order for order in orders if order.token not in had and can_forward(order, state)]
-        had |= {order.token for order in new}
-        return [forwarded_change(order) for order in new]
+        new = [
+            proposal for proposal in proposals if proposal.token not in had and can_forward(proposal, state)
+        ]
+        had |= {proposal.token for proposal in new}
+        return [forwarded_change(proposal) for proposal in new]
--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""Orders under way at one door, and the rounds of the agreement that carry them out: first promises, then copies."""
+"""Proposals under way at one node, and the rounds of the agreement that carry them out: first promises, then copies."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 
 RESEND_INTERVAL = 0.25  # seconds between sendings to a member that has not answered
 LINK_BANDWIDTH = (
-    100e6  # bytes a second of a door's link, of a gigabit: all copies of a configuration share it
+    100e6  # bytes a second of a node's link, of a gigabit: all copies of a configuration share it
 )
 CONTENDED_ROUND_TIMEOUT = (
     0.7  # seconds after which a round that met another counts on no more answers: two syncs of a slow disk
 )
-PROPOSAL_TIMEOUT = 3.0  # seconds for an order; its sender moves on sooner, and sends it to any door again
-NO_CHANGE_GRACE = 0.3  # seconds in which voices may settle what changes nothing, before that takes a round
+PROPOSAL_TIMEOUT = 3.0  # seconds for a proposal; its sender moves on sooner, and sends it to any node again
+NO_CHANGE_GRACE = 0.3  # seconds in which answers may settle what changes nothing, before that takes a round
 MIN_BACKOFF = 0.03  # seconds at least after a round that met another: a part of a round trip between regions,
 FORWARDING_GRACE = (
-    0.2  # seconds at least that another door has for orders it was handed, before this one goes alone
+    0.2  # seconds at least that another node has for proposals it was handed, before this one goes alone
 )
 MAX_BACKOFF = 0.3  # doubled each time, up to half of the time for which a round may go first
 
@@ -58,45 +58,48 @@
 
 
 class Proposer:
-    """A door's proposer.  One round at a time carries all its orders; a round that finds a state which may have
-    been decided brings that to its end first."""
+    """A node's proposer.  One round at a time carries all its proposals; a round that finds a state which may have
+    been decided brings that to its end first.
+    """
 
     def __init__(
         self,
-        register: Acceptor,
+        acceptor: Acceptor,
         me: tuple[str, int],
-        chance: random.Random,
+        random_source: random.Random,
         answers: Callable[[float, Member], bool],
     ) -> None:
         """`answers`: whether a member has answered of late."""
-        self.acceptor, self.me, self.random, self.is_responsive = register, me, chance, answers
+        self.acceptor, self.me, self.random, self.is_responsive = acceptor, me, random_source, answers
         self.proposals: list[Proposal] = []
         self.round: Round | None = None
         self.abandoned_ballot = NO_BALLOT  # of the last round that ended without a decision
         self.highest_count = 0  # the highest ballot's count that was heard of
         self.failed_rounds, self.backoff_until = 0, LONG_AGO
-        self.outbox: list[OutgoingMessage] = []  # that rounds have ended, and orders for other doors
+        self.outbox: list[OutgoingMessage] = []  # that rounds have ended, and proposals for other nodes
         self.forwarded, self.forwarder = ForwardedProposals(), ProposalForwarder()
         self.confirmed_since = LONG_AGO  # when the last round began that a majority has brought to its end
 
-    def submit(self, order: Proposal) -> None:
-        order.base_version = self.acceptor.version
-        self.proposals.append(order)
+    def submit(self, proposal: Proposal) -> None:
+        """Take a proposal of this node."""
+        proposal.base_version = self.acceptor.version
+        self.proposals.append(proposal)
 
     def on_new_state(self, now: float) -> None:
-        """A newer state has come: whoever was in the way is done.  Orders that met others go to who decided it, and
-        this door goes alone only where they are not carried out in time."""
+        """A newer state has come: whoever was in the way is done.  Proposals that met others go to who decided it, and
+        this node goes alone only where they are not carried out in time.
+        """
         met = self.failed_rounds > 0 or bool(self.forwarder.tokens_by_node)
         self.failed_rounds, self.backoff_until = 0, LONG_AGO
         decided = self.acceptor.decided
         if not met or decided is None or decided[0][2] == self.me[0]:
             return
-        if any(can_forward(order, decided[1]) for order in self.proposals):
+        if any(can_forward(proposal, decided[1]) for proposal in self.proposals):
             self.forward(decided[0][2])
             self.backoff_until = now + FORWARDING_GRACE * (1 + self.random.random())
 
     def forward(self, to: str) -> None:
-        """Give orders of operators to the door whose round goes first, for that round or its next."""
+        """Give proposals of operators to the node whose round goes first, for that round or its next."""
         state = self.acceptor.state
         if state is None or to == self.me[0]:
             return
@@ -104,31 +107,34 @@
             self.outbox.append(OutgoingMessage(to, ProposalsForwarded(state.version, tuple(changes))))
 
     def has_proposal(self, kind: ProposalKind) -> bool:
-        return any(order.kind == kind for order in self.proposals)
+        """Return whether a proposal of a kind is open here."""
+        return any(proposal.kind == kind for proposal in self.proposals)
 
-    # --- how orders end --------------------------------------------------------------------------------------
+    # --- how proposals end --------------------------------------------------------------------------------------
 
     def resolve(self, now: float, sure: Callable[[Proposal], bool]) -> list[ProposalOutcome]:
-        """End what the state in force settles.  `sure`: nothing that was decided before the order came can be
-        unknown here."""
+        """End what the state in force settles.  `sure`: nothing that was decided before the proposal came can be
+        unknown here.
+        """
         state, ended = self.acceptor.state, []
-        for order in list(self.proposals):
-            if state is not None and state.version > 0 and not order.confirmed and sure(order):
-                self.proposals[self.proposals.index(order)] = order = replace(order, confirmed=True)
+        for proposal in list(self.proposals):
+            if state is not None and state.version > 0 and not proposal.confirmed and sure(proposal):
+                self.proposals[self.proposals.index(proposal)] = proposal = replace(proposal, confirmed=True)
             if (
                 state is not None
                 and state.version > 0
-                and (done := outcome_of(order, state, self.acceptor, sure))
+                and (outcome := outcome_of(proposal, state, self.acceptor, sure))
             ):
-                ended.append(done)
-            elif now - order.started_at > PROPOSAL_TIMEOUT:
-                ended.append(ProposalOutcome(order.token, False, self.stall_reason()))
+                ended.append(outcome)
+            elif now - proposal.started_at > PROPOSAL_TIMEOUT:
+                ended.append(ProposalOutcome(proposal.token, False, self.stall_reason()))
             else:
                 continue
-            self.proposals.remove(order)
-        return [done for done in ended if done.token]
+            self.proposals.remove(proposal)
+        return [outcome for outcome in ended if outcome.token]
 
     def stall_reason(self) -> str:
+        """Return, for an operator, what the round under way is waiting for."""
         if self.round is None:
             return "look: too few voices"
         current = self.round
@@ -140,10 +146,10 @@
     # --- rounds -----------------------------------------------------------------------------------------------
 
     def advance(self, now: float) -> list[OutgoingMessage]:
-        """Bring the round on: begin one where an order needs it, ask again who has not answered."""
+        """Bring the round on: begin one where a proposal needs it, ask again who has not answered."""
         state = self.acceptor.state
         if self.round is not None and self.acceptor.version > self.round.base.version:
-            self.abandon_round()  # another door's round has ended: what is left begins from there
+            self.abandon_round()  # another node's round has ended: what is left begins from there
         met = self.round is not None and (self.round.rejections or self.round.contended)
         if met and self.round is not None and now - self.round.phase_started_at > CONTENDED_ROUND_TIMEOUT:
             self.back_off(now)  # who is left does not answer either
@@ -152,7 +158,7 @@
             self.abandon_round()
             return []
         if self.round is None:
-            needed = any(self.needs_round(now, order, state) for order in self.proposals)
+            needed = any(self.needs_round(now, proposal, state) for proposal in self.proposals)
             needed = needed or bool(self.forwarded.applicable(state))
             if now < self.backoff_until or not needed:
                 return []
@@ -170,22 +176,23 @@
         return self.requests(now, self.round)
 
     @staticmethod
-    def needs_round(now: float, order: Proposal, state: ControlState) -> bool:
-        if order.kind == ProposalKind.RESOLVE or order.apply(state) is not state:
+    def needs_round(now: float, proposal: Proposal, state: ControlState) -> bool:
+        """Return whether a proposal takes a round now."""
+        if proposal.kind == ProposalKind.RESOLVE or proposal.apply(state) is not state:
             return True
-        return state.version > 0 and now - order.started_at > NO_CHANGE_GRACE
+        return state.version > 0 and now - proposal.started_at > NO_CHANGE_GRACE
 
     def next_state(self, base: ControlState) -> ControlState:
-        """What is to follow for all open orders, after those of others; members change by one order at a time."""
+        """What is to follow for all open proposals, after those of others; members change by one proposal at a time."""
         state, moved = base, False
-        for handed in self.forwarded.applicable(base):
-            state = handed.apply(state)
-        for order in self.proposals:
-            if order.changes_members():
+        for forwarded in self.forwarded.applicable(base):
+            state = forwarded.apply(state)
+        for proposal in self.proposals:
+            if proposal.changes_members():
                 if moved:
                     continue
-                moved = order.apply(state) is not state
-            state = order.apply(state)
+                moved = proposal.apply(state) is not state
+            state = proposal.apply(state)
         if state is base:
             return base
         return replace(state, version=base.version + 1, previous_members=base.members)
@@ -200,11 +207,12 @@
         return list(dict.fromkeys(sets))
 
     def requests(self, now: float, current: Round) -> list[OutgoingMessage]:
+        """Return what the members that have not answered are to be asked again."""
         if current.value is current.base:
             return []  # nothing is to change, and nothing to be accepted
         sets = current.value.member_sets() if current.value is not None else self.prepare_member_sets(current)
         have = current.acceptances if current.value is not None else current.promises
-        asks = []
+        requests = []
         ips = dict.fromkeys(member.ip for members in sets for member in members)
         for ip in ips:
             if (
@@ -222,8 +230,8 @@
             else:
                 payload = self.payload_to_send(now, ip, current, current.value, len(ips))
                 message = Accept(current.ballot, current.base.version, current.value, payload)
-            asks.append(OutgoingMessage(ip, message))
-        return asks
+            requests.append(OutgoingMessage(ip, message))
+        return requests
 
     def payload_to_send(
         self, now: float, ip: str, current: Round, value: ControlState, recipients: int
@@ -241,7 +249,7 @@
         return payload
 
     def payload_for(self, ip: str, digest: bytes, current: Round) -> ConfigurationPayload | None:
-        """What brings a configuration to a member: by what differs from one that it holds, where that is smaller."""
+        """What brings a configuration to a member: by a delta from one that it holds, where that is smaller."""
         holds = current.known_digests.get(
             ip, [current.base.configuration_digest]
         )  # it has not told: most likely the one in force
@@ -254,13 +262,15 @@
         return FullConfiguration(packed) if path is None else path
 
     def find_configuration(self, digest: bytes) -> bytes | None:
-        """The bytes of a configuration: held here, come with a promise, or with an order."""
+        """The bytes of a configuration: held here, come with a promise, or with a proposal."""
         if digest in self.acceptor.configurations:
             return self.acceptor.configurations[digest]
         if self.round is not None and digest in self.round.configurations:
             return self.round.configurations[digest]
         known = [*self.proposals, *self.forwarded.proposals]
-        return next((order.configuration for order in known if order.configuration_digest == digest), None)
+        return next(
+            (proposal.configuration for proposal in known if proposal.configuration_digest == digest), None
+        )
 
     # --- what members answer -----------------------------------------------------------------------------------
 
@@ -271,17 +281,19 @@
         ballot: Ballot,
         best: tuple[Ballot, ControlState] | None,
         holds: Iterable[bytes],
-        word: bytes | None = None,
+        packed: bytes | None = None,
     ) -> None:
         """A member promised, and told what it last accepted, with the configuration where that may be new here."""
         current = self.round
-        if ballot == self.abandoned_ballot:  # it overtook the word that this round is over, or came before it
+        if (
+            ballot == self.abandoned_ballot
+        ):  # it overtook the configuration that this round is over, or came before it
             self.outbox.append(OutgoingMessage(source, RoundEnded(ballot)))
         if current is None or current.ballot != ballot or current.value is not None:
             return
         current.promises[source], current.known_digests[source] = voter, list(holds)
-        if best is not None and word is not None:
-            current.configurations[best[1].configuration_digest] = word
+        if best is not None and packed is not None:
+            current.configurations[best[1].configuration_digest] = packed
         if best is not None and best[0] > current.highest_accepted[0]:
             current.highest_accepted = best
 
@@ -294,18 +306,21 @@
         if target is not current.base and not self.can_reach_majority(now, current, target):
             return
         if target.configuration_digest != NO_CONFIGURATION:
-            word = self.find_configuration(target.configuration_digest)
-            if word is None:
+            packed = self.find_configuration(target.configuration_digest)
+            if packed is None:
                 return
             current.configurations[target.configuration_digest] = (
-                word  # its order may end before the round does
+                packed  # its order may end before the round does
+            )
+            self.acceptor.compute_delta(
+                current.base.configuration_digest, target.configuration_digest, packed
             )
-            self.acceptor.compute_delta(current.base.configuration_digest, target.configuration_digest, word)
         current.start_accept_phase(now, target)
 
     def can_reach_majority(self, now: float, current: Round, target: ControlState) -> bool:
         """Whether a majority is there to accept.  A state that too few can accept would stay half agreed on, and keep
-        all from being sure of the one in force."""
+        all from being sure of the one in force.
+        """
         for members in target.member_sets():
             answer = {m.ip: Voter(m.disk_id, m.disk_id == 0) for m in members if self.is_responsive(now, m)}
             if missing_votes([members], {**answer, **current.promises}, majority):
@@ -313,6 +328,7 @@
         return True
 
     def on_accepted(self, source: str, voter: Voter, ballot: Ballot) -> None:
+        """Count that a member accepted the round's state."""
         current = self.round
         if current is not None and current.ballot == ballot and current.value is not None:
             current.acceptances[source] = voter
@@ -332,7 +348,8 @@
     ) -> None:
         """A member has promised a higher ballot, or lets another round go first, for some seconds at most: then it is
         asked again.  The round ends where too few are left for it.  `brought`: a state was refused, and not the
-        asking for a promise."""
+        asking for a promise.
+        """
         self.highest_count = max(self.highest_count, higher[0])
         current = self.round
         if current is None or current.ballot != ballot or brought is (current.value is None):
@@ -361,7 +378,8 @@
 
     def abandon_round(self) -> None:
         """End a round that has decided nothing; members that let it in, or whose promise is still on its way, need
-        not keep others waiting for it."""
+        not keep others waiting for it.
+        """
         if self.round is not None:
             message = RoundEnded(self.round.ballot)
             out = self.round.rejections | self.round.deferred_by
@@ -371,7 +389,8 @@
 
     def back_off(self, now: float) -> None:
         """End a round that met another, and begin anew above it: once that one has ended, as a newer state tells, or
-        has had its time."""
+        has had its time.
+        """
         wait = self.round.rival_wait if self.round is not None else 0.0
         self.abandon_round()
         pause = min(MAX_BACKOFF, MIN_BACKOFF * 2**self.failed_rounds) if wait or self.failed_rounds else 0.0
@@ -380,7 +399,8 @@
 
     def take_decision(self) -> tuple[Ballot, ControlState, bytes | None] | None:
         """What the round has decided, with its configuration, or that the state in force is the newest; the round is
-        over then."""
+        over then.
+        """
         current = self.round
         if current is None or current.value is None:
             return None
--- a/hazelspring/daemon/message_transport.py
+++ b/hazelspring/daemon/message_transport.py
@@ -1,4 +1,4 @@
-"""Messages between doors: cbor2 in datagrams where they are small, one short TCP connection each where they are not."""
+"""Messages between nodes: cbor2 in datagrams where they are small, one short TCP connection each where they are not."""
 
 from __future__ import annotations
 
@@ -23,16 +23,21 @@
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
+    """Hands datagrams to a transport."""
+
     def __init__(self, mesh: MessageTransport) -> None:
         self.transport_owner = mesh
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Hand on a datagram."""
         self.transport_owner.on_bytes(addr[0], data)
 
     def error_received(self, error: Exception) -> None:
+        """Ignore an error of the socket."""
         pass  # a dead port: who is away is told by silence
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Tell the transport that its socket is closed."""
         self.transport_owner.on_socket_lost(error)
 
 
@@ -52,6 +57,7 @@
         self.last_message_bytes = b""  # and its bytes
 
     async def start(self) -> None:
+        """Open the sockets; raises OSError."""
         await self.open_socket()
         self.server = await asyncio.start_server(self.accept, self.ip, self.port, limit=1 << 16)
 
@@ -93,6 +99,7 @@
             log.write("transport", "too many large messages are on their way", peer=to)
 
     async def deliver(self, to: str, data: bytes) -> None:
+        """Send a message over a connection of its own."""
         try:
             async with asyncio.timeout(DELIVERY_TIMEOUT):
                 reader, writer = await asyncio.open_connection(to, self.port, local_addr=(self.ip, 0))
@@ -108,6 +115,7 @@
             self.deliveries_in_flight -= 1
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Read the message that a connection brings."""
         try:
             async with asyncio.timeout(DELIVERY_TIMEOUT):
                 size = int.from_bytes(await reader.readexactly(4), "big")
@@ -121,6 +129,7 @@
             writer.close()
 
     def on_bytes(self, source: str, data: bytes) -> None:
+        """Decode a message and hand it on; one that cannot be handled is logged."""
         try:
             self.on_message(source, codec.decode(data))
         except Exception as error:  # whatever another process sends must not end this one
@@ -132,6 +141,7 @@
             )
 
     def close(self) -> None:
+        """Close the sockets."""
         self.closed = True
         if self.transport is not None:
             self.transport.close()
--- a/hazelspring/node/actions.py
+++ b/hazelspring/node/actions.py
@@ -11,6 +11,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
+    """A message to another node, by its address."""
+
     to: str
     message: Message
 
@@ -57,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReported:
-    """Another door has told where its requests are, by servers' tags."""
+    """Another node has told where its requests are, by servers' tags."""
 
     node: str
     in_flight_by_tag: dict[int, int]
--- a/hazelspring/node/control_replica.py
+++ b/hazelspring/node/control_replica.py
@@ -1,4 +1,4 @@
-"""One door's part in the control state: its register and proposer, their messages and saves, and what it learns."""
+"""One node's part in the control state: its register and proposer, their messages and saves, and what it learns."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class ControlReplica:
-    """`records`: what the disk held.  Messages and times in, deeds out; see docs/control.md."""
+    """`records`: what the disk held.  Messages and times in, actions out; see docs/control.md."""
 
     def __init__(
         self, now: float, peers: PeerTable, records: Mapping[str, bytes], first: bool, seeds: list[str]
@@ -72,9 +72,9 @@
         self.reconfiguration = Reconfiguration(now, peers, self.acceptor, self.proposer, first)
         self.saves = DurableReplies(self.acceptor, bool(me.disk_id))
         self.admitted_round = NO_ROUND  # whose round is under way here
-        self.loopback_messages: list[ConsensusMessage] = []  # messages of this door to itself
+        self.loopback_messages: list[ConsensusMessage] = []  # messages of this node to itself
         self.last_state_request = NOT_SENT  # for a newer state
-        self.nodes_behind: dict[str, None] = {}  # doors that told of a lower lineage than the one here
+        self.nodes_behind: dict[str, None] = {}  # nodes that told of a lower lineage than the one here
         self.actions: list[Action] = []
         if self.acceptor.version > 0:
             self.peers.set_members(self.acceptor.state.members)  # type: ignore[union-attr]
@@ -83,7 +83,7 @@
 
     @property
     def state(self) -> ControlState | None:
-        """The state in force as far as this door knows; none before the core was founded."""
+        """The state in force as far as this node knows; none before the core was bootstrapped."""
         return self.acceptor.state if self.acceptor.version > 0 else None
 
     def control_versions(self) -> ControlVersions:
@@ -95,7 +95,7 @@
         return ControlVersions(self.acceptor.version, told)
 
     def observe_version(self, source: str, version: int) -> None:
-        """Another door told of the version in force there."""
+        """Another node told of the version in force there."""
         self.acceptor.observe_version(version)
         if lineage(version) < lineage(self.acceptor.version):
             self.nodes_behind[source] = None
@@ -108,6 +108,7 @@
         return tuple(member.ip for member in self.reconfiguration.unresponsive_members(now, state))
 
     def is_member(self) -> bool:
+        """Return whether this node is a member of the core."""
         state = self.state
         return state is not None and state.is_member(self.peers.me.ip, self.acceptor.disk_id)
 
@@ -133,42 +134,44 @@
         return sorted(times, reverse=True)
 
     def confirmed_at(self, now: float) -> float:
-        """All that was decided up to then is known here: one of so many voices would have told."""
+        """All that was decided up to then is known here: one of so many answers would have told."""
         state, times = self.state, self.confirmation_times(now)
         if state is None or state.configuration_digest == NO_CONFIGURATION:
             return LONG_AGO
         needed = read_quorum(len(state.members))
         return times[needed - 1] if len(times) >= needed else LONG_AGO
 
-    def is_confirmed_for(self, order: Proposal, now: float) -> bool:
-        """Whether the state in force here holds all that was decided before an order came."""
+    def is_confirmed_for(self, proposal: Proposal, now: float) -> bool:
+        """Whether the state in force here holds all that was decided before a proposal came."""
         state = self.state
         if state is None or self.acceptor.is_superseded():
             return False
-        since = order.started_at
+        since = proposal.started_at
         told = sum(at >= since for at in self.confirmation_times(now))
         return self.proposer.confirmed_since >= since or told >= read_quorum(len(state.members))
 
     # --- time ------------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Action]:
+        """Do what is due with the time."""
         self.actions = []
         self.saves.has_failed = False
         self.reconfiguration.tick(now)
         return self.advance(now)
 
-    def propose(self, now: float, order: Proposal) -> list[Action]:
+    def propose(self, now: float, proposal: Proposal) -> list[Action]:
+        """Take a proposal of this node, and bring it on."""
         self.actions = []
-        self.proposer.submit(order)
+        self.proposer.submit(proposal)
         return self.advance(now)
 
     def proceed(self, now: float) -> list[Action]:
-        """What others have told of themselves may settle an order."""
+        """What others have told of themselves may settle a proposal."""
         self.actions = []
         return self.advance(now)
 
     def advance(self, now: float) -> list[Action]:
-        """Bring orders and rounds on as far as they go, and save what has changed."""
+        """Bring proposals and rounds on as far as they go, and save what has changed."""
         while True:
             if self.acceptor.is_superseded():
                 self.proposer.abandon_round()
@@ -177,11 +180,11 @@
                 self.acceptor.is_superseded()
                 or self.must_yield_to(now, self.peers.me.ip, self.acceptor.version)
             )
-            for ask in () if waits else self.proposer.advance(now):
-                self.send(ask.to, ask.message)
+            for request in () if waits else self.proposer.advance(now):
+                self.send(request.to, request.message)
             while self.proposer.outbox:
-                ask = self.proposer.outbox.pop()
-                self.send(ask.to, ask.message)
+                request = self.proposer.outbox.pop()
+                self.send(request.to, request.message)
             if self.loopback_messages:
                 self.dispatch(now, self.peers.me.ip, self.loopback_messages.pop(0))
                 continue
@@ -189,24 +192,25 @@
                 self.on_decision(now, *decided)
                 continue
             break
-        self.actions += self.proposer.resolve(now, lambda order: self.is_confirmed_for(order, now))
+        self.actions += self.proposer.resolve(now, lambda proposal: self.is_confirmed_for(proposal, now))
         self.catch_up(now)
         self.save_dirty_records()
         return self.actions
 
-    def on_decision(self, now: float, ballot: Ballot, state: ControlState, word: bytes | None) -> None:
-        """A round of this door has ended: tell all whom it concerns."""
+    def on_decision(self, now: float, ballot: Ballot, state: ControlState, packed: bytes | None) -> None:
+        """A round of this node has ended: tell all whom it concerns."""
         if state.version <= self.acceptor.version:
             return  # nothing was to change
-        self.learn(now, ballot, state, word)
+        self.learn(now, ballot, state, packed)
         message = Decision(ballot, state)
         for ip in dict.fromkeys(member.ip for members in state.member_sets() for member in members):
             if ip != self.peers.me.ip:
                 self.send(ip, message)
 
-    def learn(self, now: float, ballot: Ballot, state: ControlState, word: bytes | None) -> None:
+    def learn(self, now: float, ballot: Ballot, state: ControlState, packed: bytes | None) -> None:
+        """Learn that a state was decided; raises MissingConfigurationError."""
         before = self.acceptor.state
-        if not self.acceptor.learn(ballot, state, word):
+        if not self.acceptor.learn(ballot, state, packed):
             return
         self.admitted_round = NO_ROUND
         self.proposer.on_new_state(now)
@@ -223,7 +227,7 @@
             self.actions.append(MembersChanged())
 
     def catch_up(self, now: float) -> None:
-        """Ask for a newer state that another door has told of, whole; the nearest first, each in turn."""
+        """Ask for a newer state that another node has told of, whole; the nearest first, each in turn."""
         while self.nodes_behind:
             self.send_state(self.nodes_behind.popitem()[0], HOLDS_NOTHING)
         has = self.peers.nodes_above_version(self.acceptor.version)
--- a/hazelspring/node/dissemination.py
+++ b/hazelspring/node/dissemination.py
@@ -54,7 +54,7 @@
         return [Send(ip, message) for ip in nodes if ip != me.ip]
 
     def report_load(
-        self, now: float, outs: InFlightByTag, heard: Mapping[str, tuple[float, InFlightByTag]]
+        self, now: float, in_flight: InFlightByTag, heard: Mapping[str, tuple[float, InFlightByTag]]
     ) -> list[Action]:
         """Tell other nodes where this node's requests are; `heard` is what they told."""
-        return self.load_reporter.report(now, outs, heard)
+        return self.load_reporter.report(now, in_flight, heard)
--- a/hazelspring/node/heartbeats.py
+++ b/hazelspring/node/heartbeats.py
@@ -1,4 +1,7 @@
-"""Beats and their echoes: who is there, what each holds, grants of duties; told once, then only by its sum."""
+"""Heartbeats and their replies: who is there, what each node holds, grants of roles.
+
+A node's state is told once, and then only by its checksum.
+"""
 
 from __future__ import annotations
 
@@ -17,21 +20,23 @@
 from hazelspring.registry.tables import ServerRegistry
 
 NEAR_INTERVAL = (
-    0.4  # seconds between beats inside a region, and between core doors, whose leases live on them
+    0.4  # seconds between heartbeats inside a region, and between core nodes, whose leases live on them
 )
 FAR_INTERVAL = 2.0  # between regions, where bytes are dear, while the near part of the core answers
-INTRODUCTION_TIME = 3.0  # seconds for which a new life says in each echo who it is
-NUMBERS_PER_INCARNATION = 1 << 24  # beats between the numbers of two lives: more than one sends in a month
-MAX_REMEMBERED_HEARTBEATS = 512  # beats that an answer may still come to: those of the last half minute
+INTRODUCTION_TIME = 3.0  # seconds for which a new incarnation says in each reply who it is
+NUMBERS_PER_INCARNATION = (
+    1 << 24
+)  # heartbeats between the numbers of two incarnations: more than one sends in a month
+MAX_REMEMBERED_HEARTBEATS = 512  # heartbeats that an answer may still come to: those of the last half minute
 
 
-def incarnation_hash(life: int) -> int:
-    """A number below a million that two lives hardly share."""
-    return zlib.crc32(life.to_bytes(16, "big")) % 1_000_000
+def incarnation_hash(incarnation: int) -> int:
+    """A number below a million that two incarnations hardly share."""
+    return zlib.crc32(incarnation.to_bytes(16, "big")) % 1_000_000
 
 
 class Heartbeats:
-    """Makes the beats of one door, answers those of others, and notes what the answers tell."""
+    """Makes the heartbeats of one node, answers those of others, and notes what the answers tell."""
 
     def __init__(
         self,
@@ -50,16 +55,16 @@
             began,
         )
         self.freshness = freshness
-        # beats are numbered from a number of this life's own on, so an answer to an earlier life is known by it, also
-        # on a machine whose steady clock has begun anew
+        # heartbeats are numbered from a number of this incarnation's own on, so a reply to an earlier incarnation is
+        # known by it, also on a machine whose steady clock has begun anew
         self.last_number = incarnation_hash(peers.me.incarnation) * NUMBERS_PER_INCARNATION
-        # of the last beats, by number: when each was sent, and the sum of what was known then of whom it went to
+        # of the last heartbeats, by number: when each was sent, and the checksum of the recipient's state known then
         self.sent: dict[int, tuple[float, int]] = {}
         self.cached_state_checksum: tuple[NodeState | None, int] = (
             None,
             0,
-        )  # the state told last, and its sum
-        self.first_sent: dict[str, float] = {}  # to whom a beat went that has never answered
+        )  # the state told last, and its checksum
+        self.first_sent: dict[str, float] = {}  # to whom a heartbeat went that has never answered
 
     def own_state(self, now: float) -> NodeState:
         """Return what others want to know of this node, and what seldom changes."""
@@ -77,7 +82,7 @@
         )
 
     def next_number(self, now: float, known: int) -> int:
-        """The number of a beat that goes out now; `known`: the sum that it names."""
+        """The number of a heartbeat that goes out now; `known`: the checksum that it names."""
         self.last_number += 1
         self.sent[self.last_number] = (now, known)
         if len(self.sent) > MAX_REMEMBERED_HEARTBEATS:
@@ -85,7 +90,7 @@
         return self.last_number
 
     def request_sent_at(self, number: int) -> float | None:
-        """When the beat of a number was sent; None where it was not this life that sent it, or long ago."""
+        """When the heartbeat of a number was sent; None where it was not this incarnation that sent it, or long ago."""
         sent = self.sent.get(number)
         return sent[0] if sent is not None else None
 
@@ -96,11 +101,12 @@
         return self.cached_state_checksum[1]
 
     def last_sent_at(self, ip: str) -> float:
+        """Return when a heartbeat last went to a node."""
         peer = self.peers.peers.get(ip)
         return peer.heartbeat_sent_at if peer is not None else self.first_sent.get(ip, -1e9)
 
     def is_responsive(self, now: float, ip: str) -> bool:
-        """Whether a core door answers what this one asks it, however seldom that is."""
+        """Whether a core node answers what this one asks it, however seldom that is."""
         seldom = (
             0.0
             if self.peers.core_nodes[ip].region == self.peers.me.region or self.peers.me.disk_id
@@ -109,12 +115,12 @@
         return self.peers.is_alive(now - seldom, ip)
 
     def is_due(self, now: float, ip: str, enough: bool) -> bool:
-        """Whether a core door is to be asked again; `enough`: near voices tell all that is needed."""
+        """Whether a core node is to be asked again; `enough`: near answers tell all that is needed."""
         about, me = self.peers.core_nodes[ip], self.peers.me
         near = about.region == me.region or me.disk_id or not enough
         return now - self.last_sent_at(ip) >= (NEAR_INTERVAL if near else FAR_INTERVAL) - 0.01
 
-    def make_heartbeat(self, now: float, ip: str, ready: bool, wants: list[int]) -> Heartbeat:
+    def make_heartbeat(self, now: float, ip: str, ready: bool, requested_roles: list[int]) -> Heartbeat:
         """Return a heartbeat to another node."""
         peer, me = self.peers.peers.get(ip), self.peers.me
         if peer is not None:
@@ -131,7 +137,7 @@
             self.peers.core_checksum(),
             known,
             sender=me if peer is None or not peer.knows_me else None,
-            requested_roles=wants if takes_roles else None,
+            requested_roles=requested_roles if takes_roles else None,
             grants_nothing=takes_roles and now < self.roles.granter.silent_until,
             roster_checksum=self.peers.roster_checksum if wants_roster else None,
         )
@@ -199,8 +205,9 @@
         return (None, change) if change is not None else (self.peers.roster_rows, None)
 
     def may_grant_leases(self, core_sum: int) -> bool:
-        """Whether a member may promise a duty to one that names this core: not while its members are changing, as
-        majorities of two cores that follow each other but one need not meet; nor once this one is known to be over."""
+        """Whether a member may promise a role to one that names this core: not while its members are changing, as
+        majorities of two cores that follow each other but one need not meet; nor once this one is known to be over.
+        """
         pending, state = self.control.acceptor.pending, self.control.state
         moving = pending is not None and state is not None and pending.members != state.members
         return (
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -1,4 +1,4 @@
-"""One door's core: beats, the control state, duties and news.  Messages and times in, messages and deeds out."""
+"""One node: heartbeats, the control state, roles and updates.  Messages and times in, messages and actions out."""
 
 from __future__ import annotations
 
@@ -47,15 +47,16 @@
 from hazelspring.registry.tables import ServerEntry
 
 EMPTY_REGISTRY_GRACE = (
-    0.15  # seconds without any table, as none else has one, after which a core door asks for itself
+    0.15  # seconds without any table, as none else has one, after which a core node asks for itself
 )
-NODE_COUNT_RECORD = "mark doors"  # the record of how many doors there ever were
+NODE_COUNT_RECORD = "mark doors"  # the record of how many nodes there ever were
 
 
 @dataclass(slots=True)
 class NodeStart:
-    """What a door knows at its start.  The number of its disk in `about` is that of an empty one: what the records
-    say goes before it."""
+    """What a node knows at its start.  The number of its disk in `about` is that of an empty one: what the records
+    say goes before it.
+    """
 
     info: NodeInfo
     seeds: list[str]
@@ -98,13 +99,13 @@
         )
         self.was_member = self.control.is_member()
         self.members = self.control.state.members if self.control.state is not None else ()
-        self.dropped: dict[str, int] = {}  # messages of or to another life, by kind
+        self.dropped: dict[str, int] = {}  # messages of or to another incarnation, by kind
         self.actions: list[Action] = []
 
     # --- what others of this process ask ---------------------------------------------------------------
 
     def core_agreed(self) -> bool:
-        """Whether the core is agreed on, as far as this door knows."""
+        """Whether the core is agreed on, as far as this node knows."""
         return self.control.state is not None
 
     def confirmed_at(self, now: float) -> float:
@@ -120,7 +121,7 @@
             checked = ValidatedConfiguration(
                 number, pack(body, self.control.acceptor.current_configuration())
             )
-        order = Proposal(
+        proposal = Proposal(
             token,
             now,
             ProposalKind.PUT_CONFIGURATION,
@@ -128,9 +129,10 @@
             configuration_digest=configuration_digest(body),
             configuration=checked.packed,
         )
-        return self.propose(now, order)
+        return self.propose(now, proposal)
 
     def set_evacuation(self, now: float, token: int, zone: str, closed: bool) -> list[Action]:
+        """Evacuate a zone for an operator, or end that."""
         return self.propose(
             now, Proposal(token, now, ProposalKind.SET_EVACUATION, zone=zone, evacuate=closed)
         )
@@ -142,28 +144,31 @@
         )
 
     def read_configuration(self, now: float, token: int) -> list[Action]:
+        """Read the configuration in force for an operator."""
         return self.propose(now, Proposal(token, now, ProposalKind.READ))
 
-    def propose(self, now: float, order: Proposal) -> list[Action]:
+    def propose(self, now: float, proposal: Proposal) -> list[Action]:
+        """Take a proposal, and ask the core at once what is newest."""
         self.actions = []
-        wants = self.requested_roles(now)
+        requested_roles = self.requested_roles(now)
         for ip in self.peers.other_core_nodes():
-            self.send_heartbeat(now, ip, wants)
-        self.actions += self.control.propose(now, order)
+            self.send_heartbeat(now, ip, requested_roles)
+        self.actions += self.control.propose(now, proposal)
         self.check_membership(now)
         return self.actions
 
     # --- time -----------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Action]:
+        """Do what is due with the time: heartbeats, roles, requests, rounds."""
         self.actions = []
         enough = now - self.confirmed_at(now) < 2 * NEAR_INTERVAL
         before = self.roles.requested
-        wants = self.requested_roles(now)  # one look for all that this tick sends and renews
-        anew = wants != before
+        requested_roles = self.requested_roles(now)  # one look for all that this tick sends and renews
+        anew = requested_roles != before
         for ip in self.peers.other_core_nodes():
             if anew or self.heartbeats.is_due(now, ip, enough):
-                self.send_heartbeat(now, ip, wants)
+                self.send_heartbeat(now, ip, requested_roles)
         heard = any(self.peers.is_alive(now, ip) for ip in self.peers.other_core_nodes())
         lost = not heard or (self.first_start and not self.core_agreed())
         rescued = lineage(self.control.acceptor.version) > 0  # others may not know of it
@@ -175,7 +180,7 @@
                     and now - self.heartbeats.last_sent_at(ip)
                     >= (NEAR_INTERVAL if lost else FAR_INTERVAL) - 0.01
                 ):
-                    self.send_heartbeat(now, ip, wants)
+                    self.send_heartbeat(now, ip, requested_roles)
         self.perform_roles(now)
         if self.is_core_candidate():
             self.peers.record_heartbeat(now, self.me, self.ready)
@@ -191,11 +196,11 @@
         return self.actions
 
     def is_core_candidate(self) -> bool:
-        """Whether this door is one of the core, or may become one of the first."""
+        """Whether this node is one of the core, or may become one of the first."""
         return bool(self.me.disk_id) and (self.control.is_member() or not self.peers.core_agreed)
 
     def check_membership(self, now: float) -> None:
-        """See whether this door's seat has changed: one that is new promises nothing for a term."""
+        """See whether this node's membership has changed: one that is new promises nothing for a term."""
         seated, state = self.control.is_member(), self.control.state
         if state is not None and state.members != self.members:
             if self.members:
@@ -207,20 +212,25 @@
         self.was_member = seated
 
     def requested_roles(self, now: float) -> list[int]:
-        """The duties that beats which go out now ask for."""
+        """The roles that heartbeats which go out now ask for."""
         return self.roles.update_requests(now, self.core_agreed() and self.is_core_candidate())
 
-    def send_heartbeat(self, now: float, ip: str, wants: list[int] | None = None) -> None:
-        """`wants`: the duties to ask for, where they are known for this moment."""
-        wants = self.requested_roles(now) if wants is None else wants
+    def send_heartbeat(self, now: float, ip: str, requested_roles: list[int] | None = None) -> None:
+        """`wants`: the roles to ask for, where they are known for this moment."""
+        requested_roles = self.requested_roles(now) if requested_roles is None else requested_roles
         self.actions.append(
-            Send(ip, self.heartbeats.make_heartbeat(now, ip, self.ready and not self.roles.has_left, wants))
+            Send(
+                ip,
+                self.heartbeats.make_heartbeat(
+                    now, ip, self.ready and not self.roles.has_left, requested_roles
+                ),
+            )
         )
 
-    # --- duties ------------------------------------------------------------------------------------------
+    # --- roles ------------------------------------------------------------------------------------------
 
     def perform_roles(self, now: float) -> None:
-        """Renew what this door holds, take what nobody does, and do the first of them: ask the platform."""
+        """Renew what this node holds, take what nobody does, and do the first of them: ask the platform."""
         if not self.is_core_candidate():
             return
         if self.core_agreed():
@@ -238,24 +248,24 @@
             self.actions.append(ReadList(number))
 
     def decline_role(self, now: float, role: int) -> None:
-        """Leave a duty that this door can't do to another one, at once."""
+        """Leave a role that this node can't do to another one, at once."""
         self.roles.decline(now, role)
         message = RolesDeclined(self.me, [role])
         self.actions += [Send(ip, message) for ip in self.peers.other_core_nodes()]
 
     def may_read_list(self, now: float) -> bool:
-        """Whether the platform's list is this door's to read: by its duty, or for want of any table."""
+        """Whether the platform's list is this node's to read: by its role, or for want of any table."""
         return self.list_reader_role.holds(now) or not self.registry.tables
 
     def drain(self, now: float) -> list[Action]:
-        """This door leaves in order: its duties go to others at once."""
+        """This node leaves in order: its roles go to others at once."""
         self.actions = []
         self.control.reconfiguration.leaving = True
         message = RolesReleased(self.me, self.roles.release_all(now))
         self.actions += [Send(ip, message) for ip in self.peers.other_core_nodes()]
         return self.actions
 
-    # --- news of servers ----------------------------------------------------------------------------------
+    # --- updates of servers ----------------------------------------------------------------------------------
 
     def on_list_read(
         self, now: float, wall_ms: int, found: dict[str, dict[str, ServerEntry]] | None, number: int
