--- a/hazelspring/consensus/forwarding.py
+++ b/hazelspring/consensus/forwarding.py
@@ -54,6 +54,7 @@
     source: str = ""  # the node that handed it
 
     def is_valid_for(self, state: ControlState) -> bool:
+        """Return whether the proposal may be applied to a state."""
         return 0 <= state.version - self.valid_from_version < VALID_VERSIONS
 
     def apply(self, state: ControlState) -> ControlState:
@@ -94,6 +95,7 @@
 
     @staticmethod
     def is_same(one: ForwardedProposal, other: ForwardedProposal) -> bool:
+        """Return whether a proposal came twice."""
         return (one.valid_from_version, one.source) == (
             other.valid_from_version,
             other.source,
--- a/hazelspring/consensus/messages.py
+++ b/hazelspring/consensus/messages.py
@@ -168,3 +168,11 @@
     | StateRequest
     | Decision
 )
+
+
+@dataclass(slots=True, frozen=True)
+class OutgoingMessage:
+    """A message of the agreement to a node."""
+
+    to: str  # its address
+    message: ConsensusMessage
--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Collection, Iterable
-from dataclasses import dataclass, replace
+from collections.abc import Callable, Collection
+from dataclasses import replace
 
 from hazelspring.consensus.acceptor import Acceptor
 from hazelspring.consensus.control_state import (
@@ -21,40 +21,34 @@
 from hazelspring.consensus.forwarding import ForwardedProposals, ProposalForwarder, can_forward
 from hazelspring.consensus.messages import (
     Accept,
+    Accepted,
     ConfigurationPayload,
-    ConsensusMessage,
     FullConfiguration,
     HeldConfiguration,
+    OutgoingMessage,
     Prepare,
+    Promise,
     ProposalsForwarded,
+    Rejected,
     RoundEnded,
 )
 from hazelspring.consensus.outcomes import outcome_of
 from hazelspring.consensus.proposal import Proposal, ProposalKind, ProposalOutcome
 from hazelspring.consensus.round import LONG_AGO, Round
 
-RESEND_INTERVAL = 0.25  # seconds between sendings to a member that has not answered
+RESEND_INTERVAL = 0.25  # seconds between requests to a member that has not answered
 LINK_BANDWIDTH = (
     100e6  # bytes a second of a node's link, of a gigabit: all copies of a configuration share it
 )
-CONTENDED_ROUND_TIMEOUT = (
-    0.7  # seconds after which a round that met another counts on no more answers: two syncs of a slow disk
-)
+# seconds after which a round that met another counts on no more answers: two syncs of a slow disk
+CONTENDED_ROUND_TIMEOUT = 0.7
 PROPOSAL_TIMEOUT = 3.0  # seconds for a proposal; its sender moves on sooner, and sends it to any node again
 NO_CHANGE_GRACE = 0.3  # seconds in which answers may settle what changes nothing, before that takes a round
 MIN_BACKOFF = 0.03  # seconds at least after a round that met another: a part of a round trip between regions,
+MAX_BACKOFF = 0.3  # doubled each time, up to half of the time for which a round may go first
 FORWARDING_GRACE = (
-    0.2  # seconds at least that another node has for proposals it was handed, before this one goes alone
+    0.2  # seconds at least that another node has for what was forwarded, before this one goes alone
 )
-MAX_BACKOFF = 0.3  # doubled each time, up to half of the time for which a round may go first
-
-
-@dataclass(slots=True, frozen=True)
-class OutgoingMessage:
-    """A message of a round to a member."""
-
-    to: str
-    message: ConsensusMessage
 
 
 class Proposer:
@@ -106,12 +100,15 @@
         if changes := self.forwarder.select(state, to, self.proposals):
             self.outbox.append(OutgoingMessage(to, ProposalsForwarded(state.version, tuple(changes))))
 
+    def take_outbox(self) -> list[OutgoingMessage]:
+        """Return what is to be sent besides the requests of a round, the newest first."""
+        taken, self.outbox = self.outbox[::-1], []
+        return taken
+
     def has_proposal(self, kind: ProposalKind) -> bool:
         """Return whether a proposal of a kind is open here."""
         return any(proposal.kind == kind for proposal in self.proposals)
 
-    # --- how proposals end --------------------------------------------------------------------------------------
-
     def resolve(self, now: float, sure: Callable[[Proposal], bool]) -> list[ProposalOutcome]:
         """End what the state in force settles.  `sure`: nothing that was decided before the proposal came can be
         unknown here.
@@ -143,8 +140,6 @@
             return f"look: {missing} voices are missing"
         return f"copy: {missing_votes(current.value.member_sets(), current.acceptances, majority)} disks are missing"
 
-    # --- rounds -----------------------------------------------------------------------------------------------
-
     def advance(self, now: float) -> list[OutgoingMessage]:
         """Bring the round on: begin one where a proposal needs it, ask again who has not answered."""
         state = self.acceptor.state
@@ -272,30 +267,21 @@
             (proposal.configuration for proposal in known if proposal.configuration_digest == digest), None
         )
 
-    # --- what members answer -----------------------------------------------------------------------------------
+    def on_promise(self, source: str, message: Promise, packed: bytes | None = None) -> None:
+        """Count a promise.
 
-    def on_promise(
-        self,
-        source: str,
-        voter: Voter,
-        ballot: Ballot,
-        best: tuple[Ballot, ControlState] | None,
-        holds: Iterable[bytes],
-        packed: bytes | None = None,
-    ) -> None:
-        """A member promised, and told what it last accepted, with the configuration where that may be new here."""
-        current = self.round
-        if (
-            ballot == self.abandoned_ballot
-        ):  # it overtook the configuration that this round is over, or came before it
-            self.outbox.append(OutgoingMessage(source, RoundEnded(ballot)))
-        if current is None or current.ballot != ballot or current.value is not None:
+        `packed` is the configuration that came with it, of the state that its sender accepted last.
+        """
+        current, accepted = self.round, message.accepted
+        if message.ballot == self.abandoned_ballot:  # it overtook the message that this round is over
+            self.outbox.append(OutgoingMessage(source, RoundEnded(message.ballot)))
+        if current is None or current.ballot != message.ballot or current.value is not None:
             return
-        current.promises[source], current.known_digests[source] = voter, list(holds)
-        if best is not None and packed is not None:
-            current.configurations[best[1].configuration_digest] = packed
-        if best is not None and best[0] > current.highest_accepted[0]:
-            current.highest_accepted = best
+        current.promises[source], current.known_digests[source] = message.voter, list(message.held_digests)
+        if accepted is not None and packed is not None:
+            current.configurations[accepted.state.configuration_digest] = packed
+        if accepted is not None and accepted.ballot > current.highest_accepted[0]:
+            current.highest_accepted = accepted
 
     def choose_value(self, now: float, current: Round) -> None:
         """Once enough have promised and a majority is there, the round brings a state."""
@@ -327,41 +313,40 @@
                 return False
         return True
 
-    def on_accepted(self, source: str, voter: Voter, ballot: Ballot) -> None:
+    def on_accepted(self, source: str, message: Accepted) -> None:
         """Count that a member accepted the round's state."""
         current = self.round
-        if current is not None and current.ballot == ballot and current.value is not None:
-            current.acceptances[source] = voter
+        if current is not None and current.ballot == message.ballot and current.value is not None:
+            current.acceptances[source] = message.voter
 
     def on_missing_configuration(self, source: str, ballot: Ballot) -> None:
         """Bytes that were believed to be at a member, or here, are not: now they go, or come, whole."""
         if self.round is not None and self.round.ballot == ballot:
             self.round.without_deltas = True
             self.round.known_digests[source] = []
-            if (
-                source not in self.round.payload_sent_at
-            ):  # else they may be under way, and go again in their time
+            if source not in self.round.payload_sent_at:  # else they may be under way, and go again in time
                 self.round.sent_at.pop(source, None)
 
-    def on_rejected(
-        self, now: float, source: str, ballot: Ballot, higher: Ballot, wait: float, brought: bool
-    ) -> None:
-        """A member has promised a higher ballot, or lets another round go first, for some seconds at most: then it is
-        asked again.  The round ends where too few are left for it.  `brought`: a state was refused, and not the
-        asking for a promise.
+    def on_rejected(self, now: float, source: str, message: Rejected) -> None:
+        """Note that a member has promised a higher ballot, or lets another round go first for a while.
+
+        In the second case it is asked again.  The round ends where too few members are left for it.
         """
-        self.highest_count = max(self.highest_count, higher[0])
+        highest, wait = message.promised, message.wait_ms / 1000
+        self.highest_count = max(self.highest_count, highest[0])
         current = self.round
-        if current is None or current.ballot != ballot or brought is (current.value is None):
+        if current is None or current.ballot != message.ballot:
             return
-        if wait and not brought:
+        if message.of_accept is (current.value is None):
+            return  # it answers what was asked in another phase
+        if wait and not message.of_accept:
             current.deferred_by.add(source)
             current.contended = True
-            self.forward(higher[2])
+            self.forward(highest[2])
             return
         current.rejections.add(source)
         if wait:
-            self.forward(higher[2])
+            self.forward(highest[2])
         current.rival_wait = max(current.rival_wait, wait)
         sets = current.value.member_sets() if current.value is not None else self.prepare_member_sets(current)
         needed = read_quorum if current.value is None else majority
--- a/hazelspring/node/control_replica.py
+++ b/hazelspring/node/control_replica.py
@@ -51,7 +51,7 @@
 from hazelspring.node.durable_replies import DurableReplies
 from hazelspring.node.messages import ControlVersions
 from hazelspring.node.reconfiguration import Reconfiguration
-from hazelspring.node.sent_request import NOT_SENT, SentRequest
+from hazelspring.node.state_transfer import StateTransfer
 
 
 class ControlReplica:
@@ -73,14 +73,12 @@
         self.saves = DurableReplies(self.acceptor, bool(me.disk_id))
         self.admitted_round = NO_ROUND  # whose round is under way here
         self.loopback_messages: list[ConsensusMessage] = []  # messages of this node to itself
-        self.last_state_request = NOT_SENT  # for a newer state
+        self.transfer = StateTransfer(peers, self.acceptor)
         self.nodes_behind: dict[str, None] = {}  # nodes that told of a lower lineage than the one here
         self.actions: list[Action] = []
         if self.acceptor.version > 0:
             self.peers.set_members(self.acceptor.state.members)  # type: ignore[union-attr]
 
-    # --- what is known -------------------------------------------------------------------------------------
-
     @property
     def state(self) -> ControlState | None:
         """The state in force as far as this node knows; none before the core was bootstrapped."""
@@ -150,8 +148,6 @@
         told = sum(at >= since for at in self.confirmation_times(now))
         return self.proposer.confirmed_since >= since or told >= read_quorum(len(state.members))
 
-    # --- time ------------------------------------------------------------------------------------------------
-
     def tick(self, now: float) -> list[Action]:
         """Do what is due with the time."""
         self.actions = []
@@ -180,10 +176,8 @@
                 self.acceptor.is_superseded()
                 or self.must_yield_to(now, self.peers.me.ip, self.acceptor.version)
             )
-            for request in () if waits else self.proposer.advance(now):
-                self.send(request.to, request.message)
-            while self.proposer.outbox:
-                request = self.proposer.outbox.pop()
+            requests = [] if waits else self.proposer.advance(now)
+            for request in [*requests, *self.proposer.take_outbox()]:
                 self.send(request.to, request.message)
             if self.loopback_messages:
                 self.dispatch(now, self.peers.me.ip, self.loopback_messages.pop(0))
@@ -194,7 +188,8 @@
             break
         self.actions += self.proposer.resolve(now, lambda proposal: self.is_confirmed_for(proposal, now))
         self.catch_up(now)
-        self.save_dirty_records()
+        if (save := self.saves.begin_save()) is not None:
+            self.actions.append(save)
         return self.actions
 
     def on_decision(self, now: float, ballot: Ballot, state: ControlState, packed: bytes | None) -> None:
@@ -227,23 +222,15 @@
             self.actions.append(MembersChanged())
 
     def catch_up(self, now: float) -> None:
-        """Ask for a newer state that another node has told of, whole; the nearest first, each in turn."""
+        """Send the state in force to nodes that told of a lower lineage; ask for a newer one that others told of."""
         while self.nodes_behind:
             self.send_state(self.nodes_behind.popitem()[0], HOLDS_NOTHING)
-        has = self.peers.nodes_above_version(self.acceptor.version)
-        last = self.last_state_request
-        if has and last.is_due(now):
-            alive = [ip for ip in has if self.peers.is_alive(now, ip)] or has
-            self.request_state(alive[last.count % len(alive)])
-            self.last_state_request = SentRequest(now, last.count + 1)
+        if (to := self.transfer.next_source(now)) is not None:
+            self.request_state(to)
 
     def request_state(self, of: str, whole: bool = False) -> None:
         """Ask a node for the state in force there, with its configuration; `whole`: not as deltas."""
-        state = self.acceptor.state
-        digest = state.configuration_digest if state is not None else NO_CONFIGURATION
-        self.send(of, StateRequest(self.acceptor.version, HeldConfiguration(digest, not whole)))
-
-    # --- the disk --------------------------------------------------------------------------------------------
+        self.send(of, self.transfer.make_request(whole))
 
     def reply_when_durable(self, to: str, message: ConsensusMessage) -> None:
         """Send a reply once all that it stands for is on disk."""
@@ -254,11 +241,6 @@
         """Write a record that is no part of the agreement, with the next save."""
         self.saves.other_records[name] = body
 
-    def save_dirty_records(self) -> None:
-        """Write what is to be written, one save at a time."""
-        if (save := self.saves.begin_save()) is not None:
-            self.actions.append(save)
-
     def on_saved(self, now: float, serial: int, good: bool) -> list[Action]:
         """Go on once a save has ended."""
         self.actions = []
@@ -269,9 +251,8 @@
             self.send(reply.to, reply.message)
         return self.advance(now)
 
-    # --- messages ----------------------------------------------------------------------------------------------
-
     def send(self, to: str, message: ConsensusMessage) -> None:
+        """Send a message; one to this node itself is handled before the next step of a round."""
         if to == self.peers.me.ip:
             self.loopback_messages.append(message)
         else:
@@ -291,9 +272,9 @@
             case Promise():
                 self.on_promise(source, message)
             case Accepted():
-                self.proposer.on_accepted(source, message.voter, message.ballot)
+                self.proposer.on_accepted(source, message)
             case Rejected():
-                self.on_rejected(now, source, message)
+                self.proposer.on_rejected(now, source, message)
             case RoundEnded():
                 self.on_round_ended(source, message)
             case ConfigurationMissing():
@@ -361,9 +342,7 @@
             if packed is None:
                 self.proposer.on_missing_configuration(source, message.ballot)
                 return
-        self.proposer.on_promise(
-            source, message.voter, message.ballot, accepted, message.held_digests, packed
-        )
+        self.proposer.on_promise(source, message, packed)
 
     def on_accept(self, now: float, source: str, message: Accept) -> None:
         """Accept a state, or refuse, or say that its configuration is missing."""
@@ -382,11 +361,6 @@
         self.admitted_round = AdmittedRound(until, source, base, has_majority=True)
         self.reply_when_durable(source, Accepted(message.ballot, self.voter()))
 
-    def on_rejected(self, now: float, source: str, message: Rejected) -> None:
-        """Note that a member refused what this node's round asked for."""
-        wait = message.wait_ms / 1000
-        self.proposer.on_rejected(now, source, message.ballot, message.promised, wait, message.of_accept)
-
     def on_round_ended(self, source: str, message: RoundEnded) -> None:
         """Let other rounds in again, once the one that was admitted is over."""
         if self.admitted_round.source == source and message.ballot >= self.acceptor.promised:
@@ -407,13 +381,8 @@
 
     def send_state(self, to: str, held: HeldConfiguration) -> None:
         """Send the state in force here, with its configuration where the other node does not hold that."""
-        if self.acceptor.decided is None or self.acceptor.version <= 0 or self.acceptor.is_superseded():
-            return
-        ballot, state = self.acceptor.decided
-        payload = None
-        if state.configuration_digest not in (NO_CONFIGURATION, held.digest):
-            payload = self.acceptor.configuration_payload(state.configuration_digest, held)
-        self.send(to, Decision(ballot, state, payload))
+        if (decision := self.transfer.make_decision(held)) is not None:
+            self.send(to, decision)
 
     def on_state_request(self, source: str, message: StateRequest) -> None:
         """Send the state in force here to a node that has an older one."""
@@ -427,6 +396,6 @@
             if state.version > self.acceptor.version:
                 packed = self.acceptor.open_payload(message.payload, state.configuration_digest)
             self.learn(now, message.ballot, state, packed)
-            self.last_state_request = SentRequest(count=self.last_state_request.count)
+            self.transfer.on_state()
         except MissingConfigurationError:
             self.request_state(source, whole=isinstance(message.payload, DeltaPath))
--- a/hazelspring/node/durable_replies.py
+++ b/hazelspring/node/durable_replies.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 from hazelspring.consensus.acceptor import Acceptor
-from hazelspring.consensus.messages import ConsensusMessage
-from hazelspring.consensus.proposer import OutgoingMessage
+from hazelspring.consensus.messages import ConsensusMessage, OutgoingMessage
 from hazelspring.node.actions import Save
 
 COUNT_RECORD_PREFIX = "mark "  # begins the names of records that are no part of the agreement
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -258,7 +258,7 @@
         return self.list_reader_role.holds(now) or not self.registry.tables
 
     def drain(self, now: float) -> list[Action]:
-        """This node leaves in order: its roles go to others at once."""
+        """Leave in order: the roles of this node go to others at once."""
         self.actions = []
         self.control.reconfiguration.leaving = True
         message = RolesReleased(self.me, self.roles.release_all(now))
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -211,10 +211,10 @@
                 return None  # it has been told
             peer = node.peers.peer(NodeInfo(what, "", "", 0, 1))
             peer.control_versions = (1 << 30, -1)
-            node.actions, node.last_state_request = [], NOT_SENT
+            node.actions, node.transfer.last_request = [], NOT_SENT
             node.catch_up(node.now)
-            actions, node.last_state_request = node.actions, NOT_SENT
-            node.peers = PeerTable(me, 0.0)
+            actions, node.transfer.last_request = node.actions, NOT_SENT
+            node.peers = node.transfer.peers = PeerTable(me, 0.0)
             return self.finish(node, actions)
         if isinstance(what, tuple):  # it hands its orders to another door
             node.actions = []
--- a/tests/control_node.py
+++ b/tests/control_node.py
@@ -20,17 +20,18 @@
     ConfigurationMissing,
     ConsensusMessage,
     Decision,
+    OutgoingMessage,
     Prepare,
     Promise,
     ProposalsForwarded,
 )
 from hazelspring.consensus.proposal import Proposal
-from hazelspring.consensus.proposer import OutgoingMessage
 from hazelspring.membership.node_info import NodeInfo
 from hazelspring.membership.peer_table import PeerTable
 from hazelspring.node import codec
 from hazelspring.node.control_replica import ControlReplica
 from hazelspring.node.reconfiguration import Reconfiguration
+from hazelspring.node.state_transfer import StateTransfer
 
 NEVER = float("inf")
 LOOKED = 0.5  # seconds after an order: long enough that it takes a round, too short to end for want of one
@@ -81,6 +82,8 @@
             )
         new.reconfiguration = Reconfiguration(0.0, new.peers, held, orders, self.first)
         new.records, new.actions = dict(self.records), []
+        new.transfer = StateTransfer(new.peers, held)
+        new.transfer.last_request = self.transfer.last_request
         saves = new.saves = copy.copy(self.saves)
         saves.acceptor = held
         saves.after_current_save, saves.after_next_save = (
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -19,8 +19,9 @@
 from hazelspring.consensus.acceptor import Acceptor
 from hazelspring.consensus.control_state import NO_BALLOT, ControlState, Member
 from hazelspring.consensus.forwarding import VALID_VERSIONS
+from hazelspring.consensus.messages import OutgoingMessage, Promise
 from hazelspring.consensus.proposal import BootstrapProposal, Proposal, ProposalKind
-from hazelspring.consensus.proposer import OutgoingMessage, Proposer
+from hazelspring.consensus.proposer import Proposer
 from hazelspring.membership.node_info import NodeInfo
 from hazelspring.node.control_replica import ControlReplica
 
@@ -265,9 +266,8 @@
 def undecided_left(patch: Patch) -> None:
     promised = Proposer.on_promise
 
-    def blind(orders: Proposer, *args: Any) -> None:
-        source, voter, ballot, _, holds, *word = args
-        promised(orders, source, voter, ballot, None, holds, *word)
+    def blind(orders: Proposer, source: str, message: Promise, packed: bytes | None = None) -> None:
+        promised(orders, source, replace(message, accepted=None), packed)
 
     patch.setattr(Proposer, "on_promise", blind)
 
