--- a/hazelspring/cli/__main__.py
+++ b/hazelspring/cli/__main__.py
@@ -101,8 +101,8 @@
 
 def check_file(path: str) -> ExitStatus:
     """Validate a configuration without any node, and print what is wrong with it."""
-    # No other call needs the validation: its import would slow their start.
-    from hazelspring.configuration.validation import (
+    # no other call needs the validation, and its import would slow their start
+    from hazelspring.configuration.validation import (  # noqa: PLC0415
         InvalidConfigurationError,
         validate_configuration,
     )
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -33,8 +33,7 @@
 )
 from hazelspring.node.messages import Message
 from hazelspring.node.node import Node
-from hazelspring.quota.credits import CounterCall as CounterCall
-from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
+from hazelspring.quota.credits import CounterCall, CounterUnavailable, CreditsGranted
 from hazelspring.registry.tables import ServerEntry, server_tag
 from hazelspring.routing.endpoint_set import EndpointSet
 from hazelspring.routing.events import (
