--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -121,9 +121,9 @@
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.opened += 1
-        while True:
+        while header := await reader.readline():  # empty once the caller has closed
             parts = []
-            for _ in range(int((await reader.readline())[1:])):
+            for _ in range(int(header[1:])):
                 size = int((await reader.readline())[1:])
                 parts.append((await reader.readexactly(size + 2))[:-2])
             if parts[0] == b"PING":
