--- a/hazelspring/consensus/acceptor.py
+++ b/hazelspring/consensus/acceptor.py
@@ -1,4 +1,8 @@
-"""One node's part in the agreement: what it promised, what it accepted, what it knows as decided, and its records."""
+"""The acceptor and learner of one node: its promise, the state it accepted, the decided state, and their records.
+
+A promise, an acceptance or a decision changes the acceptor in memory and marks a record as dirty.  The records are
+written by the node, which sends a reply only once the records that it depends on are on disk.
+"""
 
 from __future__ import annotations
 
@@ -26,25 +30,34 @@
     HeldConfiguration,
 )
 
-CONFIGURATION_RECORD_PREFIX = "word "  # begins the record of a configuration's bytes, by its digest
-
+# Begins the name of a record that holds the bytes of a configuration; the digest in hexadecimal follows.
+CONFIGURATION_RECORD_PREFIX = "word "
 
-# Bytes of deltas that are kept: what one costs who lacks it is some hundred bytes, and what brings a node from
-MAX_KEPT_DELTA_BYTES = (
-    1 << 20
-)  # further back is no smaller than most configurations, so such a node gets the whole one.
-MIN_BYTES_FOR_DELTA = 1000  # bytes of a whole that goes in one datagram: a delta would spare nothing there
+# Bytes of all deltas that are kept.  One delta has some hundred bytes.  The deltas for a node that is further behind
+# would together be no smaller than most configurations, so such a node gets the complete configuration.
+MAX_KEPT_DELTA_BYTES = 1 << 20
+# Bytes up to which a configuration is always sent complete: it fits into one datagram, so a delta would save nothing.
+MIN_BYTES_FOR_DELTA = 1000
 
 
 class MissingConfigurationError(Exception):
-    """A state cannot be accepted: the bytes of its configuration have not come with it and are not here."""
+    """A state cannot be accepted or learned: the bytes of its configuration are neither held here nor came with it."""
 
     code = "word_lacking"
 
 
 class Acceptor:
-    """The acceptor and learner of one node (docs/control.md).  It changes at once; whoever answers for a change
-    waits until `take_records` has been saved.  A ballot once promised is never gone below, also by a decision.
+    """The acceptor and learner of one node (docs/control.md).
+
+    Its methods change it in memory at once.  A reply that depends on a change must wait until the records returned
+    by :meth:`take_dirty_records` are on disk.  The promised ballot never decreases, not by a decision either.
+
+    Parameters
+    ----------
+    disk
+        The number of the node's disk; 0 where the node has none.
+    founder
+        Whether the node may vote as a member of the bootstrap (`is_vote_of` in `control_state`).
     """
 
     def __init__(self, disk: int, founder: bool) -> None:
@@ -52,47 +65,56 @@
         self.promised: Ballot = NO_BALLOT
         self.accepted: tuple[Ballot, ControlState] | None = None
         self.decided: tuple[Ballot, ControlState] | None = None
-        self.highest_lineage = 0  # the highest lineage that was heard of
-        self.configurations: dict[bytes, bytes] = {}  # configurations by digest, packed
-        self.deltas: dict[bytes, tuple[bytes, bytes]] = {}  # soft: by digest, that before it, and the delta
-        self.dirty_records: set[str] = set()  # records that have to be written anew
-        self.stored_records: set[str] = set()
+        self.highest_lineage = 0  # the highest lineage that any node is known to have reached
+        self.configurations: dict[bytes, bytes] = {}  # compressed, by digest
+        # By the digest that a delta leads to: the digest that it begins at, and the delta.  They are never saved, and
+        # no vote depends on them; they only make transfers to nodes with an older configuration smaller.
+        self.deltas: dict[bytes, tuple[bytes, bytes]] = {}
+        self.dirty_records: set[str] = set()  # names of records that have changed since they were last taken
+        self.stored_records: set[str] = set()  # names of records that may be on disk
 
     @property
     def state(self) -> ControlState | None:
-        """The newest state that is known to be decided."""
+        """The newest state that this node knows as decided; None where it knows none."""
         return self.decided[1] if self.decided is not None else None
 
     @property
     def version(self) -> int:
-        """Of the newest decided state; -1 where none is known."""
+        """The version of the newest state that this node knows as decided; -1 where it knows none."""
         return self.decided[1].version if self.decided is not None else -1
 
     @property
     def pending(self) -> ControlState | None:
-        """What was accepted above that, and may or may not be decided."""
+        """The accepted state where it is newer than the decided one: it may or may not have been decided."""
         if self.accepted is None or self.accepted[1].version <= self.version:
             return None
         return self.accepted[1]
 
     def version_fields(self) -> dict[str, int]:
-        """The version in force for people: its number, and the lineage where there was a recovery by an operator."""
+        """Return the decided version as it is shown to operators.
+
+        That is its number within the lineage, and the lineage itself only after a disaster recovery.
+        """
         number = {"version": self.version % VERSIONS_PER_LINEAGE if self.version >= 0 else -1}
         return number | ({"lineage": lineage(self.version)} if self.version >= VERSIONS_PER_LINEAGE else {})
 
     def observe_version(self, version: int) -> None:
-        """Another node told of a version."""
+        """Record the lineage of a version that another node has reported.
+
+        A lineage above this node's own means that the core was recovered by an operator, see :meth:`is_superseded`.
+        """
         self.highest_lineage = max(self.highest_lineage, lineage(version))
 
     def is_superseded(self) -> bool:
-        """Whether the core was recovered by an operator (hazelspring/consensus/disaster_recovery.py),
-        and the state that goes on has yet to come here.  Until then
-        this node says, confirms and votes on nothing by what it holds.
+        """Return whether an operator has recovered the core and this node does not have the recovered state yet.
+
+        Until it does, the node reports, confirms and votes on nothing by the state that it holds
+        (hazelspring/consensus/disaster_recovery.py).
         """
         return self.highest_lineage > lineage(self.version)
 
     def current_configuration(self) -> bytes | None:
-        """The bytes of the configuration in force, packed."""
+        """Return the configuration in force, compressed; None where there is none."""
         state = self.state
         return (
             self.configurations.get(state.configuration_digest)
@@ -100,10 +122,11 @@
             else None
         )
 
-    # --- what others ask ---------------------------------------------------------------------------------
-
     def prepare(self, ballot: Ballot) -> bool:
-        """Promise to accept nothing below a ballot; False where a higher one is promised."""
+        """Promise to accept nothing below a ballot; return False where a higher ballot is promised already.
+
+        The record "vote" has to be on disk before the promise is sent.
+        """
         if ballot < self.promised:
             return False
         if ballot > self.promised:
@@ -112,7 +135,21 @@
         return True
 
     def accept(self, ballot: Ballot, state: ControlState, packed: bytes | None = None) -> bool:
-        """Accept a state; False where a higher ballot is promised; raises Lacking."""
+        """Accept a state at a ballot; return False where a higher ballot is promised.
+
+        The vote and the configuration have to be on disk before the acceptance is sent.  A request that
+        comes again at the ballot accepted last changes nothing.
+
+        Parameters
+        ----------
+        packed
+            The compressed configuration that came with the state, if any.
+
+        Raises
+        ------
+        MissingConfigurationError
+            The state's configuration is not held here, and `packed` is None.  Nothing has changed then.
+        """
         if ballot < self.promised:
             return False
         self.keep_configuration(state, packed)
@@ -123,7 +160,22 @@
         return True
 
     def learn(self, ballot: Ballot, state: ControlState, packed: bytes | None = None) -> bool:
-        """A state was decided at a ballot; whether that is updates here; raises Lacking."""
+        """Learn that a state was decided at a ballot; return whether it is newer than the one known here.
+
+        A state of a lineage below the highest one known is not learned.  A decision at a ballot above the accepted
+        one, or of a higher lineage, replaces the accepted state; the promise is raised to its ballot.  The record
+        "decided" becomes dirty, and those of the vote and of configurations where they change.
+
+        Parameters
+        ----------
+        packed
+            The compressed configuration that came with the state, if any.
+
+        Raises
+        ------
+        MissingConfigurationError
+            The state's configuration is not held here, and `packed` is None.  Nothing has changed then.
+        """
         if state.version <= self.version or lineage(state.version) < self.highest_lineage:
             return False
         self.keep_configuration(state, packed)
@@ -133,9 +185,8 @@
                 state.configuration_digest,
                 self.configurations.get(state.configuration_digest),
             )
-        rescued = lineage(state.version) > lineage(
-            self.version
-        )  # what was accepted before is void, at any ballot
+        # After a disaster recovery a state accepted in the old lineage is void, also one at a higher ballot.
+        rescued = lineage(state.version) > lineage(self.version)
         self.decided = (ballot, state)
         self.dirty_records.add("decided")
         if self.accepted is None or self.accepted[0] < ballot or rescued:
@@ -146,7 +197,13 @@
         return True
 
     def keep_configuration(self, state: ControlState, packed: bytes | None) -> None:
-        """Keep the configuration that a state names; raises MissingConfigurationError where it is not here."""
+        """Keep the configuration that a state names, and mark its record as dirty.
+
+        Raises
+        ------
+        MissingConfigurationError
+            The configuration is not held here, and `packed` is None.
+        """
         if (
             state.configuration_digest == NO_CONFIGURATION
             or state.configuration_digest in self.configurations
@@ -158,23 +215,29 @@
         self.dirty_records.add(CONFIGURATION_RECORD_PREFIX + state.configuration_digest.hex())
 
     def prune_configurations(self) -> None:
-        """Forget configurations that no state here names."""
+        """Remove configurations that neither the accepted nor the decided state names, with their records."""
         named = {held[1].configuration_digest for held in (self.accepted, self.decided) if held is not None}
         for digest in [digest for digest in self.configurations if digest not in named]:
             del self.configurations[digest]
             self.dirty_records.add(CONFIGURATION_RECORD_PREFIX + digest.hex())
 
-    # --- deltas: soft, for others that hold an older configuration --------------------------------------
-
     def compute_delta(self, base: bytes, digest: bytes, packed: bytes | None) -> None:
-        """Make the delta from a configuration that is held here to another, where none is kept; and keep it."""
+        """Compute and keep the delta from a configuration that is held here to another one.
+
+        Nothing is done where a delta to the other one is kept already, its bytes are unknown (`packed` is None), or
+        no delta can be made.
+        """
         if packed is None or digest in self.deltas or base == digest or base not in self.configurations:
             return
         with contextlib.suppress(DeltaError):
             self.keep_delta(base, digest, make_delta(self.configurations[base], packed), packed)
 
     def keep_delta(self, base: bytes, digest: bytes, delta: bytes, packed: bytes) -> None:
-        """Keep a delta, and so many of the youngest as are together smaller than the whole they lead to."""
+        """Keep a delta, and of the earlier ones the newest, as long as a path of them is worth sending.
+
+        Together they are no larger than the complete configuration `packed` that they lead to, nor than
+        `MAX_KEPT_DELTA_BYTES`, and they are at most `MAX_CHAINED_DELTAS`.
+        """
         self.deltas.pop(digest, None)
         self.deltas[digest] = (base, delta)
         left = min(MAX_KEPT_DELTA_BYTES, len(packed))
@@ -184,16 +247,21 @@
                 del self.deltas[old]
 
     def configuration_payload(self, digest: bytes, held: HeldConfiguration) -> ConfigurationPayload:
-        """Return what brings a configuration that is held here to a node.
+        """Return the payload that brings a configuration that is held here to a node.
 
-        That is a path of deltas from the configuration which the node holds, where it takes one and it is smaller.
+        It is a path of deltas from the configuration that the node holds, where the node accepts deltas and the path
+        is smaller than the complete configuration; otherwise the complete configuration.
         """
         bases = [held.digest] if held.accepts_deltas else []
         path = self.delta_path(bases, digest, self.configurations[digest])
         return FullConfiguration(self.configurations[digest]) if path is None else path
 
     def open_payload(self, payload: ConfigurationPayload | None, digest: bytes) -> bytes | None:
-        """Return the packed configuration that a payload brings; None where there is none, or it leads nowhere."""
+        """Return the compressed configuration of a payload.
+
+        None where there is no payload, or its deltas cannot be applied here, or a configuration that came as deltas
+        is held here already.
+        """
         if isinstance(payload, FullConfiguration):
             return payload.packed
         if payload is None or digest in self.configurations:
@@ -201,7 +269,11 @@
         return self.follow_delta_path(payload, digest)
 
     def delta_path(self, holds: Iterable[bytes], digest: bytes, packed: bytes) -> DeltaPath | None:
-        """What leads who holds one of some configurations to another; none where the whole is smaller."""
+        """Return the deltas that lead from one of the configurations a node holds to another one.
+
+        None where the kept deltas do not reach back to a configuration that the node holds, or where the complete
+        configuration `packed` is small (`MIN_BYTES_FOR_DELTA`) or no larger than the deltas with their digests.
+        """
         if len(packed) <= MIN_BYTES_FOR_DELTA:
             return None
         held, steps, left, at = set(holds) - {NO_CONFIGURATION}, list[DeltaStep](), len(packed), digest
@@ -214,7 +286,10 @@
         return DeltaPath(at, tuple(steps)) if at in held and steps else None
 
     def follow_delta_path(self, path: DeltaPath, digest: bytes) -> bytes | None:
-        """Return the packed configuration of a digest to which deltas lead; None where they do not."""
+        """Return the compressed configuration to which a path of deltas leads; None where it does not lead to `digest`.
+
+        The deltas are kept, so that this node can send them on.
+        """
         base, steps = path.base_digest, path.steps
         if base not in self.configurations or not steps or steps[-1].digest != digest:
             return None
@@ -228,10 +303,12 @@
             base = at
         return packed
 
-    # --- on disk -------------------------------------------------------------------------------------------
-
     def take_dirty_records(self) -> dict[str, bytes | None]:
-        """What has to be written, by name, all at once; None is to be removed."""
+        """Return the records to be written, by name, and mark none as dirty any more.
+
+        They have to be written all or none.  The value None stands for a record to be removed.  Where the save
+        fails, the caller gives them back to :meth:`restore_dirty_records`.
+        """
         found: dict[str, bytes | None] = {}
         for name in sorted(self.dirty_records):
             if name == "disk":
@@ -251,14 +328,30 @@
         return found
 
     def restore_dirty_records(self, records: Mapping[str, bytes | None]) -> None:
-        """A save has failed: its records are still to be written, and what was to be removed is still there."""
+        """Mark the records of a failed save as dirty again.
+
+        Records that it was to remove count as stored again, so that the next save removes them.
+        """
         self.dirty_records |= records.keys()
         self.stored_records |= records.keys()
 
 
 def load_acceptor(records: Mapping[str, bytes], disk: int, first: bool) -> Acceptor:
-    """The register as its records tell it.  Without them the disk is empty and gets the number `disk`; only at the
-    first start of all may it found.  Raises ValueError where the records cannot be read.
+    """Return the acceptor that a disk's records describe.
+
+    Parameters
+    ----------
+    records
+        All records of the disk, by name.  Without the record "disk" the disk is empty.
+    disk
+        The number that an empty disk gets.
+    first
+        Whether this is the first start of all: only then may an empty disk vote in the bootstrap.
+
+    Raises
+    ------
+    ValueError
+        The records cannot be read, or a state names a configuration that has no record.
     """
     if "disk" not in records:
         made = Acceptor(disk, first)
--- a/hazelspring/consensus/forwarding.py
+++ b/hazelspring/consensus/forwarding.py
@@ -1,5 +1,6 @@
-"""Proposals that nodes hand to each other when their rounds meet: what is handed, to whom, and to which versions it may
-be applied (docs/control.md).
+"""Proposals that nodes forward to each other when their rounds compete (docs/control.md).
+
+This module says which proposals are forwarded, to which nodes, and to which versions the recipient may apply them.
 """
 
 from __future__ import annotations
@@ -11,18 +12,24 @@
 from hazelspring.consensus.messages import HOLDS_NOTHING, ForwardedChange, HeldConfiguration
 from hazelspring.consensus.proposal import Proposal, ProposalKind
 
-FORWARDED_LIFETIME = 1.0  # seconds for which a node keeps a proposal that it was handed
-VALID_VERSIONS = (
-    2  # versions in a row that a proposal may be applied to: that in force where it was handed, and the next
-)
-MAX_RECIPIENTS = 2  # nodes that are handed a proposal on one version
-MAX_FORWARDED = 64  # proposals that a node keeps of others; what is beyond its own nodes see to
+# Seconds for which a node keeps a proposal that was forwarded to it.
+FORWARDED_LIFETIME = 1.0
+# Successive versions to which a forwarded proposal may be applied: the one decided at the sender, and the next.  With
+# three, a proposal that arrives late could undo a later change (see ForwardedProposal).
+VALID_VERSIONS = 2
+# Nodes to which a node forwards its proposals while one version is in force.
+MAX_RECIPIENTS = 2
+# Forwarded proposals that a node keeps.  Further ones are dropped; the nodes that forwarded them carry them out.
+MAX_FORWARDED = 64
 
 FORWARDABLE_KINDS = (ProposalKind.PUT_CONFIGURATION, ProposalKind.SET_EVACUATION)
 
 
 def can_forward(proposal: Proposal, state: ControlState) -> bool:
-    """Whether a proposal is one that another node may carry: an operator's, which a state does not settle yet."""
+    """Return whether a proposal may be forwarded.
+
+    It has to be an operator's change, with a caller that waits for it, that a decided state does not fulfil yet.
+    """
     return (
         proposal.token != 0
         and proposal.kind in FORWARDABLE_KINDS
@@ -32,7 +39,7 @@
 
 
 def forwarded_change(proposal: Proposal) -> ForwardedChange:
-    """Return an operator's proposal as it is forwarded to another node."""
+    """Return the message part that forwards an operator's proposal to another node."""
     return ForwardedChange(
         proposal.kind.value,
         proposal.configuration_version,
@@ -45,35 +52,67 @@
 
 @dataclass(slots=True)
 class ForwardedProposal(Proposal):
-    """Another node's order, of which nobody here waits for the end.  It may be applied to version `on` and the next
-    one and to no other: once it is in force in one of these, whatever undoes it is decided after both, so that a copy
-    which is late or comes twice can undo nothing.
+    """A proposal that another node has forwarded; no caller at this node waits for its outcome.
+
+    It may be applied to the version V (`valid_from_version`) and to V+1, and to no other, so that a duplicate or a
+    late message can undo nothing: it comes into force in V+1 or V+2.  A change that undoes it is then decided at
+    V+2 with the base V+1, on which a duplicate changes nothing, or at a higher version; to V+2 and above a duplicate
+    cannot be applied.
+
+    Attributes
+    ----------
+    valid_from_version
+        The version that was decided at the sender when it forwarded the proposal.
+    source
+        The address of the node that forwarded it.
     """
 
     valid_from_version: int = -1
-    source: str = ""  # the node that handed it
+    source: str = ""
 
     def is_valid_for(self, state: ControlState) -> bool:
         """Return whether the proposal may be applied to a state."""
         return 0 <= state.version - self.valid_from_version < VALID_VERSIONS
 
     def apply(self, state: ControlState) -> ControlState:
-        """Return what is to follow a state; the same state where the proposal is not valid for it."""
-        # named, as a class with slots is made anew and `super()` would look in the old one
+        """Return the state that follows `state` by this proposal; `state` itself where that is not valid."""
+        # The base class is named, as a dataclass with slots is a new class, and `super()` would refer to the old one.
         return Proposal.apply(self, state) if self.is_valid_for(state) else state
 
 
 @dataclass(slots=True)
 class ForwardedProposals:
-    """What a node was handed, in the order it came; soft, and ends by itself."""
+    """The proposals that other nodes have forwarded to this one, in the order of their arrival.
+
+    They are kept in memory only, and expire after `FORWARDED_LIFETIME`.
+
+    Attributes
+    ----------
+    proposals
+        The forwarded proposals.
+    waiting_nodes
+        The configuration that each node holds which waits for the outcome of a round, by the node's address.
+    """
 
     proposals: list[ForwardedProposal] = field(default_factory=list)
-    waiting_nodes: dict[str, HeldConfiguration] = field(
-        default_factory=dict
-    )  # nodes that wait for what is under way, and with what
+    waiting_nodes: dict[str, HeldConfiguration] = field(default_factory=dict)
 
     def add(self, now: float, source: str, on: int, changes: Iterable[ForwardedChange]) -> None:
-        """Proposals of another node come, which waits.  One that is here already stays."""
+        """Keep proposals that another node has forwarded, and note that it waits for their outcome.
+
+        A duplicate of a proposal that is kept already is dropped, and so is what exceeds `MAX_FORWARDED`.
+
+        Parameters
+        ----------
+        now
+            Seconds of the node's clock.
+        source
+            The address of the node that forwarded them.
+        on
+            The version that was decided there.
+        changes
+            The proposals.
+        """
         self.waiting_nodes.setdefault(source, HOLDS_NOTHING)
         for change in changes:
             proposal = ForwardedProposal(
@@ -95,14 +134,14 @@
 
     @staticmethod
     def is_same(one: ForwardedProposal, other: ForwardedProposal) -> bool:
-        """Return whether a proposal came twice."""
+        """Return whether two forwarded proposals are the same one, received twice."""
         return (one.valid_from_version, one.source) == (
             other.valid_from_version,
             other.source,
         ) and forwarded_change(one) == forwarded_change(other)
 
     def expire(self, now: float, state: ControlState | None) -> None:
-        """Forget what is old, or can be applied to no state that may come."""
+        """Remove proposals that are too old, or that are valid for no version that can still come after `state`."""
         version = state.version if state is not None else -1
         self.proposals = [
             o
@@ -111,9 +150,10 @@
         ]
 
     def pop_waiting(self, state: ControlState) -> list[tuple[str, HeldConfiguration]]:
-        """Return nodes outside the core that wait for a state which is in force now.
+        """Return the nodes outside the core that wait for the state decided now, with the configurations they hold.
 
-        Those that still have proposals here wait on.
+        They are to be sent that state; members get it from the proposer that decided it.  From now on only nodes
+        with proposals that are not fulfilled yet are waiting.
         """
         due = [
             (source, asking)
@@ -127,21 +167,30 @@
         return due
 
     def applicable(self, base: ControlState) -> list[ForwardedProposal]:
-        """Those that a state does not settle yet.  One that it does is left out, as it must not undo what another
-        order of the same round makes of it.
+        """Return the proposals that change a state.
+
+        One that the state fulfils already is left out, as it must not undo what another proposal of the same round
+        changes.
         """
         return [proposal for proposal in self.proposals if proposal.apply(base) is not base]
 
 
 @dataclass(slots=True)
 class ProposalForwarder:
-    """To whom a node has handed its proposals, on the version in force here."""
+    """Records to which nodes this node has forwarded its proposals since `version` was decided.
+
+    `tokens_by_node` has the tokens of the forwarded proposals, by the recipient's address.
+    """
 
     version: int = -1
-    tokens_by_node: dict[str, set[int]] = field(default_factory=dict)  # tokens by node
+    tokens_by_node: dict[str, set[int]] = field(default_factory=dict)
 
     def select(self, state: ControlState, to: str, proposals: Iterable[Proposal]) -> list[ForwardedChange]:
-        """What is to be handed to a node; empty where it has it all, or enough others have."""
+        """Return the proposals to be forwarded to a node now, and record them as forwarded.
+
+        Empty where the node was sent all of them already, or `MAX_RECIPIENTS` other nodes were sent some on this
+        version.
+        """
         if state.version != self.version:
             self.version, self.tokens_by_node = state.version, {}
         if to not in self.tokens_by_node and len(self.tokens_by_node) >= MAX_RECIPIENTS:
--- a/hazelspring/consensus/messages.py
+++ b/hazelspring/consensus/messages.py
@@ -1,6 +1,6 @@
-"""Messages of the agreement on the control state, and what they carry.
+"""Messages between proposers, acceptors and learners of the control state, and the payloads that they carry.
 
-The short keys that they have on the wire are known to `hazelspring.node.codec` alone.
+Only the codec modules of `hazelspring.node` know the short keys that their fields have on the wire.
 """
 
 from __future__ import annotations
@@ -20,7 +20,15 @@
 
 @dataclass(slots=True, frozen=True)
 class HeldConfiguration:
-    """Which configuration a sender has, and whether it takes a newer one as a path of deltas from that."""
+    """The configuration that the sender of a request holds.
+
+    Attributes
+    ----------
+    digest
+        The configuration's digest; ``NO_CONFIGURATION`` where the sender holds none.
+    accepts_deltas
+        Whether a newer configuration may be sent to it as a path of deltas from this one.
+    """
 
     digest: bytes = NO_CONFIGURATION
     accepts_deltas: bool = False
@@ -30,7 +38,7 @@
 
 
 class DeltaStep(NamedTuple):
-    """One step of a path: the digest that it leads to, and the delta."""
+    """One step of a path of deltas: the digest of the configuration that it leads to, and the delta."""
 
     digest: bytes
     delta: bytes
@@ -38,14 +46,14 @@
 
 @dataclass(slots=True, frozen=True)
 class FullConfiguration:
-    """A whole configuration, packed."""
+    """A complete configuration, compressed."""
 
     packed: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class DeltaPath:
-    """Deltas that lead from a configuration that the recipient holds to a newer one."""
+    """A path of deltas from a configuration that the recipient holds, with the digest `base_digest`, to a newer one."""
 
     base_digest: bytes
     steps: tuple[DeltaStep, ...]
@@ -56,7 +64,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Prepare:
-    """Asks for a promise to accept nothing below a ballot; `base_version` is the version that the round follows."""
+    """Asks a member for a promise to accept nothing below a ballot.
+
+    Attributes
+    ----------
+    ballot
+        The ballot of the proposer's round.
+    base_version
+        The version of the decided state from which the round starts.
+    held
+        The configuration that the proposer holds, so that the promise need not bring it.
+    """
 
     ballot: Ballot
     base_version: int
@@ -65,7 +83,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Promise:
-    """Answers `Prepare`: what its sender accepted last, with the configuration where that may be new to the asker."""
+    """Answers `Prepare`: the promise is on the sender's disk.
+
+    Attributes
+    ----------
+    ballot
+        The promised ballot.
+    voter
+        The disk that promises.
+    held_digests
+        Digests of the configurations that the member holds, which an `Accept` need not bring.
+    accepted
+        The state that the member accepted last; None where it has accepted none.
+    payload
+        The configuration of `accepted`, where that may be new to the proposer.
+    """
 
     ballot: Ballot
     voter: Voter
@@ -76,7 +108,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Accept:
-    """Asks to accept a state at a ballot."""
+    """Asks a member to accept a state at a ballot.
+
+    Attributes
+    ----------
+    ballot
+        The ballot of the proposer's round.
+    base_version
+        The version of the decided state from which the round started.
+    state
+        The state to accept.
+    payload
+        The state's configuration; None where there is none, or the member is believed to hold it or to receive it soon.
+    """
 
     ballot: Ballot
     base_version: int
@@ -86,7 +130,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """Answers `Accept`: the state is on the sender's disk."""
+    """Answers `Accept`: the state and its configuration are on the disk `voter` of the sender."""
 
     ballot: Ballot
     voter: Voter
@@ -96,7 +140,18 @@
 class Rejected:
     """Refuses a `Prepare` or an `Accept`.
 
-    `wait_ms` is how many milliseconds another round may go first; 0 where a higher ballot is promised.
+    Attributes
+    ----------
+    ballot
+        The ballot that is refused.
+    promised
+        The highest ballot that the sender has promised.
+    wait_ms
+        Milliseconds for which another proposer's round may still go first at the sender.  A `Prepare` that is refused
+        only because a higher ballot is promised gets 0; an `Accept` refused for that reason gets the time that is
+        left to the other round, or 0 where no other round is admitted.
+    of_accept
+        Whether an `Accept` is refused, rather than a `Prepare`.
     """
 
     ballot: Ballot
@@ -107,21 +162,24 @@
 
 @dataclass(slots=True, frozen=True)
 class RoundEnded:
-    """A round is over, so that nobody need wait for it."""
+    """Notifies a member that a round has ended without a decision, so that it admits other rounds again."""
 
     ballot: Ballot
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationMissing:
-    """The state of an `Accept` names a configuration whose bytes its recipient has not got."""
+    """Answers an `Accept` whose state names a configuration that its recipient neither holds nor could open."""
 
     ballot: Ballot
 
 
 @dataclass(slots=True, frozen=True)
 class ForwardedChange:
-    """One operator's change as one node forwards it to another: a configuration, or a zone's evacuation."""
+    """One operator's proposal as one node forwards it to another: a configuration, or a zone's evacuation or reopening.
+
+    The fields are those of :class:`~hazelspring.consensus.proposal.Proposal` of the same names.
+    """
 
     kind: str
     configuration_version: int
@@ -133,7 +191,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ProposalsForwarded:
-    """Operators' changes for the recipient's round; `version` is the one in force at the sender."""
+    """Forwards operators' proposals to be included in the recipient's next round.
+
+    `version` is the decided version at the sender; the proposals may be applied to that version and the next one.
+    """
 
     version: int
     changes: tuple[ForwardedChange, ...]
@@ -141,7 +202,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StateRequest:
-    """Asks for the state in force where that is newer than `version`."""
+    """Asks for the recipient's decided state where that is newer than `version`, which the sender knows."""
 
     version: int
     held: HeldConfiguration
@@ -149,7 +210,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Decision:
-    """A decided state."""
+    """Notifies a node that a state was decided at a ballot.
+
+    `payload` is the state's configuration; None where the recipient is believed to hold it, or there is none.
+    """
 
     ballot: Ballot
     state: ControlState
@@ -172,7 +236,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OutgoingMessage:
-    """A message of the agreement to a node."""
+    """A message, and the node that it is to be sent to."""
 
-    to: str  # its address
+    to: str  # the node's address
     message: ConsensusMessage
--- a/hazelspring/consensus/outcomes.py
+++ b/hazelspring/consensus/outcomes.py
@@ -1,4 +1,4 @@
-"""When a proposal has ended, by the state in force at its node."""
+"""How proposals end: whether the decided state at a proposal's node settles it, and with which outcome."""
 
 from __future__ import annotations
 
@@ -12,17 +12,27 @@
 def outcome_of(
     proposal: Proposal, state: ControlState, acceptor: Acceptor, is_confirmed: Callable[[Proposal], bool]
 ) -> ProposalOutcome | None:
-    """Return how a proposal has ended by the state in force here; None where it has not.
+    """Return the outcome of a proposal by the decided state at this node; None where that does not settle it yet.
 
-    `is_confirmed`: nothing that was decided before the proposal came can be unknown here.
+    Parameters
+    ----------
+    proposal
+        An open proposal of this node.
+    state
+        The newest state that this node knows as decided.
+    acceptor
+        The node's acceptor, for the accepted state that may still be undecided, and for the configuration.
+    is_confirmed
+        Returns whether this node knows every state that was decided before the proposal came.
     """
     if proposal.kind == ProposalKind.RESOLVE:
         is_settled = acceptor.pending is None
         return ProposalOutcome(proposal.token, True, state=state) if is_settled else None
     if proposal.apply(state) is not state:
         return None
-    # that these bytes are in force, or a higher number, stays true whoever tells it; all else may have been so only
-    # before the proposal came, but for the newest of some time since and what was decided above it
+    # Once these bytes, or a configuration with a higher number, are in force, that stays true, whichever node reports
+    # it.  Any other effect may have been in force only before the proposal came, unless the state was the newest
+    # at some time since then, or was decided above one that was: then the proposal is marked as confirmed.
     conflicts = proposal.conflicts_with(state)
     lasting = (
         proposal.kind == ProposalKind.PUT_CONFIGURATION
@@ -30,10 +40,10 @@
         and not conflicts
     )
     if not lasting and not proposal.confirmed:
-        return None  # the state here may be old
+        return None  # the state known here may be outdated
     if conflicts:
         if not is_confirmed(proposal):
-            return None  # it may have been acknowledged below a higher number since
+            return None  # the proposal may have been acknowledged since then, below a higher number
         reason = f"r{state.configuration_version} is another body"
         return ProposalOutcome(proposal.token, False, reason, True, state)
     if proposal.kind != ProposalKind.READ:
--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -1,4 +1,7 @@
-"""Proposals under way at one node, and the rounds of the agreement that carry them out: first promises, then copies."""
+"""The proposer of one node: its open proposals, and the rounds that carry them out.
+
+A round first asks members for promises, then for acceptances of one state.
+"""
 
 from __future__ import annotations
 
@@ -36,24 +39,43 @@
 from hazelspring.consensus.proposal import Proposal, ProposalKind, ProposalOutcome
 from hazelspring.consensus.round import LONG_AGO, Round
 
-RESEND_INTERVAL = 0.25  # seconds between requests to a member that has not answered
-LINK_BANDWIDTH = (
-    100e6  # bytes a second of a node's link, of a gigabit: all copies of a configuration share it
-)
-# seconds after which a round that met another counts on no more answers: two syncs of a slow disk
+# Seconds between requests to a member that has not answered.
+RESEND_INTERVAL = 0.25
+# Bytes a second of a node's link of a gigabit, which all copies of a configuration that are sent at once share.
+LINK_BANDWIDTH = 100e6
+# Seconds after which a phase of a round that competes with another round expects no more answers: two syncs of a slow
+# disk.
 CONTENDED_ROUND_TIMEOUT = 0.7
-PROPOSAL_TIMEOUT = 3.0  # seconds for a proposal; its sender moves on sooner, and sends it to any node again
-NO_CHANGE_GRACE = 0.3  # seconds in which answers may settle what changes nothing, before that takes a round
-MIN_BACKOFF = 0.03  # seconds at least after a round that met another: a part of a round trip between regions,
-MAX_BACKOFF = 0.3  # doubled each time, up to half of the time for which a round may go first
-FORWARDING_GRACE = (
-    0.2  # seconds at least that another node has for what was forwarded, before this one goes alone
-)
+# Seconds after which a proposal fails.  Its caller gives up on this node sooner, and sends it to any node again.
+PROPOSAL_TIMEOUT = 3.0
+# Seconds in which answers of members may settle a proposal that changes nothing, before a round is begun for it.
+NO_CHANGE_GRACE = 0.3
+# Seconds of the first back-off after a round that met a competing one: a part of a round trip between regions.
+MIN_BACKOFF = 0.03
+# Seconds up to which the back-off is doubled with each failed round; with its random factor of 0.5 to 1.5 it stays
+# below half of the time for which a member lets another round go first.
+MAX_BACKOFF = 0.3
+# Seconds that the recipient of forwarded proposals has at least to carry them out, before this node begins a round of
+# its own; up to as much again is added at random.
+FORWARDING_GRACE = 0.2
 
 
 class Proposer:
-    """A node's proposer.  One round at a time carries all its proposals; a round that finds a state which may have
-    been decided brings that to its end first.
+    """The proposer of one node.
+
+    It leads one round at a time, which carries out all open proposals together.  A round that finds an accepted state
+    which may have been decided completes that state first, and proposes nothing of its own.
+
+    Parameters
+    ----------
+    acceptor
+        The node's acceptor.
+    me
+        The node's address and the incarnation of its process, which become part of its ballots.
+    random_source
+        Draws the random parts of back-offs.
+    answers
+        Returns whether a member has answered lately, at a time in seconds of the node's clock.
     """
 
     def __init__(
@@ -63,25 +85,29 @@
         random_source: random.Random,
         answers: Callable[[float, Member], bool],
     ) -> None:
-        """`answers`: whether a member has answered of late."""
         self.acceptor, self.me, self.random, self.is_responsive = acceptor, me, random_source, answers
         self.proposals: list[Proposal] = []
         self.round: Round | None = None
-        self.abandoned_ballot = NO_BALLOT  # of the last round that ended without a decision
-        self.highest_count = 0  # the highest ballot's count that was heard of
+        self.abandoned_ballot = NO_BALLOT  # of the last round that ended without deciding a new state
+        self.highest_count = 0  # the highest counter of a ballot that is known
+        # Rounds in a row that competing ones have ended, and the time until which no new round begins.
         self.failed_rounds, self.backoff_until = 0, LONG_AGO
-        self.outbox: list[OutgoingMessage] = []  # that rounds have ended, and proposals for other nodes
+        self.outbox: list[OutgoingMessage] = []  # ended rounds, and proposals to forward
         self.forwarded, self.forwarder = ForwardedProposals(), ProposalForwarder()
-        self.confirmed_since = LONG_AGO  # when the last round began that a majority has brought to its end
+        # The start of the last round that succeeded: every state decided before that time is known here.
+        self.confirmed_since = LONG_AGO
 
     def submit(self, proposal: Proposal) -> None:
-        """Take a proposal of this node."""
+        """Add a proposal of this node, with the version of the decided state that the node knows now."""
         proposal.base_version = self.acceptor.version
         self.proposals.append(proposal)
 
     def on_new_state(self, now: float) -> None:
-        """A newer state has come: whoever was in the way is done.  Proposals that met others go to who decided it, and
-        this node goes alone only where they are not carried out in time.
+        """End the back-off, as a newer decided state means that the competing round has ended.
+
+        Where this node's proposals met a competing round, those that are still open are forwarded to the node that
+        decided the new state, as its next round begins at once.  This node then begins a round of its own only where
+        they are not carried out within `FORWARDING_GRACE` and its random addition.
         """
         met = self.failed_rounds > 0 or bool(self.forwarder.tokens_by_node)
         self.failed_rounds, self.backoff_until = 0, LONG_AGO
@@ -93,7 +119,7 @@
             self.backoff_until = now + FORWARDING_GRACE * (1 + self.random.random())
 
     def forward(self, to: str) -> None:
-        """Give proposals of operators to the node whose round goes first, for that round or its next."""
+        """Forward open proposals of operators to the node whose round goes first, for that round or its next one."""
         state = self.acceptor.state
         if state is None or to == self.me[0]:
             return
@@ -101,7 +127,7 @@
             self.outbox.append(OutgoingMessage(to, ProposalsForwarded(state.version, tuple(changes))))
 
     def take_outbox(self) -> list[OutgoingMessage]:
-        """Return what is to be sent besides the requests of a round, the newest first."""
+        """Return and clear the messages to be sent besides the requests of a round, the newest first."""
         taken, self.outbox = self.outbox[::-1], []
         return taken
 
@@ -110,8 +136,16 @@
         return any(proposal.kind == kind for proposal in self.proposals)
 
     def resolve(self, now: float, sure: Callable[[Proposal], bool]) -> list[ProposalOutcome]:
-        """End what the state in force settles.  `sure`: nothing that was decided before the proposal came can be
-        unknown here.
+        """Remove the proposals that the decided state settles or that have timed out; return their outcomes.
+
+        Outcomes are returned only for proposals with a caller that waits (a token other than 0).
+
+        Parameters
+        ----------
+        now
+            Seconds of the node's clock.
+        sure
+            Returns whether this node knows every state that was decided before a proposal came.
         """
         state, ended = self.acceptor.state, []
         for proposal in list(self.proposals):
@@ -131,7 +165,7 @@
         return [outcome for outcome in ended if outcome.token]
 
     def stall_reason(self) -> str:
-        """Return, for an operator, what the round under way is waiting for."""
+        """Return a text for operators that says which answers the current round is waiting for."""
         if self.round is None:
             return "look: too few voices"
         current = self.round
@@ -141,13 +175,18 @@
         return f"copy: {missing_votes(current.value.member_sets(), current.acceptances, majority)} disks are missing"
 
     def advance(self, now: float) -> list[OutgoingMessage]:
-        """Bring the round on: begin one where a proposal needs it, ask again who has not answered."""
+        """Advance the round as far as it goes, and return the requests to be sent.
+
+        A round begins where a proposal needs one and no back-off is under way.  It is abandoned where another node
+        has decided a newer state, or no proposal is left.  A round that met a competing one backs off once its phase
+        has taken `CONTENDED_ROUND_TIMEOUT`.  Members that have not answered are asked again.
+        """
         state = self.acceptor.state
         if self.round is not None and self.acceptor.version > self.round.base.version:
-            self.abandon_round()  # another node's round has ended: what is left begins from there
+            self.abandon_round()  # another node has decided: the next round starts from its state
         met = self.round is not None and (self.round.rejections or self.round.contended)
         if met and self.round is not None and now - self.round.phase_started_at > CONTENDED_ROUND_TIMEOUT:
-            self.back_off(now)  # who is left does not answer either
+            self.back_off(now)  # the members that have not refused do not answer either
         self.forwarded.expire(now, state)
         if state is None or not (self.proposals or self.forwarded.applicable(state)):
             self.abandon_round()
@@ -172,13 +211,20 @@
 
     @staticmethod
     def needs_round(now: float, proposal: Proposal, state: ControlState) -> bool:
-        """Return whether a proposal takes a round now."""
+        """Return whether a proposal needs a round now.
+
+        A proposal that changes nothing gets one only after `NO_CHANGE_GRACE`.
+        """
         if proposal.kind == ProposalKind.RESOLVE or proposal.apply(state) is not state:
             return True
         return state.version > 0 and now - proposal.started_at > NO_CHANGE_GRACE
 
     def next_state(self, base: ControlState) -> ControlState:
-        """What is to follow for all open proposals, after those of others; members change by one proposal at a time."""
+        """Return the state that follows `base` by all open proposals; `base` itself where nothing is to change.
+
+        Forwarded proposals are applied before this node's own.  At most one proposal changes the members, as one
+        version may change them only once.
+        """
         state, moved = base, False
         for forwarded in self.forwarded.applicable(base):
             state = forwarded.apply(state)
@@ -193,7 +239,11 @@
         return replace(state, version=base.version + 1, previous_members=base.members)
 
     def prepare_member_sets(self, current: Round) -> list[tuple[Member, ...]]:
-        """Of whom promises are needed: the members in force, and those of what was found or is wanted."""
+        """Return the sets of members of each of which the round needs a read quorum of promises.
+
+        These are the members of its base and, without duplicates, those of the accepted state that it has to
+        complete or else of the state that it is to propose.
+        """
         sets = [current.base.members]
         if current.highest_accepted[1].version > current.base.version:
             sets += current.highest_accepted[1].member_sets()
@@ -202,9 +252,12 @@
         return list(dict.fromkeys(sets))
 
     def requests(self, now: float, current: Round) -> list[OutgoingMessage]:
-        """Return what the members that have not answered are to be asked again."""
+        """Return the requests of the current phase to members that have not answered.
+
+        A member that was asked less than `RESEND_INTERVAL` ago, or has refused, is left out.
+        """
         if current.value is current.base:
-            return []  # nothing is to change, and nothing to be accepted
+            return []  # nothing is to change, so no state has to be accepted
         sets = current.value.member_sets() if current.value is not None else self.prepare_member_sets(current)
         have = current.acceptances if current.value is not None else current.promises
         requests = []
@@ -231,9 +284,11 @@
     def payload_to_send(
         self, now: float, ip: str, current: Round, value: ControlState, recipients: int
     ) -> ConfigurationPayload | None:
-        """Return what is to bring the configuration to a member now.
+        """Return the payload that an `Accept` to a member brings now.
 
-        While the whole bytes may be under way, the member is asked without them, and says that it lacks them.
+        A complete configuration is not sent again while it may still be on its way, which takes the longer the more
+        recipients share the link.  Until then the member is asked without it, and answers `ConfigurationMissing`
+        where it has not arrived.
         """
         payload = self.payload_for(ip, value.configuration_digest, current)
         if isinstance(payload, FullConfiguration):
@@ -244,10 +299,13 @@
         return payload
 
     def payload_for(self, ip: str, digest: bytes, current: Round) -> ConfigurationPayload | None:
-        """What brings a configuration to a member: by a delta from one that it holds, where that is smaller."""
-        holds = current.known_digests.get(
-            ip, [current.base.configuration_digest]
-        )  # it has not told: most likely the one in force
+        """Return the payload that brings a configuration to a member; None where it holds it, or there is none.
+
+        It is a path of deltas from a configuration that the member holds, where that is smaller, or else the
+        complete configuration.
+        """
+        # A member that has not promised yet most likely holds the configuration in force.
+        holds = current.known_digests.get(ip, [current.base.configuration_digest])
         if digest == NO_CONFIGURATION or digest in holds:
             return None
         packed = self.find_configuration(digest)
@@ -257,7 +315,10 @@
         return FullConfiguration(packed) if path is None else path
 
     def find_configuration(self, digest: bytes) -> bytes | None:
-        """The bytes of a configuration: held here, come with a promise, or with a proposal."""
+        """Return the compressed configuration of a digest; None where it is unknown here.
+
+        It may be held by the acceptor, have come with a promise, or belong to an open or forwarded proposal.
+        """
         if digest in self.acceptor.configurations:
             return self.acceptor.configurations[digest]
         if self.round is not None and digest in self.round.configurations:
@@ -268,12 +329,21 @@
         )
 
     def on_promise(self, source: str, message: Promise, packed: bytes | None = None) -> None:
-        """Count a promise.
-
-        `packed` is the configuration that came with it, of the state that its sender accepted last.
+        """Count a promise for the current round, and note the accepted state that it reports.
+
+        A promise that arrives after its round was abandoned is answered by `RoundEnded`.
+
+        Parameters
+        ----------
+        source
+            The address of the member that promises.
+        message
+            The promise.
+        packed
+            The compressed configuration that came with it, of the state that the member accepted last.
         """
         current, accepted = self.round, message.accepted
-        if message.ballot == self.abandoned_ballot:  # it overtook the message that this round is over
+        if message.ballot == self.abandoned_ballot:  # the promise was sent before `RoundEnded` arrived
             self.outbox.append(OutgoingMessage(source, RoundEnded(message.ballot)))
         if current is None or current.ballot != message.ballot or current.value is not None:
             return
@@ -284,7 +354,12 @@
             current.highest_accepted = accepted
 
     def choose_value(self, now: float, current: Round) -> None:
-        """Once enough have promised and a majority is there, the round brings a state."""
+        """Choose the state to be accepted, and begin the second phase, once read quorums have promised.
+
+        It is the state accepted at the highest ballot where that is newer than the base, else the one that the open
+        proposals make of the base.  The round waits while a majority cannot be reached, or the configuration of the
+        state is unknown here.
+        """
         if missing_votes(self.prepare_member_sets(current), current.promises, read_quorum):
             return
         found = current.highest_accepted[1]
@@ -295,17 +370,18 @@
             packed = self.find_configuration(target.configuration_digest)
             if packed is None:
                 return
-            current.configurations[target.configuration_digest] = (
-                packed  # its order may end before the round does
-            )
+            # The proposal that brought the configuration may end before the round does.
+            current.configurations[target.configuration_digest] = packed
             self.acceptor.compute_delta(
                 current.base.configuration_digest, target.configuration_digest, packed
             )
         current.start_accept_phase(now, target)
 
     def can_reach_majority(self, now: float, current: Round, target: ControlState) -> bool:
-        """Whether a majority is there to accept.  A state that too few can accept would stay half agreed on, and keep
-        all from being sure of the one in force.
+        """Return whether a majority of each set of members can be expected to accept a state.
+
+        Members count that have promised or have answered lately.  A state that fewer than a majority accept would
+        remain accepted and undecided, and keep nodes from confirming that the decided state is the newest.
         """
         for members in target.member_sets():
             answer = {m.ip: Voter(m.disk_id, m.disk_id == 0) for m in members if self.is_responsive(now, m)}
@@ -314,23 +390,31 @@
         return True
 
     def on_accepted(self, source: str, message: Accepted) -> None:
-        """Count that a member accepted the round's state."""
+        """Count an acceptance of the round's state."""
         current = self.round
         if current is not None and current.ballot == message.ballot and current.value is not None:
             current.acceptances[source] = message.voter
 
     def on_missing_configuration(self, source: str, ballot: Ballot) -> None:
-        """Bytes that were believed to be at a member, or here, are not: now they go, or come, whole."""
+        """Have a missing configuration sent complete in place of deltas.
+
+        Either a member lacks the configuration of an `Accept` that it was believed to hold, and gets it complete; or
+        the deltas that came with a promise cannot be applied here, and the promise is asked for again with the
+        complete configuration.
+        """
         if self.round is not None and self.round.ballot == ballot:
             self.round.without_deltas = True
             self.round.known_digests[source] = []
-            if source not in self.round.payload_sent_at:  # else they may be under way, and go again in time
+            # Bytes that were sent already may still be on their way, and are sent again in time.
+            if source not in self.round.payload_sent_at:
                 self.round.sent_at.pop(source, None)
 
     def on_rejected(self, now: float, source: str, message: Rejected) -> None:
-        """Note that a member has promised a higher ballot, or lets another round go first for a while.
+        """Handle a refusal: the member has promised a higher ballot, or lets another round go first for a while.
 
-        In the second case it is asked again.  The round ends where too few members are left for it.
+        A member that refuses a `Prepare` with a time to wait is asked again.  Any other refusal is final for this
+        phase, and the round backs off where too few members are left for a quorum.  Where a time to wait is given,
+        the open proposals are forwarded to the node whose round goes first.
         """
         highest, wait = message.promised, message.wait_ms / 1000
         self.highest_count = max(self.highest_count, highest[0])
@@ -338,7 +422,7 @@
         if current is None or current.ballot != message.ballot:
             return
         if message.of_accept is (current.value is None):
-            return  # it answers what was asked in another phase
+            return  # it refuses a request of the other phase
         if wait and not message.of_accept:
             current.deferred_by.add(source)
             current.contended = True
@@ -356,14 +440,19 @@
             self.back_off(now)
 
     def may_answer(self, now: float, member: Member, refused: Collection[str], have: Collection[str]) -> bool:
-        """Whether a member has answered a round well, or may still: it has not refused, and is there."""
+        """Return whether a member has granted what the current phase asks for, or may still do so.
+
+        It must not have refused, and has either granted it, or is this node, or has answered lately.
+        """
         if member.ip in refused:
             return False
         return member.ip in have or member.ip == self.me[0] or self.is_responsive(now, member)
 
     def abandon_round(self) -> None:
-        """End a round that has decided nothing; members that let it in, or whose promise is still on its way, need
-        not keep others waiting for it.
+        """End the round, if there is one, without a new decision.
+
+        All members that have promised, or whose promise may still be on its way, are notified, so that they do not
+        keep other rounds waiting for this one.  Members that have refused are not.
         """
         if self.round is not None:
             message = RoundEnded(self.round.ballot)
@@ -373,8 +462,11 @@
             self.abandoned_ballot, self.round = self.round.ballot, None
 
     def back_off(self, now: float) -> None:
-        """End a round that met another, and begin anew above it: once that one has ended, as a newer state tells, or
-        has had its time.
+        """Abandon a round that met a competing one, and set the time before which no new round begins.
+
+        The new round, at a higher ballot, begins once the competing one has had its time, or sooner where a newer
+        decided state shows that it has ended (:meth:`on_new_state`).  An exponential back-off with a random part is
+        added, but for a first failed round that was given no time to wait.
         """
         wait = self.round.rival_wait if self.round is not None else 0.0
         self.abandon_round()
@@ -383,8 +475,10 @@
         self.backoff_until = now + wait + pause * (0.5 + self.random.random())
 
     def take_decision(self) -> tuple[Ballot, ControlState, bytes | None] | None:
-        """What the round has decided, with its configuration, or that the state in force is the newest; the round is
-        over then.
+        """Return the ballot, the state and the compressed configuration that the round has decided, and end the round.
+
+        None while acceptances are missing.  Where nothing was to change, the state is the round's base: a read quorum
+        has confirmed that it was the newest one when the round began.
         """
         current = self.round
         if current is None or current.value is None:
