--- a/hazelspring/node/admitted_round.py
+++ b/hazelspring/node/admitted_round.py
@@ -1,4 +1,4 @@
-"""Which round goes first at a node, where several are under way."""
+"""Which round goes first at a node where several compete."""
 
 from __future__ import annotations
 
@@ -7,14 +7,13 @@
 from hazelspring.consensus.round import LONG_AGO
 from hazelspring.membership.rendezvous import owner
 
-ADMITTED_ROUND_TIME = (
-    1.0  # seconds for which a round that was let in may go first: syncs of a slow disk and round trips
-)
+# Seconds for which an admitted round goes first: enough for the syncs of a slow disk and the round trips.
+ADMITTED_ROUND_TIME = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class AdmittedRound:
-    """The round that goes first at a node: whose it is, and which version it follows."""
+    """The round that goes first at a node: the node that leads it, and the version that it follows."""
 
     until: float = LONG_AGO  # seconds of the steady clock
     source: str = ""  # the address of the node that leads it
@@ -22,11 +21,11 @@
     has_majority: bool = False  # it has asked this node to accept a state, so it has enough promises
 
     def goes_before(self, now: float, source: str, base_version: int) -> bool:
-        """Return whether this round goes before one of a node that follows a version.
+        """Return whether this round goes before one that `source` leads and that follows `base_version`.
 
-        The one that knows the newer state does; of two that know the same one, the one that has enough promises, or
-        else the one that the hash of the version names.  So rounds that meet do not outbid each other for ever, and
-        none is first always.
+        The round that follows the newer state goes first.  Of two that follow the same one, this round goes first once
+        it has enough promises; else a hash of the version and both addresses decides.  So competing rounds do not
+        outbid each other forever, and no node always goes first.
         """
         if now >= self.until or self.source == source:
             return False
--- a/hazelspring/node/control_replica.py
+++ b/hazelspring/node/control_replica.py
@@ -1,4 +1,4 @@
-"""One node's part in the control state: its register and proposer, their messages and saves, and what it learns."""
+"""One node's replica of the control state: its acceptor and proposer, their messages and saves, and what it learns."""
 
 from __future__ import annotations
 
@@ -55,7 +55,21 @@
 
 
 class ControlReplica:
-    """`records`: what the disk held.  Messages and times in, actions out; see docs/control.md."""
+    """Runs one node's acceptor and proposer: it takes messages and times, and returns actions; see docs/control.md.
+
+    Parameters
+    ----------
+    now
+        Seconds of the steady clock.
+    peers
+        What this node knows of the others.
+    records
+        The records that were on disk at the start, by name.
+    first
+        Whether the whole system starts for the first time.
+    seeds
+        The addresses from which the core is bootstrapped at that start.
+    """
 
     def __init__(
         self, now: float, peers: PeerTable, records: Mapping[str, bytes], first: bool, seeds: list[str]
@@ -71,21 +85,25 @@
         )
         self.reconfiguration = Reconfiguration(now, peers, self.acceptor, self.proposer, first)
         self.saves = DurableReplies(self.acceptor, bool(me.disk_id))
-        self.admitted_round = NO_ROUND  # whose round is under way here
+        self.admitted_round = NO_ROUND  # the round that other proposers' rounds wait for here
         self.loopback_messages: list[ConsensusMessage] = []  # messages of this node to itself
         self.transfer = StateTransfer(peers, self.acceptor)
-        self.nodes_behind: dict[str, None] = {}  # nodes that told of a lower lineage than the one here
+        self.nodes_behind: dict[str, None] = {}  # nodes that reported a lower lineage than the one here
         self.actions: list[Action] = []
         if self.acceptor.version > 0:
             self.peers.set_members(self.acceptor.state.members)  # type: ignore[union-attr]
 
     @property
     def state(self) -> ControlState | None:
-        """The state in force as far as this node knows; none before the core was bootstrapped."""
+        """Return the state in force as far as this node knows; None before the core was bootstrapped."""
         return self.acceptor.state if self.acceptor.version > 0 else None
 
     def control_versions(self) -> ControlVersions:
-        """What others are told: the version in force here, and the one that may be."""
+        """Return the versions that this node reports: the one in force here, and one above it that may be in force.
+
+        The second is the version accepted above it (-1: none).  Once a higher lineage is known, it is at least the
+        lowest version of that lineage, so that no node of a lower one counts this report as a confirmation.
+        """
         pending = self.acceptor.pending
         told = pending.version if pending is not None else -1
         if self.acceptor.is_superseded():
@@ -93,13 +111,13 @@
         return ControlVersions(self.acceptor.version, told)
 
     def observe_version(self, source: str, version: int) -> None:
-        """Another node told of the version in force there."""
+        """Record the version that another node reported as in force there."""
         self.acceptor.observe_version(version)
         if lineage(version) < lineage(self.acceptor.version):
             self.nodes_behind[source] = None
 
     def unresponsive_members(self, now: float) -> tuple[str, ...]:
-        """Return the addresses of members that this one takes for silent."""
+        """Return the addresses of members that this node takes for unresponsive."""
         state = self.state
         if state is None:
             return ()
@@ -111,7 +129,10 @@
         return state is not None and state.is_member(self.peers.me.ip, self.acceptor.disk_id)
 
     def must_stay_up(self) -> bool:
-        """Whether this member holds what no majority besides it has told of yet, so that it should not end."""
+        """Return whether this member should stay up, as too few others have reported the version in force here.
+
+        It may end once a majority of all members, or all members but itself where those are fewer, have reported it.
+        """
         state = self.state
         if state is None or not self.is_member():
             return False
@@ -122,7 +143,12 @@
         return have < min(len(state.members) - 1, majority(len(state.members)))
 
     def confirmation_times(self, now: float) -> list[float]:
-        """For each member that told of nothing above the state in force here: when it was asked."""
+        """Return until when each member has confirmed the state in force here as the newest, the latest time first.
+
+        Such a time is when the latest heartbeat was sent whose reply reported no later version.  This node counts
+        itself as of now, while it is a member that has accepted nothing above the state in force.  Nothing is
+        confirmed without a state, or once a higher lineage is known.
+        """
         state = self.state
         if state is None or self.acceptor.is_superseded():
             return []
@@ -132,7 +158,13 @@
         return sorted(times, reverse=True)
 
     def confirmed_at(self, now: float) -> float:
-        """All that was decided up to then is known here: one of so many answers would have told."""
+        """Return the time up to which every decision is known here, in seconds.
+
+        A read quorum of members has confirmed the state in force here since then.  It shares a member with every
+        quorum that accepts, so one of its replies would have reported a later decision.
+
+        `LONG_AGO` where no read quorum has confirmed it, or where no configuration is in force.
+        """
         state, times = self.state, self.confirmation_times(now)
         if state is None or state.configuration_digest == NO_CONFIGURATION:
             return LONG_AGO
@@ -140,7 +172,10 @@
         return times[needed - 1] if len(times) >= needed else LONG_AGO
 
     def is_confirmed_for(self, proposal: Proposal, now: float) -> bool:
-        """Whether the state in force here holds all that was decided before a proposal came."""
+        """Return whether the state in force here includes all that was decided before a proposal came.
+
+        Either a round of this node or replies of a read quorum have confirmed that since the proposal came.
+        """
         state = self.state
         if state is None or self.acceptor.is_superseded():
             return False
@@ -149,25 +184,25 @@
         return self.proposer.confirmed_since >= since or told >= read_quorum(len(state.members))
 
     def tick(self, now: float) -> list[Action]:
-        """Do what is due with the time."""
+        """Run what is due at a time, and allow saves again after a failed one."""
         self.actions = []
         self.saves.has_failed = False
         self.reconfiguration.tick(now)
         return self.advance(now)
 
     def propose(self, now: float, proposal: Proposal) -> list[Action]:
-        """Take a proposal of this node, and bring it on."""
+        """Submit a proposal of this node, and advance it."""
         self.actions = []
         self.proposer.submit(proposal)
         return self.advance(now)
 
     def proceed(self, now: float) -> list[Action]:
-        """What others have told of themselves may settle a proposal."""
+        """Advance after another node's report, as that may settle a proposal."""
         self.actions = []
         return self.advance(now)
 
     def advance(self, now: float) -> list[Action]:
-        """Bring proposals and rounds on as far as they go, and save what has changed."""
+        """Advance proposals and rounds as far as they go, and begin a save of what has changed."""
         while True:
             if self.acceptor.is_superseded():
                 self.proposer.abandon_round()
@@ -193,9 +228,9 @@
         return self.actions
 
     def on_decision(self, now: float, ballot: Ballot, state: ControlState, packed: bytes | None) -> None:
-        """A round of this node has ended: tell all whom it concerns."""
+        """Learn the decision of this node's round, and send it to the current and previous members."""
         if state.version <= self.acceptor.version:
-            return  # nothing was to change
+            return  # the round changed nothing
         self.learn(now, ballot, state, packed)
         message = Decision(ballot, state)
         for ip in dict.fromkeys(member.ip for members in state.member_sets() for member in members):
@@ -203,13 +238,19 @@
                 self.send(ip, message)
 
     def learn(self, now: float, ballot: Ballot, state: ControlState, packed: bytes | None) -> None:
-        """Learn that a state was decided; raises MissingConfigurationError."""
+        """Learn a decided state.
+
+        Raises
+        ------
+        MissingConfigurationError
+            Its configuration is neither held here nor in `packed`.
+        """
         before = self.acceptor.state
         if not self.acceptor.learn(ballot, state, packed):
             return
         self.admitted_round = NO_ROUND
         self.proposer.on_new_state(now)
-        # members hear it from who has decided
+        # Members get the decision from the node that decided it; others that wait for it here get it from this node.
         for source, held in self.proposer.forwarded.pop_waiting(state):
             self.send_state(source, held)
         if before is None or state.configuration_digest != before.configuration_digest:
@@ -222,27 +263,30 @@
             self.actions.append(MembersChanged())
 
     def catch_up(self, now: float) -> None:
-        """Send the state in force to nodes that told of a lower lineage; ask for a newer one that others told of."""
+        """Send the state in force to nodes that reported a lower lineage; request a newer one that others reported."""
         while self.nodes_behind:
             self.send_state(self.nodes_behind.popitem()[0], HOLDS_NOTHING)
         if (to := self.transfer.next_source(now)) is not None:
             self.request_state(to)
 
     def request_state(self, of: str, whole: bool = False) -> None:
-        """Ask a node for the state in force there, with its configuration; `whole`: not as deltas."""
+        """Request the state in force at a node, with its configuration; `whole`: complete and not as deltas."""
         self.send(of, self.transfer.make_request(whole))
 
     def reply_when_durable(self, to: str, message: ConsensusMessage) -> None:
-        """Send a reply once all that it stands for is on disk."""
+        """Send a reply once every record that it acknowledges is on disk."""
         if not self.saves.defer(to, message):
             self.send(to, message)
 
     def write_record(self, name: str, body: bytes) -> None:
-        """Write a record that is no part of the agreement, with the next save."""
+        """Write a record that does not belong to the acceptor with the next save."""
         self.saves.other_records[name] = body
 
     def on_saved(self, now: float, serial: int, good: bool) -> list[Action]:
-        """Go on once a save has ended."""
+        """Send the replies that waited for a save, and advance.
+
+        `serial` is the number of the save, `good` whether it succeeded.
+        """
         self.actions = []
         replies = self.saves.end_save(serial, good)
         if replies is None:
@@ -252,20 +296,20 @@
         return self.advance(now)
 
     def send(self, to: str, message: ConsensusMessage) -> None:
-        """Send a message; one to this node itself is handled before the next step of a round."""
+        """Send a message; one to this node itself is queued and handled before the next step of a round."""
         if to == self.peers.me.ip:
             self.loopback_messages.append(message)
         else:
             self.actions.append(Send(to, message))
 
     def on_message(self, now: float, source: str, message: ConsensusMessage) -> list[Action]:
-        """Handle a message of the agreement from another node."""
+        """Handle a consensus message from another node."""
         self.actions = []
         self.dispatch(now, source, message)
         return self.advance(now)
 
     def dispatch(self, now: float, source: str, message: ConsensusMessage) -> None:
-        """Hand a message to the handler of its kind."""
+        """Call the handler for the type of a message."""
         match message:
             case Prepare() | Accept():
                 self.on_round_request(now, source, message)
@@ -287,10 +331,14 @@
                 self.on_decision_message(now, source, message)
 
     def on_round_request(self, now: float, source: str, message: Prepare | Accept) -> None:
-        """Handle what a round, of another node or of this one, asks for: a promise, or to accept a state."""
+        """Handle a `Prepare` or an `Accept` of a round, which another node leads or this one.
+
+        A sender that follows an older version gets the state in force here; where it follows a higher lineage, its
+        state is requested.
+        """
         acceptor, base = self.acceptor, message.base_version
         if not acceptor.disk_id and not acceptor.may_bootstrap:
-            return  # no member can be here
+            return  # a node without a disk that takes no part in the bootstrap is no member
         if base < acceptor.version:
             self.send_state(source, message.held if isinstance(message, Prepare) else HOLDS_NOTHING)
         theirs, own = lineage(base), lineage(acceptor.version)
@@ -298,14 +346,18 @@
         if theirs > own:
             self.request_state(source)
         if theirs != own or acceptor.is_superseded():
-            return  # a round is of one lineage, as all that its members accept
+            return  # a round, and all that its members accept, is of one lineage
         if isinstance(message, Prepare):
             self.on_prepare(now, source, message)
         else:
             self.on_accept(now, source, message)
 
     def on_prepare(self, now: float, source: str, message: Prepare) -> None:
-        """Promise to accept nothing below a ballot, or refuse."""
+        """Promise to accept nothing below a ballot, or reject it.
+
+        The promise includes the state accepted last, with its configuration where that state is newer than the version
+        the round follows and the proposer does not hold the configuration.
+        """
         acceptor, base = self.acceptor, message.base_version
         if self.must_yield_to(now, source, base):
             self.reject(now, source, message, waits=True)
@@ -325,11 +377,14 @@
         self.reply_when_durable(source, promise)
 
     def voter(self) -> Voter:
-        """Return what this node's votes are counted by."""
+        """Return the identity under which this node's votes are counted: its disk, and whether it may bootstrap."""
         return Voter(self.acceptor.disk_id, self.acceptor.may_bootstrap)
 
     def on_promise(self, source: str, message: Promise) -> None:
-        """Count a promise, and open the configuration that came with it."""
+        """Count a promise, with the configuration that came with it.
+
+        Where deltas do not lead to that configuration, the proposer asks for the promise again.
+        """
         accepted, packed, current = message.accepted, None, self.proposer.round
         is_awaited = current is not None and current.ballot == message.ballot and current.value is None
         if isinstance(message.payload, FullConfiguration):
@@ -345,7 +400,7 @@
         self.proposer.on_promise(source, message, packed)
 
     def on_accept(self, now: float, source: str, message: Accept) -> None:
-        """Accept a state, or refuse, or say that its configuration is missing."""
+        """Accept a state, reject it, or reply that its configuration is missing."""
         acceptor, state, packed = self.acceptor, message.state, None
         try:
             if message.ballot >= acceptor.promised:
@@ -354,7 +409,7 @@
         except MissingConfigurationError:
             self.send(source, ConfigurationMissing(message.ballot))
             return
-        if not accepted:  # who is outbid while it brings a state lets the higher ballot end first
+        if not accepted:  # a proposer that is outbid in its accept phase lets the higher ballot end first
             self.reject(now, source, message, waits=self.admitted_round.source != source)
             return
         until, base = now + ADMITTED_ROUND_TIME, message.base_version
@@ -362,12 +417,15 @@
         self.reply_when_durable(source, Accepted(message.ballot, self.voter()))
 
     def on_round_ended(self, source: str, message: RoundEnded) -> None:
-        """Let other rounds in again, once the one that was admitted is over."""
+        """Admit other rounds again, once the admitted one has ended."""
         if self.admitted_round.source == source and message.ballot >= self.acceptor.promised:
             self.admitted_round = NO_ROUND
 
     def reject(self, now: float, source: str, message: Prepare | Accept, waits: bool) -> None:
-        """Refuse; `waits`: for no longer than another node's round may take here."""
+        """Reject a request of a round.
+
+        `waits` tells the proposer to wait before it tries again, for no longer than the admitted round may still take.
+        """
         wait_ms = max(0, int(1000 * (self.admitted_round.until - now))) if waits else 0
         if wait_ms:
             held = message.held if isinstance(message, Prepare) else HOLDS_NOTHING
@@ -376,21 +434,27 @@
         self.send(source, Rejected(message.ballot, self.acceptor.promised, wait_ms, of_accept))
 
     def must_yield_to(self, now: float, source: str, base: int) -> bool:
-        """Return whether another node's round goes first here; see `AdmittedRound`."""
+        """Return whether the admitted round goes before one of `source` that follows version `base`.
+
+        See `AdmittedRound`.
+        """
         return self.admitted_round.goes_before(now, source, base)
 
     def send_state(self, to: str, held: HeldConfiguration) -> None:
-        """Send the state in force here, with its configuration where the other node does not hold that."""
+        """Send the state in force here, with its configuration where the recipient does not hold that."""
         if (decision := self.transfer.make_decision(held)) is not None:
             self.send(to, decision)
 
     def on_state_request(self, source: str, message: StateRequest) -> None:
-        """Send the state in force here to a node that has an older one."""
+        """Reply to a state request with the state in force here, where the requester's is older."""
         if message.version < self.acceptor.version:
             self.send_state(source, message.held)
 
     def on_decision_message(self, now: float, source: str, message: Decision) -> None:
-        """Learn a decided state, or ask for its configuration whole where the deltas lead nowhere."""
+        """Learn a decided state, or request it again where its configuration is missing.
+
+        Where the configuration came as deltas that do not lead to it, it is requested complete.
+        """
         state, packed = message.state, None
         try:
             if state.version > self.acceptor.version:
--- a/hazelspring/node/durable_replies.py
+++ b/hazelspring/node/durable_replies.py
@@ -1,4 +1,4 @@
-"""The disk side of a node's replica: saves, one at a time, and replies that wait for them."""
+"""Durability of a node's replica: saves to disk, one at a time, and the replies that wait for them."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 from hazelspring.consensus.messages import ConsensusMessage, OutgoingMessage
 from hazelspring.node.actions import Save
 
-COUNT_RECORD_PREFIX = "mark "  # begins the names of records that are no part of the agreement
+# The prefix of the names of records that do not belong to the acceptor.
+COUNT_RECORD_PREFIX = "mark "
 
 
 class DurableReplies:
-    """Collects what has to be written, and the replies that stand for it."""
+    """Collects the records to be saved, and the replies that acknowledge them."""
 
     def __init__(self, acceptor: Acceptor, has_disk: bool) -> None:
         self.acceptor, self.has_disk = acceptor, has_disk
-        self.other_records: dict[
-            str, bytes | None
-        ] = {}  # not of the acceptor; to be written with the next save
+        # Records that do not belong to the acceptor, to be written with the next save.
+        self.other_records: dict[str, bytes | None] = {}
         self.save_number = 0
         self.records_being_saved: dict[str, bytes | None] | None = None
-        self.after_current_save: list[OutgoingMessage] = []  # replies that wait for the save under way
+        self.after_current_save: list[OutgoingMessage] = []  # replies that wait for the save in progress
         self.after_next_save: list[OutgoingMessage] = []
-        self.has_failed = False  # since the last tick
+        self.has_failed = False  # a save has failed since the last tick; none begins before the next one
 
     def defer(self, to: str, reply: ConsensusMessage) -> bool:
-        """Keep a reply until all that it stands for is on disk; False where it may go at once."""
+        """Keep a reply until all that it acknowledges is on disk; return False where it may be sent at once."""
         if self.acceptor.dirty_records and self.has_disk:
             self.after_next_save.append(OutgoingMessage(to, reply))
         elif self.records_being_saved is not None:
@@ -34,7 +34,10 @@
         return True
 
     def begin_save(self) -> Save | None:
-        """Return a save of all that is to be written; None where nothing is, or one is under way or failed."""
+        """Return a save of all records to be written.
+
+        None where there are none, while a save is in progress, or where one has failed since the last tick.
+        """
         if not self.has_disk:
             self.acceptor.dirty_records.clear()
             return None
@@ -49,9 +52,10 @@
         return Save(self.save_number, self.records_being_saved)
 
     def end_save(self, serial: int, succeeded: bool) -> list[OutgoingMessage] | None:
-        """Return the replies that may go now that a save has ended; None where it is not the one under way.
+        """Return the replies that may be sent now that a save has ended; None where it is not the one in progress.
 
-        Replies that waited for a save that failed are dropped, and their recipients ask again.
+        Replies that waited for a save that failed are dropped, as their recipients ask again; its records are written
+        with the next save.
         """
         if serial != self.save_number or self.records_being_saved is None:
             return None
--- a/hazelspring/node/heartbeats.py
+++ b/hazelspring/node/heartbeats.py
@@ -1,6 +1,7 @@
-"""Heartbeats and their replies: who is there, what each node holds, grants of roles.
+"""Heartbeats and heartbeat replies: liveness of the nodes, the state each one reports, grants of leases of roles.
 
-A node's state is told once, and then only by its checksum.
+A heartbeat names the checksum of the recipient's state that its sender knows; a reply carries the state itself only
+where that checksum differs.
 """
 
 from __future__ import annotations
@@ -19,24 +20,31 @@
 from hazelspring.registry.list_freshness import AGE_UNIT, ListFreshness
 from hazelspring.registry.tables import ServerRegistry
 
-NEAR_INTERVAL = (
-    0.4  # seconds between heartbeats inside a region, and between core nodes, whose leases live on them
-)
-FAR_INTERVAL = 2.0  # between regions, where bytes are dear, while the near part of the core answers
-INTRODUCTION_TIME = 3.0  # seconds for which a new incarnation says in each reply who it is
-NUMBERS_PER_INCARNATION = (
-    1 << 24
-)  # heartbeats between the numbers of two incarnations: more than one sends in a month
-MAX_REMEMBERED_HEARTBEATS = 512  # heartbeats that an answer may still come to: those of the last half minute
+# Seconds between heartbeats inside a region, and between core nodes, as heartbeats renew the leases of their roles.
+NEAR_INTERVAL = 0.4
+# Seconds between heartbeats to another region, where bytes are expensive, while enough near core nodes answer.
+FAR_INTERVAL = 2.0
+# Seconds after its start for which an incarnation puts its own `NodeInfo` into each heartbeat reply.
+INTRODUCTION_TIME = 3.0
+# Distance between the first heartbeat numbers of two incarnations: more heartbeats than one sends in a month.
+NUMBERS_PER_INCARNATION = 1 << 24
+# Heartbeats for which a reply is still accepted: those of about the last half minute.
+MAX_REMEMBERED_HEARTBEATS = 512
 
 
 def incarnation_hash(incarnation: int) -> int:
-    """A number below a million that two incarnations hardly share."""
+    """Return the CRC-32 of an incarnation, modulo 1,000,000.
+
+    Two incarnations rarely have the same hash, so it sets the numbers of their heartbeats apart.
+    """
     return zlib.crc32(incarnation.to_bytes(16, "big")) % 1_000_000
 
 
 class Heartbeats:
-    """Makes the heartbeats of one node, answers those of others, and notes what the answers tell."""
+    """Makes the heartbeats of one node, replies to those of other nodes, and records what their replies report.
+
+    `began` is the time of this node's start, in seconds of its steady clock, as all times here.
+    """
 
     def __init__(
         self,
@@ -55,19 +63,21 @@
             began,
         )
         self.freshness = freshness
-        # heartbeats are numbered from a number of this incarnation's own on, so a reply to an earlier incarnation is
-        # known by it, also on a machine whose steady clock has begun anew
+        # Each incarnation numbers its heartbeats from a start of its own, so a reply to a heartbeat of an earlier
+        # incarnation is recognized by its number, also after a reboot that restarted the steady clock.
         self.last_number = incarnation_hash(peers.me.incarnation) * NUMBERS_PER_INCARNATION
-        # of the last heartbeats, by number: when each was sent, and the checksum of the recipient's state known then
+        # The latest heartbeats, by number: when each was sent, and the checksum of the recipient's state it named.
         self.sent: dict[int, tuple[float, int]] = {}
-        self.cached_state_checksum: tuple[NodeState | None, int] = (
-            None,
-            0,
-        )  # the state told last, and its checksum
-        self.first_sent: dict[str, float] = {}  # to whom a heartbeat went that has never answered
+        # The state that was reported last, and its checksum.
+        self.cached_state_checksum: tuple[NodeState | None, int] = (None, 0)
+        # When the latest heartbeat was sent to each address that has never answered.
+        self.first_sent: dict[str, float] = {}
 
     def own_state(self, now: float) -> NodeState:
-        """Return what others want to know of this node, and what seldom changes."""
+        """Return the state that this node reports in heartbeat replies, which seldom changes.
+
+        Only a member reports holders of roles, unresponsive members and declined roles.
+        """
         table_versions, max_node_count = self.registry.versions(), self.peers.max_node_count
         versions = self.control.control_versions()
         if not self.control.is_member():
@@ -82,7 +92,10 @@
         )
 
     def next_number(self, now: float, known: int) -> int:
-        """The number of a heartbeat that goes out now; `known`: the checksum that it names."""
+        """Return the number of a heartbeat that is sent now, and remember it.
+
+        `known` is the checksum of the recipient's state that the heartbeat names.
+        """
         self.last_number += 1
         self.sent[self.last_number] = (now, known)
         if len(self.sent) > MAX_REMEMBERED_HEARTBEATS:
@@ -90,23 +103,30 @@
         return self.last_number
 
     def request_sent_at(self, number: int) -> float | None:
-        """When the heartbeat of a number was sent; None where it was not this incarnation that sent it, or long ago."""
+        """Return when the heartbeat of a number was sent.
+
+        None where another incarnation sent it, or where it is too old to be remembered.
+        """
         sent = self.sent.get(number)
         return sent[0] if sent is not None else None
 
     def own_checksum(self, state: NodeState) -> int:
-        """Return the checksum of this node's own state, worked out anew where that has changed."""
+        """Return the checksum of this node's own state, computed again only where the state has changed."""
         if state != self.cached_state_checksum[0]:
             self.cached_state_checksum = state, node_state_checksum(state)
         return self.cached_state_checksum[1]
 
     def last_sent_at(self, ip: str) -> float:
-        """Return when a heartbeat last went to a node."""
+        """Return when a heartbeat was last sent to an address, in seconds; -1e9 where none was."""
         peer = self.peers.peers.get(ip)
         return peer.heartbeat_sent_at if peer is not None else self.first_sent.get(ip, -1e9)
 
     def is_responsive(self, now: float, ip: str) -> bool:
-        """Whether a core node answers what this one asks it, however seldom that is."""
+        """Return whether a core node answers this node's heartbeats.
+
+        A node without a disk may send heartbeats to another region only each `FAR_INTERVAL`, so the answer of a core
+        node there may be older by that much.
+        """
         seldom = (
             0.0
             if self.peers.core_nodes[ip].region == self.peers.me.region or self.peers.me.disk_id
@@ -115,13 +135,19 @@
         return self.peers.is_alive(now - seldom, ip)
 
     def is_due(self, now: float, ip: str, enough: bool) -> bool:
-        """Whether a core node is to be asked again; `enough`: near answers tell all that is needed."""
+        """Return whether the next heartbeat to a core node is due.
+
+        `enough` says that the answers of near core nodes suffice; else far ones get heartbeats as often as near ones.
+        """
         about, me = self.peers.core_nodes[ip], self.peers.me
         near = about.region == me.region or me.disk_id or not enough
         return now - self.last_sent_at(ip) >= (NEAR_INTERVAL if near else FAR_INTERVAL) - 0.01
 
     def make_heartbeat(self, now: float, ip: str, ready: bool, requested_roles: list[int]) -> Heartbeat:
-        """Return a heartbeat to another node."""
+        """Return a heartbeat to another node, and record that it is sent now.
+
+        Roles are requested only by a member of the core, or by a node with a disk before the core is agreed on.
+        """
         peer, me = self.peers.peers.get(ip), self.peers.me
         if peer is not None:
             peer.heartbeat_sent_at = now
@@ -143,11 +169,17 @@
         )
 
     def is_roster_source(self, ip: str) -> bool:
-        """Return whether this node takes the roster from another one: the nearest of the core."""
+        """Return whether this node takes the roster from another one.
+
+        It does so from the nearest core node only, or from any node while it knows no core node.
+        """
         return ip == next(iter(self.peers.other_core_nodes()), None) or not self.peers.core_nodes
 
     def sender_of(self, source: str, message: Heartbeat | HeartbeatReply) -> NodeInfo | None:
-        """Return who sent a heartbeat or a reply, as it says or as is known."""
+        """Return the sender of a heartbeat or a reply, as named in it or as known by its address and incarnation.
+
+        None where the message does not name its sender and no known node has that address and incarnation.
+        """
         if message.sender is not None:
             return message.sender
         for about in self.peers.known_infos(source):
@@ -156,7 +188,10 @@
         return None
 
     def make_reply(self, now: float, about: NodeInfo | None, message: Heartbeat) -> HeartbeatReply:
-        """Return the reply to a heartbeat; its sender is asked who it is where that is not known."""
+        """Return the reply to a heartbeat.
+
+        Where its sender is not known (`about` is None), the reply only asks for the sender's identity.
+        """
         me = self.peers.me
         introduces = message.sender is not None or now - self.started_at < INTRODUCTION_TIME
         sender = me if introduces else None
@@ -168,7 +203,7 @@
                 relied_on = self.roles.disclaim_previous(now, about.identity())
             granted = self.grant_roles(now, about, message)
         list_age = self.freshness.encode_age(now)
-        state = self.own_state(now)  # after the grants, which it tells of
+        state = self.own_state(now)  # after the grants, as it reports them
         checksum = self.own_checksum(state)
         is_core_known = message.core_checksum == self.peers.core_checksum()
         rows, change = self.roster_news(message)
@@ -187,7 +222,10 @@
         )
 
     def grant_roles(self, now: float, about: NodeInfo, message: Heartbeat) -> list[int]:
-        """Grant leases of the roles that a heartbeat requests; those that it no longer requests are given up."""
+        """Grant leases of the roles that a heartbeat requests, and return the granted ones.
+
+        Grants of roles that its sender no longer requests are withdrawn first, as the sender relies on them no more.
+        """
         who, requested = about.identity(), message.requested_roles or []
         granter = self.roles.granter
         granter.withdraw_unrequested(who, requested, message.number)
@@ -196,7 +234,11 @@
         return [role for role in requested if granter.request(now, str(role), who, message.number)]
 
     def roster_news(self, message: Heartbeat) -> tuple[list[list[Any]] | None, RosterChange | None]:
-        """Return the roster's rows, or what has changed of them, where a heartbeat asks for either."""
+        """Return the roster's rows, or their change since the checksum that a heartbeat names.
+
+        At most one of the two is not None.  Both are None where the heartbeat does not ask for the roster, where its
+        sender has the same one, or where a core is agreed on and this node is no member of it.
+        """
         known = message.roster_checksum
         may_tell = self.control.is_member() or not self.peers.core_agreed
         if known is None or not may_tell or known == self.peers.roster_checksum:
@@ -205,8 +247,11 @@
         return (None, change) if change is not None else (self.peers.roster_rows, None)
 
     def may_grant_leases(self, core_sum: int) -> bool:
-        """Whether a member may promise a role to one that names this core: not while its members are changing, as
-        majorities of two cores that follow each other but one need not meet; nor once this one is known to be over.
+        """Return whether this member may grant a lease to a node that names a core by its checksum.
+
+        It may only where that is the core known here, and not while a change of members is accepted but not decided:
+        majorities of two cores with one other core between them need not intersect.  Nor may it once a higher lineage
+        is known, which supersedes this core.
         """
         pending, state = self.control.acceptor.pending, self.control.state
         moving = pending is not None and state is not None and pending.members != state.members
@@ -217,14 +262,20 @@
         )
 
     def on_reply(self, now: float, about: NodeInfo, message: HeartbeatReply, asked_at: float) -> Peer:
-        """Note what a reply tells of its sender; `asked_at` is when the heartbeat was sent."""
+        """Record what a reply reports of its sender, and return that peer.
+
+        `asked_at` is when the heartbeat was sent, in seconds.
+        """
         peer = self.peers.peer(about)
         peer.heard_at = now
         peer.knows_me = not message.asks_identity
         if not peer.knows_me or asked_at < peer.latest_request_at:
-            return peer  # it told nothing of itself, or what an answer that has come before it has overtaken
+            # It reported nothing of its sender, or the reply to a later heartbeat came before it.
+            return peer
         if message.state is None and self.sent[message.number][1] != peer.state_checksum:
-            return peer  # nothing new to what was known then; since then another answer has told what is not that
+            # The reply means "no change" to the state known when the heartbeat was sent; another reply has reported
+            # a different state since, so this one says nothing about the state known now.
+            return peer
         peer.latest_request_at = asked_at
         peer.relied_on_roles = message.relied_on_roles
         if message.state is not None:
@@ -244,7 +295,7 @@
         return peer
 
     def apply_state(self, peer: Peer, state: NodeState, checksum: int) -> None:
-        """Note the state that a peer told."""
+        """Record the state that a peer reported, and its checksum."""
         peer.state_checksum = checksum
         self.peers.max_node_count = max(self.peers.max_node_count, state.max_node_count)
         peer.table_versions = state.table_versions
