--- a/hazelspring/node/dissemination.py
+++ b/hazelspring/node/dissemination.py
@@ -1,4 +1,4 @@
-"""How changes of the registry go round: from the list's reader to core and home nodes, from these to their zones."""
+"""Dissemination of registry changes: from the list reader to core and home nodes, from these to their zones."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class Disseminator:
-    """Tells other nodes of changed tables, and of where this node's requests are."""
+    """Sends changed tables, and this node's load reports, to other nodes.
+
+    `link` is the bandwidth of this node's own link in bytes a second.
+    """
 
     def __init__(self, peers: PeerTable, link: float = math.inf) -> None:
         self.peers, self.registry = peers, ServerRegistry(peers.me.ip)
@@ -22,7 +25,20 @@
     def publish_list(
         self, now: float, wall_ms: int, found: dict[str, dict[str, ServerEntry]]
     ) -> list[Action]:
-        """A list has come: what it changes goes to the core, and to the home node of each service and zone."""
+        """Apply a list that this node read, and send what it changes.
+
+        Each change goes to the other core nodes and to the home node of its service in each zone; where this node is
+        the home node in its own zone, it forwards the change there.
+
+        Parameters
+        ----------
+        now
+            Seconds of the steady clock.
+        wall_ms
+            Milliseconds of the wall clock.
+        found
+            The servers in the list, by service.
+        """
         actions: list[Action] = []
         me = self.peers.me.ip
         for service in self.registry.update_from_list(now, wall_ms, found):
@@ -36,7 +52,11 @@
         return actions
 
     def apply_update(self, now: float, news: TableUpdate) -> list[Action]:
-        """What another node told; where it can't be applied, the whole table is asked for."""
+        """Apply a table update of another node, and forward it to the zone where this is the home node.
+
+        Where it cannot be applied, and its version is newer than the one here, the complete table is requested of the
+        nearest core node.
+        """
         service = news.service
         if not self.registry.apply(now, news.table):
             core = (
@@ -46,7 +66,10 @@
         return [TableChanged(service), *self.forward_to_zone(service, news)]
 
     def forward_to_zone(self, service: str, message: TableUpdate) -> list[Action]:
-        """The home node tells the others of its zone."""
+        """Return the messages that forward an update to the zone's other ready nodes.
+
+        There are none where this node is not the home node of the service in its zone.
+        """
         me = self.peers.me
         nodes = self.peers.ready_nodes(zone=me.zone)
         if home_node(service, me.zone, nodes) != me.ip:
@@ -56,5 +79,5 @@
     def report_load(
         self, now: float, in_flight: InFlightByTag, heard: Mapping[str, tuple[float, InFlightByTag]]
     ) -> list[Action]:
-        """Tell other nodes where this node's requests are; `heard` is what they told."""
+        """Return the load reports that are due; `heard` holds the latest ones of other nodes."""
         return self.load_reporter.report(now, in_flight, heard)
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -1,4 +1,7 @@
-"""One node: heartbeats, the control state, roles and updates.  Messages and times in, messages and actions out."""
+"""One node as a state machine: heartbeats, the control state, singleton roles, table updates, quotas.
+
+It takes messages and times, and returns actions.
+"""
 
 from __future__ import annotations
 
@@ -46,28 +49,42 @@
 from hazelspring.registry.list_reader_role import LIST_READER, ListReaderRole, ListTiming
 from hazelspring.registry.tables import ServerEntry
 
-EMPTY_REGISTRY_GRACE = (
-    0.15  # seconds without any table, as none else has one, after which a core node asks for itself
-)
-NODE_COUNT_RECORD = "mark doors"  # the record of how many nodes there ever were
+# Seconds after its start for which a core node without any table waits for one from the others; then none of them has
+# one, and it reads the platform's list itself, without the role.
+EMPTY_REGISTRY_GRACE = 0.15
+# The name of the record that holds the largest number of nodes that there ever were.
+NODE_COUNT_RECORD = "mark doors"
 
 
 @dataclass(slots=True)
 class NodeStart:
-    """What a node knows at its start.  The number of its disk in `about` is that of an empty one: what the records
-    say goes before it.
+    """What a node knows at its start.
+
+    The disk number in `info` is that of an empty disk: the one in the records has priority.
     """
 
     info: NodeInfo
     seeds: list[str]
     first_start: bool  # the whole system starts for the first time
-    records: dict[str, bytes] = field(default_factory=dict)  # what is on disk
-    link_bandwidth: float = math.inf  # bytes a second of this machine's own
+    records: dict[str, bytes] = field(default_factory=dict)  # the records on disk, by name
+    link_bandwidth: float = math.inf  # bytes a second of this machine's own link
     bounds: InvariantBounds = field(default_factory=InvariantBounds)
 
 
 class Node:
-    """`limit` gives a tenant's limit for one window, as the configuration at hand has it."""
+    """Takes messages and times, and returns the actions that follow from them.
+
+    Parameters
+    ----------
+    now
+        Seconds of the steady clock, as all times here.
+    start
+        What the node knows at its start.
+    window
+        Seconds of one quota window.
+    limit
+        Returns a tenant's limit for one window, as the configuration in force has it.
+    """
 
     def __init__(self, now: float, start: NodeStart, window: float, limit: Callable[[str], float]) -> None:
         me = start.info
@@ -99,23 +116,33 @@
         )
         self.was_member = self.control.is_member()
         self.members = self.control.state.members if self.control.state is not None else ()
-        self.dropped: dict[str, int] = {}  # messages of or to another incarnation, by kind
+        self.dropped: dict[str, int] = {}  # messages dropped as sent by or to another incarnation, by kind
         self.actions: list[Action] = []
 
-    # --- what others of this process ask ---------------------------------------------------------------
-
     def core_agreed(self) -> bool:
-        """Whether the core is agreed on, as far as this node knows."""
+        """Return whether the core was bootstrapped, as far as this node knows."""
         return self.control.state is not None
 
     def confirmed_at(self, now: float) -> float:
-        """Every change acknowledged up to then is seen here."""
+        """Return the time, in seconds, up to which every acknowledged change is known here."""
         return self.control.confirmed_at(now)
 
     def put_configuration(
         self, now: float, token: int, body: bytes, checked: ValidatedConfiguration | None = None
     ) -> list[Action]:
-        """An operator's configuration that `hazelspring.configuration.validation` has let pass."""
+        """Propose an operator's configuration, which `hazelspring.configuration.validation` has accepted.
+
+        Parameters
+        ----------
+        now
+            Seconds of the steady clock.
+        token
+            Identifies the proposal in its outcome.
+        body
+            The configuration as it came.
+        checked
+            Its number and packed bytes, where the validation has made them; else they are made here.
+        """
         if checked is None:
             number = parse_version(json.loads(body)["versionNumber"])
             checked = ValidatedConfiguration(
@@ -132,23 +159,26 @@
         return self.propose(now, proposal)
 
     def set_evacuation(self, now: float, token: int, zone: str, closed: bool) -> list[Action]:
-        """Evacuate a zone for an operator, or end that."""
+        """Propose an operator's evacuation of a zone, or the end of one where `closed` is False."""
         return self.propose(
             now, Proposal(token, now, ProposalKind.SET_EVACUATION, zone=zone, evacuate=closed)
         )
 
     def retire_member(self, now: float, token: int, ip: str) -> list[Action]:
-        """An operator takes a member out of the core for good."""
+        """Propose an operator's removal of the member at an address from the core, for good."""
         return self.propose(
             now, Proposal(token, now, ProposalKind.RETIRE, member=Member(ip), by_operator=True)
         )
 
     def read_configuration(self, now: float, token: int) -> list[Action]:
-        """Read the configuration in force for an operator."""
+        """Propose an operator's read of the configuration in force."""
         return self.propose(now, Proposal(token, now, ProposalKind.READ))
 
     def propose(self, now: float, proposal: Proposal) -> list[Action]:
-        """Take a proposal, and ask the core at once what is newest."""
+        """Submit a proposal, and send heartbeats to the other core nodes at once.
+
+        Their replies report the newest version that they know, which may confirm the state in force here.
+        """
         self.actions = []
         requested_roles = self.requested_roles(now)
         for ip in self.peers.other_core_nodes():
@@ -157,21 +187,20 @@
         self.check_membership(now)
         return self.actions
 
-    # --- time -----------------------------------------------------------------------------------------
-
     def tick(self, now: float) -> list[Action]:
-        """Do what is due with the time: heartbeats, roles, requests, rounds."""
+        """Run what is due at a time: heartbeats, roles, table requests, rounds of consensus, checks of invariants."""
         self.actions = []
         enough = now - self.confirmed_at(now) < 2 * NEAR_INTERVAL
         before = self.roles.requested
-        requested_roles = self.requested_roles(now)  # one look for all that this tick sends and renews
+        requested_roles = self.requested_roles(now)  # computed once for all heartbeats of this tick
         anew = requested_roles != before
         for ip in self.peers.other_core_nodes():
             if anew or self.heartbeats.is_due(now, ip, enough):
                 self.send_heartbeat(now, ip, requested_roles)
         heard = any(self.peers.is_alive(now, ip) for ip in self.peers.other_core_nodes())
         lost = not heard or (self.first_start and not self.core_agreed())
-        rescued = lineage(self.control.acceptor.version) > 0  # others may not know of it
+        # Nodes outside a core that was recovered by hand may not know of it, so its nodes send heartbeats to them.
+        rescued = lineage(self.control.acceptor.version) > 0
         if lost or rescued:
             for ip in self.seeds:
                 known = ip == self.me.ip or ip in self.peers.core_nodes
@@ -196,11 +225,14 @@
         return self.actions
 
     def is_core_candidate(self) -> bool:
-        """Whether this node is one of the core, or may become one of the first."""
+        """Return whether this node is a member of the core, or may become one at the bootstrap."""
         return bool(self.me.disk_id) and (self.control.is_member() or not self.peers.core_agreed)
 
     def check_membership(self, now: float) -> None:
-        """See whether this node's membership has changed: one that is new promises nothing for a term."""
+        """Handle a change of the core's members, or of this node's own membership.
+
+        A new member grants no leases for a term, except at the first start of the whole system.
+        """
         seated, state = self.control.is_member(), self.control.state
         if state is not None and state.members != self.members:
             if self.members:
@@ -212,11 +244,14 @@
         self.was_member = seated
 
     def requested_roles(self, now: float) -> list[int]:
-        """The roles that heartbeats which go out now ask for."""
+        """Return the roles that heartbeats sent now request; see `SingletonRoles.update_requests`."""
         return self.roles.update_requests(now, self.core_agreed() and self.is_core_candidate())
 
     def send_heartbeat(self, now: float, ip: str, requested_roles: list[int] | None = None) -> None:
-        """`wants`: the roles to ask for, where they are known for this moment."""
+        """Send a heartbeat to an address.
+
+        `requested_roles` are the roles to request, where they were already computed for this time.
+        """
         requested_roles = self.requested_roles(now) if requested_roles is None else requested_roles
         self.actions.append(
             Send(
@@ -227,15 +262,17 @@
             )
         )
 
-    # --- roles ------------------------------------------------------------------------------------------
-
     def perform_roles(self, now: float) -> None:
-        """Renew what this node holds, take what nobody does, and do the first of them: ask the platform."""
+        """Grant leases of roles to this node itself, and perform the role of reading the platform's list.
+
+        After a restart, grants begin once the other members have reported which leases they rely on.  The list is also
+        read without the role, where there is no table here after `EMPTY_REGISTRY_GRACE`.
+        """
         if not self.is_core_candidate():
             return
         if self.core_agreed():
             self.roles.restore_grants(now)
-            if self.heartbeats.may_grant_leases(self.peers.core_checksum()):  # to itself, as to others
+            if self.heartbeats.may_grant_leases(self.peers.core_checksum()):  # the same rule as for others
                 self.roles.grant_to_self(now)
         if self.list_reader_role.must_decline(now):
             self.decline_role(now, LIST_READER)
@@ -248,29 +285,41 @@
             self.actions.append(ReadList(number))
 
     def decline_role(self, now: float, role: int) -> None:
-        """Leave a role that this node can't do to another one, at once."""
+        """Give up a role that this node cannot perform, and notify the other core nodes: one takes it at once."""
         self.roles.decline(now, role)
         message = RolesDeclined(self.me, [role])
         self.actions += [Send(ip, message) for ip in self.peers.other_core_nodes()]
 
     def may_read_list(self, now: float) -> bool:
-        """Whether the platform's list is this node's to read: by its role, or for want of any table."""
+        """Return whether this node may read the platform's list: it holds the role, or has no table at all."""
         return self.list_reader_role.holds(now) or not self.registry.tables
 
     def drain(self, now: float) -> list[Action]:
-        """Leave in order: the roles of this node go to others at once."""
+        """Begin a graceful shutdown: release this node's roles, so that other nodes take them at once."""
         self.actions = []
         self.control.reconfiguration.leaving = True
         message = RolesReleased(self.me, self.roles.release_all(now))
         self.actions += [Send(ip, message) for ip in self.peers.other_core_nodes()]
         return self.actions
 
-    # --- updates of servers ----------------------------------------------------------------------------------
-
     def on_list_read(
         self, now: float, wall_ms: int, found: dict[str, dict[str, ServerEntry]] | None, number: int
     ) -> list[Action]:
-        """The platform's list as a read brought it, or None where it failed; `number`: which read."""
+        """Apply the result of a read of the platform's list, and send what it changes.
+
+        A read that was given up, or after which this node may no longer read the list, changes nothing.
+
+        Parameters
+        ----------
+        now
+            Seconds of the steady clock.
+        wall_ms
+            Milliseconds of the wall clock.
+        found
+            The servers in the list, by service; None where the read failed.
+        number
+            The number of the read.
+        """
         newest = self.list_reader_role.end_read(number, found is not None)
         if found is None or not newest or not self.may_read_list(now):
             return []
@@ -278,14 +327,10 @@
         self.freshness.confirm(self.list_reader_role.read_at)
         return actions
 
-    # --- quotas -----------------------------------------------------------------------------------------------
-
     def lease_credits(self, now: float, tenant: str, number: int, units: float) -> list[Action]:
-        """Call a tenant's counter for this node."""
+        """Call a tenant's counter for units of its quota; see `QuotaCalls.lease`."""
         return self.quota_calls.lease(now, tenant, number, units)
 
-    # --- messages -----------------------------------------------------------------------------------------
-
     def on_message(self, now: float, source: str, message: Message) -> list[Action]:
         """Handle a message from another node."""
         self.actions = []
@@ -311,7 +356,7 @@
             case CounterUnavailableNotice():
                 self.on_counter_unavailable(message)
             case UnknownMessage():
-                pass  # from a newer version; what it changes is that its sender may settle a proposal
+                pass  # from a newer version of the program; as any message, it may settle a proposal below
             case _:
                 self.actions += self.control.on_message(now, source, message)
                 self.check_membership(now)
@@ -321,22 +366,22 @@
         return self.actions
 
     def count_dropped(self, message: Message) -> None:
-        """Count a message that changes nothing, by its kind."""
+        """Count a dropped message, by its kind on the wire."""
         kind = kind_of(message)
         self.dropped[kind] = self.dropped.get(kind, 0) + 1
 
     def on_table_request(self, now: float, source: str, request: TableRequest) -> None:
-        """Send a table that another node asks for."""
+        """Send a table that another node requests, where it is here."""
         if request.service in self.registry.tables:
             self.actions.append(Send(source, TableUpdate(self.registry.encode(now, request.service))))
 
     def on_table_update(self, now: float, news: TableUpdate) -> None:
-        """Apply a table, or a change of one."""
+        """Apply an update of a table: the complete table, or a change of it."""
         self.actions += self.disseminator.apply_update(now, news)
         self.table_requests.on_update(news.service)
 
     def on_heartbeat(self, now: float, source: str, message: Heartbeat) -> None:
-        """Note who sent a heartbeat, and reply."""
+        """Record the sender of a heartbeat, and reply; one of an earlier incarnation that came late is ignored."""
         about = self.heartbeats.sender_of(source, message)
         if about is not None:
             if self.peers.is_stale(now, about):
@@ -346,15 +391,18 @@
         self.actions.append(Send(source, self.heartbeats.make_reply(now, about, message)))
 
     def on_heartbeat_reply(self, now: float, source: str, message: HeartbeatReply) -> None:
-        """Take a reply; tables that it told of are asked for at once, and again with a tick where none comes."""
+        """Handle a heartbeat reply.
+
+        Newer tables that it reports are requested at once; a tick requests them again where they do not come.
+        """
         self.apply_heartbeat_reply(now, source, message)
         if message.state is not None:
             self.actions += self.table_requests.request_missing(now)
 
     def apply_heartbeat_reply(self, now: float, source: str, message: HeartbeatReply) -> None:
-        """Note what a reply tells, but for one of an earlier incarnation, or to one."""
+        """Record what a reply reports; one that an earlier incarnation sent, or was sent to, is dropped and counted."""
         about = self.heartbeats.sender_of(source, message)
-        if about is None:  # a new incarnation that is not known yet
+        if about is None:  # a new incarnation: introduced to each other by the next heartbeat and its reply
             if (peer := self.peers.peers.get(source)) is not None:
                 peer.knows_me = False
             return
@@ -369,25 +417,23 @@
             self.peers.observe(now, member)
 
     def on_credit_grant(self, message: CreditGrant) -> None:
-        """Pass on credits that another node's counter granted."""
+        """Return credits that another node's counter granted, as an action."""
         if message.incarnation != self.me.incarnation:
-            self.count_dropped(message)  # its call may have borne the number of one of this incarnation
+            self.count_dropped(message)  # its number may equal that of a call of this incarnation
             return
         lifetime, granted_part = message.lifetime_ms / 1000, message.granted_percent / 100
         granted = CreditsGranted(message.tenant, message.number, message.units, lifetime, granted_part)
         self.actions.append(granted)
 
     def on_counter_unavailable(self, message: CounterUnavailableNotice) -> None:
-        """Pass on that a node which was asked does not hold a tenant's counter."""
+        """Report, as an action, that the node called does not hold a tenant's counter."""
         if message.incarnation != self.me.incarnation:
             self.count_dropped(message)
             return
         self.actions.append(CounterUnavailable(message.tenant))
 
-    # --- the disk -----------------------------------------------------------------------------------------
-
     def on_saved(self, now: float, serial: int, good: bool) -> list[Action]:
-        """A save has ended."""
+        """Handle the end of a save; `serial` is its number, `good` whether it succeeded."""
         self.actions = self.control.on_saved(now, serial, good)
         self.check_membership(now)
         return self.actions
--- a/hazelspring/node/quota_calls.py
+++ b/hazelspring/node/quota_calls.py
@@ -1,4 +1,4 @@
-"""Calls to tenants' counters: this node's own, to the node that holds a counter, and those of others to this one."""
+"""Calls to tenants' counters: this node's calls to the holder of a counter, and those of other nodes to this one."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 from hazelspring.quota.counter import QuotaCounter
 from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
 
-TENANT_SHARDS = 8  # of tenants; fixed, as two nodes that differ in it would both own a tenant
+# Shards of tenants, each one singleton role; fixed, as two nodes that differ in it would both own a tenant's counter.
+TENANT_SHARDS = 8
 
 
 class QuotaCalls:
-    """The counters that this node holds, and its calls to those of others.
+    """Serves the counters that this node holds, and calls those that other nodes hold.
 
-    `limit` gives a tenant's limit for one window, as the configuration in force has it.
+    `limit` returns a tenant's limit for one window, as the configuration in force has it.
     """
 
     def __init__(
@@ -34,7 +35,10 @@
         self.counter, self.tenant_limit = counter, limit
 
     def lease(self, now: float, tenant: str, number: int, units: float) -> list[Action]:
-        """Call a tenant's counter for units of its quota; less than 0 gives some back."""
+        """Call a tenant's counter for units of its quota; units below 0 are given back.
+
+        The call is sent to the holder of the counter's role; where that is not another node, it is served here.
+        """
         holder = self.roles.holder(now, self.counter_role(tenant))
         if holder is not None and holder != self.me.ip:
             self.load_reporter.record_other_bytes(LEASE_CALL_BYTES)
@@ -46,13 +50,13 @@
 
     @staticmethod
     def counter_role(tenant: str) -> int:
-        """Return the role that a tenant's counter belongs to."""
+        """Return the singleton role to which a tenant's counter belongs."""
         return 1 + shard(tenant, TENANT_SHARDS)
 
     def grant(
         self, now: float, tenant: str, caller: NodeIdentity, number: int, units: float
     ) -> CreditsGranted | None:
-        """Count units by a counter of this node; None where it does not hold that."""
+        """Grant units by a counter of this node; None where this node has no lease of the counter's role."""
         until = self.roles.held_until(self.counter_role(tenant))
         if until <= now:
             return None
@@ -60,7 +64,7 @@
         return CreditsGranted(tenant, number, *found)
 
     def on_request(self, now: float, source: str, message: CreditRequest) -> list[Action]:
-        """Grant another node credits where this one holds the counter, or say that it does not."""
+        """Grant credits to another node, or reply that this node does not hold the counter."""
         caller = NodeIdentity(source, message.incarnation)
         granted = self.grant(now, message.tenant, caller, message.number, message.units)
         if granted is None:
--- a/hazelspring/node/table_requests.py
+++ b/hazelspring/node/table_requests.py
@@ -1,4 +1,4 @@
-"""A node's requests for tables of servers that it lacks, or that others have newer."""
+"""A node's requests for tables of servers that it lacks, or of which other nodes have a newer version."""
 
 from __future__ import annotations
 
@@ -11,16 +11,20 @@
 
 
 class TableRequests:
-    """Asks other nodes of the core for tables, one node at a time for each."""
+    """Requests tables of other core nodes, each table of one node at a time."""
 
     def __init__(self, peers: PeerTable, registry: ServerRegistry, freshness: ListFreshness) -> None:
         self.peers, self.registry, self.freshness = peers, registry, freshness
         self.sent: dict[str, SentRequest] = {}  # by service
-        # of each member, the versions of tables that it told and those known here when none of its was newer
+        # By core node: the table versions that it reported and those known here when none of its was newer.  Both are
+        # compared by identity, so nothing is computed while neither has changed.
         self.in_sync: dict[str, tuple[dict[str, int], dict[str, int]]] = {}
 
     def request_missing(self, now: float) -> list[Action]:
-        """Ask for tables that others told of and this node lacks."""
+        """Request tables of which other core nodes reported a newer version than the one here.
+
+        Where a node has none newer, the time of its last known list is confirmed here, too.
+        """
         actions: list[Action] = []
         for ip in self.peers.core_nodes:
             peer = self.peers.peers.get(ip)
@@ -34,11 +38,14 @@
                 if newer:
                     continue
                 self.in_sync[ip] = (peer.table_versions, self.registry.versions())
-            self.freshness.confirm(peer.list_read_at)  # what it knows is known here
+            self.freshness.confirm(peer.list_read_at)  # all that it knows is known here
         return actions
 
     def request(self, now: float, service: str, version: int) -> list[Action]:
-        """Ask the nearest node that has a version; one that did not answer in time, and the next one, in turn."""
+        """Request a table of a core node that reported at least a version, unless a request is still in its time.
+
+        The nearest node that is alive comes first; where it did not answer in time, the next one is asked, in turn.
+        """
         last = self.sent.get(service, NOT_SENT)
         if not last.is_due(now):
             return []
@@ -52,5 +59,5 @@
         return [Send(alive[last.count % len(alive)], TableRequest(service))]
 
     def on_update(self, service: str) -> None:
-        """Note that a table has come: it may be asked for again at once."""
+        """Record that a table has come, so that it may be requested again at once."""
         self.sent.pop(service, None)
