--- a/hazelspring/daemon/message_transport.py
+++ b/hazelspring/daemon/message_transport.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: cbor2 in datagrams where they are small, one short TCP connection each where they are not."""
+"""Messages between nodes, as cbor2: small ones in datagrams, each larger one over a short TCP connection of its own."""
 
 from __future__ import annotations
 
@@ -12,37 +12,51 @@
 from hazelspring.node import codec
 from hazelspring.node.messages import Message
 
-MAX_DATAGRAM_BYTES = 1200  # bytes: fits a packet on any link
+# Bytes of the largest message sent as a datagram, which fits one packet on any link.
+MAX_DATAGRAM_BYTES = 1200
+# Bytes of the largest message received over TCP.
 MAX_MESSAGE_BYTES = 8 << 20
-REOPEN_INTERVAL = (
-    0.2  # seconds until a socket that could not be opened is tried again: half of a heartbeat's interval
-)
-DELIVERY_TIMEOUT = 2.0  # seconds for a message that goes by TCP; what asked for it asks again sooner
-MAX_DELIVERIES = 64  # such messages on their way at once
-OPEN_SOCKET = "open a socket"  # the name under which failures to do so are counted
+# Seconds between attempts to open the datagram socket again: half of the interval of heartbeats.
+REOPEN_INTERVAL = 0.2
+# Seconds for one message over TCP; a node that requested it repeats the request sooner.
+DELIVERY_TIMEOUT = 2.0
+# Messages being delivered over TCP at once.
+MAX_DELIVERIES = 64
+# The name under which failures to open the datagram socket are counted.
+OPEN_SOCKET = "open a socket"
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
-    """Hands datagrams to a transport."""
+    """Passes datagrams, and the loss of their socket, to a `MessageTransport`."""
 
     def __init__(self, mesh: MessageTransport) -> None:
         self.transport_owner = mesh
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Hand on a datagram."""
+        """Pass a datagram to the transport."""
         self.transport_owner.on_bytes(addr[0], data)
 
     def error_received(self, error: Exception) -> None:
         """Ignore an error of the socket."""
-        pass  # a dead port: who is away is told by silence
+        pass  # a port without a listener; a node that is away is known by its missing heartbeat replies
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell the transport that its socket is closed."""
+        """Notify the transport that its socket is closed."""
         self.transport_owner.on_socket_lost(error)
 
 
 class MessageTransport:
-    """Sends and receives messages; `on_message` gets each one that came with its sender's address."""
+    """Sends and receives messages between nodes.
+
+    Parameters
+    ----------
+    ip, port
+        The local address; all nodes use the same port.
+    on_message
+        Called with the sender's address and each message received.
+    supervisor
+        Runs deliveries and the reopening of the socket, and counts their failures.
+    """
 
     def __init__(
         self, ip: str, port: int, on_message: Callable[[str, Message], None], supervisor: Supervisor
@@ -50,32 +64,36 @@
         self.ip, self.port, self.on_message, self.supervisor = ip, port, on_message, supervisor
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
-        self.deliveries_in_flight = 0  # messages on their way by TCP
+        self.deliveries_in_flight = 0  # messages being delivered over TCP
         self.loop = asyncio.get_running_loop()
         self.closed = False
-        self.last_message: Message | None = None  # the last one,
-        self.last_message_bytes = b""  # and its bytes
+        # The message that was sent last and its bytes, so that one sent to many nodes is encoded once.
+        self.last_message: Message | None = None
+        self.last_message_bytes = b""
 
     async def start(self) -> None:
-        """Open the sockets; raises OSError."""
+        """Open the datagram socket and the TCP listener; raises OSError."""
         await self.open_socket()
         self.server = await asyncio.start_server(self.accept, self.ip, self.port, limit=1 << 16)
 
     async def open_socket(self) -> None:
-        """Open the socket for datagrams; raises OSError."""
+        """Open the datagram socket; raises OSError."""
         self.transport, _ = await self.loop.create_datagram_endpoint(
             lambda: DatagramReceiver(self), local_addr=(self.ip, self.port)
         )
 
     def on_socket_lost(self, error: Exception | None) -> None:
-        """The event loop has closed the socket for datagrams: without it this node would run on and hear nobody."""
+        """Open another datagram socket where the event loop has closed this one.
+
+        Without a socket the node would run on and receive no datagrams.
+        """
         self.transport = None
         if not self.closed:
             log.write("transport", "lost its socket, opens another", error=error)
             self.supervisor.start(OPEN_SOCKET, self.reopen_socket())
 
     async def reopen_socket(self) -> None:
-        """Try until there is a socket, whatever keeps one from being opened."""
+        """Retry each `REOPEN_INTERVAL` until the datagram socket is open, whatever error prevents it."""
         while self.transport is None:
             try:
                 await self.open_socket()
@@ -84,7 +102,11 @@
                 await asyncio.sleep(REOPEN_INTERVAL)
 
     def send(self, to: str, message: Message) -> None:
-        """One message may go to many, one after another: it is encoded once, and not to be changed between."""
+        """Send a message to an address, as a datagram or, where it is too large, over TCP.
+
+        A message sent to many nodes one after another is encoded once, so it must not be changed in between.  Errors
+        of the socket are ignored; a large message is dropped and logged while `MAX_DELIVERIES` are in progress.
+        """
         if message is not self.last_message:
             self.last_message, self.last_message_bytes = message, codec.encode(message)
         data = self.last_message_bytes
@@ -99,14 +121,14 @@
             log.write("transport", "too many large messages are on their way", peer=to)
 
     async def deliver(self, to: str, data: bytes) -> None:
-        """Send a message over a connection of its own."""
+        """Send a message over a TCP connection of its own; a failure is logged and not raised."""
         try:
             async with asyncio.timeout(DELIVERY_TIMEOUT):
                 reader, writer = await asyncio.open_connection(to, self.port, local_addr=(self.ip, 0))
                 try:
                     writer.write(len(data).to_bytes(4, "big") + data)
                     writer.write_eof()
-                    await reader.read(1)  # its end says that it was read
+                    await reader.read(1)  # the recipient closes the connection once it has read the message
                 finally:
                     writer.transport.abort()
         except Exception as error:  # a write to a connection that was reset raises no type of its own
@@ -115,7 +137,7 @@
             self.deliveries_in_flight -= 1
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Read the message that a connection brings."""
+        """Read the one message of a connection; one that is incomplete, late or too large is dropped."""
         try:
             async with asyncio.timeout(DELIVERY_TIMEOUT):
                 size = int.from_bytes(await reader.readexactly(4), "big")
@@ -129,7 +151,7 @@
             writer.close()
 
     def on_bytes(self, source: str, data: bytes) -> None:
-        """Decode a message and hand it on; one that cannot be handled is logged."""
+        """Decode a message and pass it to `on_message`; one that cannot be decoded or handled is logged."""
         try:
             self.on_message(source, codec.decode(data))
         except Exception as error:  # whatever another process sends must not end this one
--- a/hazelspring/node/codec.py
+++ b/hazelspring/node/codec.py
@@ -1,7 +1,7 @@
-"""The form of messages on the wire: cbor2 maps with short keys, which are known here and in the codec_ modules alone.
+"""The wire format of messages: cbor2 maps with short keys, which are known only here and in the codec_ modules.
 
-Nodes of different versions of the program talk to each other: keys and their order stay, unknown keys are ignored,
-and a kind that is not known is decoded as `UnknownMessage`.
+Nodes of different versions of the program exchange messages: keys and their order never change, unknown keys are
+ignored, and a message of an unknown kind is decoded as `UnknownMessage`.
 """
 
 from __future__ import annotations
@@ -42,27 +42,27 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes that a message is sent as."""
+    """Return the encoded bytes of a message."""
     data: bytes = cbor2.dumps(to_fields(message))
     return data
 
 
 def decode(data: bytes) -> Message:
-    """Return the message that came as some bytes; raises MalformedMessageError."""
+    """Return the message that some bytes encode; raises MalformedMessageError."""
     try:
         fields = cbor2.loads(data)
-    except Exception as error:  # cbor2 passes on whatever a hostile body makes its parts raise
+    except Exception as error:  # cbor2 lets through any error that a hostile body raises in it
         raise MalformedMessageError("", "", f"no message: {type(error).__name__}: {error}") from error
     return from_fields(fields)
 
 
 def to_fields(message: Message) -> Fields:
-    """Return the map that goes over the wire for a message."""
+    """Return the map that encodes a message on the wire."""
     return _ENCODERS[type(message)](message)
 
 
 def from_fields(fields: Any) -> Message:
-    """Return the message that a map stands for; raises MalformedMessageError."""
+    """Return the message that a map encodes; raises MalformedMessageError."""
     if not isinstance(fields, dict):
         raise MalformedMessageError("", "", "no message: not a map")
     if KIND_KEY not in fields or isinstance(fields[KIND_KEY], list | dict):
@@ -73,12 +73,12 @@
 
 
 def kind_of(message: Message) -> str:
-    """Return the kind of a message, by its name on the wire."""
+    """Return the kind of a message: its name on the wire."""
     return message.kind if isinstance(message, UnknownMessage) else KINDS[type(message)]
 
 
 class WireFormat(NamedTuple):
-    """One kind of message: its name on the wire, its class, and the functions to and from the map."""
+    """One kind of message: its name on the wire, its class, and the functions that encode and decode it."""
 
     kind: str
     message_type: type
--- a/hazelspring/node/codec_consensus.py
+++ b/hazelspring/node/codec_consensus.py
@@ -1,4 +1,4 @@
-"""The form of the agreement's messages on the wire."""
+"""The wire format of consensus messages."""
 
 from __future__ import annotations
 
@@ -54,7 +54,10 @@
 
 
 def _delta_path(row: Any) -> DeltaPath:
-    """Return a path; an empty one, which leads nowhere, for one that is malformed, as the whole is asked for then."""
+    """Return the path of deltas that a row encodes.
+
+    A malformed row gives an empty path, which leads to no configuration: the complete one is requested then.
+    """
     try:
         base, steps = row
         path = DeltaPath(base, tuple(DeltaStep(digest, delta) for digest, delta in steps))
@@ -75,7 +78,7 @@
 
 
 def encode_prepare(message: Prepare) -> Fields:
-    """Return the map of a `Prepare`."""
+    """Return the map that encodes a `Prepare`."""
     return {
         "b": list(message.ballot),
         "d": message.base_version,
@@ -85,12 +88,12 @@
 
 
 def decode_prepare(fields: Fields) -> Prepare:
-    """Return the `Prepare` that a map stands for; raises MalformedMessageError."""
+    """Return the `Prepare` that a map encodes; raises MalformedMessageError."""
     return Prepare(ballot_field(fields), required(fields, "d", int), _held(fields))
 
 
 def encode_promise(message: Promise) -> Fields:
-    """Return the map of a `Promise`."""
+    """Return the map that encodes a `Promise`."""
     accepted = message.accepted
     return {
         "k": "promise",
@@ -103,7 +106,7 @@
 
 
 def decode_promise(fields: Fields) -> Promise:
-    """Return the `Promise` that a map stands for; raises MalformedMessageError."""
+    """Return the `Promise` that a map encodes; raises MalformedMessageError."""
     held = tuple(list_of(fields, "h", bytes))
     return Promise(
         ballot_field(fields), voter_field(fields), held, accepted_state_field(fields), _payload(fields)
@@ -111,7 +114,7 @@
 
 
 def encode_accept(message: Accept) -> Fields:
-    """Return the map of a `Accept`."""
+    """Return the map that encodes an `Accept`."""
     return {
         "b": list(message.ballot),
         "d": message.base_version,
@@ -122,23 +125,23 @@
 
 
 def decode_accept(fields: Fields) -> Accept:
-    """Return the `Accept` that a map stands for; raises MalformedMessageError."""
+    """Return the `Accept` that a map encodes; raises MalformedMessageError."""
     state = control_state_field(fields, "s", required(fields, "s", list))
     return Accept(ballot_field(fields), required(fields, "d", int), state, _payload(fields))
 
 
 def encode_accepted(message: Accepted) -> Fields:
-    """Return the map of a `Accepted`."""
+    """Return the map that encodes an `Accepted`."""
     return {"k": "accepted", "b": list(message.ballot), "u": list(message.voter)}
 
 
 def decode_accepted(fields: Fields) -> Accepted:
-    """Return the `Accepted` that a map stands for; raises MalformedMessageError."""
+    """Return the `Accepted` that a map encodes; raises MalformedMessageError."""
     return Accepted(ballot_field(fields), voter_field(fields))
 
 
 def encode_rejected(message: Rejected) -> Fields:
-    """Return the map of a `Rejected`."""
+    """Return the map that encodes a `Rejected`."""
     return {
         "k": "no",
         "b": list(message.ballot),
@@ -149,33 +152,33 @@
 
 
 def decode_rejected(fields: Fields) -> Rejected:
-    """Return the `Rejected` that a map stands for; raises MalformedMessageError."""
+    """Return the `Rejected` that a map encodes; raises MalformedMessageError."""
     wait_ms, of_accept = required(fields, "w", int), required(fields, "a", bool)
     return Rejected(ballot_field(fields), ballot_field(fields, "p"), wait_ms, of_accept)
 
 
 def encode_round_ended(message: RoundEnded) -> Fields:
-    """Return the map of a `RoundEnded`."""
+    """Return the map that encodes a `RoundEnded`."""
     return {"k": "over", "b": list(message.ballot)}
 
 
 def decode_round_ended(fields: Fields) -> RoundEnded:
-    """Return the `RoundEnded` that a map stands for; raises MalformedMessageError."""
+    """Return the `RoundEnded` that a map encodes; raises MalformedMessageError."""
     return RoundEnded(ballot_field(fields))
 
 
 def encode_configuration_missing(message: ConfigurationMissing) -> Fields:
-    """Return the map of a `ConfigurationMissing`."""
+    """Return the map that encodes a `ConfigurationMissing`."""
     return {"k": "lack", "b": list(message.ballot)}
 
 
 def decode_configuration_missing(fields: Fields) -> ConfigurationMissing:
-    """Return the `ConfigurationMissing` that a map stands for; raises MalformedMessageError."""
+    """Return the `ConfigurationMissing` that a map encodes; raises MalformedMessageError."""
     return ConfigurationMissing(ballot_field(fields))
 
 
 def encode_proposals_forwarded(message: ProposalsForwarded) -> Fields:
-    """Return the map of a `ProposalsForwarded`."""
+    """Return the map that encodes a `ProposalsForwarded`."""
     rows = [
         [
             change.kind,
@@ -191,7 +194,7 @@
 
 
 def decode_proposals_forwarded(fields: Fields) -> ProposalsForwarded:
-    """Return the `ProposalsForwarded` that a map stands for; raises MalformedMessageError."""
+    """Return the `ProposalsForwarded` that a map encodes; raises MalformedMessageError."""
     version, rows = required(fields, "v", int), list_of(fields, "o", list)
     return ProposalsForwarded(version, tuple(_forwarded_change(fields, row) for row in rows))
 
@@ -213,17 +216,17 @@
 
 
 def encode_state_request(message: StateRequest) -> Fields:
-    """Return the map of a `StateRequest`."""
+    """Return the map that encodes a `StateRequest`."""
     return {"k": "want", "v": message.version, **_encode_held(message.held)}
 
 
 def decode_state_request(fields: Fields) -> StateRequest:
-    """Return the `StateRequest` that a map stands for; raises MalformedMessageError."""
+    """Return the `StateRequest` that a map encodes; raises MalformedMessageError."""
     return StateRequest(required(fields, "v", int), _held(fields))
 
 
 def encode_decision(message: Decision) -> Fields:
-    """Return the map of a `Decision`."""
+    """Return the map that encodes a `Decision`."""
     return {
         "k": "decided",
         "b": list(message.ballot),
@@ -233,6 +236,6 @@
 
 
 def decode_decision(fields: Fields) -> Decision:
-    """Return the `Decision` that a map stands for; raises MalformedMessageError."""
+    """Return the `Decision` that a map encodes; raises MalformedMessageError."""
     state = control_state_field(fields, "s", required(fields, "s", list))
     return Decision(ballot_field(fields), state, _payload(fields))
--- a/hazelspring/node/codec_fields.py
+++ b/hazelspring/node/codec_fields.py
@@ -1,4 +1,7 @@
-"""Checked access to the fields of a message as it came over the wire."""
+"""Checked access to the fields of a received message.
+
+All functions raise MalformedMessageError where a required field is missing, or a field is of a wrong type.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from hazelspring.errors import HazelspringError
 from hazelspring.membership.node_info import NodeInfo
 
-Fields = dict[str, Any]  # a message as the map that goes over the wire
+Fields = dict[str, Any]  # a message as its map on the wire
 T = TypeVar("T")
 KIND_KEY = "k"
 
@@ -17,7 +20,7 @@
 class MalformedMessageError(HazelspringError):
     """A message cannot be decoded.
 
-    `kind` and `field` are the names on the wire; empty where these are not known.
+    `kind` and `field` are the names on the wire, empty where they are not known.
     """
 
     code = "malformed_message"
@@ -28,7 +31,7 @@
 
 
 def required(fields: Fields, key: str, kind: type[T]) -> T:
-    """Return the value of a field that must be there, of a type; raises MalformedMessageError, as all here."""
+    """Return the value of a required field, which must be of a type."""
     value = fields.get(key)
     if not isinstance(value, kind):
         raise MalformedMessageError(fields[KIND_KEY], key)
@@ -36,12 +39,12 @@
 
 
 def optional(fields: Fields, key: str, kind: type[T]) -> T | None:
-    """Return the value of a field, None where it was left out."""
+    """Return the value of an optional field, None where it is absent."""
     return required(fields, key, kind) if key in fields else None
 
 
 def list_of(fields: Fields, key: str, kind: type[T]) -> list[T]:
-    """Return the value of a field that must be a list of one type."""
+    """Return the value of a required field, which must be a list of values of one type."""
     values: list[T] = required(fields, key, list)
     if not all(isinstance(value, kind) for value in values):
         raise MalformedMessageError(fields[KIND_KEY], key)
@@ -54,7 +57,7 @@
 
 
 def parse_ballot(fields: Fields, key: str, row: Any) -> Ballot:
-    """Return the ballot of a row that came in a field."""
+    """Return the ballot that a row in a field encodes."""
     try:
         count, incarnation, ip = ballot = decode_ballot(row)
     except (TypeError, ValueError) as error:
@@ -65,7 +68,7 @@
 
 
 def control_state_field(fields: Fields, key: str, row: Any) -> ControlState:
-    """Return the state of a row that came in a field."""
+    """Return the control state that a row in a field encodes."""
     try:
         state = decode_state(row)
     except (TypeError, ValueError) as error:
@@ -76,7 +79,7 @@
 
 
 def accepted_state_field(fields: Fields) -> AcceptedState | None:
-    """Return the state that the sender accepted last, and its ballot."""
+    """Return the state that the sender accepted last, with its ballot; None where it accepted none."""
     row = fields.get("a")
     if "a" not in fields or not (row is None or (isinstance(row, list) and len(row) == 2)):
         raise MalformedMessageError(fields[KIND_KEY], "a")
@@ -86,7 +89,7 @@
 
 
 def voter_field(fields: Fields) -> Voter:
-    """Return the disk that votes."""
+    """Return the voter: the number of its disk, and whether it may take part in the bootstrap."""
     row = required(fields, "u", list)
     if len(row) != 2 or not (isinstance(row[0], int) and isinstance(row[1], bool)):
         raise MalformedMessageError(fields[KIND_KEY], "u")
@@ -94,7 +97,7 @@
 
 
 def node_info_field(fields: Fields, key: str, row: Any) -> NodeInfo:
-    """Return the node that a row names which came in a field."""
+    """Return the node that a row in a field encodes."""
     if not (isinstance(row, list) and len(row) == 5):
         raise MalformedMessageError(fields[KIND_KEY], key)
     about = NodeInfo(*row)
@@ -104,5 +107,5 @@
 
 
 def sender_field(fields: Fields) -> NodeInfo | None:
-    """Return who sent a message, where it says so."""
+    """Return the sender that a message names; None where it names none."""
     return node_info_field(fields, "a", fields["a"]) if "a" in fields else None
--- a/hazelspring/node/codec_node.py
+++ b/hazelspring/node/codec_node.py
@@ -1,4 +1,4 @@
-"""The form of messages on heartbeats, servers, roles, load and quotas on the wire."""
+"""The wire format of heartbeats and of messages on tables, singleton roles, load reports and quotas."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def encode_heartbeat(message: Heartbeat) -> Fields:
-    """Return the map of a `Heartbeat`."""
+    """Return the map that encodes a `Heartbeat`."""
     fields: Fields = {
         "k": "beat",
         "l": message.incarnation,
@@ -53,7 +53,7 @@
 
 
 def decode_heartbeat(fields: Fields) -> Heartbeat:
-    """Return the `Heartbeat` that a map stands for; raises MalformedMessageError."""
+    """Return the `Heartbeat` that a map encodes; raises MalformedMessageError."""
     return Heartbeat(
         required(fields, "l", int),
         required(fields, "t", int),
@@ -87,7 +87,7 @@
 
 
 def _decode_node_state(fields: Fields) -> tuple[NodeState | None, int]:
-    """Return a node's state and its checksum, which covers keys that are unknown here, too."""
+    """Return a node's state and its checksum, which also covers keys that are unknown here; None and 0 without one."""
     if "z" not in fields:
         return None, 0
     row = required(fields, "z", dict)
@@ -115,7 +115,7 @@
 
 
 def encode_heartbeat_reply(message: HeartbeatReply) -> Fields:
-    """Return the map of a `HeartbeatReply`."""
+    """Return the map that encodes a `HeartbeatReply`."""
     fields: Fields = {"k": "echo", "l": message.incarnation, "t": message.number}
     if message.sender is not None:
         fields["a"] = message.sender.encode()
@@ -139,7 +139,7 @@
 
 
 def decode_heartbeat_reply(fields: Fields) -> HeartbeatReply:
-    """Return the `HeartbeatReply` that a map stands for; raises MalformedMessageError."""
+    """Return the `HeartbeatReply` that a map encodes; raises MalformedMessageError."""
     state, checksum = _decode_node_state(fields)
     return HeartbeatReply(
         required(fields, "l", int),
@@ -158,22 +158,22 @@
 
 
 def encode_table_request(message: TableRequest) -> Fields:
-    """Return the map of a `TableRequest`."""
+    """Return the map that encodes a `TableRequest`."""
     return {"k": "ask", "s": message.service}
 
 
 def decode_table_request(fields: Fields) -> TableRequest:
-    """Return the `TableRequest` that a map stands for; raises MalformedMessageError."""
+    """Return the `TableRequest` that a map encodes; raises MalformedMessageError."""
     return TableRequest(required(fields, "s", str))
 
 
 def encode_table_update(message: TableUpdate) -> Fields:
-    """Return the map of a `TableUpdate`."""
+    """Return the map that encodes a `TableUpdate`."""
     return {"k": "news", "n": message.table}
 
 
 def decode_table_update(fields: Fields) -> TableUpdate:
-    """Return the `TableUpdate` that a map stands for; raises MalformedMessageError."""
+    """Return the `TableUpdate` that a map encodes; raises MalformedMessageError."""
     table: list[Any] = required(fields, "n", list)
     if len(table) < 2 or not (isinstance(table[0], str) and isinstance(table[1], int)):
         raise MalformedMessageError(fields[KIND_KEY], "n")
@@ -181,7 +181,7 @@
 
 
 def encode_roles(message: RolesDeclined) -> Fields:
-    """Return the map of a `RolesDeclined`."""
+    """Return the map that encodes a `RolesDeclined`."""
     return {
         "k": "free" if isinstance(message, RolesReleased) else "decline",
         "a": message.member.encode(),
@@ -190,27 +190,27 @@
 
 
 def decode_roles_declined(fields: Fields) -> RolesDeclined:
-    """Return the `RolesDeclined` that a map stands for; raises MalformedMessageError."""
+    """Return the `RolesDeclined` that a map encodes; raises MalformedMessageError."""
     return RolesDeclined(node_info_field(fields, "a", fields.get("a")), list_of(fields, "d", int))
 
 
 def decode_roles_released(fields: Fields) -> RolesReleased:
-    """Return the `RolesReleased` that a map stands for; raises MalformedMessageError."""
+    """Return the `RolesReleased` that a map encodes; raises MalformedMessageError."""
     return RolesReleased(node_info_field(fields, "a", fields.get("a")), list_of(fields, "d", int))
 
 
 def encode_load_report(message: LoadReport) -> Fields:
-    """Return the map of a `LoadReport`."""
+    """Return the map that encodes a `LoadReport`."""
     return {"k": "dance", "o": message.in_flight_by_tag}
 
 
 def decode_load_report(fields: Fields) -> LoadReport:
-    """Return the `LoadReport` that a map stands for; raises MalformedMessageError."""
+    """Return the `LoadReport` that a map encodes; raises MalformedMessageError."""
     return LoadReport(required(fields, "o", dict))
 
 
 def encode_credit_request(message: CreditRequest) -> Fields:
-    """Return the map of a `CreditRequest`."""
+    """Return the map that encodes a `CreditRequest`."""
     return {
         "k": "lease",
         "n": message.tenant,
@@ -221,7 +221,7 @@
 
 
 def decode_credit_request(fields: Fields) -> CreditRequest:
-    """Return the `CreditRequest` that a map stands for; raises MalformedMessageError."""
+    """Return the `CreditRequest` that a map encodes; raises MalformedMessageError."""
     return CreditRequest(
         required(fields, "n", str),
         required(fields, "q", int),
@@ -231,7 +231,7 @@
 
 
 def encode_credit_grant(message: CreditGrant) -> Fields:
-    """Return the map of a `CreditGrant`."""
+    """Return the map that encodes a `CreditGrant`."""
     return {
         "k": "grant",
         "y": message.incarnation,
@@ -244,7 +244,7 @@
 
 
 def decode_credit_grant(fields: Fields) -> CreditGrant:
-    """Return the `CreditGrant` that a map stands for; raises MalformedMessageError."""
+    """Return the `CreditGrant` that a map encodes; raises MalformedMessageError."""
     return CreditGrant(
         required(fields, "y", int),
         required(fields, "n", str),
@@ -256,15 +256,15 @@
 
 
 def encode_counter_unavailable(message: CounterUnavailableNotice) -> Fields:
-    """Return the map of a `CounterUnavailableNotice`."""
+    """Return the map that encodes a `CounterUnavailableNotice`."""
     return {"k": "lost", "n": message.tenant, "y": message.incarnation}
 
 
 def decode_counter_unavailable(fields: Fields) -> CounterUnavailableNotice:
-    """Return the `CounterUnavailableNotice` that a map stands for; raises MalformedMessageError."""
+    """Return the `CounterUnavailableNotice` that a map encodes; raises MalformedMessageError."""
     return CounterUnavailableNotice(required(fields, "n", str), required(fields, "y", int))
 
 
 def node_state_checksum(state: NodeState) -> int:
-    """Return the checksum by which a node's state is known to others."""
+    """Return the checksum of a node's state, by which other nodes name the state that they know."""
     return _checksum(_encode_node_state(state))
