--- a/fleetlab/stage.py
+++ b/fleetlab/stage.py
@@ -8,7 +8,9 @@
 import asyncio
 import contextlib
 import ctypes
+import itertools
 import os
+import random
 import shutil
 import signal
 import socket
@@ -38,6 +40,7 @@
 LAST = 3.7  # seconds from SIGTERM to SIGKILL: the longest deadline and 0.7 s
 MOST_TRIES = 3  # of a start whose port another has taken meanwhile
 KEPT_LOG = 64 * 1024  # bytes of a front door's log that are kept
+LOWEST_PORT, EPHEMERAL_PORTS = 20_000, 32_768
 PASSED = 4  # the descriptor of a socket that the platform holds
 ADD = (1.0, 2.5)  # seconds after which discovery sees that a server runs
 SILENT_NOTICE = (4.7, 10.0)  # the same, of one that says nothing any more
@@ -50,10 +53,20 @@
     _libc.prctl(1, signal.SIGKILL)  # PR_SET_PDEATHSIG
 
 
+# Ports for processes that are yet to start lie below those that Linux gives to outgoing connections (from 32768 on, by
+# ip_local_port_range): one of the latter may be taken by any connection before the process listens on it.
+_ports = itertools.cycle(range(LOWEST_PORT, EPHEMERAL_PORTS))
+for _ in range(random.randrange(EPHEMERAL_PORTS - LOWEST_PORT)):  # two labs begin at different ones
+    next(_ports)
+
+
 def free_port() -> int:
-    with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))
-        return int(sock.getsockname()[1])
+    """Return a port of 127.0.0.1 that nobody listens on now."""
+    while True:
+        port = next(_ports)
+        with socket.socket() as sock, contextlib.suppress(OSError):
+            sock.bind(("127.0.0.1", port))
+            return port
 
 
 class Process:
