--- /dev/null
+++ b/hazelspring/admission/__init__.py
@@ -0,0 +1,1 @@
+"""Admission decisions of the gateway."""
--- a/orchidhill/benchlink.py
+++ b/hazelspring/admission/benchlink.py
@@ -5,9 +5,9 @@
 import sys
 from typing import BinaryIO
 
-from orchidhill import interface as i
-from orchidhill import wire
-from orchidhill.gateway import Gateway
+from hazelspring.admission import interface as i
+from hazelspring.admission import wire
+from hazelspring.admission.gateway import Gateway
 
 Listed = list[i.Action | wire.Fault]
 
--- a/orchidhill/gateway.py
+++ b/hazelspring/admission/gateway.py
@@ -1,17 +1,17 @@
-"""Every decision of the gateway, in the rooms of orchidhill/policy/.  Types: orchidhill/interface.py."""
+"""Every decision of the gateway, in the rooms of policy/.  Types: interface.py."""
 
 from __future__ import annotations
 
 import math
 import random
 
-from orchidhill import interface as i
-from orchidhill.policy.attempts import Attempts
-from orchidhill.policy.choice import Choice
-from orchidhill.policy.pace import Pace
-from orchidhill.policy.quotas import Quotas
-from orchidhill.policy.servers import Servers
-from orchidhill.policy.turn import EPS, TICK, WATCH_TICKS, Turn
+from hazelspring.admission import interface as i
+from hazelspring.admission.policy.attempts import Attempts
+from hazelspring.admission.policy.choice import Choice
+from hazelspring.admission.policy.pace import Pace
+from hazelspring.admission.policy.quotas import Quotas
+from hazelspring.admission.policy.servers import Servers
+from hazelspring.admission.policy.turn import EPS, TICK, WATCH_TICKS, Turn
 
 
 class Gateway:  # decides for one gateway; `handle` is the only way in
--- a/orchidhill/interface.py
+++ b/hazelspring/admission/interface.py
@@ -1,4 +1,4 @@
-"""The types a host exchanges with :class:`orchidhill.gateway.Gateway`.
+"""The types a host exchanges with :class:`hazelspring.admission.gateway.Gateway`.
 
 A host builds one ``Gateway(settings, seed)``, passes it one event at a time with the current
 time in seconds, and carries out the returned actions in order.  Nothing in here decides.
--- a/orchidhill/policy/attempts.py
+++ b/hazelspring/admission/policy/attempts.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from orchidhill import interface as i
-from orchidhill.interface import Effect, Outcome, Scope
-from orchidhill.policy.choice import Choice
-from orchidhill.policy.quotas import Quotas
-from orchidhill.policy.records import Backend, Job
-from orchidhill.policy.servers import MISSED, Servers
-from orchidhill.policy.turn import MARGIN, SUSPECT, TICK, Turn
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import Effect, Outcome, Scope
+from hazelspring.admission.policy.choice import Choice
+from hazelspring.admission.policy.quotas import Quotas
+from hazelspring.admission.policy.records import Backend, Job
+from hazelspring.admission.policy.servers import MISSED, Servers
+from hazelspring.admission.policy.turn import MARGIN, SUSPECT, TICK, Turn
 
 RESEND_BUDGET = 0.1  # further attempts for overdue ones, per first attempt
 
--- a/orchidhill/policy/choice.py
+++ b/hazelspring/admission/policy/choice.py
@@ -4,11 +4,11 @@
 
 import math
 
-from orchidhill import interface as i
-from orchidhill.interface import Effect, Scope
-from orchidhill.policy.records import Backend, Job
-from orchidhill.policy.servers import FRESH, LEAST_LIMIT, MISSED, Servers
-from orchidhill.policy.turn import EJECT, MARGIN, NEWEST, RATE_SPAN, SUSPECT, Turn
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import Effect, Scope
+from hazelspring.admission.policy.records import Backend, Job
+from hazelspring.admission.policy.servers import FRESH, LEAST_LIMIT, MISSED, Servers
+from hazelspring.admission.policy.turn import EJECT, MARGIN, NEWEST, RATE_SPAN, SUSPECT, Turn
 
 FIRST_LIMIT = 12.0  # attempts out at a mean backend, all gateways, before anything is known
 SPREAD = 0.7  # standard deviations of room above the mean: a gateway's load comes unevenly
--- a/orchidhill/policy/pace.py
+++ b/hazelspring/admission/policy/pace.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from orchidhill import interface as i
-from orchidhill.interface import Outcome
-from orchidhill.policy.turn import SMOOTH, TICK, Turn
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import Outcome
+from hazelspring.admission.policy.turn import SMOOTH, TICK, Turn
 
 PACE = 400.0  # counter calls to begin with in the time of the shortest aim, by all gateways
 PACE_LEAST = 60.0  # while it answers nothing: enough to see it come back
--- a/orchidhill/policy/quotas.py
+++ b/hazelspring/admission/policy/quotas.py
@@ -6,13 +6,13 @@
 from collections import deque
 from typing import Protocol
 
-from orchidhill import interface as i
-from orchidhill.interface import Outcome
-from orchidhill.policy.pace import Pace
-from orchidhill.policy.records import Job, Lease
-from orchidhill.policy.servers import Servers
-from orchidhill.policy.sizing import step
-from orchidhill.policy.turn import EPS, FORGET, NEWEST, RATE_SPAN, TICK, Turn, mix
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import Outcome
+from hazelspring.admission.policy.pace import Pace
+from hazelspring.admission.policy.records import Job, Lease
+from hazelspring.admission.policy.servers import Servers
+from hazelspring.admission.policy.sizing import step
+from hazelspring.admission.policy.turn import EPS, FORGET, NEWEST, RATE_SPAN, TICK, Turn, mix
 
 IDLE_SHARE = 0.25  # credit idle for this part of its window goes back
 UNASKED = 0.8  # strain from which only what the counter granted is let in
--- a/orchidhill/policy/records.py
+++ b/hazelspring/admission/policy/records.py
@@ -10,8 +10,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from orchidhill import interface as i
-from orchidhill.interface import State
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import State
 
 FIRST_LATENCY = 0.3  # guess before the first answer, where the aims are no shorter
 
--- a/orchidhill/policy/servers.py
+++ b/hazelspring/admission/policy/servers.py
@@ -4,10 +4,20 @@
 
 import math
 
-from orchidhill import interface as i
-from orchidhill.interface import Outcome, State
-from orchidhill.policy.records import FIRST_LATENCY, Backend, Job
-from orchidhill.policy.turn import EJECT, EPS, FORGET, NEWEST, RATE_SPAN, SMOOTH, SUSPECT, TARGET, Turn
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import Outcome, State
+from hazelspring.admission.policy.records import FIRST_LATENCY, Backend, Job
+from hazelspring.admission.policy.turn import (
+    EJECT,
+    EPS,
+    FORGET,
+    NEWEST,
+    RATE_SPAN,
+    SMOOTH,
+    SUSPECT,
+    TARGET,
+    Turn,
+)
 
 FRESH = 1.5  # for which a report counts; older ones say no more than the fleet's mean
 SAMPLES = 2.0  # requests to a mean backend for which a gateway remembers at least that one errs
--- a/orchidhill/policy/turn.py
+++ b/hazelspring/admission/policy/turn.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from orchidhill import interface as i
+from hazelspring.admission import interface as i
 
 # Tuned values: seconds, units or plain ratios.
 TICK = 0.025  # how often held work is looked at
--- a/orchidhill/wire.py
+++ b/hazelspring/admission/wire.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from orchidhill import interface as i
+from hazelspring.admission import interface as i
 
 
 class WireError(ValueError):
--- a/hazelspring/daemon/__main__.py
+++ b/hazelspring/daemon/__main__.py
@@ -17,7 +17,7 @@
 from hazelspring.daemon.node_process import NodeProcess
 from hazelspring.daemon.settings import Settings, SettingsError, UnreadableSettingsError, load_settings
 from hazelspring.daemon.structured_log import log
-from ivymux.periodic import Periodic
+from hazelspring.gateway.periodic import Periodic
 
 MAX_PORT = 65_535
 SETTINGS_CHECK_INTERVAL = 1.0  # seconds between checks of the settings file: it changes seldom
--- a/hazelspring/daemon/client_listener.py
+++ b/hazelspring/daemon/client_listener.py
@@ -9,6 +9,7 @@
 
 import httptools
 
+from hazelspring.admission.interface import Fail, Finished, Left, Outcome
 from hazelspring.configuration.model import Configuration, Route, Tenant
 from hazelspring.daemon.request_head import (
     AUTHORIZATION_HEADER,
@@ -29,15 +30,14 @@
     client_status,
     status_line,
 )
+from hazelspring.gateway.caller import LEAST_ADVICE, MOST_HELD, BadRequest, Client, Exchange, Listener
+from hazelspring.gateway.config import Address
+from hazelspring.gateway.host import Answer, Host, Open
+from hazelspring.gateway.link import Attempt, Flow, Result, Sink
+from hazelspring.gateway.metrics import Counts
 from hazelspring.quota.credits import CounterCall
 from hazelspring.routing.events import AbandonAttempt, LeaseCredits, RejectOverQuota, RequestArrived
 from hazelspring.routing.request_router import RequestRouter
-from ivymux.caller import LEAST_ADVICE, MOST_HELD, BadRequest, Client, Exchange, Listener
-from ivymux.config import Address
-from ivymux.host import Answer, Host, Open
-from ivymux.link import Attempt, Flow, Result, Sink
-from ivymux.metrics import Counts
-from orchidhill.interface import Fail, Finished, Left, Outcome
 
 NOT_READY_RETRY_AFTER = 0.25  # seconds after which to come again where no configuration is known yet
 BEARER_PREFIX = b"bearer "
--- a/hazelspring/daemon/http_api.py
+++ b/hazelspring/daemon/http_api.py
@@ -16,10 +16,10 @@
 from hazelspring.daemon.client_listener import FinalAnswer, encode
 from hazelspring.daemon.operator_calls import OperatorCalls, OrderResult
 from hazelspring.daemon.structured_log import log
-from ivymux.caller import BadRequest, Client, Exchange, Listener
-from ivymux.config import Address
-from ivymux.host import Answer, Open
-from ivymux.metrics import Counts
+from hazelspring.gateway.caller import BadRequest, Client, Exchange, Listener
+from hazelspring.gateway.config import Address
+from hazelspring.gateway.host import Answer, Open
+from hazelspring.gateway.metrics import Counts
 
 MAX_BODY_BYTES = 8 << 20  # bytes of a configuration
 MAX_CONNECTIONS = 128
--- a/hazelspring/daemon/instance_list_client.py
+++ b/hazelspring/daemon/instance_list_client.py
@@ -11,7 +11,7 @@
 import httptools
 
 from hazelspring.errors import HazelspringError
-from ivymux.config import Address
+from hazelspring.gateway.config import Address
 
 PAUSE_PART = 0.25  # of the time for a read: the longest pause between two tries of a page, whatever the rate
 MAX_PAGES = 64  # of one list
--- a/hazelspring/daemon/list_reader.py
+++ b/hazelspring/daemon/list_reader.py
@@ -6,9 +6,9 @@
 
 from hazelspring.daemon.instance_list_client import InstanceListClient, InstanceListError
 from hazelspring.daemon.structured_log import log
+from hazelspring.gateway.config import Address
 from hazelspring.registry.instance_list import parse_instance_list
 from hazelspring.registry.tables import ServerEntry
-from ivymux.config import Address
 
 MAX_LOGGED_IDS = 5  # ids in one line of the log
 
--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -29,6 +29,9 @@
 from hazelspring.daemon.table_log import log_leaving, log_table
 from hazelspring.daemon.unserved_log import UnservedLog
 from hazelspring.daemon.upstream_servers import UpstreamServers
+from hazelspring.gateway.config import Address, parse_address
+from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.periodic import Periodic
 from hazelspring.node.actions import (
     Action,
     ConfigurationChanged,
@@ -50,9 +53,6 @@
 from hazelspring.routing.endpoint_set import EndpointSet
 from hazelspring.routing.events import TimerTick
 from hazelspring.routing.request_router import RequestRouter
-from ivymux.config import Address, parse_address
-from ivymux.metrics import Counts
-from ivymux.periodic import Periodic
 
 TICK_INTERVAL = 0.05  # seconds: an eighth of a heartbeat's, and well under the time for a lease's call
 CALM_TICK_INTERVAL = 0.1  # seconds between ticks of a ready node without a disk: a quarter of a heartbeat's
--- a/hazelspring/daemon/node_shares.py
+++ b/hazelspring/daemon/node_shares.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from hazelspring.configuration.model import Configuration
+from hazelspring.gateway.pool import PER_BACKEND
 from hazelspring.routing.shared_limits import SharedLimits
-from ivymux.pool import PER_BACKEND
 
 MIN_CONNECTIONS = 4  # to one server, however many nodes share it
 
--- a/hazelspring/daemon/settings.py
+++ b/hazelspring/daemon/settings.py
@@ -13,10 +13,10 @@
 
 from hazelspring.configuration.schema import LenientSchema, flatten_errors
 from hazelspring.errors import HazelspringError
+from hazelspring.gateway.config import Address, ConfigError, parse_address
 from hazelspring.node.invariants import InvariantBounds
 from hazelspring.quota.limits import QuotaLimits
 from hazelspring.routing.shared_limits import SharedLimits
-from ivymux.config import Address, ConfigError, parse_address
 
 BYTES_PER_MEGABIT = 125_000
 MS_PER_SECOND = 1000
--- a/hazelspring/daemon/upstream_servers.py
+++ b/hazelspring/daemon/upstream_servers.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from typing import cast
 
+from hazelspring.admission.interface import Outcome
 from hazelspring.errors import HazelspringError
-from ivymux.caller import REASONS
-from ivymux.link import SMALL, Attempt, Flow, Link, Result
-from ivymux.metrics import Counts
-from ivymux.pool import Pool
-from ivymux.upstream import IDLE_PART, Upstream
-from orchidhill.interface import Outcome
+from hazelspring.gateway.caller import REASONS
+from hazelspring.gateway.link import SMALL, Attempt, Flow, Link, Result
+from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.pool import Pool
+from hazelspring.gateway.upstream import IDLE_PART, Upstream
 
 ATTEMPT_ID_HEADER = b"x-hazelspring-attempt-id"
 SERVER_SEAL_HEADER = b"x-hazelspring-server-seal"
--- /dev/null
+++ b/hazelspring/gateway/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP plumbing, and the admission gateway that runs on it."""
--- a/ivymux/__main__.py
+++ b/hazelspring/gateway/__main__.py
@@ -13,10 +13,19 @@
 
 import uvloop
 
-from ivymux.config import Checked, Config, ConfigError, check, load, one_line, parse_address, read
-from ivymux.frontdoor import FrontDoor
-from ivymux.generations import inherit
-from ivymux.metrics import Counts
+from hazelspring.gateway.config import (
+    Checked,
+    Config,
+    ConfigError,
+    check,
+    load,
+    one_line,
+    parse_address,
+    read,
+)
+from hazelspring.gateway.frontdoor import FrontDoor
+from hazelspring.gateway.generations import inherit
+from hazelspring.gateway.metrics import Counts
 
 DIFF_TIMEOUT = 5.0  # seconds for the front door's answer
 
@@ -96,7 +105,7 @@
         case ["diff", path, address]:
             return diff_file(path, address)
         case [_, *_]:
-            print("usage: python -m ivymux [check FILE | diff FILE ADDRESS]", file=sys.stderr)
+            print("usage: python -m hazelspring.gateway [check FILE | diff FILE ADDRESS]", file=sys.stderr)
             return 2
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     counts = Counts()
--- a/ivymux/caller.py
+++ b/hazelspring/gateway/caller.py
@@ -12,12 +12,12 @@
 
 import httptools
 
-from ivymux.config import Address
-from ivymux.host import Answer, Open
-from ivymux.link import READ, SMALL, Flow, Link
-from ivymux.metrics import Counts
-from ivymux.periodic import Periodic
-from ivymux.upstream import STALLED
+from hazelspring.gateway.config import Address
+from hazelspring.gateway.host import Answer, Open
+from hazelspring.gateway.link import READ, SMALL, Flow, Link
+from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.periodic import Periodic
+from hazelspring.gateway.upstream import STALLED
 
 MOST_BODY = 40 << 20  # bytes of a request's body: 32 MB come
 MOST_HEAD = 16 * 1024
--- a/ivymux/config.py
+++ b/hazelspring/gateway/config.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from orchidhill import interface as i
-from orchidhill.wire import Reader, read_settings
+from hazelspring.admission import interface as i
+from hazelspring.admission.wire import Reader, read_settings
 
 MOST_CONFIG = 4 << 20  # bytes of a configuration; a list of backends may be as long as a line of discovery's
 MOST_LISTED = 256  # classes or tariffs
--- a/ivymux/counter.py
+++ b/hazelspring/gateway/counter.py
@@ -13,11 +13,11 @@
 
 import hiredis
 
-from ivymux.config import Address
-from ivymux.discovery import jittered
-from ivymux.metrics import Counts
-from ivymux.periodic import Periodic
-from orchidhill.interface import Count, Counted, Outcome
+from hazelspring.admission.interface import Count, Counted, Outcome
+from hazelspring.gateway.config import Address
+from hazelspring.gateway.discovery import jittered
+from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.periodic import Periodic
 
 LINES = 4  # connections; the counter holds 32 of a front door
 MOST_PENDING = 1000  # calls on one connection that wait for their answers
--- a/ivymux/discovery.py
+++ b/hazelspring/gateway/discovery.py
@@ -14,9 +14,9 @@
 
 import httptools
 
-from ivymux.config import Address, parse_address, plain
-from ivymux.metrics import Counts
-from orchidhill.interface import Entry, Listing, Members, State
+from hazelspring.admission.interface import Entry, Listing, Members, State
+from hazelspring.gateway.config import Address, parse_address, plain
+from hazelspring.gateway.metrics import Counts
 
 MOST_LINE = 4 << 20  # bytes of one line; a longer one ends the watch
 MOST_SEEN = 4096  # names remembered, the longest unheard first to go
--- a/ivymux/frontdoor.py
+++ b/hazelspring/gateway/frontdoor.py
@@ -7,19 +7,19 @@
 import os
 import time
 
-from ivymux.caller import SURPLUS
-from ivymux.config import Config, ConfigError
-from ivymux.counter import Counter
-from ivymux.discovery import Discovery, Names
-from ivymux.generations import Generations, Kept, Step, state_path
-from ivymux.handover import Handover
-from ivymux.host import Host
-from ivymux.management import MOST_CALLERS, Management
-from ivymux.metrics import Counts, Metrics, descriptors
-from ivymux.server import Server
-from ivymux.upstream import Upstream
-from orchidhill.gateway import Gateway
-from orchidhill.interface import Settings
+from hazelspring.admission.gateway import Gateway
+from hazelspring.admission.interface import Settings
+from hazelspring.gateway.caller import SURPLUS
+from hazelspring.gateway.config import Config, ConfigError
+from hazelspring.gateway.counter import Counter
+from hazelspring.gateway.discovery import Discovery, Names
+from hazelspring.gateway.generations import Generations, Kept, Step, state_path
+from hazelspring.gateway.handover import Handover
+from hazelspring.gateway.host import Host
+from hazelspring.gateway.management import MOST_CALLERS, Management
+from hazelspring.gateway.metrics import Counts, Metrics, descriptors
+from hazelspring.gateway.server import Server
+from hazelspring.gateway.upstream import Upstream
 
 COUNTER_WAIT = 0.3  # seconds that the start waits for the counter's connections
 LINGER = 0.6  # seconds after SIGTERM in which new connections go on coming
--- a/ivymux/generations.py
+++ b/hazelspring/gateway/generations.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from ivymux.config import (
+from hazelspring.gateway.config import (
     FIXED,
     MOST_CONFIG,
     Address,
--- a/ivymux/handover.py
+++ b/hazelspring/gateway/handover.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ivymux.periodic import Periodic
-from orchidhill.interface import Attached, Detached, Processes
+from hazelspring.admission.interface import Attached, Detached, Processes
+from hazelspring.gateway.periodic import Periodic
 
 LOOK = 0.05  # seconds between looks at the folder: a ban binds 0.25 s after its call, in both processes
 OUT, BACK = re.compile(r"out-([0-9a-f]{8})"), re.compile(r"back-([0-9a-f]{8})")
--- a/ivymux/host.py
+++ b/hazelspring/gateway/host.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Generic, Protocol, TypeVar
 
-from ivymux.config import Address
-from ivymux.link import Attempt, Body, Flow, Result, Sink
-from ivymux.metrics import Counts
-from ivymux.upstream import Upstream
-from orchidhill import interface as i
-from orchidhill.interface import Outcome, State
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import Outcome, State
+from hazelspring.gateway.config import Address
+from hazelspring.gateway.link import Attempt, Body, Flow, Result, Sink
+from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.upstream import Upstream
 
 if TYPE_CHECKING:
-    from ivymux.counter import Counter
+    from hazelspring.gateway.counter import Counter
 
 ATTEMPT_MARGIN = 0.030  # seconds before the client's deadline at which an attempt is given up
 OUTCOMES = {200: "served", 503: "refused"}  # of requests, by the answer's status; any other: failed
--- a/ivymux/link.py
+++ b/hazelspring/gateway/link.py
@@ -12,8 +12,8 @@
 
 import httptools
 
-from ivymux.metrics import Counts
-from orchidhill.interface import Outcome
+from hazelspring.admission.interface import Outcome
+from hazelspring.gateway.metrics import Counts
 
 SMALL = 64 * 1024  # bytes of a body that are held whole; a larger one is passed on as it comes
 EAGER = 16 * 1024  # bytes after which an answer of unknown length is passed on too
--- a/ivymux/management.py
+++ b/hazelspring/gateway/management.py
@@ -15,11 +15,11 @@
 
 import httptools
 
-from ivymux.config import Address
-from ivymux.discovery import backend_id
-from ivymux.generations import MOST_CONFIRM, Generation, Generations, Refused
-from ivymux.handover import Handover
-from ivymux.metrics import CONTENT_TYPE, Metrics
+from hazelspring.gateway.config import Address
+from hazelspring.gateway.discovery import backend_id
+from hazelspring.gateway.generations import MOST_CONFIRM, Generation, Generations, Refused
+from hazelspring.gateway.handover import Handover
+from hazelspring.gateway.metrics import CONTENT_TYPE, Metrics
 
 MOST_CALLERS = 24  # connections held at once; beyond it the oldest gives way to the newest
 MOST_BYTES = 8 * 1024  # of a call
--- a/ivymux/pool.py
+++ b/hazelspring/gateway/pool.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from ivymux.config import Address
-from ivymux.link import Attempt, Link
-from ivymux.link import Owner as Connected
-from orchidhill.interface import Outcome
+from hazelspring.admission.interface import Outcome
+from hazelspring.gateway.config import Address
+from hazelspring.gateway.link import Attempt, Link
+from hazelspring.gateway.link import Owner as Connected
 
 PER_BACKEND = 128  # connections to one backend
 MOST_CONNECTS = 16  # of these on their way at once: a server that starts must not get them all in one moment
--- a/ivymux/server.py
+++ b/hazelspring/gateway/server.py
@@ -9,12 +9,12 @@
 
 import httptools
 
-from ivymux.caller import HOP_BY_HOP, MOST_HELD, BadRequest, Client, Exchange, Listener
-from ivymux.config import Config
-from ivymux.host import Answer, Host
-from orchidhill import interface as i
-from orchidhill.gateway import Gateway
-from orchidhill.interface import Effect
+from hazelspring.admission import interface as i
+from hazelspring.admission.gateway import Gateway
+from hazelspring.admission.interface import Effect
+from hazelspring.gateway.caller import HOP_BY_HOP, MOST_HELD, BadRequest, Client, Exchange, Listener
+from hazelspring.gateway.config import Config
+from hazelspring.gateway.host import Answer, Host
 
 MOST_TIMEOUT = 600.0  # seconds that a request is held, whatever its client would wait
 FADE = 2.0  # seconds after a reload in which classes are also taken as they were before it
--- a/ivymux/upstream.py
+++ b/hazelspring/gateway/upstream.py
@@ -6,12 +6,12 @@
 import time
 from collections.abc import Callable
 
-from ivymux.config import Address
-from ivymux.link import Attempt, Link, Result
-from ivymux.metrics import Counts
-from ivymux.periodic import Periodic
-from ivymux.pool import PER_BACKEND, Pool
-from orchidhill.interface import Outcome
+from hazelspring.admission.interface import Outcome
+from hazelspring.gateway.config import Address
+from hazelspring.gateway.link import Attempt, Link, Result
+from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.periodic import Periodic
+from hazelspring.gateway.pool import PER_BACKEND, Pool
 
 STALLED = 20.0  # seconds without a byte, or without room for one, that end a body on its way
 IDLE_PART = 0.5  # of the backend's idle time, after which an idle connection is retired here
--- /dev/null
+++ b/hazelspring/lab/__init__.py
@@ -0,0 +1,1 @@
+"""A test lab: gateways, model servers and load on one machine."""
--- a/fleetlab/cli.py
+++ b/hazelspring/lab/cli.py
@@ -21,12 +21,12 @@
 from rich.live import Live
 from rich.table import Table
 
-from fleetlab.day import Day, DayError, load_day, shipped
-from fleetlab.plan import Play
+from hazelspring.lab.day import Day, DayError, load_day, shipped
+from hazelspring.lab.plan import Play
 
 KEPT_BREACHES = 20  # of each rule that are printed
 PLAIN_EVERY = 5.0  # seconds between lines where there is no terminal
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 class Halted(Exception):
@@ -39,7 +39,7 @@
     def __init__(self, day: Day, seed: int, door: tuple[str, ...] = (), root: str = "") -> None:
         told = Play(day.model_dump_json(by_alias=True), seed, secrets.token_hex(16), "", door=door, root=root)
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "fleetlab.stage"], stdin=subprocess.PIPE, stdout=subprocess.PIPE,
+            [sys.executable, "-m", "hazelspring.lab.stage"], stdin=subprocess.PIPE, stdout=subprocess.PIPE,
             cwd=ROOT, start_new_session=True,
         )  # fmt: skip
         assert self.process.stdin is not None and self.process.stdout is not None
@@ -144,8 +144,8 @@
     `door` and `root`: another front door's command and folder; `signals`: whether SIGINT ends it early, which
     only a main thread can have.
     """
-    from fleetlab.figures import figures
-    from fleetlab.rules import Seen, judge
+    from hazelspring.lab.figures import figures
+    from hazelspring.lab.rules import Seen, judge
 
     stage = Stage(day, seed, door, root)
     interrupted = False
@@ -170,7 +170,9 @@
                     breaches = judge(seen)
                     found = figures(seen, breaches, revision())
                     if report is not None:
-                        from fleetlab.report import write as write_report  # 0.5 s that no other play needs
+                        from hazelspring.lab.report import (
+                            write as write_report,  # 0.5 s that no other play needs
+                        )
 
                         click.echo(
                             f"report: {write_report(report, what, seen, found, breaches, Path(said['done']))}"
@@ -320,7 +322,7 @@
     path: Path | None,
 ) -> None:
     """Play DAY with two revisions in turn, on the same seeds, and tell what differs."""
-    from fleetlab.compare import CompareError, build, collect, differences
+    from hazelspring.lab.compare import CompareError, build, collect, differences
 
     try:
         chosen = load_day(day, length_s=length, doors=doors, servers=servers)
--- a/fleetlab/compare.py
+++ b/hazelspring/lab/compare.py
@@ -11,9 +11,9 @@
 
 import numpy as np
 
-from fleetlab.models.chance import stream
+from hazelspring.lab.models.chance import stream
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 KEPT = ROOT / ".lab"  # worktrees and virtual environments, for reuse
 RESAMPLES = 10_000
 SURE = 0.95  # that none of the intervals of a comparison misses its difference
@@ -39,7 +39,9 @@
 
     @property
     def door(self) -> tuple[str, ...]:
-        return (str(self.root / ".venv" / "bin" / "python"), "-m", "ivymux")
+        moved = (self.root / "hazelspring" / "gateway").is_dir()
+        module = "hazelspring.gateway" if moved else "ivymux"  # its name in older revisions
+        return (str(self.root / ".venv" / "bin" / "python"), "-m", module)
 
 
 def build(revision: str) -> Built:
--- a/fleetlab/day.py
+++ b/hazelspring/lab/day.py
@@ -102,7 +102,7 @@
 
 def shipped() -> dict[str, Path]:
     """The days that come along, by name."""
-    folder = Path(str(resources.files("fleetlab") / "days"))
+    folder = Path(str(resources.files("hazelspring.lab") / "days"))
     return {path.stem: path for path in sorted(folder.glob("*.toml"))}
 
 
--- a/fleetlab/figures.py
+++ b/hazelspring/lab/figures.py
@@ -7,8 +7,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-from fleetlab.models.customers import CLASSES
-from fleetlab.rules import RAN, REFUSED, Breach, Seen, let_in
+from hazelspring.lab.models.customers import CLASSES
+from hazelspring.lab.rules import RAN, REFUSED, Breach, Seen, let_in
 
 MOST_LATE = 0.01  # the share of tries that may have left late in a valid run
 WINDOW = 10  # seconds of the worst stretch
--- a/fleetlab/models/customers.py
+++ b/hazelspring/lab/models/customers.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from fleetlab.models.chance import stream, within
+from hazelspring.lab.models.chance import stream, within
 
 CALM_USE = (0.15, 0.5)  # of the rate
 FULL = (0.088, 0.22)  # shares of the customers: those that use nearly all of their quota,
--- a/fleetlab/plan.py
+++ b/hazelspring/lab/plan.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from fleetlab.day import OF_DOORS, OF_SERVERS, Day, Fault
-from fleetlab.models.alertserver import ServerSpec
-from fleetlab.models.chance import stream, within
-from fleetlab.models.customers import CLASSES, Arrivals, draw, tariffs_of
+from hazelspring.lab.day import OF_DOORS, OF_SERVERS, Day, Fault
+from hazelspring.lab.models.alertserver import ServerSpec
+from hazelspring.lab.models.chance import stream, within
+from hazelspring.lab.models.customers import CLASSES, Arrivals, draw, tariffs_of
 
 KINDS = ("full-box", "old-box")
 OLD_SHARE = 0.32
--- a/fleetlab/report.py
+++ b/hazelspring/lab/report.py
@@ -15,9 +15,9 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from fleetlab.figures import in_quota, worth_of
-from fleetlab.models.customers import CLASSES
-from fleetlab.rules import REFUSED, Breach, Seen
+from hazelspring.lab.figures import in_quota, worth_of
+from hazelspring.lab.models.customers import CLASSES
+from hazelspring.lab.rules import REFUSED, Breach, Seen
 
 SHOWN = 50  # breaches on the page
 PAGE = Path(__file__).with_name("report.html")
--- a/fleetlab/rules.py
+++ b/hazelspring/lab/rules.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from fleetlab.day import Day
-from fleetlab.models.alertserver import ServerSpec
-from fleetlab.models.customers import CLASSES, Arrivals
-from fleetlab.plan import (
+from hazelspring.lab.day import Day
+from hazelspring.lab.models.alertserver import ServerSpec
+from hazelspring.lab.models.customers import CLASSES, Arrivals
+from hazelspring.lab.plan import (
     GRACE,
     MEMORY,
     MOST_ATTEMPTS,
@@ -22,7 +22,7 @@
     happenings,
     servers_of,
 )
-from fleetlab.record import Arrival, Note, Rude, Sample, Try, read
+from hazelspring.lab.record import Arrival, Note, Rude, Sample, Try, read
 
 RUDE_TIME = 3.0  # seconds in which a peer that sends no request is owed an error or a close
 CRASH = 0.5  # seconds after a kill in which what breaks is put down to it
--- a/fleetlab/stage.py
+++ b/hazelspring/lab/stage.py
@@ -23,13 +23,13 @@
 
 import msgspec
 
-from fleetlab.models.chance import stream, within
-from fleetlab.models.counter import Counter, CounterSpec
-from fleetlab.models.discovery import Discovery, Health, Host
-from fleetlab.plan import KINDS, Happening, Play, happenings, servers_of, settings_of
-from fleetlab.record import Note, Recorder, Sample
-from fleetlab.stands.child import Told, clock, play, tell
-from fleetlab.stands.hub import AgentStand, CounterStand, Hub
+from hazelspring.lab.models.chance import stream, within
+from hazelspring.lab.models.counter import Counter, CounterSpec
+from hazelspring.lab.models.discovery import Discovery, Health, Host
+from hazelspring.lab.plan import KINDS, Happening, Play, happenings, servers_of, settings_of
+from hazelspring.lab.record import Note, Recorder, Sample
+from hazelspring.lab.stands.child import Told, clock, play, tell
+from hazelspring.lab.stands.hub import AgentStand, CounterStand, Hub
 
 READY = 0.05  # seconds between looks whether a front door is ready
 HEAD_START = 0.5  # seconds between the word to start and the start
@@ -336,8 +336,8 @@
 
     def __init__(self, told: Play) -> None:
         self.told, self.day = told, told.parsed()
-        self.root = Path(__file__).parent.parent
-        self.door_command = told.door or (sys.executable, "-m", "ivymux")
+        self.root = Path(__file__).parent.parent.parent
+        self.door_command = told.door or (sys.executable, "-m", "hazelspring.gateway")
         self.door_root = told.root or str(self.root)
         self.tasks: set[asyncio.Task[None]] = set()
         self.now: Callable[[], float] = clock(time.monotonic() + 1000.0)
@@ -389,8 +389,10 @@
 
     async def prepare(self) -> None:
         """All stand-ins, then all front doors, each ready."""
-        self.hosts = [await self.child("fleetlab.stands.servers", str(n)) for n in range(self.told.hosts)]
-        self.load = await self.child("fleetlab.stands.load")
+        self.hosts = [
+            await self.child("hazelspring.lab.stands.servers", str(n)) for n in range(self.told.hosts)
+        ]
+        self.load = await self.child("hazelspring.lab.stands.load")
         ports: dict[str, list[int]] = {}
         for host in self.hosts:
             ports |= await host.hear("dials")
--- a/fleetlab/stands/child.py
+++ b/hazelspring/lab/stands/child.py
@@ -15,7 +15,7 @@
 import msgspec
 import uvloop
 
-from fleetlab.plan import Play
+from hazelspring.lab.plan import Play
 
 Told = dict[str, Any]
 
--- a/fleetlab/stands/hub.py
+++ b/hazelspring/lab/stands/hub.py
@@ -13,9 +13,9 @@
 import httptools
 import msgspec
 
-from fleetlab.models.counter import Counter
-from fleetlab.models.discovery import Discovery, Host
-from fleetlab.record import Note, Recorder
+from hazelspring.lab.models.counter import Counter
+from hazelspring.lab.models.discovery import Discovery, Host
+from hazelspring.lab.record import Note, Recorder
 
 BEAT = 2.0  # seconds between empty lines of a watch
 LOOK = 0.05  # seconds between looks for what an agent has been sent
--- a/fleetlab/stands/load.py
+++ b/hazelspring/lab/stands/load.py
@@ -13,9 +13,9 @@
 
 import httptools
 
-from fleetlab.models.chance import stream
-from fleetlab.models.customers import CLASSES, again_after, manners_of
-from fleetlab.plan import (
+from hazelspring.lab.models.chance import stream
+from hazelspring.lab.models.customers import CLASSES, again_after, manners_of
+from hazelspring.lab.plan import (
     MOST_WAIT,
     Play,
     arrivals_of,
@@ -24,8 +24,8 @@
     is_answer,
     request_id,
 )
-from fleetlab.record import Recorder, Rude, Try
-from fleetlab.stands.child import Told, clock, play, settle, tell
+from hazelspring.lab.record import Recorder, Rude, Try
+from hazelspring.lab.stands.child import Told, clock, play, settle, tell
 
 OVERTIME = 0.5  # seconds past its time for which an answer still counts as one
 CONNECT = 1.0  # seconds that a connection may take to come up
--- a/fleetlab/stands/servers.py
+++ b/hazelspring/lab/stands/servers.py
@@ -13,11 +13,11 @@
 
 import httptools
 
-from fleetlab.models.alertserver import AlertServer, Rack, ServerSpec, Verdict
-from fleetlab.models.chance import stream
-from fleetlab.models.customers import CLASSES, Arrivals
-from fleetlab.models.network import Network, Trouble
-from fleetlab.plan import (
+from hazelspring.lab.models.alertserver import AlertServer, Rack, ServerSpec, Verdict
+from hazelspring.lab.models.chance import stream
+from hazelspring.lab.models.customers import CLASSES, Arrivals
+from hazelspring.lab.models.network import Network, Trouble
+from hazelspring.lab.plan import (
     Happening,
     Play,
     answer_of,
@@ -27,8 +27,8 @@
     place_of,
     servers_of,
 )  # fmt: skip
-from fleetlab.record import Arrival, Note, Recorder
-from fleetlab.stands.child import Told, clock, play, settle, tell
+from hazelspring.lab.record import Arrival, Note, Recorder
+from hazelspring.lab.stands.child import Told, clock, play, settle, tell
 
 BACKLOG = 512
 BEFORE = 1000.0  # before the start all clocks stand well below 0, and go on
--- a/fleetlab/wrongdoor.py
+++ b/hazelspring/lab/wrongdoor.py
@@ -1,6 +1,6 @@
 """A front door that is wrong on purpose, to prove that a rule bites; it passes requests on, and no more.
 
-`python -m fleetlab.wrongdoor [WRONG]` takes the same environment as a real one.  WRONG names the one rule
+`python -m hazelspring.lab.wrongdoor [WRONG]` takes the same environment as a real one.  WRONG names the one rule
 that it breaks; without it, it breaks none.
 """
 
--- a/hazelspring/quota/credit_lease.py
+++ b/hazelspring/quota/credit_lease.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from orchidhill.policy.sizing import step
+from hazelspring.admission.policy.sizing import step
 
 # Cost of a call to a counter, in requests: one request of a batch waits for a round trip.
 CALL_COST = 0.25
--- a/hazelspring/routing/events.py
+++ b/hazelspring/routing/events.py
@@ -1,7 +1,7 @@
 """Events that the request router handles, and the instructions that it adds to those of the front door's interface.
 
-Request numbers are those of :mod:`orchidhill.interface`, whose ``Finished``, ``Left`` and ``UnderWay`` the router
-handles too, and whose ``Send``, ``Refuse``, ``Fail`` and ``Cancel`` it returns too.
+Request numbers are those of :mod:`hazelspring.admission.interface`, whose ``Finished``, ``Left`` and ``UnderWay``
+the router handles too, and whose ``Send``, ``Refuse``, ``Fail`` and ``Cancel`` it returns too.
 """
 
 from __future__ import annotations
@@ -55,4 +55,4 @@
 
 
 RouterInstruction = RejectOverQuota | LeaseCredits | AbandonAttempt
-"""What the router may instruct beyond the actions of :mod:`orchidhill.interface`."""
+"""What the router may instruct beyond the actions of :mod:`hazelspring.admission.interface`."""
--- a/hazelspring/routing/request_router.py
+++ b/hazelspring/routing/request_router.py
@@ -11,6 +11,18 @@
 from collections.abc import Iterable
 from random import Random
 
+from hazelspring.admission.interface import (
+    Action,
+    Cancel,
+    Fail,
+    Finished,
+    Left,
+    Limits,
+    Outcome,
+    Refuse,
+    Send,
+    UnderWay,
+)
 from hazelspring.configuration.model import Configuration
 from hazelspring.quota.credits import AdmissionVerdict, CounterUnavailable, CreditLeases, CreditsGranted
 from hazelspring.registry.tables import ServerEntry
@@ -28,18 +40,6 @@
 from hazelspring.routing.retry_budget import RetryBudget
 from hazelspring.routing.shared_limits import RouterSettings, SharedLimits
 from hazelspring.routing.unserved_reason import UnservedReason
-from orchidhill.interface import (
-    Action,
-    Cancel,
-    Fail,
-    Finished,
-    Left,
-    Limits,
-    Outcome,
-    Refuse,
-    Send,
-    UnderWay,
-)
 
 REJECTED_RETRY_AFTER = (
     0.25  # seconds after which a request rejected for lack of servers or news may come again
--- a/hazelspring/routing/shared_limits.py
+++ b/hazelspring/routing/shared_limits.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
+from hazelspring.admission.interface import Limits
 from hazelspring.quota.limits import QuotaLimits
-from orchidhill.interface import Limits
 
 
 @dataclass(slots=True)
--- a/ivymux/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""ivymux: an admission gateway and load balancer on real sockets around orchidhill's decisions."""
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -17,6 +17,10 @@
 
 import cbor2
 
+from hazelspring.admission import interface as i
+from hazelspring.admission.gateway import Gateway
+from hazelspring.admission.interface import Outcome
+from hazelspring.admission.wire import parse_settings
 from hazelspring.configuration.model import parse_configuration
 from hazelspring.consensus.proposal import ProposalOutcome
 from hazelspring.node import codec
@@ -45,10 +49,6 @@
 )
 from hazelspring.routing.request_router import RequestRouter
 from hazelspring.routing.shared_limits import SharedLimits
-from orchidhill import interface as i
-from orchidhill.gateway import Gateway
-from orchidhill.interface import Outcome
-from orchidhill.wire import parse_settings
 
 from . import chaos, helpers
 from .chaos_days import draw
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from orchidhill import interface as i
-from orchidhill.gateway import Gateway
-from orchidhill.wire import parse_settings
+from hazelspring.admission import interface as i
+from hazelspring.admission.gateway import Gateway
+from hazelspring.admission.wire import parse_settings
 
 BASE = {
     "me": "0",
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -11,8 +11,8 @@
 
 import uvloop
 
-from ivymux.config import Config, parse
-from ivymux.server import Server
+from hazelspring.gateway.config import Config, parse
+from hazelspring.gateway.server import Server
 
 from .helpers import BASE
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from ivymux import link
-from ivymux.caller import BODY_GRACE, HEAD_TIMEOUT, REPLAY
-from ivymux.link import SMALL
-from ivymux.upstream import STALLED
-from orchidhill import interface as i
-from orchidhill.interface import Outcome
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import Outcome
+from hazelspring.gateway import link
+from hazelspring.gateway.caller import BODY_GRACE, HEAD_TIMEOUT, REPLAY
+from hazelspring.gateway.link import SMALL
+from hazelspring.gateway.upstream import STALLED
 
 from .sockets import Backend, Client, http_answer, listening, read_message, run, until
 from .test_frontdoor import FIRST, front_door, send_on
--- a/tests/test_client_listener_stress.py
+++ b/tests/test_client_listener_stress.py
@@ -17,21 +17,21 @@
 import pytest
 import uvloop
 
+from hazelspring.admission.interface import Outcome
 from hazelspring.configuration.model import parse_configuration
 from hazelspring.daemon import client_listener
 from hazelspring.daemon.client_listener import ClientConnection, ClientListener, RouterHost
 from hazelspring.daemon.upstream_servers import UpstreamConnection, UpstreamServers
+from hazelspring.gateway.caller import Client, Exchange
+from hazelspring.gateway.config import Address, parse_address
+from hazelspring.gateway.link import Link
+from hazelspring.gateway.metrics import Counts
 from hazelspring.quota.credits import CounterCall, CounterUnavailable, CreditsGranted
 from hazelspring.registry.tables import ServerEntry
 from hazelspring.routing.endpoint_set import EndpointSet
 from hazelspring.routing.events import TimerTick
 from hazelspring.routing.request_router import RequestRouter
 from hazelspring.routing.shared_limits import SharedLimits
-from ivymux.caller import Client, Exchange
-from ivymux.config import Address, parse_address
-from ivymux.link import Link
-from ivymux.metrics import Counts
-from orchidhill.interface import Outcome
 
 from .hostile_clients import KEY, TENANT, Crowd
 from .hostile_servers import Hostile
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from ivymux.config import MOST_CONFIG, Address, ConfigError, check, checked, parse, read
-from orchidhill.wire import parse_settings
+from hazelspring.admission.wire import parse_settings
+from hazelspring.gateway.config import MOST_CONFIG, Address, ConfigError, check, checked, parse, read
 
 from .helpers import text
 from .sockets import config_text
@@ -58,7 +58,12 @@
         path.write_text(content)
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")} | {"NODE_CONFIG": str(path)}
     done = subprocess.run(
-        [sys.executable, "-m", "ivymux"], env=env, capture_output=True, text=True, timeout=20, check=False
+        [sys.executable, "-m", "hazelspring.gateway"],
+        env=env,
+        capture_output=True,
+        text=True,
+        timeout=20,
+        check=False,
     )
     assert done.returncode == 2 and not done.stdout
     assert done.stderr.startswith("ivymux: ") and done.stderr.count("\n") == 1
@@ -160,7 +165,7 @@
 def run_check(path: Path) -> subprocess.CompletedProcess[str]:
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
     return subprocess.run(
-        [sys.executable, "-m", "ivymux", "check", str(path)],
+        [sys.executable, "-m", "hazelspring.gateway", "check", str(path)],
         env=env, capture_output=True, text=True, timeout=20, check=False,
     )  # fmt: skip
 
@@ -188,7 +193,7 @@
     path = tmp_path / "config.json"
     path.write_text(config_text([]))
     code = (
-        "import sys, ivymux.__main__ as m\n"
+        "import sys, hazelspring.gateway.__main__ as m\n"
         "sys.addaudithook(lambda e, a: sys.exit(9) if e.startswith('socket.') else None)\n"
         f"sys.exit(m.main(['check', {str(path)!r}]))"
     )
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -19,9 +19,9 @@
 
 import pytest
 
-from ivymux.config import parse
-from ivymux.frontdoor import FrontDoor
-from orchidhill import interface as i
+from hazelspring.admission import interface as i
+from hazelspring.gateway.config import parse
+from hazelspring.gateway.frontdoor import FrontDoor
 
 from .helpers import START, Counter, done, gateway, play, request, sends
 from .sockets import Agent, Backend, Client, Tally, config_text, host_line, listening, run, until
@@ -63,9 +63,9 @@
 
 
 def test_one_request_on_kept_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    from ivymux.host import Host
-    from ivymux.link import Link
-    from ivymux.server import Caller
+    from hazelspring.gateway.host import Host
+    from hazelspring.gateway.link import Link
+    from hazelspring.gateway.server import Caller
 
     async def test() -> None:
         calls = Calls(monkeypatch)  # before the loop keeps the methods of a connection
@@ -128,10 +128,10 @@
             assert made.server.server is not None
             address = made.server.server.sockets[0].getsockname()
             tracemalloc.start()
-            before = python_bytes("ivymux")
+            before = python_bytes("hazelspring/gateway")
             clients = [socket.create_connection(address) for _ in range(100)]
             await until(lambda: len(made.server.clients) == 100)
-            each = (python_bytes("ivymux") - before) / 100
+            each = (python_bytes("hazelspring/gateway") - before) / 100
             tracemalloc.stop()
             assert 200 < each <= 1800
             for client in clients:
@@ -145,14 +145,14 @@
         async with listening(Backend().handle) as dial, upstream(dial) as (made, pool):
             await until(start(made).copy)  # what comes with the first is not counted
             tracemalloc.start()
-            before = python_bytes("ivymux")
+            before = python_bytes("hazelspring/gateway")
             for _ in range(60):
                 held = list(pool.idle)
                 pool.idle.clear()  # as if in use: the next one needs a connection of its own
                 await until(start(made).copy)
                 pool.idle.extend(held)
             assert len(pool.idle) == 61
-            each = (python_bytes("ivymux") - before) / 60
+            each = (python_bytes("hazelspring/gateway") - before) / 60
             tracemalloc.stop()
             assert 200 < each <= 3300
 
@@ -165,7 +165,7 @@
         play(made, counter, START, request(customer, customer=customer))
     gc.collect()
     tracemalloc.start()
-    before = python_bytes("orchidhill")
+    before = python_bytes("hazelspring/admission")
     for customer in range(50, 550):
         actions = play(made, counter, START, request(customer, customer=customer))
         for send in sends(actions):
@@ -173,7 +173,7 @@
         for one in [a for a in actions if isinstance(a, i.Refuse)]:
             assert one.request == customer
     assert len(made.quotas.leases) == 550
-    each = (python_bytes("orchidhill") - before) / 500
+    each = (python_bytes("hazelspring/admission") - before) / 500
     tracemalloc.stop()
     assert 300 < each <= 1500
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from ivymux import counter as counter_module
-from ivymux.config import parse_address
-from ivymux.counter import DEAD_AFTER, LINES, MOST_PENDING, Counter
-from ivymux.metrics import Counts
-from orchidhill.interface import Count, Counted, Outcome
+from hazelspring.admission.interface import Count, Counted, Outcome
+from hazelspring.gateway import counter as counter_module
+from hazelspring.gateway.config import parse_address
+from hazelspring.gateway.counter import DEAD_AFTER, LINES, MOST_PENDING, Counter
+from hazelspring.gateway.metrics import Counts
 
 from .sockets import Tally, listening, run, until
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from ivymux import discovery
-from ivymux.config import Address, parse_address
-from ivymux.discovery import Discovery, Names, backend_id
-from orchidhill.interface import Listing, Members, State
+from hazelspring.admission.interface import Listing, Members, State
+from hazelspring.gateway import discovery
+from hazelspring.gateway.config import Address, parse_address
+from hazelspring.gateway.discovery import Discovery, Names, backend_id
 
 from .sockets import Agent, host_line, listening, run, until
 
--- a/tests/test_frontdoor.py
+++ b/tests/test_frontdoor.py
@@ -12,14 +12,22 @@
 
 import pytest
 
-from ivymux import caller
-from ivymux.caller import HEAD_TIMEOUT, IDLE_TIMEOUT, MOST_BODY, MOST_HEAD, MOST_PIPELINED, SWEEP, encode
-from ivymux.frontdoor import OTHER_SOCKETS, FrontDoor
-from ivymux.host import Answer
-from ivymux.link import SMALL
-from orchidhill import interface as i
-from orchidhill.interface import Outcome
-from orchidhill.policy.turn import mix
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import Outcome
+from hazelspring.admission.policy.turn import mix
+from hazelspring.gateway import caller
+from hazelspring.gateway.caller import (
+    HEAD_TIMEOUT,
+    IDLE_TIMEOUT,
+    MOST_BODY,
+    MOST_HEAD,
+    MOST_PIPELINED,
+    SWEEP,
+    encode,
+)
+from hazelspring.gateway.frontdoor import OTHER_SOCKETS, FrontDoor
+from hazelspring.gateway.host import Answer
+from hazelspring.gateway.link import SMALL
 
 from .sockets import (
     Backend,
@@ -492,7 +500,7 @@
     """A connection is left alone up to its own age and retired past it, at each end of the ages' spread."""
 
     async def test() -> None:
-        monkeypatch.setattr("ivymux.link.random.random", lambda: drawn)
+        monkeypatch.setattr("hazelspring.gateway.link.random.random", lambda: drawn)
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,11 +14,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidhill import interface as i
-from orchidhill.gateway import Gateway
-from orchidhill.policy.records import FIRST_LATENCY, Lease
-from orchidhill.policy.turn import FORGET, TICK, mix
-from orchidhill.wire import parse_settings
+from hazelspring.admission import interface as i
+from hazelspring.admission.gateway import Gateway
+from hazelspring.admission.policy.records import FIRST_LATENCY, Lease
+from hazelspring.admission.policy.turn import FORGET, TICK, mix
+from hazelspring.admission.wire import parse_settings
 
 from .helpers import START, Counter, done, entry, gateway, play, request, sends, text
 
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -20,12 +20,12 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from ivymux import generations as module
-from ivymux.__main__ import main
-from ivymux.config import Address, Config, ConfigError, check, parse
-from ivymux.frontdoor import FrontDoor
-from ivymux.generations import HISTORY, Refused, Step, inherit, read_kept
-from ivymux.management import MOST_CONFIGURATION
+from hazelspring.gateway import generations as module
+from hazelspring.gateway.__main__ import main
+from hazelspring.gateway.config import Address, Config, ConfigError, check, parse
+from hazelspring.gateway.frontdoor import FrontDoor
+from hazelspring.gateway.generations import HISTORY, Refused, Step, inherit, read_kept
+from hazelspring.gateway.management import MOST_CONFIGURATION
 
 from .sockets import (
     Agent,
@@ -360,7 +360,7 @@
         async with door_from(tmp_path / "config.json", monkeypatch, raw_config()) as door:
             desk = door.management
             assert desk is not None
-            monkeypatch.setattr("ivymux.management.MOST_HELD", 300_000)
+            monkeypatch.setattr("hazelspring.gateway.management.MOST_HELD", 300_000)
             held = []
             head = b"PUT /_configuration HTTP/1.1\r\nContent-Length: 200000\r\n\r\n"
             for _ in range(2):
--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -23,6 +23,7 @@
 
 import pytest
 
+from hazelspring.admission.interface import Attached, Detached, Processes
 from hazelspring.configuration.blocks import pack
 from hazelspring.configuration.model import Route, parse_configuration
 from hazelspring.configuration.validation import InvalidConfigurationError, validate_configuration
@@ -40,15 +41,14 @@
 from hazelspring.daemon.operator_calls import OperatorCalls
 from hazelspring.daemon.settings import Settings, SettingsError, load_settings, parse_settings
 from hazelspring.daemon.upstream_servers import UpstreamStream
+from hazelspring.gateway.caller import Client
+from hazelspring.gateway.config import Address
+from hazelspring.gateway.config import parse as parse_front_node
+from hazelspring.gateway.generations import Confirm, Generation, Generations, read_kept
+from hazelspring.gateway.handover import Handover
+from hazelspring.gateway.host import Answer
+from hazelspring.gateway.metrics import Counts
 from hazelspring.registry.tables import ServerEntry, ServiceTable
-from ivymux.caller import Client
-from ivymux.config import Address
-from ivymux.config import parse as parse_front_node
-from ivymux.generations import Confirm, Generation, Generations, read_kept
-from ivymux.handover import Handover
-from ivymux.host import Answer
-from ivymux.metrics import Counts
-from orchidhill.interface import Attached, Detached, Processes
 
 from .test_uploads import PausableTransport, feed
 
--- a/tests/test_ill_servers.py
+++ b/tests/test_ill_servers.py
@@ -16,19 +16,19 @@
 
 import pytest
 
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import Outcome
 from hazelspring.daemon.client_listener import RouterHost
 from hazelspring.daemon.upstream_servers import UpstreamServers
+from hazelspring.gateway.config import parse_address
+from hazelspring.gateway.host import Answer
+from hazelspring.gateway.metrics import Counts
 from hazelspring.localfleet.stand_ins import StandInServer, serve
 from hazelspring.registry.tables import server_tag
 from hazelspring.routing.endpoint_set import EndpointSet
 from hazelspring.routing.events import AbandonAttempt, RequestArrived, TimerTick
 from hazelspring.routing.request_router import RequestRouter
 from hazelspring.routing.shared_limits import SharedLimits
-from ivymux.config import parse_address
-from ivymux.host import Answer
-from ivymux.metrics import Counts
-from orchidhill import interface as i
-from orchidhill.interface import Outcome
 
 from .sockets import listening, run, until
 from .test_request_router import CONFIGURATION, ZONES, servers
--- a/tests/test_instance_list.py
+++ b/tests/test_instance_list.py
@@ -10,9 +10,9 @@
 
 from hazelspring.daemon.instance_list_client import PAUSE_PART, InstanceListClient, InstanceListError
 from hazelspring.daemon.list_reader import ListReader
+from hazelspring.gateway.config import parse_address
 from hazelspring.localfleet.stand_ins import reset_connection
 from hazelspring.registry.instance_list import parse_instance_list
-from ivymux.config import parse_address
 
 from .sockets import listening, run, until
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,18 +13,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fleetlab.compare import RESAMPLES, collect, interval, order
-from fleetlab.day import Day, DayError, load_day, shipped
-from fleetlab.figures import figures
-from fleetlab.models.alertserver import AlertServer, Rack, ServerSpec, Verdict
-from fleetlab.models.chance import stream
-from fleetlab.models.counter import Counter, CounterSpec
-from fleetlab.models.customers import Manners, again_after
-from fleetlab.models.discovery import Discovery, Health, Host
-from fleetlab.models.network import Network, Trouble
-from fleetlab.plan import arrivals_of, happenings, place_of, request_id, servers_of
-from fleetlab.record import Arrival, Note, Recorder, Rude, Sample, Try, read
-from fleetlab.rules import RULES, Seen, judge
+from hazelspring.lab.compare import RESAMPLES, collect, interval, order
+from hazelspring.lab.day import Day, DayError, load_day, shipped
+from hazelspring.lab.figures import figures
+from hazelspring.lab.models.alertserver import AlertServer, Rack, ServerSpec, Verdict
+from hazelspring.lab.models.chance import stream
+from hazelspring.lab.models.counter import Counter, CounterSpec
+from hazelspring.lab.models.customers import Manners, again_after
+from hazelspring.lab.models.discovery import Discovery, Health, Host
+from hazelspring.lab.models.network import Network, Trouble
+from hazelspring.lab.plan import arrivals_of, happenings, place_of, request_id, servers_of
+from hazelspring.lab.record import Arrival, Note, Recorder, Rude, Sample, Try, read
+from hazelspring.lab.rules import RULES, Seen, judge
 
 SPEC = ServerSpec("s", 0, 0, 0, cores=2, slots=4, queue=3, cold_from=0.25, warm_up=10.0, thrash=0.0)
 
--- a/tests/test_lab_play.py
+++ b/tests/test_lab_play.py
@@ -15,11 +15,11 @@
 import pytest
 from click.testing import CliRunner
 
-from fleetlab.cli import main, play
-from fleetlab.day import Day
-from fleetlab.rules import RULES
+from hazelspring.lab.cli import main, play
+from hazelspring.lab.day import Day
+from hazelspring.lab.rules import RULES
 
-COMMAND = (sys.executable, "-m", "fleetlab.cli", "lab")
+COMMAND = (sys.executable, "-m", "hazelspring.lab.cli", "lab")
 SIDE_BY_SIDE = 4
 FAULTS: dict[str, list[dict[str, object]]] = {
     "drained": [{"kind": "drain_servers", "at": 1, "for": 4, "part": 0.5}],
@@ -38,7 +38,7 @@
             state = (path.parent / "stat").read_text().rpartition(")")[2].split()[0]
         except OSError:
             continue
-        if re.search(r"fleetlab\.st|-m ivymux", text) and state != "Z":
+        if re.search(r"hazelspring\.lab\.st|-m hazelspring\.gateway", text) and state != "Z":
             found.add(f"{path.parent.name} {text}")
     return found - since
 
@@ -53,7 +53,7 @@
             "allow": {"beyond_quota": 0.01 if wrong == "quotas" else 1.0},
         }
     )  # fmt: skip
-    door = (sys.executable, "-m", "fleetlab.wrongdoor", wrong)
+    door = (sys.executable, "-m", "hazelspring.lab.wrongdoor", wrong)
     found, breaches = play(day, 1, wrong, door, quiet=True, signals=False)
     assert found["requests"]["served"] > 20
     return {name: len(listed) for name, listed in breaches.items() if listed}
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from ivymux.config import parse
-from ivymux.frontdoor import FrontDoor
-from ivymux.management import CALL_TIMEOUT, MOST_CALLERS
+from hazelspring.gateway.config import parse
+from hazelspring.gateway.frontdoor import FrontDoor
+from hazelspring.gateway.management import CALL_TIMEOUT, MOST_CALLERS
 
 from .sockets import Backend, Client, Message, config_text, host_line, listening, read_message, run, until
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -13,10 +13,10 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from ivymux.__main__ import Steady
-from ivymux.config import parse
-from ivymux.frontdoor import FrontDoor
-from ivymux.metrics import LAGS, MOST_CLASSES, SAMPLE, Counts, Metrics
+from hazelspring.gateway.__main__ import Steady
+from hazelspring.gateway.config import parse
+from hazelspring.gateway.frontdoor import FrontDoor
+from hazelspring.gateway.metrics import LAGS, MOST_CLASSES, SAMPLE, Counts, Metrics
 
 from .sockets import (
     Backend,
@@ -181,7 +181,7 @@
 
 
 def test_a_front_door_that_is_not_scraped_loads_no_library() -> None:
-    code = "import sys, ivymux.__main__; sys.exit('prometheus_client' in sys.modules)"
+    code = "import sys, hazelspring.gateway.__main__; sys.exit('prometheus_client' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], timeout=20, check=False).returncode == 0
 
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from ivymux.config import parse_address
-from ivymux.link import SPREAD, Attempt, Link, Result
-from ivymux.metrics import Counts
-from ivymux.pool import MOST_CONNECTS, Pool
-from ivymux.upstream import Upstream
-from orchidhill.interface import Outcome
+from hazelspring.admission.interface import Outcome
+from hazelspring.gateway.config import parse_address
+from hazelspring.gateway.link import SPREAD, Attempt, Link, Result
+from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.pool import MOST_CONNECTS, Pool
+from hazelspring.gateway.upstream import Upstream
 
 from .sockets import Backend, Message, http_answer, listening, run, until
 
@@ -92,7 +92,7 @@
 ) -> None:
     async def test() -> None:
         draws = iter([0.0, 0.5, 1.0])
-        monkeypatch.setattr("ivymux.link.random.random", lambda: next(draws))
+        monkeypatch.setattr("hazelspring.gateway.link.random.random", lambda: next(draws))
         backend = Backend()
         async with listening(backend.handle) as dial, upstream(dial) as (made, pool):
             links = await three_idle(made, pool)
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -11,15 +11,27 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-POLICY = [ROOT / "orchidhill" / "gateway.py", *sorted((ROOT / "orchidhill" / "policy").glob("*.py"))]
+ADMISSION = ROOT / "hazelspring" / "admission"
+POLICY = [ADMISSION / "gateway.py", *sorted((ADMISSION / "policy").glob("*.py"))]
 
-# Packages outside `hazelspring` that only some of its packages may import, and what of them: a module or a package.
+# Packages that only some of the others may import, whatever the table of docs/architecture.md says.  They import
+# themselves and what SHARED gives them.
+RESTRICTED = {"admission", "gateway", "lab"}
+
+# Who may import the restricted packages, and what of them: a module or a package.
 SHARED = {
-    "ivymux": {"daemon", "localfleet"},
-    "orchidhill.interface": {"routing", "daemon"},
-    "orchidhill.policy.sizing": {"quota"},
+    "hazelspring.gateway": {"daemon", "localfleet"},
+    "hazelspring.admission": {"gateway"},
+    "hazelspring.admission.interface": {"routing", "daemon"},
+    "hazelspring.admission.policy.sizing": {"quota"},
 }
 
+# The extra of pyproject.toml that a package may import from, where it is not `system`.
+EXTRAS = {"admission": None, "gateway": None, "lab": "lab"}
+
+# Dependencies that are imported under another name.
+IMPORT_NAMES = {"hdrhistogram": "hdrh"}
+
 
 def test_the_policy_files_hold_1200_lines_at_most_blank_ones_counted() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -35,13 +47,13 @@
         elif isinstance(node, ast.ImportFrom):
             names.add(node.module or "")
     outside = {n for n in names if n.split(".")[0] not in sys.stdlib_module_names and n != "__future__"}
-    rooms = {f"orchidhill.policy.{path.stem}" for path in POLICY[1:]}
-    assert outside <= {"orchidhill", "orchidhill.interface", *rooms}
+    rooms = {f"hazelspring.admission.policy.{path.stem}" for path in POLICY[1:]}
+    assert outside <= {"hazelspring.admission", "hazelspring.admission.interface", *rooms}
     assert not names & {"time", "datetime", "os", "socket", "threading", "asyncio"}
 
 
 def test_the_readme_example_runs() -> None:
-    from orchidhill import interface as i
+    from hazelspring.admission import interface as i
 
     from .helpers import text
 
@@ -56,18 +68,20 @@
 def test_the_deploy_file_names_the_module() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert deploy["policy"] == [str(path.relative_to(ROOT)) for path in POLICY]
-    assert "orchidhill.benchlink" in deploy["sim"]
+    assert "hazelspring.admission.benchlink" in deploy["sim"]
 
 
 def test_rooms_import_in_one_direction() -> None:
-    """The table in orchidhill/policy/__init__.py lists the rooms so that each asks only those below it."""
+    """The table in hazelspring/admission/policy/__init__.py lists the rooms so that each asks only those below it."""
     order = re.findall(r"^    ([a-z]+)  +\w", POLICY[1].read_text(), re.M)
     assert len(order) == len(set(order)) and {"attempts", "quotas", "turn"} <= set(order)
     assert set(order) == {path.stem for path in POLICY[2:]}
     for at, room in enumerate(order):
         tree = ast.parse((POLICY[1].parent / f"{room}.py").read_text())
         asked = {n.module for n in ast.walk(tree) if isinstance(n, ast.ImportFrom) and n.module}
-        assert {m.split(".")[-1] for m in asked if m.startswith("orchidhill.policy.")} <= set(order[at + 1 :])
+        assert {m.split(".")[-1] for m in asked if m.startswith("hazelspring.admission.policy.")} <= set(
+            order[at + 1 :]
+        )
 
 
 @dataclass(frozen=True)
@@ -122,18 +136,30 @@
 
 
 def is_shared(name: str, package: str) -> bool:
-    """Whether a package may import a name of the shared packages outside `hazelspring`."""
+    """Whether a package may import a name of a restricted package that is not its own."""
     return any(
         package in packages and (name == shared or name.startswith(f"{shared}."))
         for shared, packages in SHARED.items()
     )
 
 
-def declared_dependencies() -> set[str]:
-    """The packages that an installation of the system brings, as they are imported."""
+def declared_dependencies(extra: str | None) -> set[str]:
+    """The packages that an installation brings, with an extra or without any, as they are imported."""
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
-    declared = [*project["dependencies"], *project["optional-dependencies"]["system"]]
-    return {re.split(r"[^\w-]", name)[0].replace("-", "_") for name in declared}
+    declared = [*project["dependencies"], *(project["optional-dependencies"][extra] if extra else ())]
+    names = {re.split(r"[^\w-]", name)[0].replace("-", "_") for name in declared}
+    return {IMPORT_NAMES.get(name, name) for name in names}
+
+
+def is_allowed(name: str, package: str, allowed: set[str], dependencies: set[str]) -> bool:
+    """Whether a package may import a name, which is spelled out from its top package on."""
+    top, _, rest = name.partition(".")
+    if top != "hazelspring":
+        return top in sys.stdlib_module_names | dependencies
+    imported = rest.partition(".")[0]
+    if imported in RESTRICTED and imported != package:
+        return is_shared(name, package)
+    return imported in allowed
 
 
 def test_packages_import_in_one_direction() -> None:
@@ -145,17 +171,21 @@
     for at, package in enumerate(order):
         above = allowed_imports(table, package) - set(order[at + 1 :])
         assert not above, f"docs/architecture.md lets {package} import what is not below it: {above}"
-    outside = sys.stdlib_module_names | declared_dependencies()
+    for package in RESTRICTED:
+        shared = {name.split(".")[1] for name, packages in SHARED.items() if package in packages}
+        assert allowed_imports(table, package) == shared, (
+            f"docs/architecture.md and SHARED differ on {package}"
+        )
     wrong = []
     for path in sorted((ROOT / "hazelspring").rglob("*.py")):
         package, *inner = path.relative_to(ROOT / "hazelspring").parts
-        allowed = {package, "errors", *allowed_imports(table, package)} if inner else set[str]()
+        allowed = set[str]()
+        if inner:
+            allowed = (
+                {package} if package in RESTRICTED else {package, "errors", *allowed_imports(table, package)}
+            )
+        dependencies = declared_dependencies(EXTRAS.get(package, "system"))
         for one in imports_of(path):
-            top, _, rest = one.name.partition(".")
-            if top == "hazelspring":
-                right = rest.partition(".")[0] in allowed
-            else:
-                right = top in outside or is_shared(one.name, package)
-            if not right:
+            if not is_allowed(one.name, package, allowed, dependencies):
                 wrong.append(str(one))
     assert not wrong, "\n".join(wrong)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from ivymux.config import ConfigError, lacking, load, parse
-from ivymux.frontdoor import FrontDoor
-from orchidhill import interface as i
+from hazelspring.admission import interface as i
+from hazelspring.gateway.config import ConfigError, lacking, load, parse
+from hazelspring.gateway.frontdoor import FrontDoor
 
 from .helpers import entry
 from .sockets import Agent, Backend, Client, config_text, host_line, listening, run, until
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -8,6 +8,8 @@
 
 import pytest
 
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import Outcome
 from hazelspring.configuration.model import parse_configuration
 from hazelspring.configuration.validation import InvalidConfigurationError, validate_configuration
 from hazelspring.quota.counter import QuotaCounter
@@ -27,8 +29,6 @@
 from hazelspring.routing.request_router import RequestRouter
 from hazelspring.routing.route_latency import RouteLatency
 from hazelspring.routing.shared_limits import SharedLimits
-from orchidhill import interface as i
-from orchidhill.interface import Outcome
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -29,7 +29,7 @@
     port = free_port()
     env = dict(os.environ) | {"NODE_CONFIG": str(path), "NODE_LISTEN": f"127.0.0.1:{port}"} | changes
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "ivymux", env=env, stderr=asyncio.subprocess.PIPE
+        sys.executable, "-m", "hazelspring.gateway", env=env, stderr=asyncio.subprocess.PIPE
     )
     try:
         while True:
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -11,24 +11,24 @@
 
 import pytest
 
+from hazelspring.admission.interface import Count, Outcome
 from hazelspring.consensus.proposal import ProposalOutcome
 from hazelspring.daemon.__main__ import SettingsWatcher
 from hazelspring.daemon.node_process import NodeProcess
 from hazelspring.daemon.settings import Settings, load_settings
+from hazelspring.gateway.caller import Client, Listener
+from hazelspring.gateway.config import parse_address
+from hazelspring.gateway.counter import LINES, Counter
+from hazelspring.gateway.discovery import Discovery, Names
+from hazelspring.gateway.link import Attempt, Result
+from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.periodic import Periodic
+from hazelspring.gateway.upstream import Upstream
 from hazelspring.localfleet.fleet import LocalFleet, configuration
 from hazelspring.localfleet.stand_ins import StandIns
 from hazelspring.node.actions import TableChanged
 from hazelspring.node.messages import LoadReport
 from hazelspring.storage.replica_store import ReplicaStore
-from ivymux.caller import Client, Listener
-from ivymux.config import parse_address
-from ivymux.counter import LINES, Counter
-from ivymux.discovery import Discovery, Names
-from ivymux.link import Attempt, Result
-from ivymux.metrics import Counts
-from ivymux.periodic import Periodic
-from ivymux.upstream import Upstream
-from orchidhill.interface import Count, Outcome
 
 from .sockets import Backend, Tally, listening, run, until
 
@@ -94,7 +94,7 @@
         look = fail
 
     async def test() -> None:
-        monkeypatch.setattr("ivymux.caller.SWEEP", 0.001)
+        monkeypatch.setattr("hazelspring.gateway.caller.SWEEP", 0.001)
         listener = Listener(parse_address("127.0.0.1:1"), None, cast(Any, Api()), 10)
         good = [Seen() for _ in range(4)]
         listener.clients = cast("set[Client]", {*good, Bad()})
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,8 +12,8 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-from ivymux.handover import Handover
-from orchidhill.interface import Attached, Detached, Processes
+from hazelspring.admission.interface import Attached, Detached, Processes
+from hazelspring.gateway.handover import Handover
 
 from .sockets import Agent, Backend, Message, config_text, host_line, listening, read_message, run, until
 from .test_start import free_port
@@ -62,7 +62,12 @@
         "TMPDIR": str(path.parent),
     }
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "ivymux", env=env, pass_fds=[listener.fileno()], stderr=asyncio.subprocess.PIPE
+        sys.executable,
+        "-m",
+        "hazelspring.gateway",
+        env=env,
+        pass_fds=[listener.fileno()],
+        stderr=asyncio.subprocess.PIPE,
     )
     try:
         started = Program(process, port)
@@ -137,7 +142,7 @@
         for number in ("77", "four"):
             env = dict(os.environ) | {"NODE_CONFIG": str(path), "NODE_PASSED_SOCKET": number}
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "ivymux", env=env, stderr=asyncio.subprocess.PIPE
+                sys.executable, "-m", "hazelspring.gateway", env=env, stderr=asyncio.subprocess.PIPE
             )
             _, text = await process.communicate()
             assert process.returncode == 2 and text.startswith(b"ivymux: ") and text.count(b"\n") == 1
@@ -193,7 +198,7 @@
 
 
 def test_the_configuration_names_what_an_upgrade_shares(tmp_path: Path) -> None:
-    from ivymux.config import Address, parse
+    from hazelspring.gateway.config import Address, parse
 
     raw = json.loads(config_text([])) | {"management": "127.0.0.1:7"}
     config = parse(json.dumps(raw), {"NODE_PASSED_SOCKET": "4", "TMPDIR": str(tmp_path)})
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -12,12 +12,12 @@
 from hazelspring.configuration.model import parse_configuration
 from hazelspring.daemon.client_listener import ClientConnection, ClientListener, RouterHost
 from hazelspring.daemon.upstream_servers import UpstreamConnection, UpstreamServers
+from hazelspring.gateway.config import Address
+from hazelspring.gateway.link import READ, SMALL
+from hazelspring.gateway.metrics import Counts
 from hazelspring.routing.endpoint_set import EndpointSet
 from hazelspring.routing.request_router import RequestRouter
 from hazelspring.routing.shared_limits import SharedLimits
-from ivymux.config import Address
-from ivymux.link import READ, SMALL
-from ivymux.metrics import Counts
 
 from .test_request_router import ZONES, document, servers
 from .test_upstream_servers import Wire
--- a/tests/test_upstream_servers.py
+++ b/tests/test_upstream_servers.py
@@ -10,6 +10,8 @@
 
 import pytest
 
+from hazelspring.admission import interface as i
+from hazelspring.admission.interface import Outcome
 from hazelspring.configuration.model import Route, parse_configuration
 from hazelspring.daemon.client_listener import ClientConnection, ClientListener, RouterHost, encode, flow_head
 from hazelspring.daemon.upstream_servers import (
@@ -19,16 +21,14 @@
     UpstreamServers,
     client_status,
 )
+from hazelspring.gateway.caller import BadRequest, Exchange
+from hazelspring.gateway.config import Address, parse_address
+from hazelspring.gateway.host import Answer
+from hazelspring.gateway.link import READ, SMALL, Flow, Result
+from hazelspring.gateway.metrics import Counts
 from hazelspring.routing.events import RequestArrived
 from hazelspring.routing.request_router import RequestRouter
 from hazelspring.routing.shared_limits import RouterSettings
-from ivymux.caller import BadRequest, Exchange
-from ivymux.config import Address, parse_address
-from ivymux.host import Answer
-from ivymux.link import READ, SMALL, Flow, Result
-from ivymux.metrics import Counts
-from orchidhill import interface as i
-from orchidhill.interface import Outcome
 
 from .sockets import Backend, listening, run, until
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from orchidhill import benchlink, wire
-from orchidhill import interface as i
+from hazelspring.admission import benchlink, wire
+from hazelspring.admission import interface as i
 
 from .helpers import text
 
@@ -132,7 +132,7 @@
 )
 def test_impossible_frames_end_the_adapter_with_one_line(hexed: str) -> None:
     run = subprocess.run(
-        [sys.executable, "-m", "orchidhill.benchlink"],
+        [sys.executable, "-m", "hazelspring.admission.benchlink"],
         input=bytes.fromhex(hexed),
         capture_output=True,
         check=False,
