--- a/hazelspring/leases/__init__.py
+++ b/hazelspring/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases on singleton roles: work that one node does for all."""
+"""Leases on singleton roles, each of which one node at a time performs for the whole fleet."""
--- a/hazelspring/leases/lease_granter.py
+++ b/hazelspring/leases/lease_granter.py
@@ -13,8 +13,9 @@
 class Grant:
     """One granted lease.
 
-    ``expires_at`` is by the granter's steady clock, ``requested_at`` by the holder's, both in seconds.
-    ``requested_at`` is None for a lease that was restored after a restart, until its holder requests it again.
+    ``expires_at`` is on the granter's steady clock and ``requested_at`` on the holder's, both in seconds.
+    ``requested_at`` is None for a lease that was restored after a restart, until its holder requests it
+    again.
     """
 
     holder: NodeIdentity
@@ -23,11 +24,11 @@
 
 
 class LeaseGranter:
-    """Grants each role to one holder at a time, for a term from each request on.
+    """Grants each role to one holder at a time; each request that is granted starts a new term.
 
-    Grants are kept in memory only.  So a restarted granter grants nothing for a term, or until every other member of
-    the core has said on which leases of the earlier incarnation it still relies (see `restore`).  At the core's first
-    start there is nothing to wait for.
+    Grants are kept in memory only.  A restarted granter therefore grants nothing for one term, or until
+    every other member of the core has reported on which leases of the earlier incarnation it still relies
+    (see `restore`).  At the core's first start no earlier leases exist, so it grants at once.
     """
 
     def __init__(self, now: float, first: bool) -> None:
@@ -35,9 +36,9 @@
         self.grants: dict[str, Grant] = {}  # by role
 
     def request(self, now: float, role: str, who: NodeIdentity, requested_at: float) -> bool:
-        """Grant or renew a lease for a term from now on, if no other node has it; return whether it was.
+        """Grant or renew a lease for one term from now unless another node has it; return whether granted.
 
-        `requested_at` is when the request was sent, by the requester's clock.
+        `requested_at` is the time on the requester's clock at which the request was sent.
         """
         if now < self.silent_until:
             return False
@@ -52,9 +53,9 @@
     def withdraw_unrequested(
         self, who: NodeIdentity, requested_roles: Collection[int], requested_at: float
     ) -> None:
-        """End the leases of a holder that its heartbeat no longer requests, as it relies on them no more.
+        """End the leases that a holder's heartbeat no longer requests and so no longer relies on.
 
-        A heartbeat that is late, sent before the lease was last requested, ends none.
+        A delayed heartbeat, which was sent before the lease was last requested, does not end the lease.
         """
         for role, grant in list(self.grants.items()):
             if (
@@ -66,9 +67,9 @@
                 del self.grants[role]
 
     def restore(self, now: float, relied_on: Mapping[NodeIdentity, Collection[int]]) -> None:
-        """Grant again, after a restart, what the other members still rely on, and begin to grant.
+        """After a restart, restore the leases that the other members still rely on, and start granting.
 
-        `relied_on` holds the answers of all other members of the core, by holder.
+        `relied_on` maps each other member of the core to the roles whose leases it still relies on.
         """
         if now >= self.silent_until:
             return
@@ -78,11 +79,11 @@
                 self.grants[str(role)] = Grant(who, now + LEASE_TERM)
 
     def release(self, role: str, who: NodeIdentity) -> None:
-        """End a lease that its holder has given up; nothing where another node holds it."""
+        """End a lease that its holder has released; do nothing if another node holds it."""
         grant = self.grants.get(role)
         if grant is not None and grant.holder == who:
             del self.grants[role]
 
     def holders(self, now: float) -> dict[str, str]:
-        """Return the address of each role's holder, as far as this member granted the lease."""
+        """Return the holder's address by role, for the unexpired leases that this member granted."""
         return {role: grant.holder.address for role, grant in self.grants.items() if now < grant.expires_at}
--- a/hazelspring/leases/member_changes.py
+++ b/hazelspring/leases/member_changes.py
@@ -1,4 +1,4 @@
-"""From when on requests for leases count after the core's members have changed."""
+"""Decides which lease requests remain valid after the members of the core have changed."""
 
 from __future__ import annotations
 
@@ -8,31 +8,32 @@
 
 
 class MemberChanges:
-    """Sees to it that a majority of the members before and one of those after a change have a member in common.
+    """Ensures that every majority of the core before a change shares a member with every majority after it.
 
-    A new member grants nothing for a term.  So a holder and its successor both rely, within the time that a holder
-    relies on a grant, on members of the first of all cores of that time.  Their majorities have a member in common
-    unless the core has shrunk too far since.  Then, or where the change before is not known, requests do not count
-    until that time has passed.
+    A new member grants nothing for one term.  Within the time for which a holder relies on a grant
+    (RELIED_ON_TIME), a holder and its successor therefore both rely on members of the earliest core of that
+    period.  Their majorities share a member unless the core has shrunk too far since.  If it has, or if the
+    preceding change is not known here, requests are invalid until that time has passed.
 
-    At the core's first start new members grant at once, so a second change within that time is always waited out.
+    At the core's first start new members grant at once, so after a second change within that time requests
+    are always invalid until the time has passed.
     """
 
     def __init__(self, now: float, first_start: bool) -> None:
-        self.valid_from = NEVER  # requests sent before this do not count
+        self.valid_from = NEVER  # seconds on the steady clock; requests sent before this are invalid
         self._first_start = first_start
         self._changed_at = now
-        self._largest_core = 0  # members of the first of the cores of late; 0: no change was seen
+        self._largest_core = 0  # size of the earliest recent core; 0 before any change was recorded
 
     def record(self, now: float, follows: bool, before: int, members: int) -> bool:
-        """Note a change; return whether requests sent before `valid_from`, which then is set, do not count.
+        """Record a change; return whether it set `valid_from`, which invalidates earlier requests.
 
-        `before` and `members` are the numbers of members before and after it.  `follows`: it is one change away from
-        the members that were known here.
+        `before` and `members` are the numbers of members before and after the change.  `follows` says
+        whether the new members are exactly one change away from those that were known here.
         """
         recent = now - self._changed_at < RELIED_ON_TIME
         if recent:
-            # a restart may hide one more change: of a core that was larger by one
+            # a restart may have hidden one more change, from a core that was larger by one
             self._largest_core = max(self._largest_core or before + 1, before)
         else:
             self._largest_core = before
--- a/hazelspring/leases/role_lease.py
+++ b/hazelspring/leases/role_lease.py
@@ -1,4 +1,4 @@
-"""The lease on one role as its candidate or holder sees it."""
+"""The lease on one role, from the point of view of its candidate or holder."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from hazelspring.membership.node_info import NodeIdentity
 from hazelspring.membership.timeouts import LEASE_TERM
 
-RELIED_ON_PART = 0.9  # fraction of the term that a holder relies on: steady clocks may differ in speed
-RELIED_ON_TIME = LEASE_TERM * RELIED_ON_PART  # seconds from the request on
-CLOCK_MARGIN = (
-    0.1  # seconds less than that, for what lies between a look at the clock and the act under the lease
-)
+# fraction of the term for which a holder relies on a grant, as steady clocks may differ in speed
+RELIED_ON_FRACTION = 0.9
+RELIED_ON_TIME = LEASE_TERM * RELIED_ON_FRACTION  # seconds, counted from the request
+# seconds subtracted from that, for the delay between reading the clock and acting under the lease
+CLOCK_MARGIN = 0.1
 
 
 class ReceivedGrant(NamedTuple):
-    """One member's grant: when it was requested, by the candidate's clock, and by which incarnation it was given."""
+    """A member's grant: when it was requested, on the candidate's clock, and which incarnation granted it."""
 
     requested_at: float
     incarnation: int
@@ -26,28 +26,28 @@
 
 @dataclass(slots=True)
 class RoleLease:
-    """The grants of one role that this candidate has received.
+    """The grants that this node has received for one role.
 
-    ``requested_since`` is since when every heartbeat has requested the role, None where the last one did not.
-    ``grants`` holds the latest grant of each member, by address.
+    ``requested_since`` is the time since which every heartbeat has requested the role; None if the last one
+    did not.  ``grants`` holds the latest grant from each member, by address.
     """
 
     requested_since: float | None = None
     grants: dict[str, ReceivedGrant] = field(default_factory=dict)
 
     def give_up(self) -> None:
-        """Rely on no grant any more, and request none."""
+        """Discard all grants and stop requesting the role."""
         self.requested_since = None
         self.grants.clear()
 
     def invalidate_before(self, valid_from: float) -> None:
-        """Rely on no grant received so far, nor on one that is requested before `valid_from`."""
+        """Discard all grants received so far, and ignore any that were requested before `valid_from`."""
         self.grants.clear()
         if self.requested_since is not None:
             self.requested_since = max(self.requested_since, valid_from)
 
     def add_grant(self, ip: str, grant: ReceivedGrant) -> None:
-        """Note a member's grant, unless it was requested before this node last began to request the role."""
+        """Record a member's grant, unless it was requested before the role's current `requested_since`."""
         if self.requested_since is not None and grant.requested_at >= self.requested_since:
             self.grants[ip] = grant
 
@@ -59,9 +59,9 @@
         return now < grant.requested_at + LEASE_TERM
 
     def expires_at(self, core: Collection[str]) -> float:
-        """Return until when the holder may rely on the grants of a majority of the core; 0 where there is none.
+        """Return the time until which a majority of the core's grants may be relied on; 0 without a majority.
 
-        The term counts from the request on, which was before the granter's clock began to count.
+        The term is counted from the request, which was sent before the granter started to count it.
         """
         times = sorted((grant.requested_at for ip, grant in self.grants.items() if ip in core), reverse=True)
         needed = majority(len(core))
