--- a/hazelspring/leases/role_lease.py
+++ b/hazelspring/leases/role_lease.py
@@ -18,7 +18,7 @@
 
 
 class ReceivedGrant(NamedTuple):
-    """A member's grant: when it was requested, on the candidate's clock, and which incarnation granted it."""
+    """A member's grant: when it was requested, by the candidate's clock, and which incarnation gave it."""
 
     requested_at: float
     incarnation: int
@@ -59,7 +59,7 @@
         return now < grant.requested_at + LEASE_TERM
 
     def expires_at(self, core: Collection[str]) -> float:
-        """Return the time until which a majority of the core's grants may be relied on; 0 without a majority.
+        """Return the time until which a majority of the core has granted the role; 0 without a majority.
 
         The term is counted from the request, which was sent before the granter started to count it.
         """
--- a/hazelspring/leases/singleton_roles.py
+++ b/hazelspring/leases/singleton_roles.py
@@ -12,7 +12,7 @@
 from hazelspring.membership.peer_table import PeerTable
 from hazelspring.membership.rendezvous import owner
 
-# seconds for which a node declines a role that it could not perform: about ten times an attempt
+# seconds for which a node declines a role that it could not perform: about ten times as long as an attempt
 DECLINE_TIME = 10.0
 # The rendezvous hashing key of a role.  The text must never change: all nodes must choose the same
 # candidate, including those that run another version of the program during an upgrade.
--- a/hazelspring/membership/__init__.py
+++ b/hazelspring/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes there are: peers and their incarnations, the roster, rendezvous hashing."""
+"""Cluster membership: peers and their incarnations, the roster of nodes, and rendezvous hashing."""
--- a/hazelspring/membership/core_nodes.py
+++ b/hazelspring/membership/core_nodes.py
@@ -1,4 +1,4 @@
-"""Which nodes form the core: those that were met until its members are agreed on, then the members."""
+"""The nodes of the core: the agreed members, or until there are any, all discovered nodes with a disk."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class CoreNodes:
-    """The core as one node knows it.
+    """One node's view of the core.
 
-    Before the members are agreed on, every node with a disk that was met is asked who the members are.
+    Before the members are agreed on, this node asks every discovered node with a disk who the members are.
     """
 
     def __init__(self, me: NodeInfo, now: float) -> None:
         self.me = me
-        # by address; replaced as a whole when the members change
+        # by address; a new mapping replaces it when the members change
         self.nodes: dict[str, NodeInfo] = {me.ip: me} if me.disk_id else {}
-        self.agreed = False  # the members are agreed on, rather than met by chance
+        self.agreed = False  # whether `nodes` are the agreed members, rather than discovered nodes
         self.members: tuple[Member, ...] = ()
-        self.last_joined_at = now  # when a node that was not known was last met
-        # both are computed when asked for and dropped when the core changes
+        self.last_joined_at = now  # when a previously unknown node was last discovered
+        # caches, computed on first use and dropped when the core changes
         self._nearest_others: list[str] | None = None
         self._checksum: int | None = None
 
     def observe(self, now: float, info: NodeInfo) -> None:
-        """Note a node that was named; nodes outside the agreed core and those without a disk are passed over."""
+        """Record a discovered node; nodes outside the agreed core and nodes without a disk are ignored."""
         known = self.nodes.get(info.ip)
         if not info.disk_id or (known is None and self.agreed):
             return
@@ -38,9 +38,9 @@
             self.last_joined_at = now
 
     def set_members(self, members: tuple[Member, ...], find_info: Callable[[str], NodeInfo | None]) -> None:
-        """Take the agreed members; `find_info` returns what is known of the node at an address.
+        """Set the agreed members; `find_info` returns the known information about the node at an address.
 
-        The incarnation of a member that was never met is 0 until it is.
+        The incarnation of a member that was never discovered is 0 until the member is discovered.
         """
         self.agreed, self.members = True, members
         nodes = {}
@@ -54,7 +54,7 @@
         self._nearest_others = self._checksum = None
 
     def checksum(self) -> int:
-        """Return what two nodes compare to see whether they know the same core."""
+        """Return a checksum by which two nodes detect whether they know the same core."""
         if self._checksum is None:
             members = self.members or self.known_disk_nodes()
             text = " ".join(f"{member.ip}/{member.disk_id}" for member in members)
@@ -62,7 +62,7 @@
         return self._checksum
 
     def known_disk_nodes(self) -> list[Member]:
-        """Return the nodes with a disk that were met, in an order that all nodes share."""
+        """Return the discovered nodes with a disk, sorted in an order that is the same on every node."""
         return sorted(
             Member(info.ip, info.zone, info.region, info.disk_id)
             for info in self.nodes.values()
@@ -70,13 +70,13 @@
         )
 
     def is_member(self, ip: str, disk_id: int) -> bool:
-        """Return whether the disk at an address is a member's; of anyone while no members are agreed on."""
+        """Return whether the disk at an address is a member's; always true before members are agreed on."""
         if not self.agreed:
             return True
         return any(member.ip == ip and member.disk_id == disk_id for member in self.members)
 
     def others(self) -> list[str]:
-        """Return the core without this node, the nearest first; the list is replaced and never changed."""
+        """Return the core without this node, nearest first; the list is replaced, never modified."""
         if self._nearest_others is None:
             self._nearest_others = self.nearest_first(
                 info for ip, info in self.nodes.items() if ip != self.me.ip
@@ -84,7 +84,7 @@
         return self._nearest_others
 
     def nearest_first(self, infos: Iterable[NodeInfo]) -> list[str]:
-        """Return the addresses of nodes: those of this node's zone, then of its region, then the others."""
+        """Return the addresses of nodes: those in this node's zone, then in its region, then the others."""
         me = self.me
         distances = {info.ip: (info.zone != me.zone) + (info.region != me.region) for info in infos}
         return sorted(distances, key=lambda ip: (distances[ip], ip))
--- a/hazelspring/membership/node_info.py
+++ b/hazelspring/membership/node_info.py
@@ -1,4 +1,4 @@
-"""Who a node is: its address, its place, its disk, and which run of the process it is."""
+"""The identity of a node: its address, zone, region, disk, and the incarnation of its process."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class NodeIdentity(NamedTuple):
-    """One run of a node's process: the holder of leases, which do not outlive the process."""
+    """One run of a node's process.  Leases are granted to it, so that they do not outlive the process."""
 
     address: str
     incarnation: int
@@ -16,10 +16,10 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeInfo:
-    """What a node says of itself.
+    """What a node reports about itself.
 
-    ``disk_id`` is the number of its disk, 0 where it has none.  ``incarnation`` is drawn anew at each start of the
-    process; a later one is larger.
+    ``disk_id`` is the number of its disk, or 0 if it has none.  ``incarnation`` is chosen anew at each start
+    of the process, and a later one is larger.
     """
 
     ip: str
@@ -29,12 +29,12 @@
     incarnation: int
 
     def encode(self) -> list[Any]:
-        """Return the columns as they go to other nodes: address, zone, region, disk, incarnation."""
+        """Return the columns as they are sent to other nodes: address, zone, region, disk, incarnation."""
         return [self.ip, self.zone, self.region, self.disk_id, self.incarnation]
 
     @classmethod
     def decode(cls, row: Sequence[Any]) -> NodeInfo:
-        """Return what `encode` has encoded; TypeError where there are more or fewer columns."""
+        """Return the node info that `encode` encoded; raise TypeError if the number of columns is wrong."""
         return cls(*row)
 
     def identity(self) -> NodeIdentity:
--- a/hazelspring/membership/peer_table.py
+++ b/hazelspring/membership/peer_table.py
@@ -1,4 +1,4 @@
-"""What one node knows of the others: which answer, what each reported, the core, and the roster."""
+"""What one node knows about the others: which are alive, what each reported, the core, and the roster."""
 
 from __future__ import annotations
 
@@ -21,28 +21,31 @@
         self.me = me
         self.peers: dict[str, Peer] = {}  # by address
         self.roster_table = Roster()  # as last received or made
-        # the most nodes that a roster ever had, here or at a node that reported it: nodes share evenly by it
+        # the largest size of the roster so far, here or as reported by any node; by it nodes compute even
+        # shares
         self.max_node_count = 0
-        # until when the roster is known to be that of a member of the core, in seconds; at first the node's start
+        # until this time (seconds) the roster is known to match that of a core member; initially the node's
+        # start
         self.roster_confirmed_at = now
         self._core = CoreNodes(me, now)
         self._roster_builder = RosterBuilder(me, self.roster_table)
 
     def peer(self, info: NodeInfo) -> Peer:
-        """Return what is known of a node, made anew for a node or an incarnation that was not known."""
+        """Return the record of a node, creating a new one for an unknown node or incarnation."""
         found = self.peers.get(info.ip)
         if found is None:
             found = self.peers[info.ip] = Peer(info)
         elif found.info != info:
-            if found.info.incarnation != info.incarnation:  # what the earlier one reported holds no more
+            if found.info.incarnation != info.incarnation:  # the earlier one's reports are obsolete
                 found = self.peers[info.ip] = Peer(info, heartbeat_sent_at=found.heartbeat_sent_at)
             found.info = info
         return found
 
     def is_stale(self, now: float, info: NodeInfo) -> bool:
-        """Return whether a message is of an earlier incarnation and was late on its way.
+        """Return whether a message is a delayed one from an earlier incarnation.
 
-        A node whose clock was set back is believed once its last incarnation was silent for a lease's term.
+        A node whose clock was set back starts with a lower incarnation.  Its messages are accepted once no
+        message from the previous incarnation has arrived for LEASE_TERM.
         """
         known = self.peers.get(info.ip)
         return (
@@ -52,38 +55,39 @@
         )
 
     def last_heard_at(self, ip: str) -> float:
-        """Return when a node was last heard; NEVER where it was not."""
+        """Return when the last message from a node arrived; NEVER if none did."""
         peer = self.peers.get(ip)
         return peer.heard_at if peer is not None else NEVER
 
     def is_alive(self, now: float, ip: str) -> bool:
-        """Return whether a node was heard lately; this node always is."""
+        """Return whether a message from a node arrived within ALIVE_TIMEOUT; this node is always alive."""
         peer = self.peers.get(ip)
         return ip == self.me.ip or (peer is not None and now - peer.heard_at < ALIVE_TIMEOUT)
 
     def alive_or_all(self, now: float, ips: list[str]) -> list[str]:
-        """Return those of some nodes that were heard lately, in their order; all of them where none was."""
+        """Return the nodes of `ips` that are alive, in the same order, or all of them if none is alive."""
         return [ip for ip in ips if self.is_alive(now, ip)] or ips
 
     def is_member_alive(self, now: float, member: Member) -> bool:
-        """Return whether a member has answered lately from the disk that is the member's."""
+        """Return whether a message arrived within ALIVE_TIMEOUT from a member running on its own disk."""
         return self.peer_of(member) is not None and now - self.last_heard_at(member.ip) < ALIVE_TIMEOUT
 
     def is_leaving(self, ip: str) -> bool:
-        """Return whether another node has said that it is leaving."""
+        """Return whether another node has announced that it is leaving."""
         peer = self.peers.get(ip)
         return peer is not None and peer.leaving
 
     def peer_of(self, member: Member) -> Peer | None:
-        """Return the other node that was heard from a member's disk.
+        """Return the record of the other node that runs on a member's disk, or None if there is none.
 
-        The members that the core was founded with have no disk number (0): whoever answers there is the member.
+        The members with which the core was founded have no disk number (0), so any node at their address is
+        accepted as the member.
         """
         peer = self.peers.get(member.ip)
         return peer if peer is not None and member.disk_id in (0, peer.info.disk_id) else None
 
     def known_infos(self, ip: str) -> list[NodeInfo]:
-        """Return all that is known of who is at an address."""
+        """Return every known record of the node at an address: from the core, the roster and the peers."""
         entry = self._roster_builder.entries.get(ip)
         peer = self.peers.get(ip)
         found = [
@@ -94,7 +98,7 @@
         return [info for info in found if info is not None]
 
     def _latest_info(self, ip: str) -> NodeInfo | None:
-        """Return who is at an address by the best source there is."""
+        """Return the info of the node at an address from the most reliable source, or None if unknown."""
         peer = self.peers.get(ip)
         if peer is not None:
             return peer.info
@@ -102,10 +106,10 @@
         return self._core.nodes.get(ip) or (entry.info if entry is not None else None)
 
     def confirmation_times(self, members: Iterable[Member], version: int) -> list[float]:
-        """Return, of each other member, until when it has confirmed that no version above `version` was known to it.
+        """Return the times until which the other members have confirmed to know no version above `version`.
 
-        That is when the latest heartbeat was sent whose answer named no later version.  A member that names a later
-        one now still spoke for the time before.
+        Each is the time at which the latest heartbeat was sent whose reply named no later version.  If a
+        member names a later version now, its earlier confirmation remains valid.
         """
         times = []
         for member in members:
@@ -117,7 +121,7 @@
         return times
 
     def nodes_above_version(self, version: int) -> list[str]:
-        """Return the nodes that reported a later control state in force, the nearest first."""
+        """Return the nodes that reported a control state in force above `version`, nearest first."""
         return self.nearest_first(
             peer.info
             for peer in self.peers.values()
@@ -126,103 +130,104 @@
 
     @property
     def core_nodes(self) -> dict[str, NodeInfo]:
-        """The core by address, this node included where it belongs to it."""
+        """The nodes of the core by address, including this node if it belongs to the core."""
         return self._core.nodes
 
     @property
     def core_agreed(self) -> bool:
-        """Whether the members of the core are agreed on, rather than met by chance."""
+        """Whether the core consists of agreed members, rather than of discovered nodes."""
         return self._core.agreed
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The agreed members; none before they are agreed on."""
+        """The agreed members; empty before they are agreed on."""
         return self._core.members
 
     @property
     def last_joined_at(self) -> float:
-        """When a node of the core that was not known was last met."""
+        """When a previously unknown node of the core was last discovered."""
         return self._core.last_joined_at
 
     def observe(self, now: float, info: NodeInfo) -> None:
-        """Note a node that was named, which may belong to the core."""
+        """Record a discovered node, which may belong to the core."""
         self._core.observe(now, info)
 
     def set_members(self, members: tuple[Member, ...]) -> None:
-        """Take the agreed members of the core."""
+        """Set the agreed members of the core."""
         self._core.set_members(members, self._latest_info)
 
     def core_checksum(self) -> int:
-        """Return what two nodes compare to see whether they know the same core."""
+        """Return a checksum by which two nodes detect whether they know the same core."""
         return self._core.checksum()
 
     def known_disk_nodes(self) -> list[Member]:
-        """Return the nodes with a disk that were met, in an order that all nodes share."""
+        """Return the discovered nodes with a disk, sorted in an order that is the same on every node."""
         return self._core.known_disk_nodes()
 
     def holds_membership(self, ip: str) -> bool:
-        """Return whether the disk that is at an address now is a member's."""
+        """Return whether the disk that is currently at an address is a member's."""
         if ip == self.me.ip:
             return self._core.is_member(ip, self.me.disk_id)
         peer = self.peers.get(ip)
         return self._core.is_member(ip, peer.info.disk_id if peer is not None else 0)
 
     def other_core_nodes(self) -> list[str]:
-        """Return the core without this node, the nearest first; the list is replaced and never changed."""
+        """Return the core without this node, nearest first; the list is replaced, never modified."""
         return self._core.others()
 
     def other_core_nodes_where(self, accepts: Callable[[Peer], bool]) -> list[str]:
-        """Return the other nodes of the core that were heard and that `accepts` holds for, the nearest first."""
+        """Return the other core nodes with a peer record for which `accepts` returns true, nearest first."""
         return [ip for ip in self.other_core_nodes() if ip in self.peers and accepts(self.peers[ip])]
 
     def nearest_first(self, infos: Iterable[NodeInfo]) -> list[str]:
-        """Return the addresses of nodes: those of this node's zone, then of its region, then the others."""
+        """Return the addresses of nodes: those in this node's zone, then in its region, then the others."""
         return self._core.nearest_first(infos)
 
     @property
     def roster_rows(self) -> list[RosterRow]:
-        """The rows of all nodes there are; the list is replaced and never changed."""
+        """The rows of all known nodes; the list is replaced, never modified."""
         return self.roster_table.rows
 
     @property
     def roster_checksum(self) -> int:
-        """The checksum of the roster; 0 where it holds nothing that can be relied on."""
+        """The checksum of the roster; 0 if the roster is empty or its rows are unreliable."""
         return self.roster_table.checksum
 
     def record_heartbeat(self, now: float, info: NodeInfo, ready: bool) -> None:
-        """Note a heartbeat, for the roster that is made here."""
+        """Record a heartbeat, for the roster that this node builds."""
         self._roster_builder.record_heartbeat(now, info, ready)
 
     def update_roster(self, now: float) -> None:
-        """Bring the roster in line with the heartbeats that came here lately."""
+        """Update the roster from the heartbeats that this node has received."""
         self.roster_confirmed_at = now
         if self._roster_builder.update(now):
             self._note_node_count()
 
     def replace_roster(self, rows: list[RosterRow]) -> None:
-        """Take the whole roster, as a member of the core sent it."""
+        """Replace the roster with a full one that a member of the core sent."""
         self.roster_table.replace(rows)
-        self._roster_builder.disown_roster()
+        self._roster_builder.mark_roster_received()
         self._note_node_count()
 
     def apply_roster_change(self, change: list[Any]) -> None:
-        """Take a change of the roster, encoded as a `RosterChange`, as a member of the core sent it."""
+        """Apply a change of the roster, an encoded `RosterChange`, that a member of the core sent."""
         self.roster_table.apply_change(change)
-        self._roster_builder.disown_roster()
+        self._roster_builder.mark_roster_received()
         self._note_node_count()
 
     def _note_node_count(self) -> None:
         self.max_node_count = max(self.max_node_count, len(self.roster_table.rows))
 
     def ready_nodes(self, zone: str | None = None, region: str | None = None) -> list[str]:
-        """Return the addresses of ready nodes, of a zone or of a region where one is named."""
+        """Return the addresses of the ready nodes, limited to a zone or a region if one is given."""
         return self.roster_table.ready_nodes(zone, region)
 
     def nodes_for_clients(self, region: str) -> list[str]:
-        """Return the nodes that a client may be sent to.
+        """Return the nodes to which a client may be sent.
 
-        They are those of its region, so that it still has some when its zone is lost and with it the nodes that it
-        would ask again; all nodes where fewer than two are ready there.
+        These are the ready nodes of its region, not only of its zone: if the zone fails, and with it the
+        nodes that the client would request this list from again, the client still has other nodes.  If fewer
+        than two nodes are ready in the region, the ready nodes of all regions are returned.
         """
         found = self.ready_nodes(region=region)
         return found if len(found) > 1 else self.ready_nodes()
--- a/hazelspring/membership/rendezvous.py
+++ b/hazelspring/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: everyone who knows the same names gives each thing the same owner."""
+"""Rendezvous hashing: all nodes that know the same names assign each item to the same owner."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 WEIGHT_BYTES = 8
 
 
-def weight(thing: str, name: str) -> bytes:
-    """Return the weight of a name for a thing, the same on every node; the heaviest name is the owner."""
-    return hashlib.blake2b(f"{thing}\0{name}".encode(), digest_size=WEIGHT_BYTES).digest()
+def weight(item: str, name: str) -> bytes:
+    """Return the weight of a name for an item, the same on every node; the greatest weight wins."""
+    return hashlib.blake2b(f"{item}\0{name}".encode(), digest_size=WEIGHT_BYTES).digest()
 
 
-def owner(thing: str, names: Iterable[str]) -> str | None:
-    """Return the name that a thing belongs to; None where there are no names."""
-    return max(names, key=lambda name: weight(thing, name), default=None)
+def owner(item: str, names: Iterable[str]) -> str | None:
+    """Return the name that owns an item, or None if there are no names."""
+    return max(names, key=lambda name: weight(item, name), default=None)
 
 
-def shard(thing: str, shards: int) -> int:
-    """Return the number of the shard, below `shards`, that a thing belongs to."""
-    return int.from_bytes(weight(thing, ""), "big") % max(1, shards)
+def shard(item: str, shards: int) -> int:
+    """Return the number of the shard, from 0 to `shards` - 1, to which an item belongs."""
+    return int.from_bytes(weight(item, ""), "big") % max(1, shards)
--- a/hazelspring/membership/roster.py
+++ b/hazelspring/membership/roster.py
@@ -1,4 +1,4 @@
-"""The roster: which nodes there are and are ready, in the order of addresses, with a checksum and recent changes."""
+"""The roster: all known nodes and their readiness, by address, with a checksum and recent changes."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 from hazelspring.membership.node_info import NodeInfo
 
-# A row as it goes to other nodes.  Rows stay the lists that were received: a roster of thousands is neither copied
-# nor converted.  The columns are those of `NodeInfo.encode` and whether the node is ready.
+# A row as it is sent to other nodes.  Rows remain the lists that were received, so that a roster of
+# thousands of rows is neither copied nor converted.  The columns are those of `NodeInfo.encode` and whether
+# the node is ready.
 RosterRow = list[Any]
 ADDRESS, ZONE, REGION, DISK_ID, INCARNATION, READY = range(6)  # the columns of a row
 
-# changes that are remembered: more than members see in the six seconds until a far node leaves the roster
+# number of remembered changes: more than members see in the six seconds until a far node leaves the roster
 MAX_REMEMBERED_CHANGES = 128
 ROW_HASH_BYTES = 8
 CHECKSUM_MODULUS = 1 << 8 * ROW_HASH_BYTES
@@ -24,7 +25,7 @@
 
 
 class RosterChange(NamedTuple):
-    """What has changed between two states of the roster, which their checksums name; sent as a list of four."""
+    """The difference between two states of the roster, identified by checksums; sent as a list of four."""
 
     checksum_before: int
     checksum_after: int
@@ -40,43 +41,44 @@
 
 
 def encode_row(info: NodeInfo, ready: bool) -> RosterRow:
-    """Return the row of a node."""
+    """Return a node's row with the columns in the order of ADDRESS to READY."""
     return [*info.encode(), ready]
 
 
 @lru_cache(maxsize=MAX_CACHED_ROW_HASHES)
 def row_hash(row: tuple[Any, ...]) -> int:
-    """Return a hash of 64 bits; cached, as most rows that leave or arrive in a whole roster were hashed before."""
+    """Return a 64-bit hash; cached, as most rows that a full roster adds or removes were hashed before."""
     return int.from_bytes(hashlib.blake2b(repr(row).encode(), digest_size=ROW_HASH_BYTES).digest(), "big")
 
 
 def rows_checksum(rows: Iterable[RosterRow]) -> int:
-    """Return what two nodes compare to see whether they hold the same rows; 0 for no rows.
+    """Return a checksum by which two nodes detect whether they hold the same rows; 0 for no rows.
 
-    The hashes of rows add up, so that one row's change costs one row's hash; the hash has 64 bits and is not linear,
-    so that no two small changes undo each other (Bellare and Micciancio 1997, AdHash).
+    The checksum is the sum of the row hashes, so that changing one row costs one row's hash.  The hash has
+    64 bits and is not linear, so that two small changes do not cancel each other out (Bellare and Micciancio
+    1997, AdHash).
     """
     return sum(row_hash(tuple(row)) for row in rows) % CHECKSUM_MODULUS
 
 
 def find_row(rows: Sequence[RosterRow], ip: str) -> tuple[int, bool]:
-    """Return the index at which a node's row is, or would be, and whether it is there."""
+    """Return the index of a node's row, or the index at which to insert it, and whether it is present."""
     index = bisect_left(rows, ip, key=lambda row: row[ADDRESS])
     return index, index < len(rows) and rows[index][ADDRESS] == ip
 
 
 class Roster:
-    """The rows in the order of addresses; `rows` is replaced and never changed, as many hold it."""
+    """The rows sorted by address; `rows` is replaced, never modified, as other objects refer to it."""
 
     def __init__(self) -> None:
         self.rows: list[RosterRow] = []
         self.checksum = 0
         self.changes: deque[_RememberedChange] = deque()
-        # what has changed since a checksum, as computed since the last change
+        # cache of `changes_since` by checksum, cleared at each change
         self._changes_since: dict[int, RosterChange | None] = {}
 
     def ready_nodes(self, zone: str | None = None, region: str | None = None) -> list[str]:
-        """Return the addresses of ready nodes, of a zone or of a region where one is named."""
+        """Return the addresses of the ready nodes, limited to a zone or a region if one is given."""
         return [
             row[ADDRESS]
             for row in self.rows
@@ -86,9 +88,9 @@
         ]
 
     def replace(self, rows: list[RosterRow]) -> None:
-        """Take the whole roster, as another node sent it, and forget earlier changes.
+        """Replace all rows with a full roster that another node sent, and discard the remembered changes.
 
-        Only rows that differ are hashed, unless the checksum was dropped (see `apply_change`).
+        Only rows that differ are hashed, unless the checksum was reset to 0 (see `apply_change`).
         """
         known = {row[ADDRESS]: row for row in self.rows} if self.checksum else {}
         added = rows_checksum([row for row in rows if known.get(row[ADDRESS]) != row])
@@ -99,7 +101,7 @@
         self._forget_changes()
 
     def update(self, removed: Sequence[str], changed: Sequence[RosterRow]) -> None:
-        """Remove and set rows, and remember which have changed; a row that is there already is no change."""
+        """Remove and set rows, and remember which have changed; setting an identical row is not a change."""
         touched: list[str] = []
         rows, checksum = self._with_changes(removed, changed, touched)
         if not touched:
@@ -107,11 +109,11 @@
         self.changes.append(_RememberedChange(self.checksum, touched))
         self.rows, self.checksum = rows, checksum
         self._changes_since.clear()
-        while self._remembers_too_much():
+        while self._history_is_too_long():
             self.changes.popleft()
 
-    def _remembers_too_much(self) -> bool:
-        """Return whether there are more changes than needed, or than make less than the whole roster."""
+    def _history_is_too_long(self) -> bool:
+        """Return whether the remembered changes exceed the limit, or have more rows than the full roster."""
         return len(self.changes) > MAX_REMEMBERED_CHANGES or sum(
             len(change.addresses) for change in self.changes
         ) > len(self.rows)
@@ -123,7 +125,7 @@
     def _with_changes(
         self, removed: Sequence[str], changed: Sequence[RosterRow], touched: list[str]
     ) -> tuple[list[RosterRow], int]:
-        """Return the rows and the checksum after changes; `touched` takes the addresses whose rows differ."""
+        """Return rows and checksum after changes; addresses whose rows differ are appended to `touched`."""
         rows, checksum = list(self.rows), self.checksum
         for ip in removed:
             index, present = find_row(rows, ip)
@@ -142,19 +144,19 @@
         return rows, checksum % CHECKSUM_MODULUS
 
     def changes_since(self, known: int) -> RosterChange | None:
-        """Return what has changed since the checksum that a node named.
+        """Return the changes since the state with checksum `known`, which another node reported.
 
-        None where that is not remembered, or where the whole roster is shorter.
+        Return None if that state is not remembered, or if more than half of the rows have changed.
         """
         if known not in self._changes_since:
-            if len(self._changes_since) > MAX_REMEMBERED_CHANGES:  # checksums that no node should name
+            if len(self._changes_since) > MAX_REMEMBERED_CHANGES:  # full of unknown checksums
                 self._changes_since.clear()
             self._changes_since[known] = self._compute_changes_since(known)
         return self._changes_since[known]
 
     def _compute_changes_since(self, known: int) -> RosterChange | None:
         checksums = [change.checksum_before for change in self.changes]
-        if not known or known not in checksums:  # 0: the node holds nothing, or not what it should
+        if not known or known not in checksums:  # 0: the node holds no rows, or unreliable ones
             return None
         later = list(self.changes)[checksums.index(known) :]
         touched = {ip for change in later for ip in change.addresses}
@@ -171,15 +173,16 @@
         return RosterChange(known, self.checksum, removed, changed)
 
     def apply_change(self, encoded: Sequence[Any]) -> None:
-        """Take a `RosterChange` that another node sent.
+        """Apply a `RosterChange` that another node sent.
 
-        It counts only on the very rows that it was made from.  Where it does not lead to the checksum that it should,
-        this node's checksum is dropped (0), so that the whole roster is sent.
+        It is ignored unless the rows here are exactly those that it was made from.  If applying it does not
+        result in the expected checksum, this node's checksum is reset to 0, so that the other node sends the
+        full roster.
         """
         before, after, removed, changed = encoded
         change = RosterChange(before, after, removed, changed)
         if change.checksum_before != self.checksum or change.checksum_before == 0:
-            return  # late, or sent twice
+            return  # delayed, or a duplicate
         rows, checksum = self._with_changes(change.removed, change.changed, [])
         if checksum == change.checksum_after:
             self.rows, self.checksum = rows, checksum
--- a/hazelspring/membership/roster_builder.py
+++ b/hazelspring/membership/roster_builder.py
@@ -1,4 +1,4 @@
-"""The roster that a member of the core makes from the heartbeats it gets."""
+"""Builds the roster of a core member from the heartbeats that it receives."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from hazelspring.membership.roster import ADDRESS, Roster, RosterRow, encode_row
 from hazelspring.membership.timeouts import FAR_ROSTER_TIMEOUT, NEVER, ROSTER_TIMEOUT
 
-# seconds by which entries are looked at before the first could expire: sums of times are rounded
+# seconds before the earliest possible expiry at which entries are checked: sums of times are rounded
 EXPIRY_CHECK_MARGIN = 0.001
 
 
 @dataclass(slots=True)
 class RosterEntry:
-    """One node whose heartbeats come here; `heard_at` in seconds of the steady clock."""
+    """A node that sends heartbeats here; the last arrived at `heard_at` (seconds of the steady clock)."""
 
     info: NodeInfo
     ready: bool
@@ -22,19 +22,19 @@
 
 
 class RosterBuilder:
-    """Keeps a roster up to date with heartbeats and with their absence."""
+    """Updates a roster as heartbeats arrive, and as they stop arriving."""
 
     def __init__(self, me: NodeInfo, roster: Roster) -> None:
         self.me = me
         self.roster = roster
         self.entries: dict[str, RosterEntry] = {}  # by address
-        self._changed_addresses: set[str] = set()  # whose rows may have changed since the last update
-        self._next_expiry_at = NEVER  # until then no entry can expire
-        # the roster's rows were made here, but for the addresses that have changed since
-        self._roster_is_own = False
+        self._changed_addresses: set[str] = set()  # of rows that may have changed since the last update
+        self._next_expiry_at = NEVER  # no entry can expire before this time
+        # whether all rows of the roster were built here, except those of `_changed_addresses`
+        self._roster_built_here = False
 
     def record_heartbeat(self, now: float, info: NodeInfo, ready: bool) -> None:
-        """Note a heartbeat."""
+        """Record the arrival of a heartbeat; the roster changes at the next `update`."""
         known = self.entries.get(info.ip)
         if known is None or known.ready != ready or known.info != info:
             self._changed_addresses.add(info.ip)
@@ -43,11 +43,11 @@
         self.entries[info.ip] = RosterEntry(info, ready, now)
 
     def update(self, now: float) -> bool:
-        """Bring the roster in line with the heartbeats that came lately; return whether rows were looked at."""
+        """Update the roster from the recent heartbeats; return whether any rows were checked for changes."""
         self._expire(now)
-        if not self._roster_is_own:
+        if not self._roster_built_here:
             self._changed_addresses = set(self.entries) | {row[ADDRESS] for row in self.roster.rows}
-            self._roster_is_own = True
+            self._roster_built_here = True
         if not self._changed_addresses:
             return False
         removed: list[str] = []
@@ -62,17 +62,17 @@
         self.roster.update(removed, changed)
         return True
 
-    def disown_roster(self) -> None:
-        """Note that another node's rows were taken into the roster: the next update looks at all rows."""
-        self._roster_is_own = False
+    def mark_roster_received(self) -> None:
+        """Record that the roster now has rows from another node; the next update checks all rows."""
+        self._roster_built_here = False
 
     def _timeout(self, info: NodeInfo) -> float:
-        """Return the seconds of silence after which a node leaves the roster."""
+        """Return the seconds without a heartbeat after which a node leaves the roster."""
         near = info.region == self.me.region or info.disk_id
         return ROSTER_TIMEOUT if near else FAR_ROSTER_TIMEOUT
 
     def _expire(self, now: float) -> None:
-        """Remove the entries of nodes that were silent for too long, if there can be any."""
+        """Remove the entries of nodes whose heartbeats have stopped, if any entry can have expired."""
         if now <= self._next_expiry_at:
             return
         expired = [
