--- a/hazelspring/registry/__init__.py
+++ b/hazelspring/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry of servers: tables in versions that nodes send each other, and who reads the platform's list."""
+"""The registry of servers: versioned tables that nodes exchange, and the reader of the platform's list."""
--- a/hazelspring/registry/errors.py
+++ b/hazelspring/registry/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the registry of servers."""
+"""Errors raised while parsing the platform's list of servers."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 
 
 class MalformedEntryError(MalformedListError):
-    """One entry of the list could not be read; the text names the field."""
+    """One entry of the list could not be read; the message is the name of the malformed field."""
 
     code = "malformed_list_entry"
--- a/hazelspring/registry/instance_list.py
+++ b/hazelspring/registry/instance_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of servers, parsed from its pages."""
+"""Parses the pages of the platform's list of servers."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
 
 MAX_PORT = 65_535
 MILLISECONDS_PER_SECOND = 1000
-# what reading an entry of any shape may raise
+# the exceptions that parsing a malformed entry may raise
 ENTRY_ERRORS = (KeyError, TypeError, ValueError, ArithmeticError)
 
 
 @dataclass(slots=True, frozen=True)
 class InstanceList:
-    """The servers by service and id, and the ids of entries that could not be read."""
+    """The servers by service and id, and the ids of malformed entries."""
 
     servers: dict[str, dict[str, ServerEntry]]
     malformed: tuple[str, ...] = ()
 
 
 def parse_instance_list(pages: Iterable[bytes], now: float) -> InstanceList:
-    """Return the servers that the platform's pages list; `now` in this node's steady seconds.
+    """Return the servers listed in the platform's pages; `now` is in seconds on this node's steady clock.
 
-    A malformed entry is passed over, as if its server were not listed: it must not keep the other servers from being
-    known.  Raises MalformedListError where a page could not be read, or not one entry: the platform then speaks
-    another language, and what is known should stay.
+    A malformed entry is skipped, as if its server were not listed, so that the other servers still become
+    known.  Raises MalformedListError if a page cannot be parsed, or if entries are present and all of them
+    are malformed: the platform then uses another format, and the caller should keep the servers that it
+    knows.
     """
     servers: dict[str, dict[str, ServerEntry]] = {}
     malformed: list[str] = []
@@ -43,25 +44,27 @@
             else:
                 servers.setdefault(service, {})[name] = parsed
     if malformed and not servers:
-        raise MalformedListError(f"no entry of the list could be read, one of them {malformed[0]}")
+        raise MalformedListError(
+            f"all entries of the instance list are malformed, for example {malformed[0]}"
+        )
     return InstanceList(servers, tuple(malformed))
 
 
 def _entries(page: bytes) -> dict[str, Any]:
-    """Return the entries of a page by id; raise MalformedListError where it has none."""
+    """Return the entries of a page by id; raise MalformedListError if the page cannot be parsed."""
     try:
         entries = json.loads(page)["instanceList"]
     except (KeyError, TypeError) as error:
-        raise MalformedListError(f"a page of the list lacks {error}") from None
+        raise MalformedListError(f"a page of the instance list lacks {error}") from None
     except ValueError as error:  # not JSON, or not text
         raise MalformedListError(str(error)) from error
     if not isinstance(entries, dict):
-        raise MalformedListError("a page of the list holds no table of servers")
+        raise MalformedListError("instanceList in a page of the instance list is not an object")
     return entries
 
 
 def _parse_entry(name: str, entry: dict[str, Any], now: float) -> ServerEntry:
-    """Return one entry; raise one of ENTRY_ERRORS where it is malformed."""
+    """Return the parsed entry; raise one of ENTRY_ERRORS if it is malformed."""
     cold_ms = entry.get("coldRemainingMs")
     return ServerEntry(
         name,
@@ -75,7 +78,7 @@
 
 
 def _text(entry: dict[str, Any], field: str) -> str:
-    """Return a field that must be a string."""
+    """Return the value of a field; raise MalformedEntryError if it is not a string."""
     value = entry[field]
     if not isinstance(value, str):
         raise MalformedEntryError(field)
@@ -83,7 +86,7 @@
 
 
 def _address(entry: dict[str, Any]) -> str:
-    """Return `HOST:PORT`, to which connections to the server are opened."""
+    """Return the server's address as `HOST:PORT`; raise MalformedEntryError if it has another form."""
     address = _text(entry, "address")
     host, _, port = address.rpartition(":")
     if not (host and port.isascii() and port.isdigit() and int(port) <= MAX_PORT):
--- a/hazelspring/registry/tables.py
+++ b/hazelspring/registry/tables.py
@@ -1,13 +1,14 @@
-"""Tables of servers, one a service, each with a version, and how they are sent between nodes.
+"""Versioned tables of servers, one for each service, and their encoding between nodes.
 
-A table goes to other nodes as a list, `EncodedTable`, of these columns:
+A table is sent to other nodes as a list, `EncodedTable`, with these columns:
 
-- service, version, rows: a whole table;
-- service, version, rows, previous version, removed ids, checksum: the difference to the table of the previous version.
-  `rows` then holds the servers that are new or have changed; the checksum is that of the table after the change.
+- service, version, rows: a full table;
+- service, version, rows, previous version, removed ids, checksum: the difference from the previous version.
+  `rows` then holds the servers that are new or changed; the checksum is that of the table after the change.
 
-A row, `EncodedRow`, is a list of a server's id, address, zone, whether it accepts requests, slots, release, and the
-seconds until it is warm: seconds to go instead of a time, as clocks of nodes differ.
+A row, `EncodedRow`, is a list of a server's id, address, zone, whether it accepts requests, slots, release,
+and the seconds until it is warm.  Remaining seconds are sent instead of a time, as the clocks of nodes
+differ.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
 
 from hazelspring.membership.rendezvous import owner
 
-NODE_BITS = 20  # low bits of a version, by the node that made it; above them stand milliseconds
-SLOW_START_TOLERANCE = 0.5  # seconds by which a server must become cold for longer to count as changed
-COLD_TIME_DIGITS = 2  # decimals of the seconds until a server is warm, as they are sent
+NODE_BITS = 20  # low bits of a version, which identify its author; the higher bits are milliseconds
+SLOW_START_TOLERANCE = 0.5  # seconds by which a server's cold time must grow to count as a change
+COLD_TIME_DIGITS = 2  # decimal places of the seconds until a server is warm, when sent
 
 EncodedTable = list[Any]  # see the module's docstring
 EncodedRow = list[Any]
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """One run of a server, as the platform lists it; ``cold_until`` in this node's steady seconds."""
+    """One run of a server, as the platform lists it; ``cold_until`` is in steady seconds of this node."""
 
     id: str
     address: str
@@ -41,7 +42,7 @@
     cold_until: float = 0.0
 
     def same(self, other: ServerEntry) -> bool:
-        """Return whether there is nothing to send again; less time to go until it is warm is no change."""
+        """Return whether nothing needs to be sent again; an earlier end of the cold time is not a change."""
         return replace(self, cold_until=0.0) == replace(other, cold_until=0.0) and (
             self.cold_until <= other.cold_until + SLOW_START_TOLERANCE
         )
@@ -51,7 +52,8 @@
 class ServiceTable:
     """The servers of one service by id.
 
-    Where this node read the list: also the version that this one came from, and the ids by which the two differ.
+    If this node made the version from the list, also the version it was based on and the ids that differ
+    between them.
     """
 
     version: int = 0
@@ -61,21 +63,21 @@
     removed: list[str] = field(default_factory=list)
 
     def checksum(self) -> int:
-        """Return what two nodes compare to see whether they hold the same servers in the same states."""
+        """Return a checksum by which two nodes detect whether their servers and states are the same."""
         states = sorted(f"{server.id} {server.accepting:d}" for server in self.servers.values())
         return zlib.crc32(" ".join(states).encode())
 
 
 def server_tag(name: str) -> int:
-    """Return 32 bits for a server's id, as nodes send them often.
+    """Return a 32-bit hash of a server's id, which is short because nodes send it often.
 
-    Two servers of one tag are each taken for as busy as both.
+    If two servers have the same tag, each is counted as having the load of both.
     """
     return zlib.crc32(name.encode())
 
 
 class _TableDifference(NamedTuple):
-    """The columns that only a difference has."""
+    """The columns of an encoded difference that a full table lacks."""
 
     previous_version: int
     removed: list[str]
@@ -94,16 +96,16 @@
 
 
 class ServerRegistry:
-    """What one node knows of servers: the tables of all services."""
+    """The tables of all services, as one node knows them."""
 
     def __init__(self, node: str = "") -> None:
-        """`node`: the address of this node, by which its versions differ from those of others."""
+        """`node` is this node's address, which makes its versions distinct from those of other nodes."""
         self.tables: dict[str, ServiceTable] = {}  # by service
         self._node_bits = server_tag(node) % (1 << NODE_BITS)
-        self._cached_versions: dict[str, int] | None = None  # until a table changes
+        self._cached_versions: dict[str, int] | None = None  # dropped when a table changes
 
     def versions(self) -> dict[str, int]:
-        """Return the version of each table; the mapping is replaced and never changed."""
+        """Return the version of each table; the mapping is replaced, never modified."""
         if self._cached_versions is None:
             self._cached_versions = {service: table.version for service, table in self.tables.items()}
         return self._cached_versions
@@ -111,7 +113,7 @@
     def update_from_list(
         self, now: float, wall_ms: int, found: dict[str, dict[str, ServerEntry]]
     ) -> list[str]:
-        """Take a list that was read from the platform; return the services that it changes.
+        """Update the tables from a list that was read from the platform; return the services that changed.
 
         `found` holds the listed servers by service and id, `wall_ms` is the time of day in milliseconds.
         """
@@ -122,7 +124,7 @@
         ]
 
     def _update_service(self, service: str, wall_ms: int, listed: dict[str, ServerEntry]) -> bool:
-        """Make a new version of a table where the listed servers differ; return whether they do."""
+        """Make a new version of a table if the listed servers differ from it; return whether they do."""
         table = self.tables.get(service)
         old = table.servers if table is not None else {}
         changed = [name for name, server in listed.items() if name not in old or not server.same(old[name])]
@@ -138,24 +140,25 @@
         return True
 
     def _next_version(self, previous: int, wall_ms: int) -> int:
-        """Return a version above `previous` that no other node makes.
+        """Return a version above `previous` that no other node creates.
 
-        It follows the time of day, so that it grows also where the last reader's latest version did not arrive here.
-        Two readers may go on from one version where that time stands behind it, or read in one millisecond.  They must
-        not come to a common version with different servers, as a node that holds either would take it for the other
-        and ask for no other: so the low bits are the node's own.
+        It follows the time of day, so that it also increases if the last reader's latest version did not
+        arrive here.  Two readers may continue from the same version while the time of day is behind it, or
+        read within the same millisecond.  They must not create the same version with different servers,
+        because a node that has one would mistake it for the other and never request it.  The low bits
+        therefore identify the node.
         """
         milliseconds = max((previous >> NODE_BITS) + 1, wall_ms)
         return milliseconds << NODE_BITS | self._node_bits
 
     def encode(self, now: float, service: str) -> EncodedTable:
-        """Return a whole table as it goes to other nodes."""
+        """Return the full table as it is sent to other nodes."""
         table = self.tables[service]
         rows = [_encode_entry(now, entry) for entry in table.servers.values()]
         return [service, table.version, rows]
 
     def encode_change(self, now: float, service: str) -> EncodedTable:
-        """Return what the last list has changed in a table; the whole table where that is more than half of it."""
+        """Return the difference that the last list made in a table; the full table if over half changed."""
         table = self.tables[service]
         if not table.previous_version or 2 * len(table.changed) > len(table.servers):
             return self.encode(now, service)
@@ -164,9 +167,9 @@
         return [service, table.version, rows, *difference]
 
     def apply(self, now: float, encoded: EncodedTable) -> bool:
-        """Take a table, or a difference, that another node sent; return whether it was newer and could be applied.
+        """Apply a table or a difference that another node sent; return whether it was newer and applicable.
 
-        A difference counts only on the very table that it was made from.
+        A difference is applicable only to exactly the table version from which it was made.
         """
         service, version, rows, *difference = encoded
         table = self.tables.get(service)
@@ -191,7 +194,7 @@
         changed: dict[str, ServerEntry],
         difference: _TableDifference,
     ) -> ServiceTable | None:
-        """Return the table after a difference; None where it was made from another table."""
+        """Return the table after applying a difference; None if it was made from another table."""
         if table is None or table.version != difference.previous_version:
             return None
         kept_names = table.servers.keys() - difference.removed
@@ -200,7 +203,7 @@
         return new if new.checksum() == difference.checksum else None
 
     def outdated(self, versions: dict[str, int]) -> list[str]:
-        """Return the services of which another node, by the versions that it reported, has a newer table."""
+        """Return the services whose tables are newer on another node, which reported `versions`."""
         return [
             service
             for service, version in versions.items()
@@ -209,5 +212,5 @@
 
 
 def home_node(service: str, zone: str, nodes: Iterable[str]) -> str | None:
-    """Return the zone's node that passes a service's tables on to the others of the zone."""
+    """Return which of a zone's nodes forwards a service's tables to the others of the zone."""
     return owner(f"{service}@{zone}", nodes)
