--- a/hazelspring/registry/list_reader_role.py
+++ b/hazelspring/registry/list_reader_role.py
@@ -46,7 +46,7 @@
 
     @classmethod
     def within(cls, cutoff: float) -> ListTiming:
-        """Return times by which all nodes learn of a leaving server within `cutoff` s, even if the reader fails.
+        """Return times by which nodes learn that a server leaves within `cutoff`, even if the reader fails.
 
         A read is due after a sixth of the cutoff.  Half of the cutoff after the last successful read, every
         member of the core that knows of no later one reads the list; the other half is for that read and for
@@ -94,7 +94,7 @@
         self.superseded_at = now
 
     def was_superseded(self) -> bool:
-        """Return whether another reader's table came since the last read began; then a read is due at once."""
+        """Return whether another reader's table came since the last read began; if so, a read is now due."""
         if self.superseded_at < self.started_at:
             return False
         self.started_at = NEVER
