--- a/hazelspring/registry/list_reader_role.py
+++ b/hazelspring/registry/list_reader_role.py
@@ -46,11 +46,11 @@
 
     @classmethod
     def within(cls, cutoff: float) -> ListTiming:
-        """Return times by which nodes learn that a server leaves within `cutoff`, even if the reader fails.
+        """Return the timing with which all nodes learn of a leaving server within `cutoff` seconds.
 
-        A read is due after a sixth of the cutoff.  Half of the cutoff after the last successful read, every
-        member of the core that knows of no later one reads the list; the other half is for that read and for
-        one lost message.
+        This holds even if the reader fails at that moment.  A read is due after a sixth of the cutoff.  Half
+        of the cutoff after the last successful read, every member of the core that knows of no later one
+        reads the list; the other half is for that read and for one lost message.
         """
         interval = max(MIN_INTERVAL, min(MAX_INTERVAL, cutoff / CUTOFF_PARTS_PER_INTERVAL))
         timeout = max(MIN_TIMEOUT, min(MAX_TIMEOUT, cutoff / CUTOFF_PARTS_PER_TIMEOUT))
--- a/tests/test_table_log.py
+++ b/tests/test_table_log.py
@@ -1,4 +1,4 @@
-"""What a node's log says of servers that leave."""
+"""The log lines that a node writes about leaving servers."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     [
         (range(0), None, 0.0),
         (range(2, 3), "i-2", 8.0),
-        (range(8), "i-7,i-6,i-5,i-4,i-3", 3.0),  # the latest first, `MAX_LOGGED_SERVERS` of them
+        (range(8), "i-7,i-6,i-5,i-4,i-3", 3.0),  # the latest `MAX_LOGGED_SERVERS`, most recent request first
     ],
 )
-def test_servers_that_leave_are_logged_once_with_the_time_since_the_last_request(
+def test_leaving_servers_are_logged_once_with_the_time_since_their_last_request(
     leaving: range, ids: str | None, ago: float
 ) -> None:
     servers, lines = EndpointSet("z", "west", {"z": "west"}, random.Random(1)), list[dict[str, object]]()
@@ -34,7 +34,7 @@
     listed = entries(8, leaving)
     eliot.add_destinations(lines.append)
     try:
-        for _ in range(2):  # by the second table they have left already
+        for _ in range(2):  # in the second round they have left already
             log_leaving(10.0, servers.leaving("shop", listed), 0.25)
             servers.update_endpoints(10.0, "shop", listed, 0.0)
     finally:
