--- a/tests/test_list_duty.py
+++ b/tests/test_list_duty.py
@@ -1,4 +1,4 @@
-"""The duty of reading the platform's list, on simulated time: a holder that reads nothing more does not keep it."""
+"""The role of reading the platform's list, on simulated time: a holder whose reads stop does not keep it."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 
 class ListWorld(World):
-    """Reads of the list at some doors never end, or fail; `cutoff` is `drainCutoffMs` of the settings in seconds."""
+    """Reads of the list hang or fail at some nodes; `cutoff` is the setting `drainCutoffMs` in seconds."""
 
     def __init__(self, core: int, others: int, seed: int = 1, cutoff: float = DRAIN_CUTOFF) -> None:
         self.cutoff = cutoff
-        self.stuck: set[str] = set()  # their reads end without a word, as a task does that failed
-        self.cut_off: set[str] = set()  # the platform does not answer them: each read fails after a time
-        self.reads: list[str] = []
+        self.stuck: set[str] = set()  # nodes whose reads never report an end, like a task that died
+        self.unanswered: set[str] = set()  # nodes that the platform does not answer: their reads time out
+        self.reads: list[str] = []  # the node of each read that was started
         super().__init__(core, others, seed)
 
     def actions(self, name: str, actions: list[Action]) -> None:
         core = self.machines[name].core
         assert core is not None
-        polls = [action for action in actions if isinstance(action, ReadList)]
-        self.reads += [name for _ in polls]
-        if name in self.stuck | self.cut_off:
+        reads = [action for action in actions if isinstance(action, ReadList)]
+        self.reads += [name for _ in reads]
+        if name in self.stuck | self.unanswered:
             actions = [action for action in actions if not isinstance(action, ReadList)]
-        for poll in polls if name in self.cut_off else ():
+        for read in reads if name in self.unanswered else ():
             self.at(
-                self.now + core.list_reader_role.timing.timeout, partial(self.fail, name, core, poll.number)
+                self.now + core.list_reader_role.timing.timeout, partial(self.fail, name, core, read.number)
             )
         super().actions(name, actions)
 
@@ -55,7 +55,7 @@
         return found
 
     def drain(self) -> None:
-        """The platform lists every server as draining from now on."""
+        """From now on the platform lists every server as draining."""
         assert self.listing is not None
         self.listing = {
             service: {id_: replace(server, accepting=False) for id_, server in servers.items()}
@@ -63,7 +63,7 @@
         }
 
     def unaware(self) -> list[str]:
-        """Doors that still take a server for accepting."""
+        """The nodes that still consider a server to be accepting, or know no servers."""
         tables = {name: self.machines[name].core.registry.tables for name in self.up()}  # type: ignore[union-attr]
         return [
             name
@@ -72,7 +72,7 @@
         ]
 
 
-def test_a_read_of_the_list_that_ends_without_a_word_does_not_keep_nodes_from_news() -> None:
+def test_nodes_learn_of_changes_although_a_read_of_the_list_never_reports_its_end() -> None:
     for seed in range(5):
         world = ListWorld(4, 3, seed)
         world.run(4.0)
@@ -84,8 +84,10 @@
 
 
 @pytest.mark.parametrize("cutoff", [2.0, 2.5, 3.0, 5.0])
-def test_where_the_reader_gets_no_read_all_know_in_four_fifths_of_the_time(cutoff: float) -> None:
-    """What is left is a lost message's, and the way of a request that was under way."""
+def test_all_nodes_learn_of_a_change_within_four_fifths_of_the_cutoff_when_the_reader_hangs(
+    cutoff: float,
+) -> None:
+    """The remaining fifth is for one lost message and for the transit of a request that was already sent."""
     for seed in range(8):
         world = ListWorld(4, 3, seed, cutoff)
         world.run(8.0 + seed / 16)  # at any moment between two reads
@@ -95,12 +97,12 @@
         assert world.unaware() == [] and not world.breaches
 
 
-def test_a_holder_that_the_platform_does_not_answer_hands_the_reading_to_another_node() -> None:
+def test_holder_that_the_platform_does_not_answer_hands_the_role_to_another_node() -> None:
     for seed in range(5):
         world = ListWorld(4, 3, seed)
         world.run(4.0)
         first = world.reader()
-        world.cut_off = {first}
+        world.unanswered = {first}
         world.run(8.0)
         assert world.reader() != first
         world.drain()
@@ -108,60 +110,61 @@
         assert world.unaware() == [] and not world.breaches
 
 
-def test_the_only_node_that_may_read_begins_anew_after_a_read_without_an_end() -> None:
+def test_the_only_candidate_retries_after_a_read_that_never_ended() -> None:
     world = ListWorld(1, 2)
     world.run(4.0)
     world.stuck = {"d1"}
     world.run(4.0)
-    assert world.reader() == "d1" and len(world.reads) > 3  # it tries again and again
+    assert world.reader() == "d1" and len(world.reads) > 3  # it keeps retrying
     world.drain()
     world.stuck = set()
     world.run(DRAIN_CUTOFF)
     assert world.unaware() == []
 
 
-def test_a_read_that_was_given_up_changes_nothing_when_it_ends_after_all() -> None:
+def test_abandoned_read_has_no_effect_when_it_ends_later() -> None:
     world = ListWorld(4, 0)
     world.run(4.0)
     reader = world.reader()
     core = world.machines[reader].core
     assert core is not None
     world.stuck = {reader}
-    late = core.list_reader_role.number
+    abandoned = core.list_reader_role.number
     old = world.listing
     world.run(4.0)
     world.drain()
     world.run(DRAIN_CUTOFF)
-    assert core.on_list_read(world.now, int(world.now * 1000) + 10_000, old, late) == []
+    assert core.on_list_read(world.now, int(world.now * 1000) + 10_000, old, abandoned) == []
     assert world.unaware() == []
 
 
-def test_while_the_platform_answers_nobody_the_role_goes_round_and_news_come_once_it_does() -> None:
+def test_role_rotates_while_the_platform_answers_no_node_and_changes_arrive_once_it_does() -> None:
     for seed in range(2):
         world = ListWorld(4, 3, seed)
         world.run(4.0)
-        world.cut_off = {"d1", "d2", "d3", "d4"}
+        world.unanswered = {"d1", "d2", "d3", "d4"}
         world.reads.clear()
         world.run(30.0)
-        assert set(world.reads) == world.cut_off and len(world.reads) >= 8
+        assert set(world.reads) == world.unanswered and len(world.reads) >= 8
         world.drain()
-        world.cut_off = set()
-        world.run(DRAIN_CUTOFF + MAX_TIMEOUT)  # what is under way when the platform is back fails still
-        assert world.unaware() == [] and violated(world) == {LIST_KNOWN}  # as nobody could read it
+        world.unanswered = set()
+        world.run(DRAIN_CUTOFF + MAX_TIMEOUT)  # reads under way when the platform recovers still fail
+        assert world.unaware() == [] and violated(world) == {LIST_KNOWN}  # since no node could read the list
         world.breaches.clear()
         world.run(20.0)
         first = len(world.reads)
         reader = world.reader()
         world.run(10.0)
-        assert set(world.reads[first:]) == {reader}  # with a platform that answers nobody hands it on
+        # while the platform answers, the role stays with its holder
+        assert set(world.reads[first:]) == {reader}
         assert not world.breaches
 
 
 @pytest.mark.parametrize("backups", [True, False])
-def test_the_invariants_bite_where_a_holder_that_reads_nothing_keeps_the_role(
+def test_invariants_are_violated_if_a_holder_without_successful_reads_keeps_the_role(
     monkeypatch: pytest.MonkeyPatch, backups: bool
 ) -> None:
-    """The list is known all the same where members read without the role, and is not where none does."""
+    """The list stays known if members read without the role, and does not if none of them does."""
     monkeypatch.setattr(ListReaderRole, "must_decline", lambda role, now: False)
     if not backups:
         monkeypatch.setattr(ListReaderRole, "is_backup_due", lambda role, now, age: False)
@@ -171,13 +174,13 @@
     world.stuck = {world.reader()}
     world.run(8.0)
     assert violated(world) == ({LIST_READ} if backups else {LIST_READ, LIST_KNOWN})
-    broken = [core.invariants.violated for core in cores(world)]
-    assert sum(LIST_READ in one for one in broken) == 1
-    assert all((LIST_KNOWN in one) is not backups for one in broken)
+    violated_now = [core.invariants.violated for core in cores(world)]
+    assert sum(LIST_READ in names for names in violated_now) == 1
+    assert all((LIST_KNOWN in names) is not backups for names in violated_now)
 
 
-def test_nobody_reads_without_the_role_while_its_holder_reads() -> None:
-    """Also where a part of the messages is lost: calls to the platform are bounded and priced."""
+def test_no_node_reads_without_the_role_while_its_holder_reads() -> None:
+    """Calls to the platform are limited and priced, so this must also hold if some messages are lost."""
     for seed in range(3):
         world = ListWorld(6, 4, seed)
         world.run(8.0)
@@ -187,8 +190,8 @@
         assert set(world.reads) == {world.reader()}
 
 
-def test_a_read_that_another_readers_table_came_after_changes_nothing_and_is_made_again() -> None:
-    """It may hold an older list than that one, and would become the newer version."""
+def test_read_superseded_by_another_readers_table_has_no_effect_and_is_repeated() -> None:
+    """Its list may be older than that table, but would be given a newer version."""
     world = ListWorld(4, 0)
     world.run(4.0)
     reader = world.reader()
@@ -198,9 +201,8 @@
     world.run(role.timing.interval)
     under_way = role.number
     world.drain()
-    world.run(
-        role.read_at + (role.timing.backup_after + role.timing.overdue) / 2 - world.now
-    )  # another has read it
+    # until another node has read the list
+    world.run(role.read_at + (role.timing.backup_after + role.timing.overdue) / 2 - world.now)
     assert world.unaware() == [] and role.under_way and role.holds(world.now)
     world.stuck, world.reads = set(), []
     assert core.on_list_read(world.now, int(world.now * 1000) + 10_000, old, under_way) == []
@@ -209,7 +211,7 @@
     assert world.reads == [reader]
 
 
-def test_nothing_is_violated_while_nodes_end_and_come_back() -> None:
+def test_no_invariant_is_violated_while_nodes_stop_and_restart() -> None:
     for seed in range(3):
         world = ListWorld(4, 3, seed)
         world.run(8.0)
@@ -227,7 +229,7 @@
 
 
 def violated(world: World) -> set[str]:
-    """The invariants that have been violated at any door."""
+    """The invariants that have been violated at any node."""
     return {name for core in cores(world) for name, count in core.invariants.violations.items() if count}
 
 
@@ -235,7 +237,7 @@
     ("cutoff", "interval", "timeout", "backup"),
     [(0.0, 0.1, 0.3, 0.3), (2.4, 0.4, 1.2, 1.2), (3.0, 0.5, 1.5, 1.5), (60.0, 0.5, 1.5, 1.5)],
 )
-def test_times_of_reads_follow_from_the_cutoff_within_bounds(
+def test_read_timing_follows_from_the_cutoff_within_bounds(
     cutoff: float, interval: float, timeout: float, backup: float
 ) -> None:
     timing = ListTiming.within(cutoff)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,9 @@
-"""Many doors' cores on simulated time: links that delay, drop, double and cut one way, disks that lose what was not
-synced, doors that freeze, are replaced, or come back with other seeds or an earlier clock.
+"""Many nodes on simulated time, with faults.
 
-What must always hold is looked at with every tick: see `World.watch`.
+Links delay, drop and duplicate messages or are cut in one direction.  Disks lose records that were not
+synced.  Nodes freeze, are replaced, or restart with other seed nodes or with a clock that was set back.
+
+The invariants are checked at every tick (see `World.watch`).
 """
 
 from __future__ import annotations
@@ -37,21 +39,21 @@
 from hazelspring.registry.list_reader_role import LIST_READER
 from hazelspring.registry.tables import ServerEntry
 
-TICK, SYNC, REVOCATION = 0.05, 0.002, 5.0
-STALE = 0.9  # as hazelspring.daemon.node_process has it
-LATE = 1.5  # seconds at most that a late message takes
+TICK, SYNC, REVOCATION = 0.05, 0.002, 5.0  # seconds between ticks, of a sync, and of `revocationMs`
+STALE_PART = 0.9  # fraction of the revocation time, as in hazelspring.daemon.readiness
+MAX_EXTRA_DELAY = 1.5  # seconds
 
 
 @dataclass
 class Disk:
-    """What survives: records that were synced; of the saves under way the first few, by lot."""
+    """The records that survive a crash: synced ones, and a random number of the first pending saves."""
 
     records: dict[str, bytes] = field(default_factory=dict)
     under_way: list[Save] = field(default_factory=list)
     sync: float = SYNC
     full: bool = False
 
-    def keep(self, save: Save) -> None:
+    def apply(self, save: Save) -> None:
         for name, body in save.records.items():
             if body is None:
                 self.records.pop(name, None)
@@ -64,16 +66,17 @@
     about: NodeInfo
     disk: Disk | None
     core: Node | None = None
-    lives: int = 0
-    seen: int = -1  # the highest version in this life
+    lives: int = 0  # the number of starts
+    seen: int = -1  # the latest version since the last start
     on_message: list[Action] = field(default_factory=list)
     seeds: list[str] = field(default_factory=lambda: ["d1", "d2", "d3"])
-    frozen: list[Callable[[], None]] | None = None  # what came while it was stopped
+    # callbacks that are deferred while the node is frozen; None if it is not frozen
+    frozen: list[Callable[[], None]] | None = None
 
 
 @dataclass
 class Call:
-    """An operator's call and how it ended: `version` is that of the state that settled it."""
+    """An operator's call and its result; `version` is the version of the state that settled it."""
 
     kind: str
     at: float
@@ -95,7 +98,7 @@
 
 
 def body_of(number: int, mark: str) -> bytes:
-    """A configuration, as an operator puts it."""
+    """The body of a configuration that an operator puts."""
     return json.dumps({"versionNumber": f"r{number}", "mark": mark}).encode()
 
 
@@ -112,8 +115,12 @@
         odd: float = 0.0,
         bare: frozenset[str] = frozenset(),
     ) -> None:
-        """`odd`: the part of the messages that come late, and of those that come twice; `bare`: of the core, doors that
-        have no disk."""
+        """Create and start the nodes d1, d2 and so on, of which the first `core` have disks.
+
+        `drop` is the fraction of messages that are lost.  `odd` is the fraction that are delayed by up to
+        MAX_EXTRA_DELAY, and also the fraction that arrive twice.  `bare` names nodes among the first `core`
+        that have no disk.
+        """
         self.random, self.drop, self.odd, self.now = random.Random(seed), drop, odd, 100.0
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
@@ -121,7 +128,7 @@
         self.cut: set[tuple[str, str]] = set()
         self.calls: dict[int, Call] = {}
         self.tokens = itertools.count(1)
-        self.decided: dict[int, ControlState] = {}  # by version, as doors came to know of it
+        self.decided: dict[int, ControlState] = {}  # by version, as first seen at any node
         self.listing: dict[str, dict[str, ServerEntry]] | None = {
             "shop": {"i-1": ServerEntry("i-1", "s:1", "z0", True, 2, "v1")}
         }
@@ -134,7 +141,7 @@
         for name in self.machines:
             self.start(name, first=True)
 
-    # --- time -------------------------------------------------------------------------------------------
+    # --- time -------------------------------------------------------------------------------------
 
     def at(self, when: float, what: Callable[[], None]) -> None:
         heapq.heappush(self.heap, (when, next(self.order), what))
@@ -146,16 +153,18 @@
             what()
         self.now = end
 
-    # --- lives of doors -----------------------------------------------------------------------------------
+    # --- starts and stops -------------------------------------------------------------------------
 
     def start(self, name: str, first: bool = False, clock: int = 0) -> None:
-        """Start a door; `clock`: by how many lives its clock stands back."""
+        """Start a node; `clock` is subtracted from its incarnation, as if its clock had been set back."""
         machine = self.machines[name]
         machine.lives += 1
-        life = 100_000 + machine.lives * 100 + (machine.disk is not None) - clock
-        machine.about = NodeInfo(name, machine.about.zone, machine.about.region, self.disk_number(), life)
+        incarnation = 100_000 + machine.lives * 100 + (machine.disk is not None) - clock
+        machine.about = NodeInfo(
+            name, machine.about.zone, machine.about.region, self.disk_number(), incarnation
+        )
         if machine.disk is None:
-            machine.about = NodeInfo(name, machine.about.zone, machine.about.region, 0, life)
+            machine.about = NodeInfo(name, machine.about.zone, machine.about.region, 0, incarnation)
         start = NodeStart(
             machine.about,
             machine.seeds,
@@ -170,7 +179,7 @@
         return Node(self.now, start, QuotaLimits().window, lambda tenant: 30.0)
 
     def disk_number(self) -> int:
-        return next(self.tokens) + 1_000_000  # as a disk's number is drawn: no two are alike
+        return next(self.tokens) + 1_000_000  # unique, like the random number of a real disk
 
     def kill(self, name: str) -> None:
         machine = self.machines[name]
@@ -179,7 +188,7 @@
             for save in machine.disk.under_way:
                 if self.random.random() < 0.5:
                     break
-                machine.disk.keep(save)
+                machine.disk.apply(save)
             machine.disk.under_way = []
 
     def wipe(self, name: str) -> None:
@@ -188,12 +197,12 @@
             self.machines[name].disk = Disk()
 
     def remove(self, name: str) -> None:
-        """A machine goes for good, and its disk with it."""
+        """Remove a machine and its disk permanently."""
         self.kill(name)
         del self.machines[name]
 
     def freeze(self, name: str) -> None:
-        """Stop a door; what comes meanwhile waits for it."""
+        """Suspend a node; its messages and timers are deferred until `thaw`."""
         self.machines[name].frozen = self.machines[name].frozen or []
 
     def thaw(self, name: str) -> None:
@@ -203,13 +212,13 @@
             what()
 
     def add(self, name: str, zone: int = 1, seeds: list[str] | None = None) -> None:
-        """A machine with an empty disk that was not there before."""
+        """Add a machine with an empty disk and start it."""
         about = NodeInfo(name, f"z{zone}", "east" if zone % 2 else "west", 1, 0)
         self.machines[name] = Machine(about, Disk(), seeds=seeds or ["d1", "d2", "d3"])
         self.start(name)
 
     def unless_frozen(self, name: str, core: Node, what: Callable[[], None]) -> None:
-        """Do something at a door now, or once it goes on; nothing where its life has ended."""
+        """Call `what` now, or once the node is thawed; do nothing if this run of the node has ended."""
         machine = self.machines.get(name)
         if machine is None or machine.core is not core:
             return
@@ -229,7 +238,7 @@
 
         self.unless_frozen(name, core, go)
 
-    # --- deeds ---------------------------------------------------------------------------------------------
+    # --- actions ----------------------------------------------------------------------------------
 
     def actions(self, name: str, actions: list[Action]) -> None:
         machine, core = self.machines[name], self.machines[name].core
@@ -269,13 +278,13 @@
                 )
 
         if self.odd and self.random.random() < self.odd:
-            delay += self.random.random() * LATE
+            delay += self.random.random() * MAX_EXTRA_DELAY
         self.at(self.now + delay, arrive)
         if self.odd and self.random.random() < self.odd:
-            self.at(self.now + delay + self.random.random() * LATE, arrive)
+            self.at(self.now + delay + self.random.random() * MAX_EXTRA_DELAY, arrive)
 
     def delay(self, here: NodeInfo, there: NodeInfo) -> float:
-        """Seconds that a message takes at least."""
+        """The minimum transit time of a message in seconds."""
         return 0.02 if here.region != there.region else 0.001
 
     def save(self, name: str, core: Node, save: Save) -> None:
@@ -285,18 +294,18 @@
 
         def synced() -> None:
             if save not in disk.under_way:
-                return  # it died meanwhile
+                return  # the node was killed in the meantime
             disk.under_way.remove(save)
             good = not disk.full
             if good:
-                disk.keep(save)
+                disk.apply(save)
             self.unless_frozen(
                 name, core, lambda: self.actions(name, core.on_saved(self.now, save.serial, good))
             )
 
         self.at(self.now + disk.sync, synced)
 
-    # --- the operator ---------------------------------------------------------------------------------------
+    # --- the operator -----------------------------------------------------------------------------
 
     def call(self, call: Call, begin: Callable[[Node, int], list[Action]]) -> int:
         core, token = self.machines[call.machine].core, next(self.tokens)
@@ -319,12 +328,12 @@
         return self.call(call, lambda core, token: core.read_configuration(self.now, token))
 
     def retire(self, name: str, member: str) -> int:
-        """An operator's order at one door that takes a member out of the core."""
+        """Remove a member from the core by an operator's call at the node `name`."""
         call = Call("retire", self.now, name)
         return self.call(call, lambda core, token: core.retire_member(self.now, token, member))
 
     def done(self, done: ProposalOutcome) -> None:
-        """A call has ended; those that came after it must be settled by no older state."""
+        """Record the result of a call, whose state must not be older than those of calls that ended before."""
         call = self.calls[done.token]
         call.ended, call.done = self.now, done
         if done.state is None:
@@ -335,7 +344,7 @@
                 f"{self.now:.2f} {call.kind} was settled by a lineage that is known to be over"
             )
         before = [c for c in self.calls.values() if c.ended < call.at and c.version > call.version]
-        before = [c for c in before if c.done is None or not self.lasts(call, c.done.state)]
+        before = [c for c in before if c.done is None or not self.still_holds(call, c.done.state)]
         if before:
             self.breaches.append(
                 f"{self.now:.2f} {call.kind} was settled by {call.version} after {before[0]}"
@@ -353,9 +362,12 @@
             self.breaches.append(f"{self.now:.2f} two bodies were acknowledged as {call.number}")
 
     @staticmethod
-    def lasts(call: Call, state: ControlState | None) -> bool:
-        """Whether what a confirmed put was told is so in another state, too: a higher number is in force there, or its
-        very body.  The order has changed nothing then, and came after that state as well as before it."""
+    def still_holds(call: Call, state: ControlState | None) -> bool:
+        """Whether the confirmation of a put is also true in another state.
+
+        It is if a higher version number, or the same body under the same number, is in force there.  The put
+        then changed nothing, so that it may be ordered after that state as well as before it.
+        """
         if call.kind != "put" or not call.good or state is None:
             return False
         same = state.configuration_digest == configuration_digest(body_of(call.number, call.digest.decode()))
@@ -365,7 +377,7 @@
 
     @staticmethod
     def number(call: Call) -> int:
-        """Of the configuration in force when a call was settled."""
+        """The number of the configuration in force when a call was settled; -1 without a state."""
         return (
             call.done.state.configuration_version
             if call.done is not None and call.done.state is not None
@@ -373,15 +385,15 @@
         )
 
     def mark_read(self, token: int) -> str:
-        """What the body that was read is marked with."""
+        """The mark in the configuration body that a call read."""
         done = self.calls[token].done
         assert done is not None and done.configuration is not None
         return str(json.loads(zlib.decompress(done.configuration))["mark"])
 
-    # --- what must always hold ----------------------------------------------------------------------------------
+    # --- invariants -------------------------------------------------------------------------------
 
     def saw(self, name: str, core: Node) -> None:
-        """No door goes back within one life, and no two doors know two states of one version."""
+        """Check that no node returns to an older version while it runs, and that a version has one state."""
         state, machine = core.control.acceptor.state, self.machines[name]
         assert state is not None
         if state.version < machine.seen:
@@ -391,22 +403,27 @@
             self.breaches.append(f"{self.now:.2f} {name} knows {state}, not {self.decided[state.version]}")
 
     def newest(self, before: float = 1e9) -> int:
-        """The version of the newest state that any call was settled by."""
+        """The version of the newest state that settled a call which ended by `before`."""
         return max((c.version for c in self.calls.values() if c.ended <= before), default=-1)
 
     def fresh(self, name: str) -> bool:
         core = self.machines[name].core
-        return core is not None and self.now <= core.confirmed_at(self.now) + STALE * REVOCATION
+        return core is not None and self.now <= core.confirmed_at(self.now) + STALE_PART * REVOCATION
 
     def watch(self, name: str, core: Node) -> None:
-        """A door that lets keyed requests in sees all that was acknowledged a revocation's time ago, and a duty
-        has one holder."""
+        """Check two invariants at a tick.
+
+        A node that admits keyed requests knows every change that was acknowledged REVOCATION seconds ago or
+        earlier, and each role has at most one holder.
+        """
         if self.fresh(name) and core.control.acceptor.version < self.newest(self.now - REVOCATION):
-            self.breaches.append(f"{self.now:.2f} {name} lets in by an old configuration")
+            self.breaches.append(
+                f"{self.now:.2f} {name} admits keyed requests under an outdated configuration"
+            )
         for role in (LIST_READER, 1, 2):
             holding = [d for d in self.up() if self.holds(d, role)]
             if len(holding) > 1:
-                self.breaches.append(f"{self.now:.2f} duty {role} is held by {holding}")
+                self.breaches.append(f"{self.now:.2f} role {role} is held by several nodes: {holding}")
 
     def holds(self, name: str, role: int) -> bool:
         core = self.machines[name].core
