--- a/hazelspring/membership/core_nodes.py
+++ b/hazelspring/membership/core_nodes.py
@@ -12,7 +12,7 @@
 class CoreNodes:
     """One node's view of the core.
 
-    Before the members are agreed on, this node asks every discovered node with a disk who the members are.
+    Before the members are agreed on, this node requests the members from every discovered node with a disk.
     """
 
     def __init__(self, me: NodeInfo, now: float) -> None:
--- a/hazelspring/membership/peer_table.py
+++ b/hazelspring/membership/peer_table.py
@@ -21,11 +21,9 @@
         self.me = me
         self.peers: dict[str, Peer] = {}  # by address
         self.roster_table = Roster()  # as last received or made
-        # the largest size of the roster so far, here or as reported by any node; by it nodes compute even
-        # shares
+        # the largest roster so far, here or as reported by any node: shares per node are computed from it
         self.max_node_count = 0
-        # until this time (seconds) the roster is known to match that of a core member; initially the node's
-        # start
+        # seconds; the roster is known to match a core member's until this time, initially the node's start
         self.roster_confirmed_at = now
         self._core = CoreNodes(me, now)
         self._roster_builder = RosterBuilder(me, self.roster_table)
--- a/hazelspring/registry/list_reader_role.py
+++ b/hazelspring/registry/list_reader_role.py
@@ -25,11 +25,12 @@
 # minimum seconds: a round trip between regions with a new connection, and three such round trips.  Even a
 # short cutoff must not make reads fail that would have succeeded.
 MIN_INTERVAL, MIN_TIMEOUT = 0.1, 0.3
-LOST_END_GRACE = 0.25  # seconds after its time-out when an unreported read is abandoned
+# seconds after its time-out at which a read whose end was not reported is abandoned
+UNREPORTED_READ_GRACE = 0.25
 # the drain cutoff divided by each of these gives:
-CUTOFF_PARTS_PER_INTERVAL = 6  # the time until the next read is due
-CUTOFF_PARTS_PER_TIMEOUT = 2  # the time-out of a read
-CUTOFF_PARTS_UNTIL_BACKUP = 2  # the time without a recent read after which a member reads without the role
+INTERVALS_PER_CUTOFF = 6  # the time until the next read is due
+TIMEOUTS_PER_CUTOFF = 2  # the time-out of a read
+BACKUP_TIMES_PER_CUTOFF = 2  # the time without a recent read after which a member reads without the role
 # maximum seconds without a recent read until a member reads without the role.  While the reader's reads
 # succeed, the age of its last read as known to the others is at most 1.2 s: an interval, a heartbeat, the
 # read and the round trips.
@@ -52,15 +53,15 @@
         of the cutoff after the last successful read, every member of the core that knows of no later one
         reads the list; the other half is for that read and for one lost message.
         """
-        interval = max(MIN_INTERVAL, min(MAX_INTERVAL, cutoff / CUTOFF_PARTS_PER_INTERVAL))
-        timeout = max(MIN_TIMEOUT, min(MAX_TIMEOUT, cutoff / CUTOFF_PARTS_PER_TIMEOUT))
-        backup_after = max(MIN_TIMEOUT, min(MAX_BACKUP_TIME, cutoff / CUTOFF_PARTS_UNTIL_BACKUP))
+        interval = max(MIN_INTERVAL, min(MAX_INTERVAL, cutoff / INTERVALS_PER_CUTOFF))
+        timeout = max(MIN_TIMEOUT, min(MAX_TIMEOUT, cutoff / TIMEOUTS_PER_CUTOFF))
+        backup_after = max(MIN_TIMEOUT, min(MAX_BACKUP_TIME, cutoff / BACKUP_TIMES_PER_CUTOFF))
         return cls(interval, timeout, backup_after)
 
     @property
     def deadline(self) -> float:
         """Seconds after which a read is abandoned, whether its end was reported or not."""
-        return self.timeout + LOST_END_GRACE
+        return self.timeout + UNREPORTED_READ_GRACE
 
     @property
     def overdue(self) -> float:
--- a/tests/world.py
+++ b/tests/world.py
@@ -333,7 +333,7 @@
         return self.call(call, lambda core, token: core.retire_member(self.now, token, member))
 
     def done(self, done: ProposalOutcome) -> None:
-        """Record the result of a call, whose state must not be older than those of calls that ended before."""
+        """Record the result of a call; its state must not be older than those of earlier calls."""
         call = self.calls[done.token]
         call.ended, call.done = self.now, done
         if done.state is None:
