--- a/hazelspring/routing/__init__.py
+++ b/hazelspring/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The routing of a request at a node: admission, choice of an endpoint, hedging, retries and their budget."""
+"""Request routing at a node: admission, the choice of an endpoint, hedging, retries and the retry budget."""
--- a/hazelspring/routing/events.py
+++ b/hazelspring/routing/events.py
@@ -1,7 +1,8 @@
-"""Events that the request router handles, and the instructions that it adds to those of the front door's interface.
+"""Events that the request router handles, and its instructions beyond those of the gateway's interface.
 
-Request numbers are those of :mod:`hazelspring.admission.interface`, whose ``Finished``, ``Left`` and ``UnderWay``
-the router handles too, and whose ``Send``, ``Refuse``, ``Fail`` and ``Cancel`` it returns too.
+Request numbers are those of :mod:`hazelspring.admission.interface`. The router also handles the events
+``Finished``, ``Left`` and ``UnderWay`` of that module, and returns its actions ``Send``, ``Refuse``,
+``Fail`` and ``Cancel``.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 class RequestArrived:
     """A client's request whose route and access key are known.
 
-    ``time_left`` is the time in seconds that both the client and the route's timeout allow for the answer.
-    ``tenant`` is ``None`` for a request without an access key, on a route that needs none.
+    ``time_left`` is the time in seconds that both the client and the route's timeout allow for the response.
+    ``tenant`` is ``None`` for a request without an access key, on a route that requires none.
     """
 
     request: int
@@ -28,12 +29,12 @@
 
 @dataclass(slots=True)
 class TimerTick:
-    """Time has passed: deadlines, timeouts and lifetimes are to be checked."""
+    """The periodic timer has fired: deadlines, timeouts and lifetimes must be checked."""
 
 
 @dataclass(slots=True)
 class RejectOverQuota:
-    """Answer 429: the tenant is beyond its quota until ``retry_after`` seconds from now."""
+    """Respond with 429: the tenant has exceeded its quota, and may retry after ``retry_after`` seconds."""
 
     request: int
     retry_after: float
@@ -48,11 +49,11 @@
 
 @dataclass(slots=True)
 class AbandonAttempt:
-    """Wait no longer for an attempt's server, as another server and the retry budget have room for the request."""
+    """Stop waiting for a slow attempt: another server and the retry budget have room for the request."""
 
     request: int
     attempt: int
 
 
 RouterInstruction = RejectOverQuota | LeaseCredits | AbandonAttempt
-"""What the router may instruct beyond the actions of :mod:`hazelspring.admission.interface`."""
+"""Instructions of the router that aren't among the actions of :mod:`hazelspring.admission.interface`."""
--- a/hazelspring/routing/load_reports.py
+++ b/hazelspring/routing/load_reports.py
@@ -1,4 +1,4 @@
-"""Where other nodes' requests are, by the load reports that they send."""
+"""The requests that other nodes have in flight at each server, from the load reports that they send."""
 
 from __future__ import annotations
 
@@ -6,43 +6,44 @@
 
 from hazelspring.routing.endpoint import Endpoint
 
-LOAD_REPORT_LIFETIME = 1.0  # seconds for which a node's report of its own requests counts
+LOAD_REPORT_LIFETIME = 1.0  # seconds after which a node's load report is dropped
 
-InFlightByTag = dict[int, int]  # requests by server's tag
+InFlightByTag = dict[int, int]  # requests in flight by server tag
 
 
 class LoadReport(NamedTuple):
-    """A node's last report; the time in seconds of this node's monotonic clock."""
+    """The last report of a node; ``received_at`` is in seconds of this node's monotonic clock."""
 
     received_at: float
     in_flight_by_tag: InFlightByTag
 
 
 class LoadReports:
-    """Sums up the last reports of all nodes, and keeps ``in_flight_elsewhere`` of the endpoints at the sum.
+    """Sums up the last reports of all nodes, and copies the totals to the endpoints'
+    ``in_flight_elsewhere``.
 
     Parameters
     ----------
     endpoints_by_tag : dict[int, Endpoint]
-        The endpoints that are known for now; their owner keeps the map up to date.
+        The endpoints that are currently known; the owner of the map keeps it up to date.
     """
 
     __slots__ = ("by_node", "endpoints_by_tag", "totals_by_tag")
 
     def __init__(self, endpoints_by_tag: dict[int, Endpoint]) -> None:
         self.endpoints_by_tag = endpoints_by_tag
-        self.by_node: dict[str, LoadReport] = {}  # in the order of their receipt
+        self.by_node: dict[str, LoadReport] = {}  # in order of receipt
         self.totals_by_tag: InFlightByTag = {}
 
     def total(self, tag: int) -> int:
-        """Return the requests of other nodes at a server."""
+        """Return the number of requests that other nodes have in flight at a server."""
         return self.totals_by_tag.get(tag, 0)
 
     def record(self, now: float, node: str, in_flight_by_tag: InFlightByTag) -> None:
         """Replace a node's report.
 
-        Only the differences from its last report are added up.  All of them are computed first, so that a
-        malformed report raises before anything has changed.
+        Only the differences from the node's previous report are added to the totals. They are all computed
+        first, so that a malformed report raises an exception before anything has changed.
         """
         previous = self.by_node.get(node)
         changes = {}
@@ -55,7 +56,7 @@
         self.add(changes)
 
     def expire(self, now: float) -> None:
-        """Drop the reports of nodes that have been silent for longer than a report counts."""
+        """Drop reports that are older than ``LOAD_REPORT_LIFETIME``."""
         while self.by_node:
             node, report = next(iter(self.by_node.items()))
             if now - report.received_at <= LOAD_REPORT_LIFETIME:
@@ -64,7 +65,7 @@
             self.add({tag: -count for tag, count in report.in_flight_by_tag.items()})
 
     def add(self, changes: InFlightByTag) -> None:
-        """Add to the totals, and set those of the endpoints."""
+        """Add the changes to the totals, and copy each changed total to its endpoint."""
         for tag, change in changes.items():
             if not change:
                 continue
--- a/hazelspring/routing/request_router.py
+++ b/hazelspring/routing/request_router.py
@@ -1,7 +1,7 @@
-"""The decisions on requests: which are admitted, which server gets them, and whether they are retried.
+"""Decides which requests are admitted, which server each one is sent to, and whether it is retried.
 
-The router does no I/O and reads no clock: :meth:`RequestRouter.handle` takes an event and the time, and returns
-instructions for the host to carry out in order.
+The router does no I/O and reads no clock: :meth:`RequestRouter.handle` takes an event and the time, and
+returns instructions for the host to carry out in order.
 """
 
 from __future__ import annotations
@@ -41,16 +41,17 @@
 from hazelspring.routing.shared_limits import RouterSettings, SharedLimits
 from hazelspring.routing.unserved_reason import UnservedReason
 
-REJECTED_RETRY_AFTER = (
-    0.25  # seconds after which a request rejected for lack of servers or news may come again
-)
-HEDGE_LATENCY_FACTOR = 3.0  # times the expected time after which an idempotent request is tried elsewhere,
-HEDGE_MIN_TARGET_PART = 0.5  # but not before this part of its latency target
-# Seconds until it is checked again whether it may be: servers and the retry budget seldom come back sooner.
+# Seconds after which a client may retry a request that was rejected because there was no server, or no
+# recent configuration.
+REJECTED_RETRY_AFTER = 0.25
+# An attempt of an idempotent request is slow after this multiple of its expected duration,
+HEDGE_LATENCY_FACTOR = 3.0
+HEDGE_MIN_TARGET_FRACTION = 0.5  # but not before this fraction of the route's latency target.
+# Seconds until a slow attempt is checked again: servers and the retry budget seldom become available sooner.
 HEDGE_CHECK_INTERVAL = 0.25
-SLOW_START_MARGIN = 0.75  # seconds of a server's slow start beyond what the server is told
+SLOW_START_MARGIN = 0.75  # seconds added to the slow start time that is announced to the server
 FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR)
-# What the host checks instructions against, whatever a route allows; times in seconds.
+# Limits that the host enforces on all instructions, whatever a route allows; times in seconds.
 ROUTER_LIMITS = Limits(
     max_attempts=8,
     second_copies=True,
@@ -70,9 +71,9 @@
     limits : SharedLimits
         Limits that hold over all nodes together.
     fleet : EndpointSet
-        The servers.
+        The servers that this node knows.
     seed : int
-        The seed of the draws by which a route's requests are split between services.
+        The seed of the random split of a route's requests between services.
     """
 
     def __init__(self, limits: SharedLimits, fleet: EndpointSet, seed: int) -> None:
@@ -82,22 +83,26 @@
         self.credits = CreditLeases(limits.quota)
         self.retry_budgets: dict[str, RetryBudget] = {}  # by service
         self.pending: dict[int, PendingRequest] = {}
-        self.actions: list[Action] = []  # what the last event has brought about so far
+        self.actions: list[Action] = []  # instructions that result from the current event so far
         self.evacuated_zones: frozenset[str] = frozenset()
         self.configuration: Configuration | None = None
-        self.fresh_until = 0.0  # when the configuration is too old to admit requests with access keys
-        self.node_count = 1  # nodes that share the limits; 0 where it is not known
-        self.leaving = False  # this node ends soon: what a server is at work on is waited for
-        self.list_known = True  # the server list is as recent as the limits want it
-        self.requests_on_stale_list = 0  # attempts that were sent while it was not
-        self.ends: Counter[str] = Counter()  # requests that were not served, by UnservedReason
+        # Time from which the configuration is too old to admit requests with access keys.
+        self.fresh_until = 0.0
+        self.node_count = 1  # number of nodes that share the limits; 0 if it is not known
+        self.leaving = False  # whether this node shuts down soon: it then waits for attempts in flight
+        self.list_known = True  # whether the server list is as recent as the limits require
+        self.requests_on_stale_list = 0  # attempts sent while ``list_known`` was false
+        self.ends: Counter[str] = Counter()  # number of requests not served, by UnservedReason
         self.settings = RouterSettings(ROUTER_LIMITS)
         self.now = 0.0
 
-    # What the node learns.
+    # Updates of the configuration, the servers and the zones.
 
     def use_configuration(self, configuration: Configuration) -> None:
-        """Use a configuration from now on, and drop what was learned of routes and services that it lacks."""
+        """Use a configuration from now on.
+
+        The latencies of routes and the retry budgets of services that it doesn't contain are dropped.
+        """
         self.configuration = configuration
         names = {route.name for routes in configuration.routes_by_host.values() for route in routes}
         for name in self.fleet.route_latencies.keys() - names:
@@ -106,16 +111,19 @@
             del self.retry_budgets[service]
 
     def slow_start_times(self) -> dict[str, float]:
-        """Return for how many seconds the new servers of each service get no requests."""
+        """Return, by service, the seconds for which a new server gets no requests."""
         services = self.configuration.services if self.configuration is not None else {}
         return {name: service.slow_start_time + SLOW_START_MARGIN for name, service in services.items()}
 
     def update_endpoints(self, now: float, service: str, servers: Iterable[ServerEntry]) -> list[Endpoint]:
-        """Replace the servers of a service; return those that are gone."""
+        """Replace the servers of a service; return those that are no longer listed."""
         return self.fleet.update_endpoints(now, service, servers, self.slow_start_times().get(service, 0.0))
 
     def set_evacuated_zones(self, now: float, zones: frozenset[str]) -> None:
-        """Send nothing to the servers of these zones; those of zones that are no longer evacuated start slowly."""
+        """Send no requests to servers in these zones.
+
+        The servers of zones that are no longer evacuated begin a slow start.
+        """
         for zone in self.evacuated_zones - zones:
             self.fleet.begin_slow_start(now, zone, self.slow_start_times())
         self.evacuated_zones = zones
@@ -123,9 +131,9 @@
     # Events.
 
     def handle(self, now: float, event: object) -> list[Action]:
-        """Handle an event; return what is to be done, which ``actions`` holds meanwhile.
+        """Handle an event and return the resulting instructions.
 
-        Events of other kinds change nothing.
+        Events of kinds that the router doesn't know have no effect.
         """
         self.now = now
         self.actions = []
@@ -150,7 +158,7 @@
         return self.actions
 
     def on_request(self, event: RequestArrived) -> None:
-        """Choose the request's service, and admit it, reject it or ask for a credit."""
+        """Choose a service for the request, and admit it, reject it or request a credit for it."""
         service = event.route.pick_service(self.random.random())
         deadline = self.now + event.time_left
         pending = PendingRequest(event.request, event.route, service, event.tenant, deadline)
@@ -159,7 +167,7 @@
         self.admit(pending)
 
     def on_attempt_finished(self, event: Finished) -> None:
-        """Learn from an attempt's outcome, and retry its request or end it where it still waits for an answer."""
+        """Record an attempt's outcome; retry or end its request if that still waits for a response."""
         pending = self.pending.get(event.request)
         server = self.fleet.servers.get(event.backend)
         if server is not None:
@@ -175,16 +183,16 @@
         self.retry_or_give_up(pending, event.again)
 
     def on_client_gone(self, request: int) -> None:
-        """Cancel the attempt of a client that has gone, where it may be repeated.
+        """Cancel the attempt in flight for a client that has disconnected, if its route is idempotent.
 
-        A write goes on to its end: breaking it off would leave it unknown whether it has run.
+        A write runs to its end: after a cancellation it would be unknown whether it had run.
         """
         pending = self.pending.pop(request, None)
         if pending is not None and pending.attempts_in_flight and pending.route.idempotent:
             self.actions.append(Cancel(request, pending.attempts_sent - 1))
 
     def on_tick(self) -> None:
-        """Check timeouts and lifetimes."""
+        """Check time-outs of counter calls and slow attempts, and lifetimes of credits and load reports."""
         self.credits.tick(self.now)
         self.fleet.expire_load_reports(self.now)
         self.abandon_slow_attempts()
@@ -192,10 +200,10 @@
     # Admission.
 
     def admit(self, pending: PendingRequest) -> None:
-        """Send a request that has arrived, reject it, or ask for a credit of its tenant's quota.
+        """Send a request that has arrived, reject it, or request a credit of its tenant's quota.
 
-        A request with an access key is rejected where the configuration is not known to be recent, as its key may
-        have been revoked.  One that no server may take is rejected before it costs its tenant a credit.
+        A request with an access key is rejected if the configuration is not known to be recent, as its key
+        may have been revoked. A request without a candidate server is rejected before it costs a credit.
         """
         tenant = pending.tenant
         if not pending.route.open_access and self.now > self.fresh_until:
@@ -210,7 +218,7 @@
             self.dispatch(pending)
 
     def apply_verdicts(self) -> None:
-        """Make the calls to counters that the leases want, and carry out what they decided on requests."""
+        """Issue the counter calls that the credit leases require, and apply their verdicts to requests."""
         leases = self.credits
         while leases.verdicts or leases.calls:
             calls, leases.calls = leases.calls, []
@@ -223,9 +231,9 @@
                     self.apply_verdict(pending, verdict)
 
     def apply_verdict(self, pending: PendingRequest, verdict: AdmissionVerdict) -> None:
-        """Send a request that got a credit; answer 429 beyond the quota, and 503 where no counter answered.
+        """Send an admitted request; respond with 429 beyond the quota, and with 503 if no counter answered.
 
-        The two differ in what they promise: a tenant within its quota is not told that it is beyond it.
+        The statuses differ so that a tenant within its quota doesn't get the one for exceeding it.
         """
         if verdict.admitted:
             self.dispatch(pending)
@@ -238,14 +246,14 @@
     # Attempts.
 
     def has_candidate(self, pending: PendingRequest) -> bool:
-        """Return whether any server may take a request."""
+        """Return whether there is any server to which a request may be sent."""
         candidates = self.fleet.candidates(
             self.now, pending.service, pending.home_regions(), self.evacuated_zones, pending.tried_servers
         )
         return next(candidates, None) is not None
 
     def choose_endpoint(self, pending: PendingRequest) -> tuple[Endpoint | None, float]:
-        """Return the best server for a request, if there is any, and the seconds it would take there."""
+        """Return the best server for a request, if there is any, and its expected duration in seconds."""
         return self.fleet.choose(
             self.now,
             pending.service,
@@ -258,7 +266,7 @@
         )
 
     def dispatch(self, pending: PendingRequest) -> None:
-        """Send a request to the best server, or give it up at once where the time left would not do."""
+        """Send a request to the best server, or give up at once if the time left would not suffice."""
         server, expected = self.choose_endpoint(pending)
         time_left = pending.time_left(self.now)
         if server is None or time_left < MIN_TIME_LEFT or expected > time_left:
@@ -275,9 +283,9 @@
         self.actions.append(Send(pending.request, server.number, 0.0))
 
     def record_outcome(self, server: Endpoint, pending: PendingRequest | None, event: Finished) -> None:
-        """Learn from an attempt's outcome what its server is worth.
+        """Update the statistics of the server with an attempt's outcome.
 
-        Outcomes that say nothing of the server, such as a cancellation, are not counted.
+        Outcomes that say nothing about the server, such as a cancellation, are not counted.
         """
         server.in_flight = max(0, server.in_flight - 1)
         if event.outcome is Outcome.OK and pending is not None:
@@ -290,7 +298,7 @@
     # Retries and hedging.
 
     def retry_budget(self, service: str) -> RetryBudget:
-        """Return this node's retry budget for a service."""
+        """Return this node's retry budget for a service; a new one is created if there is none."""
         budget = self.retry_budgets.get(service)
         if budget is None:
             limits = self.limits
@@ -299,14 +307,14 @@
         return budget
 
     def spend_retry(self, pending: PendingRequest) -> bool:
-        """Take a retry from the budget; return whether there was one."""
+        """Take one retry from the budget of the request's service; return whether one was available."""
         return self.retry_budget(pending.service).try_spend(self.now, self.node_count)
 
     def retry_or_give_up(self, pending: PendingRequest, resendable: bool) -> None:
-        """Send a request whose attempt has failed to another server, where that is safe and within the budget.
+        """After a failed attempt, send the request to another server, if that is safe and within the budget.
 
-        ``resendable`` says whether all of its body is still held.  See :meth:`PendingRequest.may_retry` for what is
-        safe.  A retry that hedging has reserved is in the budget already.
+        ``resendable`` says whether its complete body is still in memory. :meth:`PendingRequest.may_retry`
+        defines what is safe. A retry that hedging has reserved was already taken from the budget.
         """
         reserved = pending.retry_reserved
         pending.retry_reserved = False
@@ -318,17 +326,18 @@
             self.give_up(pending)
 
     def first_hedge_check(self, pending: PendingRequest, expected: float) -> float:
-        """Return when the attempt that is sent now, expected to take so many seconds, counts as slow."""
+        """Return the time from which an attempt sent now, expected to take ``expected`` seconds, is slow."""
         if not pending.may_hedge():
             return math.inf
-        least = HEDGE_MIN_TARGET_PART * pending.route.latency_target
-        return self.now + max(HEDGE_LATENCY_FACTOR * expected, least)
+        min_delay = HEDGE_MIN_TARGET_FRACTION * pending.route.latency_target
+        return self.now + max(HEDGE_LATENCY_FACTOR * expected, min_delay)
 
     def abandon_slow_attempts(self) -> None:
-        """Take idempotent requests whose server takes long to another server.
+        """Move idempotent requests whose server is slow to another server.
 
-        Only where another server and the retry budget have room for it: otherwise the server goes on, as breaking
-        its work off would leave no answer at all.  For the same reason nothing is broken off once this node leaves.
+        An attempt is abandoned only if another server and the retry budget have room for the request.
+        Otherwise the node keeps waiting for it, as abandoning it would leave the request without any
+        response. For the same reason no attempt is abandoned once this node is shutting down.
         """
         if self.leaving:
             return
@@ -342,16 +351,17 @@
                 pending.hedge_check_at = self.now + HEDGE_CHECK_INTERVAL
 
     def has_time_elsewhere(self, pending: PendingRequest) -> bool:
-        """Return whether another server could answer a request before its deadline."""
+        """Return whether another server is expected to respond to a request before its deadline."""
         server, expected = self.choose_endpoint(pending)
         return server is not None and max(MIN_TIME_LEFT, expected) < pending.time_left(self.now)
 
-    # Ends.
+    # Requests that are not served.
 
     def give_up(self, pending: PendingRequest) -> None:
         """End a request that gets no further attempt, once none is in flight.
 
-        Only where no attempt can have run is the client promised, by 503, that it may repeat the request.
+        The response is 503, which promises the client that it may repeat the request, only if no attempt can
+        have run.
         """
         if pending.attempts_in_flight:
             return
@@ -362,15 +372,15 @@
             self.reject(pending, REJECTED_RETRY_AFTER, UnservedReason.NOT_RUN)
 
     def reject(self, pending: PendingRequest, retry_after: float, reason: UnservedReason) -> None:
-        """Answer 503, which promises that the request did not run, with a time in seconds to come back."""
+        """Respond with 503, which promises that the request did not run, and a retry time in seconds."""
         self.end(pending, reason)
         self.actions.append(Refuse(pending.request, retry_after))
 
     def end(self, pending: PendingRequest, reason: UnservedReason) -> None:
-        """Forget a request that is not served, and count why."""
+        """Remove a request that is not served, and count the reason."""
         self.ends[reason] += 1
         self.pending.pop(pending.request, None)
 
     def instruct(self, instruction: RouterInstruction) -> None:
-        """Add an instruction that only this router's host knows, beyond those of the interface of all hosts."""
+        """Add an instruction that is specific to this router, as opposed to those that all hosts know."""
         self.actions.append(instruction)  # type: ignore[arg-type]
--- a/hazelspring/routing/route_latency.py
+++ b/hazelspring/routing/route_latency.py
@@ -1,4 +1,4 @@
-"""How long requests of one route take, over all servers."""
+"""The latency of one route's requests, averaged over all servers."""
 
 from __future__ import annotations
 
@@ -6,25 +6,23 @@
 
 from hazelspring.routing.endpoint import LATENCY_WEIGHT
 
-MIN_SAMPLE_WEIGHT = (
-    LATENCY_WEIGHT / 5
-)  # weight of the newest of many answers; that of the first few is larger
-MIN_LATENCY = 1e-3  # seconds: the least latency to which an answer's is compared
+MIN_SAMPLE_WEIGHT = LATENCY_WEIGHT / 5  # weight of the newest response; the first few have a larger weight
+MIN_LATENCY = 1e-3  # seconds; a lower route latency counts as this in a latency ratio
 
 
 @dataclass(slots=True)
 class RouteLatency:
-    """The latency in seconds that a route's requests have at a server that is not crowded."""
+    """The average latency in seconds that a route's requests would have at servers with free slots."""
 
     latency: float
     samples: int = 0
 
     def ratio(self, spent: float) -> float:
-        """Return how many times the usual latency ``spent`` seconds are."""
+        """Return ``spent`` seconds divided by the route's latency."""
         return spent / max(self.latency, MIN_LATENCY)
 
-    def record(self, spent: float, crowding: float) -> None:
-        """Learn from an answer that took ``spent`` seconds at a server that was so crowded."""
+    def record(self, spent: float, slowdown: float) -> None:
+        """Add a response that took ``spent`` seconds, slowed by the server's load by factor ``slowdown``."""
         self.samples += 1
         weight = max(MIN_SAMPLE_WEIGHT, 1 / (self.samples + 1))
-        self.latency += weight * (spent / crowding - self.latency)
+        self.latency += weight * (spent / slowdown - self.latency)
--- a/hazelspring/routing/shared_limits.py
+++ b/hazelspring/routing/shared_limits.py
@@ -1,4 +1,4 @@
-"""Settings of the request router."""
+"""Limits and settings of the request router."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @dataclass(slots=True)
 class SharedLimits:
-    """Limits that hold over all nodes together, from ``timingTerms.ruleBounds`` of the settings."""
+    """Limits that apply to all nodes together, from ``timingTerms.ruleBounds`` of the settings."""
 
     quota: QuotaLimits = field(default_factory=QuotaLimits)
-    """How far the requests of a tenant may exceed its rate (``quotaWindowS``, ``quotaOverage``, ``quotaSlack``)."""
+    """Bounds by which a tenant may exceed its rate (``quotaWindowS``, ``quotaOverage``, ``quotaSlack``)."""
 
     retry_ratio: float = 0.2
     """Retries allowed per request (``retryBudgetRatio``)."""
 
     retry_slack: float = 62.0
-    """Retries allowed in any window beyond that ratio (``budgetSlack``)."""
+    """Retries allowed in any window in addition to that ratio (``budgetSlack``)."""
 
     retry_window: float = 10.0
     """Seconds over which requests and retries are counted (``budgetWindowS``)."""
@@ -27,6 +27,6 @@
 
 @dataclass(slots=True)
 class RouterSettings:
-    """What the host of a decision module reads of its settings."""
+    """The part of a decision module's settings that its host reads."""
 
     limits: Limits
