--- a/hazelspring/quota/__init__.py
+++ b/hazelspring/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas of tenants: each node leases credits from the quota counter of the tenant and spends them locally."""
+"""Quotas of tenants: each node leases credits from the tenant's quota counter and spends them locally."""
--- a/hazelspring/quota/credit_lease.py
+++ b/hazelspring/quota/credit_lease.py
@@ -1,4 +1,4 @@
-"""The credits that one node holds of one tenant's quota."""
+"""The credits of one tenant's quota that one node has leased."""
 
 from __future__ import annotations
 
@@ -8,67 +8,67 @@
 
 from hazelspring.admission.policy.sizing import step
 
-# Cost of a call to a counter, in requests: one request of a batch waits for a round trip.
+# Cost of a call to a counter, in requests: one request of each batch waits for a round trip.
 CALL_COST = 0.25
-NO_CALL = 0  # in place of a call's number
+NO_CALL = 0  # stands for a call's number if no call is in flight
 
 
 @dataclass(slots=True)
 class CreditLease:
-    """Credits, each for one request, that the tenant's counter granted; times in seconds of the monotonic clock."""
+    """Credits that a tenant's counter has granted; times in seconds of the monotonic clock."""
 
     tenant: str
     limit: float
     """Requests that one window may grant to all nodes."""
 
     log_batch_size: float
-    """Natural logarithm of the credits that a call asks for; learned from what is served."""
+    """Natural logarithm of the number of credits that a call requests; adjusted after each window."""
 
-    slope: float = 0.0
-    """Sum of the squared gradients of that learning."""
+    squared_gradient_sum: float = 0.0
+    """Sum of the squared gradients of these adjustments (AdaGrad)."""
 
     credits: float = 0.0
-    """Credits that are left, in requests."""
+    """Credits that are left."""
 
     expires_at: float = 0.0
-    """The end of the window, when they expire."""
+    """The end of the window, when the credits expire."""
 
     served: float = 0.0
     """Requests admitted with a credit in this window."""
 
     granted_part: float = 0.0
-    """Part of the window's limit that is granted to all nodes, by the counter's last answer."""
+    """Fraction of the window's limit that is granted to all nodes, by the counter's last reply."""
 
     denied_until: float = 0.0
-    """The end of the window in which the counter granted less than was asked for."""
+    """The end of the window in which the counter granted fewer credits than requested."""
 
     call_in_flight: int = NO_CALL
-    """Number of the call that waits for its answer."""
+    """Number of the call that waits for its reply, or ``NO_CALL``."""
 
     requested: float = 0.0
-    """Credits that this call asks for."""
+    """Credits that the call in flight requests."""
 
     requested_at: float = 0.0
     attempts: int = 0
-    """Times that this call was made."""
+    """Number of times that the call in flight was sent."""
 
     last_used_at: float = 0.0
-    """When a request last asked for a credit."""
+    """When a credit was last requested for a request."""
 
     waiters: deque[int] = field(default_factory=deque)
-    """Numbers of the requests that wait for a credit, the oldest first."""
+    """Numbers of the requests that wait for a credit, oldest first."""
 
     reserve: int = 0
-    """Requests that may be admitted without a credit in any span."""
+    """Number of requests that may be admitted without a credit in any span."""
 
     reserve_used_at: deque[float] = field(default_factory=deque)
-    """When that was done, within the last span."""
+    """Times at which a request was admitted without a credit, within the last span."""
 
     def begin_window(self, end: float) -> None:
-        """Learn the batch size from the window that has ended, whose leftovers expire, and begin a new one."""
-        self.log_batch_size, self.slope = step(
+        """Adjust the batch size to the demand in the last window, and begin a window without credits."""
+        self.log_batch_size, self.squared_gradient_sum = step(
             self.log_batch_size,
-            self.slope,
+            self.squared_gradient_sum,
             self.served,
             self.granted_part,
             CALL_COST,
@@ -80,7 +80,7 @@
         self.expires_at = end
 
     def begin_call(self, now: float, number: int) -> None:
-        """Ask for a batch, and for a credit for each waiter at least."""
+        """Begin a call that requests one batch of credits, or one credit for each waiter if that is more."""
         batch_size = float(round(math.exp(self.log_batch_size)))
         self.requested = max(float(len(self.waiters)), batch_size)
         self.call_in_flight = number
@@ -88,18 +88,18 @@
         self.attempts = 1
 
     def repeat_call(self, now: float, number: int) -> None:
-        """Make the call that got no answer again, under a new number."""
+        """Repeat the call that got no reply, under a new number."""
         self.call_in_flight = number
         self.requested_at = now
         self.attempts += 1
 
     def spend(self) -> None:
-        """Admit one request."""
+        """Spend one credit to admit a request."""
         self.credits -= 1
         self.served += 1
 
     def try_use_reserve(self, now: float, span: float) -> bool:
-        """Admit one request without a credit, if fewer than ``reserve`` were in the last ``span`` seconds."""
+        """Admit a request without a credit; return false if the reserve for ``span`` seconds is used up."""
         while self.reserve_used_at and self.reserve_used_at[0] <= now - span:
             self.reserve_used_at.popleft()
         if len(self.reserve_used_at) >= self.reserve:
--- a/hazelspring/quota/credits.py
+++ b/hazelspring/quota/credits.py
@@ -1,6 +1,7 @@
-"""A node's leases of credits, one a tenant: spent locally, refilled by the counter, expiring with the window.
+"""A node's credit leases, one for each tenant.
 
-The leases do no I/O and read no clock: they leave calls and verdicts in lists for their owner to carry out.
+Credits are spent locally and refilled from the tenant's counter. They expire at the end of a window. The
+leases do no I/O and read no clock: they append calls and verdicts to lists, which their owner carries out.
 """
 
 from __future__ import annotations
@@ -11,18 +12,21 @@
 from hazelspring.quota.credit_lease import NO_CALL, CreditLease
 from hazelspring.quota.limits import QuotaLimits
 
-CALL_TIMEOUT = 0.12  # seconds until an unanswered call is repeated; a round trip between regions takes 40 ms
-MAX_CALL_ATTEMPTS = 3  # after which the waiters are rejected
-UNAVAILABLE_RETRY_AFTER = 0.3  # seconds after which a request rejected for lack of a counter may come again
-IDLE_WINDOW_PART = 0.5  # part of a window after which unused credits are given back, where others are short
-CONTENDED_PART = 0.8  # part of a window's limit that is granted from which on others are short
+CALL_TIMEOUT = 0.12  # seconds until a call is repeated; a round trip between regions takes 40 ms
+MAX_CALL_ATTEMPTS = 3  # after this many, the requests that wait for the call are rejected
+# Seconds after which a client may retry a request that was rejected because no counter replied.
+UNAVAILABLE_RETRY_AFTER = 0.3
+# Fraction of a window after which an idle lease gives its credits back, if the tenant's quota is contended.
+IDLE_WINDOW_FRACTION = 0.5
+# A tenant's quota counts as contended from this granted fraction of the window's limit on.
+CONTENDED_FRACTION = 0.8
 IDLE_LEASE_TIMEOUT = 30.0  # seconds after which an idle lease is dropped
-ROUNDING_TOLERANCE = 1e-9  # credits by which a full grant may differ from what was asked for
+ROUNDING_TOLERANCE = 1e-9  # credits by which a full grant may fall short of the requested number
 
 
 @dataclass(slots=True, frozen=True)
 class CounterCall:
-    """A call to a tenant's counter: for more than 0 ``units`` of credit, or to give back where they are less."""
+    """A call to a tenant's counter that requests ``units`` credits; negative ``units`` give credits back."""
 
     tenant: str
     number: int
@@ -31,10 +35,10 @@
 
 @dataclass(slots=True, frozen=True)
 class CreditsGranted:
-    """The counter's answer to a call.
+    """The counter's reply to a call.
 
-    ``units`` of credit may be spent for ``lifetime`` seconds, counted from the call; ``granted_part`` is the part of
-    the window's limit that is granted to all nodes.
+    ``units`` credits may be spent for ``lifetime`` seconds from the call on; ``granted_part`` is the
+    fraction of the window's limit that is granted to all nodes.
     """
 
     tenant: str
@@ -46,16 +50,17 @@
 
 @dataclass(slots=True, frozen=True)
 class CounterUnavailable:
-    """No node has the counter of this tenant for now."""
+    """No node currently owns the counter of this tenant."""
 
     tenant: str
 
 
 @dataclass(slots=True, frozen=True)
 class AdmissionVerdict:
-    """What becomes of a request that asked for a credit: admitted, or rejected until ``retry_after`` seconds from now.
+    """Whether a request that needed a credit is admitted.
 
-    A rejected one is ``over_quota``, or else the counter did not answer.
+    The client may retry a rejected request after ``retry_after`` seconds. The request was rejected either
+    because the tenant is ``over_quota``, or else because the counter did not reply.
     """
 
     request: int
@@ -67,7 +72,7 @@
 class CreditLeases:
     """The leases of one node.
 
-    ``calls`` and ``verdicts`` are what has to be carried out; their owner empties them.
+    The owner of the leases carries out ``calls`` and ``verdicts``, and empties both lists.
     """
 
     def __init__(self, limits: QuotaLimits) -> None:
@@ -80,9 +85,9 @@
     def request_credit(
         self, now: float, tenant: str, rate: float, burst: float, request: int, nodes: int
     ) -> None:
-        """Ask for one credit for a request; its verdict comes now or once the call in flight has ended.
+        """Request one credit for a request; the verdict follows at once or after a call to the counter.
 
-        The tenant's ``rate`` (requests a second) and ``burst`` hold over all ``nodes``.
+        The tenant's ``rate`` (requests per second) and ``burst`` apply to all ``nodes`` together.
         """
         lease = self.lease_for(now, tenant, self.limits.window_limit(rate, burst, nodes), nodes)
         lease.reserve = self.limits.reserve(rate, burst, nodes)
@@ -96,7 +101,10 @@
                 self.call_counter(now, lease)
 
     def lease_for(self, now: float, tenant: str, limit: float, nodes: int) -> CreditLease:
-        """Return the lease of a tenant, in the current window; a new one starts with an even share of the limit."""
+        """Return the tenant's lease for the current window.
+
+        The batch size of a new lease is this node's even share of the limit.
+        """
         lease = self.leases.get(tenant)
         if lease is None:
             log_batch_size = math.log(max(1.0, limit / max(1, nodes)))
@@ -108,7 +116,7 @@
         return lease
 
     def roll_window(self, now: float, lease: CreditLease) -> None:
-        """Begin a new window if the last one has ended; the counter's next answer says when that ends."""
+        """Begin a new window if the last one has ended; the counter's next reply sets its actual end."""
         if now >= lease.expires_at:
             lease.begin_window(now + self.limits.window)
 
@@ -118,20 +126,20 @@
         self.verdicts.append(AdmissionVerdict(request, admitted=True))
 
     def next_call_number(self) -> int:
-        """Return a number that no call of this node has had."""
+        """Return a call number that this node has not used yet."""
         self.last_call_number += 1
         return self.last_call_number
 
     def call_counter(self, now: float, lease: CreditLease) -> None:
-        """Ask the counter for credits."""
+        """Add a call that requests credits from the counter."""
         lease.begin_call(now, self.next_call_number())
         self.calls.append(CounterCall(lease.tenant, lease.call_in_flight, lease.requested))
 
     def on_granted(self, now: float, answer: CreditsGranted) -> None:
-        """Use the counter's answer.
+        """Add the granted credits to the lease, and admit or reject the requests that wait for them.
 
-        The lifetime of what it grants counts from the call, so that credits expire early rather than late.  An
-        answer to a call that was given up is ignored: its credits are lost until the window ends.
+        The lifetime of the credits counts from the time of the call, so that they expire early rather than
+        late. A reply to a call that was abandoned is ignored: its credits are lost until the window ends.
         """
         lease = self.leases.get(answer.tenant)
         if lease is None or lease.call_in_flight != answer.number:
@@ -153,18 +161,18 @@
             self.call_counter(now, lease)
 
     def on_counter_unavailable(self, now: float, tenant: str) -> None:
-        """Reject the waiters, with a short time to come back, as no node has the tenant's counter."""
+        """Reject the waiters with a short retry time, as no node owns the tenant's counter."""
         lease = self.leases.get(tenant)
         if lease is not None and lease.call_in_flight != NO_CALL:
             self.abandon_call(now, lease)
 
     def abandon_call(self, now: float, lease: CreditLease) -> None:
-        """Wait no longer for the counter, and reject the waiters."""
+        """Stop waiting for the counter's reply, and reject the waiters."""
         lease.call_in_flight = NO_CALL
         self.reject_waiters(now, lease, UNAVAILABLE_RETRY_AFTER, over_quota=False)
 
     def reject_waiters(self, now: float, lease: CreditLease, retry_after: float, over_quota: bool) -> None:
-        """Reject all requests that wait, but for those that the reserve has room for."""
+        """Reject all waiting requests, except those that the reserve can admit."""
         while lease.waiters:
             self.reject_or_use_reserve(
                 now, lease, lease.waiters.popleft(), retry_after, over_quota=over_quota
@@ -173,7 +181,7 @@
     def reject_or_use_reserve(
         self, now: float, lease: CreditLease, request: int, retry_after: float, *, over_quota: bool
     ) -> None:
-        """Reject a request, unless this node's own reserve of the tenant's quota has room for it."""
+        """Reject a request, unless this node's reserve of the tenant's quota can admit it."""
         if lease.try_use_reserve(now, self.limits.span):
             verdict = AdmissionVerdict(request, admitted=True)
         else:
@@ -181,14 +189,14 @@
         self.verdicts.append(verdict)
 
     def tick(self, now: float) -> None:
-        """Repeat or give up calls without an answer, give back credits that nobody uses, and drop idle leases."""
+        """Repeat or abandon calls that timed out, give back unused credits, and drop idle leases."""
         for lease in list(self.leases.values()):
             idle_time = now - lease.last_used_at
             if lease.call_in_flight != NO_CALL and now - lease.requested_at > CALL_TIMEOUT:
                 self.repeat_or_abandon_call(now, lease)
             elif (
                 lease.credits >= 1
-                and idle_time > IDLE_WINDOW_PART * self.limits.window
+                and idle_time > IDLE_WINDOW_FRACTION * self.limits.window
                 and now < lease.expires_at
             ):
                 self.give_back_if_contended(lease)
@@ -196,7 +204,7 @@
                 del self.leases[lease.tenant]
 
     def repeat_or_abandon_call(self, now: float, lease: CreditLease) -> None:
-        """Make a call that timed out again, or reject its waiters once it was made often enough."""
+        """Repeat a call that timed out, or abandon it after ``MAX_CALL_ATTEMPTS`` attempts."""
         if lease.attempts < MAX_CALL_ATTEMPTS:
             lease.repeat_call(now, self.next_call_number())
             self.calls.append(CounterCall(lease.tenant, lease.call_in_flight, lease.requested))
@@ -204,7 +212,7 @@
             self.abandon_call(now, lease)
 
     def give_back_if_contended(self, lease: CreditLease) -> None:
-        """Give the credits back where other nodes are short of them."""
-        if lease.granted_part >= CONTENDED_PART:
+        """Give the credits back if the tenant's quota is contended, so that other nodes may use them."""
+        if lease.granted_part >= CONTENDED_FRACTION:
             self.calls.append(CounterCall(lease.tenant, self.next_call_number(), -lease.credits))
             lease.credits = 0.0
--- a/hazelspring/quota/limits.py
+++ b/hazelspring/quota/limits.py
@@ -1,47 +1,54 @@
-"""How many requests of a tenant one window may grant, so that no span of the limit's length sees too many."""
+"""Calculates how many requests of a tenant one window may grant, so that no time span exceeds its limit."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-WINDOWS_PER_SPAN = (
-    5  # shorter windows reject bursts; longer ones let a span that touches an edge see them twice
-)
-GRANTED_PART = (
-    0.92  # part of the limit that is granted: the rest covers what arrives later than it was admitted
-)
-# Part of the limit that the nodes share evenly, for when no counter answers; whole requests each.
-RESERVED_PART = 0.16
+# Shorter windows reject bursts. Longer ones add more to a span that isn't aligned with them: it overlaps one
+# window more than fit into it.
+WINDOWS_PER_SPAN = 5
+# Fraction of the limit that is granted; the rest covers requests that arrive later than they were admitted.
+GRANTED_FRACTION = 0.92
+# Fraction of the limit that the nodes share evenly for times when no counter replies. Each node's share is
+# rounded down to a whole number of requests.
+RESERVED_FRACTION = 0.16
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaLimits:
-    """Limits of every tenant's requests over all nodes, from ``timingTerms.ruleBounds`` of the settings."""
+    """Limits on each tenant's requests at all nodes, from ``timingTerms.ruleBounds`` of the settings."""
 
     span: float = 5.0
     """Seconds over which requests are counted (``quotaWindowS``)."""
 
     overage: float = 0.1
-    """Part by which a tenant may exceed its rate and burst in any span (``quotaOverage``)."""
+    """Fraction by which a tenant may exceed its rate and burst in any span (``quotaOverage``)."""
 
     slack: float = 20.0
-    """Requests beyond that in any span (``quotaSlack``)."""
+    """Additional requests that are allowed in any span (``quotaSlack``)."""
 
     @property
     def window(self) -> float:
-        """The length of a counter's window in seconds."""
+        """Length of a counter's window in seconds."""
         return self.span / WINDOWS_PER_SPAN
 
     def span_limit(self, rate: float, burst: float) -> float:
-        """Return the requests that any span may see, of a tenant with a rate a second and a burst."""
+        """Return how many requests of a tenant any span may contain; ``rate`` is in requests per second."""
         return (rate * self.span + burst) * (1 + self.overage) + self.slack
 
     def reserve(self, rate: float, burst: float, nodes: int) -> int:
-        """Return the requests that each of ``nodes`` may admit by itself in any span; 0 where they are not counted."""
-        return int(RESERVED_PART * self.span_limit(rate, burst) / nodes) if nodes > 0 else 0
+        """Return how many requests each node may admit without a counter in any span.
+
+        It is 0 if the number of nodes is not known, that is, if ``nodes`` is 0.
+        """
+        return int(RESERVED_FRACTION * self.span_limit(rate, burst) / nodes) if nodes > 0 else 0
 
     def window_limit(self, rate: float, burst: float, nodes: int) -> float:
-        """Return the requests that one window may grant: a span touches one window more than fit into it."""
+        """Return how many requests one window may grant.
+
+        A span overlaps one window more than fit into it, and the grants of them all must stay within its
+        limit.
+        """
         shared = nodes * self.reserve(rate, burst, nodes)
-        granted = GRANTED_PART * self.span_limit(rate, burst) - shared
+        granted = GRANTED_FRACTION * self.span_limit(rate, burst) - shared
         return float(int(granted / (WINDOWS_PER_SPAN + 1)))
