--- a/tests/test_ill_servers.py
+++ b/tests/test_ill_servers.py
@@ -1,5 +1,9 @@
-"""Servers that fail while their health is good, lie, go down and up, are new, or have another's address: what a
-door does before them, on simulated time; and on loopback what reaches a server, and how often."""
+"""How nodes route requests around faulty servers.
+
+On simulated time: servers that fail although they seem healthy, that flap, that recover, or that are new. On
+loopback sockets: which requests reach a server, and how often, if its address was reassigned, its health
+checks are wrong, or it resets connections.
+"""
 
 from __future__ import annotations
 
@@ -33,305 +37,334 @@
 from .sockets import listening, run, until
 from .test_request_router import CONFIGURATION, ZONES, servers
 
-WORK, SLOTS, TICK = 0.2, 2, 0.05
-Ill = Callable[[float, int, str], Outcome | float | None]
-"""Time, server and the caller's zone: how it fails, or how many times as long it takes, if it is ill."""
-Act = tuple[Any, ...]
+WORK_TIME, SLOTS, TICK = 0.2, 2, 0.05  # times in seconds
+FaultModel = Callable[[float, int, str], Outcome | float | None]
+"""Time, server and the node's zone -> how a request fails, a factor of its duration, or ``None``."""
+ScheduledCall = tuple[Any, ...]  # the name of a method and its arguments
 
 
-def end_of(outcome: Outcome) -> float:
-    """Seconds after which a request ends so; one that hangs ends with its client's patience."""
+def failure_delay(outcome: Outcome) -> float:
+    """Return the seconds until a request fails with this outcome; a time-out is that of the client."""
     return 4.0 if outcome is Outcome.TIMEOUT else 0.01
 
 
-class Fleets:
-    """Doors of one zone each before servers that work on two requests at once and queue the others."""
+class Simulation:
+    """Nodes that send requests to servers, on simulated time.
+
+    Each node is in one zone. Each server works on two requests at the same time and queues the others.
+    """
 
-    def __init__(self, ill: Ill, doors: tuple[str, ...] = ("a1",) * 4, count: int = 8) -> None:
-        self.ill, self.zones, self.now, self.dice = ill, doors, 0.0, random.Random(1)
-        self.names = [f"a1-{n}" for n in range(count)]
-        self.heap: list[tuple[float, int, Act]] = []
+    def __init__(
+        self, fault_model: FaultModel, node_zones: tuple[str, ...] = ("a1",) * 4, server_count: int = 8
+    ) -> None:
+        self.fault_model, self.zones, self.now, self.rng = fault_model, node_zones, 0.0, random.Random(1)
+        self.names = [f"a1-{n}" for n in range(server_count)]
+        self.heap: list[tuple[float, int, ScheduledCall]] = []
         self.order, self.numbers = itertools.count(), itertools.count(1)
-        self.out: Counter[str] = Counter()
-        self.most: Counter[str] = Counter()  # ever out at a server
-        self.sent: dict[int, Counter[str]] = {n: Counter() for n in range(len(doors))}
-        self.asked, self.served = Counter[int](), Counter[int]()
-        self.live: dict[tuple[int, int], tuple[str, float]] = {}
-        self.doors: list[RequestRouter] = []
-        for n, zone in enumerate(doors):
-            door = RequestRouter(SharedLimits(), EndpointSet(zone, zone[0], ZONES, random.Random(n)), n)
-            door.use_configuration(CONFIGURATION)
-            door.fresh_until, door.node_count = 1e9, len(doors)
-            self.doors.append(door)
-            self.at(self.dice.random() * TICK, "tick", n)
-        self.listed()
-
-    def listed(self) -> None:
-        for door in self.doors:
-            door.update_endpoints(self.now, "shop", servers(*self.names))
-
-    def at(self, when: float, *act: Any) -> None:
-        heapq.heappush(self.heap, (when, next(self.order), act))
+        self.in_flight: Counter[str] = Counter()  # by server name
+        self.peak_in_flight: Counter[str] = Counter()  # by server name
+        self.sent: dict[int, Counter[str]] = {n: Counter() for n in range(len(node_zones))}
+        self.requested, self.served = Counter[int](), Counter[int]()  # requests by node
+        self.open_attempts: dict[tuple[int, int], tuple[str, float]] = {}
+        self.routers: list[RequestRouter] = []
+        for n, zone in enumerate(node_zones):
+            router = RequestRouter(SharedLimits(), EndpointSet(zone, zone[0], ZONES, random.Random(n)), n)
+            router.use_configuration(CONFIGURATION)
+            router.fresh_until, router.node_count = 1e9, len(node_zones)
+            self.routers.append(router)
+            self.schedule(self.rng.random() * TICK, "tick", n)
+        self.update_server_lists()
+
+    def update_server_lists(self) -> None:
+        for router in self.routers:
+            router.update_endpoints(self.now, "shop", servers(*self.names))
+
+    def schedule(self, when: float, *call: Any) -> None:
+        heapq.heappush(self.heap, (when, next(self.order), call))
 
     def run(self, seconds: float, rate: float) -> None:
-        """Let time pass; each door is asked so often a second, for reads and writes by turns."""
+        """Let time pass; each node gets ``rate`` requests per second, alternately reads and writes."""
         end = self.now + seconds
-        for n in range(len(self.doors)):
-            when = self.now + self.dice.expovariate(rate)
+        for n in range(len(self.routers)):
+            when = self.now + self.rng.expovariate(rate)
             while when < end:
-                self.at(when, "ask", n)
-                when += self.dice.expovariate(rate)
+                self.schedule(when, "request", n)
+                when += self.rng.expovariate(rate)
         while self.heap and self.heap[0][0] <= end:
-            self.now, _, act = heapq.heappop(self.heap)
-            getattr(self, act[0])(*act[1:])
+            self.now, _, call = heapq.heappop(self.heap)
+            getattr(self, call[0])(*call[1:])
         self.now = end
 
-    def settle(self) -> None:
-        """Let what is out end."""
+    def finish_open_attempts(self) -> None:
+        """Let time pass without new requests until all attempts have ended."""
         self.run(5.0, 1e-9)
 
-    def ask(self, n: int) -> None:
+    def request(self, n: int) -> None:
         number = next(self.numbers)
-        self.asked[n] += 1
+        self.requested[n] += 1
         route = CONFIGURATION.find_route("h", "/r/1" if number % 2 else "/w/1")
         assert route is not None
-        self.act(
+        self.carry_out(
             n,
-            self.doors[n].handle(self.now, RequestArrived(number, route, CONFIGURATION.tenants["free"], 4.0)),
+            self.routers[n].handle(
+                self.now, RequestArrived(number, route, CONFIGURATION.tenants["free"], 4.0)
+            ),
         )
 
     def tick(self, n: int) -> None:
-        outs = self.doors[n].fleet.in_flight_by_tag()
-        for other in self.doors:
-            if other is not self.doors[n]:
-                other.fleet.on_load_report(self.now, f"d{n}", outs)
-        self.act(n, self.doors[n].handle(self.now, TimerTick()))
-        self.at(self.now + TICK, "tick", n)
-
-    def act(self, n: int, actions: list[Any]) -> None:
+        in_flight = self.routers[n].fleet.in_flight_by_tag()
+        for other in self.routers:
+            if other is not self.routers[n]:
+                other.fleet.on_load_report(self.now, f"d{n}", in_flight)
+        self.carry_out(n, self.routers[n].handle(self.now, TimerTick()))
+        self.schedule(self.now + TICK, "tick", n)
+
+    def carry_out(self, n: int, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, i.Send):
-                name = self.doors[n].fleet.servers[action.backend].id
+                name = self.routers[n].fleet.servers[action.backend].id
                 self.sent[n][name] += 1
-                self.out[name] += 1
-                self.most[name] = max(self.most[name], self.out[name])
-                self.live[n, action.request] = (name, self.now)
-                failing = self.ill(self.now, int(name[3:]), self.zones[n])
-                took = WORK * self.dice.uniform(0.7, 1.3) * max(1.0, self.out[name] / SLOTS)
-                took *= failing if isinstance(failing, float) else 1.0
-                how = (end_of(failing), failing) if isinstance(failing, Outcome) else (took, Outcome.OK)
-                self.at(self.now + how[0], "end", n, action.request, action.backend, self.now, how[1])
+                self.in_flight[name] += 1
+                self.peak_in_flight[name] = max(self.peak_in_flight[name], self.in_flight[name])
+                self.open_attempts[n, action.request] = (name, self.now)
+                fault = self.fault_model(self.now, int(name[3:]), self.zones[n])
+                duration = WORK_TIME * self.rng.uniform(0.7, 1.3) * max(1.0, self.in_flight[name] / SLOTS)
+                duration *= fault if isinstance(fault, float) else 1.0
+                end = (failure_delay(fault), fault) if isinstance(fault, Outcome) else (duration, Outcome.OK)
+                self.schedule(
+                    self.now + end[0], "finish", n, action.request, action.backend, self.now, end[1]
+                )
             elif isinstance(action, AbandonAttempt):
-                name, since = self.live[n, action.request]
-                backend = self.doors[n].fleet.servers_by_tag[server_tag(name)].number
-                self.end(n, action.request, backend, since, Outcome.TIMEOUT)
-
-    def end(self, n: int, request: int, backend: int, since: float, outcome: Outcome) -> None:
-        name, began = self.live.get((n, request), ("", -1.0))
-        if began != since:
-            return  # it was left for another
-        del self.live[n, request]
-        self.out[name] -= 1
+                name, sent_at = self.open_attempts[n, action.request]
+                backend = self.routers[n].fleet.servers_by_tag[server_tag(name)].number
+                self.finish(n, action.request, backend, sent_at, Outcome.TIMEOUT)
+
+    def finish(self, n: int, request: int, backend: int, sent_at: float, outcome: Outcome) -> None:
+        name, current_sent_at = self.open_attempts.get((n, request), ("", -1.0))
+        if current_sent_at != sent_at:
+            return  # this attempt was abandoned for another one
+        del self.open_attempts[n, request]
+        self.in_flight[name] -= 1
         self.served[n] += outcome is Outcome.OK
-        ended = outcome is Outcome.OK
-        spent = self.now - since
-        self.act(n, self.doors[n].handle(
-            self.now, i.Finished(request, 0, backend, outcome, ended, spent, 0, 0, ())
+        closed = outcome is Outcome.OK
+        spent = self.now - sent_at
+        self.carry_out(n, self.routers[n].handle(
+            self.now, i.Finished(request, 0, backend, outcome, closed, spent, 0, 0, ())
         ))  # fmt: skip
 
-    def share(self, *which: int, doors: tuple[int, ...] = (0, 1, 2, 3)) -> float:
-        """Of doors' requests, those that went to some servers.  One door alone has its favourites, all together
-        have none."""
-        sent = sum((self.sent[n] for n in doors), Counter[str]())
-        return sum(sent[f"a1-{k}"] for k in which) / sent.total()
+    def request_share(self, *server_numbers: int, nodes: tuple[int, ...] = (0, 1, 2, 3)) -> float:
+        """Return the fraction of the nodes' requests that these servers got.
+
+        A single node may prefer some servers, but all nodes together use equal servers evenly.
+        """
+        sent = sum((self.sent[n] for n in nodes), Counter[str]())
+        return sum(sent[f"a1-{k}"] for k in server_numbers) / sent.total()
 
-    def well(self) -> float:
-        """The least part of its requests that a door has served."""
-        self.settle()
-        return min(self.served[n] / self.asked[n] for n in range(len(self.doors)))
+    def lowest_success_rate(self) -> float:
+        """Finish all attempts; return the lowest fraction of requests that any of the nodes has served."""
+        self.finish_open_attempts()
+        return min(self.served[n] / self.requested[n] for n in range(len(self.routers)))
 
 
-GREY = {
-    "errors": Outcome.ERROR, "shed": Outcome.FULL, "reset": Outcome.RESET, "hang": Outcome.TIMEOUT, "slow": 8.0,
+# Faults of servers that seem healthy: outcomes of requests, or a factor of their duration.
+FAULTS = {
+    "errors": Outcome.ERROR, "shed": Outcome.FULL, "reset": Outcome.RESET, "hang": Outcome.TIMEOUT,
+    "slow": 8.0,
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("part", [0.4, 1.0])
-@pytest.mark.parametrize("how", GREY)
-def test_a_server_that_fails_its_requests_gets_few_whatever_its_health_says(how: str, part: float) -> None:
-    dice = random.Random(2)
-    fleets = Fleets(lambda now, server, zone: GREY[how] if server < 2 and dice.random() < part else None)
-    fleets.run(30.0, 8.0)
-    assert fleets.share(0, 1) < 0.07  # a quarter of all servers
-    assert fleets.well() > 0.96
+@pytest.mark.parametrize("fault_rate", [0.4, 1.0])
+@pytest.mark.parametrize("fault", FAULTS)
+def test_a_server_that_fails_requests_gets_few_of_them(fault: str, fault_rate: float) -> None:
+    rng = random.Random(2)
+    simulation = Simulation(
+        lambda now, server, zone: FAULTS[fault] if server < 2 and rng.random() < fault_rate else None
+    )
+    simulation.run(30.0, 8.0)
+    assert simulation.request_share(0, 1) < 0.07  # they are a quarter of all servers
+    assert simulation.lowest_success_rate() > 0.96
 
 
-def test_a_server_that_fails_for_one_zones_callers_is_spared_by_these_alone() -> None:
-    fleets = Fleets(
+def test_a_server_that_fails_for_nodes_of_one_zone_is_avoided_only_by_these() -> None:
+    simulation = Simulation(
         lambda now, server, zone: Outcome.ERROR if (server, zone) == (0, "a1") else None, ("a1", "a1", "a2")
     )
-    fleets.run(30.0, 8.0)
-    assert fleets.share(0, doors=(0, 1)) < 0.03
-    assert fleets.share(0, doors=(2,)) > 0.06  # an eighth of all servers
-    assert fleets.well() > 0.98
+    simulation.run(30.0, 8.0)
+    assert simulation.request_share(0, nodes=(0, 1)) < 0.03
+    assert simulation.request_share(0, nodes=(2,)) > 0.06  # it is an eighth of all servers
+    assert simulation.lowest_success_rate() > 0.98
 
 
-def test_a_server_that_is_well_again_gets_its_share_again() -> None:
-    fleets = Fleets(lambda now, server, zone: Outcome.ERROR if server == 0 and now < 10 else None)
-    fleets.run(20.0, 8.0)
-    for counts in fleets.sent.values():
+def test_a_server_that_has_recovered_gets_its_share_of_requests_again() -> None:
+    simulation = Simulation(lambda now, server, zone: Outcome.ERROR if server == 0 and now < 10 else None)
+    simulation.run(20.0, 8.0)
+    for counts in simulation.sent.values():
         counts.clear()
-    fleets.run(20.0, 8.0)
-    assert fleets.share(0) > 0.08
+    simulation.run(20.0, 8.0)
+    assert simulation.request_share(0) > 0.08
 
 
-def test_servers_that_go_down_and_up_by_turns_cost_few_requests() -> None:
-    fleets = Fleets(
+def test_flapping_servers_get_few_requests_and_few_requests_fail() -> None:
+    simulation = Simulation(
         lambda now, server, zone: Outcome.CONNECT_FAILED if server < 2 and now % 2.8 < 1.4 else None
     )
-    fleets.run(30.0, 8.0)
-    assert fleets.share(0, 1) < 0.1 and fleets.well() > 0.99
-
-
-def test_where_all_servers_fail_alike_none_is_spared_and_none_left_out() -> None:
-    dice = random.Random(2)
-    fleets = Fleets(lambda now, server, zone: Outcome.ERROR if dice.random() < 0.3 else None)
-    fleets.run(30.0, 8.0)
-    assert all(0.05 < fleets.share(k) < 0.25 for k in range(8)) and fleets.well() > 0.7
-
-
-def test_empty_servers_that_are_added_get_nothing_while_cold_and_no_stampede_then() -> None:
-    fleets = Fleets(lambda now, server, zone: None, count=6)
-    fleets.run(10.0, 13.0)  # nine tenths of what these can do
-    fleets.names += ["a1-6", "a1-7", "a1-8"]
-    fleets.listed()
-    fleets.run(3.7, 13.0)
-    assert not any(fleets.most[name] for name in fleets.names[6:])
-    fleets.most.clear()
-    fleets.run(10.0, 13.0)
-    new, old = ([fleets.most[name] for name in names] for names in (fleets.names[6:], fleets.names[:6]))
+    simulation.run(30.0, 8.0)
+    assert simulation.request_share(0, 1) < 0.1 and simulation.lowest_success_rate() > 0.99
+
+
+def test_if_all_servers_fail_alike_each_of_them_still_gets_requests() -> None:
+    rng = random.Random(2)
+    simulation = Simulation(lambda now, server, zone: Outcome.ERROR if rng.random() < 0.3 else None)
+    simulation.run(30.0, 8.0)
+    assert (
+        all(0.05 < simulation.request_share(k) < 0.25 for k in range(8))
+        and simulation.lowest_success_rate() > 0.7
+    )
+
+
+def test_added_servers_get_no_requests_during_slow_start_and_no_burst_after_it() -> None:
+    simulation = Simulation(lambda now, server, zone: None, server_count=6)
+    simulation.run(10.0, 13.0)  # nine tenths of the capacity of the six servers
+    simulation.names += ["a1-6", "a1-7", "a1-8"]
+    simulation.update_server_lists()
+    simulation.run(3.7, 13.0)
+    assert not any(simulation.peak_in_flight[name] for name in simulation.names[6:])
+    simulation.peak_in_flight.clear()
+    simulation.run(10.0, 13.0)
+    new, old = (
+        [simulation.peak_in_flight[name] for name in names]
+        for names in (simulation.names[6:], simulation.names[:6])
+    )
     assert min(new) > 0 and max(new) <= max(old) + 2
-    assert fleets.well() > 0.99
+    assert simulation.lowest_success_rate() > 0.99
 
 
-# --- on loopback ----------------------------------------------------------------------------------------------
+# --- on loopback sockets --------------------------------------------------------------------------------
 
 
 @contextlib.asynccontextmanager
-async def standing(server: StandInServer) -> AsyncIterator[str]:
+async def listening_server(server: StandInServer) -> AsyncIterator[str]:
     async with listening(lambda reader, writer: serve(server.handle, reader, writer)) as address:
         yield address
 
 
-class Doorway:
-    """A door's way to servers, over real connections; `stands` are what listens at their addresses."""
+class LoopbackGateway:
+    """A request router with real connections to the servers that listen at the given addresses."""
 
     def __init__(self, addresses: list[str]) -> None:
-        fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
-        self.forager = RequestRouter(SharedLimits(), fleet, 1)
-        self.forager.use_configuration(CONFIGURATION)
-        self.forager.fresh_until = 1e12
-        listed = [replace(s, address=a) for s, a in zip(servers("a1-0", "a1-1"), addresses, strict=False)]
-        self.forager.update_endpoints(0.0, "shop", listed)
-        self.servers = UpstreamServers(3.0, 9.0, 100, Counts())  # however busy the machine is
-        for server in fleet.servers.values():
+        endpoints = EndpointSet("a1", "a", ZONES, random.Random(1))
+        self.router = RequestRouter(SharedLimits(), endpoints, 1)
+        self.router.use_configuration(CONFIGURATION)
+        self.router.fresh_until = 1e12
+        entries = [replace(s, address=a) for s, a in zip(servers("a1-0", "a1-1"), addresses, strict=False)]
+        self.router.update_endpoints(0.0, "shop", entries)
+        # The connect time-out is 3 s, so that connections succeed on a busy machine as well.
+        self.servers = UpstreamServers(3.0, 9.0, 100, Counts())
+        for server in endpoints.servers.values():
             self.servers.place(server.number, parse_address(server.address), 0.0)
-        self.carrier = RouterHost(self.forager, self.servers, Counts(), lambda call: None)
-        self.answers: dict[str, int] = {}
+        self.host = RouterHost(self.router, self.servers, Counts(), lambda call: None)
+        self.statuses: dict[str, int] = {}  # by request name
 
-    async def ask(self, name: str, path: str) -> int:
-        """The status that a client's request gets."""
+    async def request(self, name: str, path: str) -> int:
+        """Send a client's request; return the status of its response."""
         route, method = CONFIGURATION.find_route("h", path), "GET" if path.startswith("/r") else "POST"
         assert route is not None
         found = route
 
         def payload(left: float, backend: int) -> bytes:
-            life = self.forager.fleet.servers[backend].id
+            instance = self.router.fleet.servers[backend].id
             head = f"{method} {path} HTTP/1.1\r\nX-Hazelspring-Attempt-Id: {name}\r\n"
-            return f"{head}X-Hazelspring-Expected-Instance: {life}\r\nContent-Length: 0\r\n\r\n".encode()
+            return f"{head}X-Hazelspring-Expected-Instance: {instance}\r\nContent-Length: 0\r\n\r\n".encode()
 
         def reply(answer: Answer) -> None:
-            self.answers[name] = answer.status
+            self.statuses[name] = answer.status
 
-        def make(request: int) -> Any:
+        def make_event(request: int) -> Any:
             return RequestArrived(request, found, CONFIGURATION.tenants["free"], 4.0)
 
         caller = cast(Any, SimpleNamespace(reply=reply))
-        self.carrier.request(make, route.kind, 4.0, payload, caller, mark=name.encode())
-        await until(lambda: name in self.answers)
-        return self.answers[name]
+        self.host.request(make_event, route.kind, 4.0, payload, caller, mark=name.encode())
+        await until(lambda: name in self.statuses)
+        return self.statuses[name]
+
+    async def request_many(self, count: int, *paths: str) -> set[int]:
+        """Send requests and return the set of their statuses.
 
-    async def ask_all(self, count: int, *paths: str) -> set[int]:
-        """The statuses that so many requests get, four at once: more than one server's slots."""
-        found = set[int]()
+        Four requests are in flight at a time, which is more than one server has slots.
+        """
+        statuses = set[int]()
         for n in range(0, count, 4):
-            found |= set(
-                await asyncio.gather(*(self.ask(f"n{k}", paths[k % len(paths)]) for k in range(n, n + 4)))
+            statuses |= set(
+                await asyncio.gather(
+                    *(self.request(f"n{k}", paths[k % len(paths)]) for k in range(n, n + 4)),
+                )
             )
-        return found
+        return statuses
 
 
-def test_an_address_that_went_to_another_service_runs_nothing_of_the_old_one() -> None:
+def test_a_server_at_a_reassigned_address_runs_no_requests_for_the_previous_server() -> None:
     other, own = (StandInServer(name, "x", "", "a1", work_seconds=0.0) for name in ("i-late", "a1-1"))
 
-    async def play() -> None:
-        async with standing(other) as taken, standing(own) as kept:
-            door = Doorway([taken, kept])  # the list still names a1-0 at the first
-            assert await door.ask_all(40, "/r/1", "/w/1") == {200}
-            door.servers.close()
+    async def scenario() -> None:
+        async with listening_server(other) as reassigned, listening_server(own) as kept:
+            gateway = LoopbackGateway([reassigned, kept])  # the list still has a1-0 at the first address
+            assert await gateway.request_many(40, "/r/1", "/w/1") == {200}
+            gateway.servers.close()
         assert not other.executions and set(own.executions.values()) == {1} and other.misdirected > 0
 
-    run(play())
+    run(scenario())
 
 
-def test_health_answers_are_not_asked_for_so_that_false_ones_change_nothing() -> None:
-    liar, own = (
+def test_a_node_sends_no_health_checks_so_wrong_results_have_no_effect() -> None:
+    unhealthy, healthy = (
         StandInServer(name, "x", "", "a1", work_seconds=0.0, healthy=name != "a1-0")
         for name in ("a1-0", "a1-1")
     )
 
-    async def play() -> None:
-        async with standing(liar) as one, standing(own) as other:
-            door = Doorway([one, other])
-            assert await door.ask_all(40, "/r/1") == {200}
-            door.servers.close()
-        assert liar.probes == own.probes == 0 and liar.executions.total() > 0
+    async def scenario() -> None:
+        async with listening_server(unhealthy) as one, listening_server(healthy) as other:
+            gateway = LoopbackGateway([one, other])
+            assert await gateway.request_many(40, "/r/1") == {200}
+            gateway.servers.close()
+        assert unhealthy.probes == healthy.probes == 0 and unhealthy.executions.total() > 0
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
-    "reads", [True, False], ids=["forgotten after it was read", "closed before it was sent"]
+    "reads", [True, False], ids=["reset after the request was read", "closed before the request was sent"]
 )
-def test_on_a_forgotten_connection_only_what_was_surely_not_read_is_sent_again(reads: bool) -> None:
-    """A server that has forgotten a connection resets it at the next request, which it may have read; where its end
-    was known before anything was sent, nothing was read."""
-    came: Counter[str] = Counter()
+def test_a_request_on_a_lost_connection_is_resent_only_if_it_cannot_have_been_read(reads: bool) -> None:
+    """A server that resets an idle connection at the next request may have read that request.
+
+    If the connection was closed before the request was sent, the server cannot have read it.
+    """
+    received: Counter[str] = Counter()
 
-    async def forgets(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers the first request of a connection, and none after it."""
+    async def respond_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Respond to the first request of a connection only."""
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         name = head.split("Attempt-Id: ")[1].split("\r\n")[0]
-        came[name] += 1
+        received[name] += 1
         writer.write(
             f"HTTP/1.1 200 OK\r\nX-Hazelspring-Attempt-Id: {name}\r\n"
             "X-Hazelspring-Server-Seal: s\r\nContent-Length: 0\r\n\r\n".encode()
         )
         if reads:
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
-            came[head.split("Attempt-Id: ")[1].split("\r\n")[0]] += 1
+            received[head.split("Attempt-Id: ")[1].split("\r\n")[0]] += 1
             writer.transport.abort()
         else:
             writer.close()
 
-    async def play() -> None:
-        async with listening(forgets) as address:
-            door = Doorway([address])
-            assert await door.ask("first", "/w/1") == 200
+    async def scenario() -> None:
+        async with listening(respond_once) as address:
+            gateway = LoopbackGateway([address])
+            assert await gateway.request("first", "/w/1") == 200
             if not reads:
-                await until(lambda: not door.servers.open)
-            assert await door.ask("write", "/w/1") == (502 if reads else 200)
-            door.servers.close()
-        assert came["write"] == 1
+                await until(lambda: not gateway.servers.open)
+            assert await gateway.request("write", "/w/1") == (502 if reads else 200)
+            gateway.servers.close()
+        assert received["write"] == 1
 
-    run(play())
+    run(scenario())
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -1,4 +1,4 @@
-"""Requests at one node, without sockets: retries, promises, candidates, and the quotas of tenants."""
+"""Request routing at one node, without sockets: retries, rejections, candidate servers and quotas."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from hazelspring.routing.route_latency import RouteLatency
 from hazelspring.routing.shared_limits import SharedLimits
 
-ZONES = {"a1": "a", "a2": "a", "b1": "b"}
+ZONES = {"a1": "a", "a2": "a", "b1": "b"}  # region by zone
 
 
 def document(**changes: Any) -> dict[str, Any]:
@@ -67,29 +67,32 @@
 
 
 def servers(*names: str, accepting: bool = True) -> list[ServerEntry]:
-    """Servers named by their zone and a number: a1-0."""
+    """Return entries of servers whose names consist of the zone and a number, such as a1-0."""
     return [ServerEntry(name, f"{name}:1", name.split("-")[0], accepting, 2, "v1") for name in names]
 
 
 class RouterHarness:
-    """A router with the servers that are named, its clock, and the numbers of its requests."""
+    """A router that knows the named servers, with a simulated clock and consecutive request numbers."""
 
     def __init__(self, *names: str) -> None:
-        fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
-        self.router = RequestRouter(SharedLimits(), fleet, 1)
+        endpoints = EndpointSet("a1", "a", ZONES, random.Random(1))
+        self.router = RequestRouter(SharedLimits(), endpoints, 1)
         self.now = 10.0
         self.last_request = 0
         self.router.use_configuration(CONFIGURATION)
         self.router.update_endpoints(self.now, "shop", servers(*names))
         self.router.fresh_until = 1e9
-        # So many that an even share of a small quota's reserve is no request, and of the retry slack one.
+        # One of 31 nodes has no request in its share of a small quota's reserve, and one retry in its share
+        # of the retry slack.
         self.router.node_count = 31
 
-    def request(self, path: str, tenant: str = "free", left: float = 4.0) -> list[Any]:
+    def request(self, path: str, tenant: str = "free", time_left: float = 4.0) -> list[Any]:
         self.last_request += 1
         route = CONFIGURATION.find_route("h", path)
         assert route is not None
-        return self.handle(RequestArrived(self.last_request, route, CONFIGURATION.tenants[tenant], left))
+        return self.handle(
+            RequestArrived(self.last_request, route, CONFIGURATION.tenants[tenant], time_left),
+        )
 
     def handle(self, event: Any) -> list[Any]:
         return list(self.router.handle(self.now, event))
@@ -103,7 +106,9 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR, Outcome.TIMEOUT])
-def test_a_write_that_may_have_run_is_not_retried_and_answered_without_a_promise(outcome: Outcome) -> None:
+def test_a_write_that_may_have_run_is_not_retried_and_its_response_does_not_allow_a_repeat(
+    outcome: Outcome,
+) -> None:
     harness = RouterHarness("a1-0", "a1-1")
     (send,) = harness.request("/w/1")
     assert harness.finish(send, outcome) == [i.Fail(send.request)]
@@ -113,86 +118,87 @@
 def test_a_write_that_never_ran_is_retried_once_then_rejected(outcome: Outcome) -> None:
     harness = RouterHarness("a1-0", "a1-1")
     (send,) = harness.request("/w/1")
-    (again,) = harness.finish(send, outcome)
-    assert isinstance(again, i.Send) and harness.server_of(again) != harness.server_of(send)
-    (refused,) = harness.finish(again, outcome)
-    assert isinstance(refused, i.Refuse) and refused.retry_after > 0
+    (retry,) = harness.finish(send, outcome)
+    assert isinstance(retry, i.Send) and harness.server_of(retry) != harness.server_of(send)
+    (rejection,) = harness.finish(retry, outcome)
+    assert isinstance(rejection, i.Refuse) and rejection.retry_after > 0
 
 
 def test_a_read_is_retried_until_its_attempts_or_the_retry_budget_are_used_up() -> None:
     harness = RouterHarness("a1-0", "a1-1", "a1-2")
     (send,) = harness.request("/r/1")
-    (again,) = harness.finish(send, Outcome.RESET)
-    assert isinstance(again, i.Send)
-    assert harness.finish(again, Outcome.RESET) == [i.Fail(send.request)]
+    (retry,) = harness.finish(send, Outcome.RESET)
+    assert isinstance(retry, i.Send)
+    assert harness.finish(retry, Outcome.RESET) == [i.Fail(send.request)]
     harness.router.node_count, retries = 1, 0
-    for _ in range(200):  # all fail: retries stay within half of the limit's ratio and slack
+    for _ in range(200):  # all fail; one node may use half of the retry ratio and slack
         (send,) = [a for a in harness.request("/r/1") if isinstance(a, i.Send)]
         retries += any(isinstance(a, i.Send) for a in harness.finish(send, Outcome.RESET, 0.0))
     assert 30 < retries + 1 <= 0.1 * 201 + 31
 
 
 def tick_without_answers(harness: RouterHarness, seconds: float) -> list[Any]:
-    """Return the instructions of so many seconds in which no server answers."""
-    found = []
+    """Let a time pass in which no server responds, and return the instructions of the router."""
+    instructions = []
     for _ in range(round(seconds / 0.05)):
         harness.now += 0.05
-        found += harness.handle(TimerTick())
-    return found
+        instructions += harness.handle(TimerTick())
+    return instructions
 
 
-def test_a_slow_attempt_is_abandoned_only_for_a_server_that_has_room() -> None:
+def test_a_slow_attempt_is_abandoned_only_if_another_server_has_room() -> None:
     harness = RouterHarness("a1-0", "a1-1")
     (send,) = harness.request("/r/1")
-    assert send.timeout == 0  # its server gets all the time that is left
+    assert send.timeout == 0  # no time-out of its own: the attempt may take all the time that is left
     (abandon,) = tick_without_answers(harness, 2.0)
     assert abandon == AbandonAttempt(send.request, 0)
-    harness.router.node_count = 1000  # whose shares are none: the retry is reserved already
-    (again,) = harness.finish(send, Outcome.TIMEOUT)
-    assert isinstance(again, i.Send) and harness.server_of(again) != harness.server_of(send)
-    assert tick_without_answers(harness, 1.0) == []  # its last attempt
+    harness.router.node_count = 1000  # too many for a retry in the budget, but one is reserved already
+    (retry,) = harness.finish(send, Outcome.TIMEOUT)
+    assert isinstance(retry, i.Send) and harness.server_of(retry) != harness.server_of(send)
+    assert tick_without_answers(harness, 1.0) == []  # the last attempt is not abandoned
     (write,) = harness.request("/w/1")
     assert isinstance(write, i.Send) and tick_without_answers(harness, 2.0) == []
 
 
-@pytest.mark.parametrize("why", ["no retry budget", "no other server", "no time", "the node leaves"])
-def test_an_attempt_is_not_abandoned_where_no_other_could_follow(why: str) -> None:
-    harness = RouterHarness("a1-0", *(["a1-1"] if why != "no other server" else []))
-    if why == "no retry budget":
+@pytest.mark.parametrize("reason", ["no retry budget", "no other server", "no time", "the node is leaving"])
+def test_a_slow_attempt_is_not_abandoned_if_no_other_could_follow(reason: str) -> None:
+    harness = RouterHarness("a1-0", *(["a1-1"] if reason != "no other server" else []))
+    if reason == "no retry budget":
         harness.router.node_count = 1000
-    harness.router.leaving = why == "the node leaves"
-    (send,) = harness.request("/r/1", left=1.3 if why == "no time" else 4.0)
-    if why == "no time":
+    harness.router.leaving = reason == "the node is leaving"
+    (send,) = harness.request("/r/1", time_left=1.3 if reason == "no time" else 4.0)
+    if reason == "no time":
         harness.router.fleet.route_latencies["reads"] = RouteLatency(1.5)
     assert isinstance(send, i.Send) and send.timeout == 0 and tick_without_answers(harness, 3.5) == []
 
 
-def test_attempts_of_a_client_that_has_gone_are_cancelled_where_idempotent() -> None:
+def test_attempts_for_a_disconnected_client_are_cancelled_if_idempotent() -> None:
     harness = RouterHarness("a1-0", "a1-1")
     (read,), (write,) = harness.request("/r/1"), harness.request("/w/1")
     assert harness.handle(i.Left(read.request)) == [i.Cancel(read.request, 0)]
     assert harness.handle(i.Left(write.request)) == [] and harness.handle(i.Left(read.request)) == []
     assert harness.finish(read, Outcome.CANCELLED) == harness.finish(write, Outcome.OK) == []
     (read,) = harness.request("/r/2")
-    (again,) = harness.finish(read, Outcome.RESET)
-    assert harness.handle(i.Left(again.request)) == [i.Cancel(again.request, 1)]
-    harness.finish(again, Outcome.CANCELLED)
+    (retry,) = harness.finish(read, Outcome.RESET)
+    assert harness.handle(i.Left(retry.request)) == [i.Cancel(retry.request, 1)]
+    harness.finish(retry, Outcome.CANCELLED)
     marked = [server.failures or server.in_flight for server in harness.router.fleet.servers.values()]
-    assert sum(marked) == 1  # the reset's: nothing is in flight, and a cancellation is no failure
+    assert sum(marked) == 1  # only the reset counts: nothing is in flight, and a cancellation is no failure
     assert isinstance(harness.request("/r/3")[0], i.Send)
 
 
-def test_home_regions_evacuations_draining_and_slow_start_leave_no_candidate() -> None:
+def test_home_regions_evacuation_draining_and_slow_start_exclude_servers() -> None:
     harness = RouterHarness("a1-0", "b1-0")
     (send,) = harness.request("/h/1")
     assert harness.server_of(send) == "b1-0"
     harness.router.set_evacuated_zones(harness.now, frozenset(("b1",)))
     assert isinstance(harness.request("/h/1")[0], i.Refuse)
     harness.router.set_evacuated_zones(harness.now, frozenset())
-    assert isinstance(harness.request("/h/1")[0], i.Refuse)  # no longer evacuated: its servers may be cold
+    assert isinstance(harness.request("/h/1")[0], i.Refuse)  # after the evacuation its servers may be cold
     harness.now += 4.0
     assert isinstance(harness.request("/h/1")[0], i.Send)
-    harness.router.update_endpoints(harness.now, "shop", servers("a1-0", "b1-9"))  # a new incarnation is cold
+    # A new incarnation is in slow start.
+    harness.router.update_endpoints(harness.now, "shop", servers("a1-0", "b1-9"))
     assert isinstance(harness.request("/h/1")[0], i.Refuse)
     harness.router.update_endpoints(harness.now, "shop", servers("a1-0", "b1-9", accepting=False))
     harness.now += 9.0
@@ -204,11 +210,11 @@
 def test_requests_with_access_keys_are_rejected_on_a_stale_configuration() -> None:
     harness = RouterHarness("a1-0")
     harness.router.fresh_until = harness.now - 0.01
-    (refused,) = harness.request("/w/1")
-    assert isinstance(refused, i.Refuse) and refused.retry_after > 0
+    (rejection,) = harness.request("/w/1")
+    assert isinstance(rejection, i.Refuse) and rejection.retry_after > 0
 
 
-def test_load_reports_of_other_nodes_send_requests_elsewhere() -> None:
+def test_load_reports_of_other_nodes_move_requests_to_other_servers() -> None:
     harness = RouterHarness("a1-0", "a1-1")
     harness.router.fleet.on_load_report(harness.now, "d2", {server_tag("a1-0"): 6})
     assert {harness.server_of(harness.request("/r/1")[0]) for _ in range(3)} == {"a1-1"}
@@ -217,22 +223,26 @@
     assert "a1-0" in {harness.server_of(harness.request("/r/1")[0]) for _ in range(6)}
 
 
-def test_load_elsewhere_is_the_sum_of_the_last_reports_whoever_is_silent_or_listed() -> None:
-    draws, names = random.Random(3), [f"a1-{n}" for n in range(6)]
+def test_in_flight_elsewhere_is_the_sum_of_recent_reports_while_nodes_and_servers_change() -> None:
+    rng, names = random.Random(3), [f"a1-{n}" for n in range(6)]
     harness, reports = RouterHarness(*names), dict[str, tuple[float, dict[int, int]]]()
     for _ in range(400):
-        harness.now += draws.choice([0.0, 0.05, 0.7])
+        harness.now += rng.choice([0.0, 0.05, 0.7])
         node, in_flight = (
-            f"d{draws.randrange(5)}",
-            {server_tag(n): draws.randrange(4) for n in draws.sample(names, 3)},
+            f"d{rng.randrange(5)}",
+            {server_tag(n): rng.randrange(4) for n in rng.sample(names, 3)},
         )
         reports[node] = (harness.now, in_flight)
         harness.router.fleet.on_load_report(harness.now, node, in_flight)
-        if draws.random() < 0.2:
-            harness.router.update_endpoints(harness.now, "shop", servers(*draws.sample(names, 4)))
-        if draws.random() < 0.5:
+        if rng.random() < 0.2:
+            harness.router.update_endpoints(harness.now, "shop", servers(*rng.sample(names, 4)))
+        if rng.random() < 0.5:
             with pytest.raises((AttributeError, TypeError)):
-                harness.router.fleet.on_load_report(harness.now, node, {server_tag(names[0]): "x"})  # type: ignore[dict-item]
+                harness.router.fleet.on_load_report(
+                    harness.now,
+                    node,
+                    {server_tag(names[0]): "x"},  # type: ignore[dict-item]
+                )
         harness.handle(TimerTick())
         for server in harness.router.fleet.servers.values():
             recent = [counts for at, counts in reports.values() if harness.now - at <= LOAD_REPORT_LIFETIME]
@@ -241,30 +251,30 @@
             )
 
 
-def test_denied_credits_reject_until_the_window_ends_and_a_lost_counter_for_a_short_time() -> None:
+def test_requests_are_rejected_while_credits_are_denied_and_briefly_without_a_counter() -> None:
     harness = RouterHarness("a1-0")
     (lease,) = harness.request("/r/1", "green")
     assert isinstance(lease, LeaseCredits)
-    assert harness.request("/r/1", "green") == []  # one lease in flight: others wait for it
-    denied = harness.handle(CreditsGranted("green", lease.call.number, 0.0, 0.6, 1.0))
-    assert [type(action) for action in denied] == [RejectOverQuota, RejectOverQuota] and 0.5 < denied[
+    assert harness.request("/r/1", "green") == []  # it waits for the reply to the call in flight
+    rejected = harness.handle(CreditsGranted("green", lease.call.number, 0.0, 0.6, 1.0))
+    assert [type(action) for action in rejected] == [RejectOverQuota, RejectOverQuota] and 0.5 < rejected[
         0
     ].retry_after <= 0.6
     assert isinstance(harness.request("/r/1", "green")[0], RejectOverQuota)
     harness.now += 0.7
     (lease,) = harness.request("/r/1", "green")
-    (refused,) = harness.handle(CounterUnavailable("green"))
-    assert isinstance(refused, i.Refuse)
+    (rejection,) = harness.handle(CounterUnavailable("green"))
+    assert isinstance(rejection, i.Refuse)
     harness.request("/r/1", "green")
     for _ in range(10):
         harness.now += 0.1
-        ended = [a for a in harness.handle(TimerTick()) if isinstance(a, i.Refuse)]
-        if ended:
+        rejections = [a for a in harness.handle(TimerTick()) if isinstance(a, i.Refuse)]
+        if rejections:
             break
-    assert ended  # a counter that does not answer is given up on
+    assert rejections  # the request is rejected if the counter does not reply
 
 
-def test_a_node_admits_its_even_share_of_the_reserve_where_no_counter_answers() -> None:
+def test_a_node_admits_its_even_share_of_the_reserve_if_no_counter_is_available() -> None:
     harness = RouterHarness("a1-0")
     harness.router.node_count = 5
     sent = 0
@@ -273,61 +283,61 @@
         for action in harness.request("/r/1", "green"):
             if isinstance(action, LeaseCredits):
                 sent += sum(isinstance(a, i.Send) for a in harness.handle(CounterUnavailable("green")))
-    assert sent == 2 * harness.router.limits.quota.reserve(10, 10, 5) > 0  # in each span of five
+    assert sent == 2 * harness.router.limits.quota.reserve(10, 10, 5) > 0  # in each span of five seconds
 
 
-def test_no_span_sees_more_than_the_limit_whatever_nodes_and_owners_do() -> None:
-    """Eleven nodes ask as fast as they can, calls are lost, and the counter moves to a new owner twice."""
-    limits, rate, burst, draws = QuotaLimits(), 10.0, 10.0, random.Random(5)
+def test_no_span_exceeds_the_limit_despite_lost_calls_and_changes_of_the_counters_owner() -> None:
+    """Eleven nodes keep requesting credits, calls are lost, and the counter changes its owner twice."""
+    limits, rate, burst, rng = QuotaLimits(), 10.0, 10.0, random.Random(5)
     nodes = [CreditLeases(limits) for _ in range(11)]
     served: list[float] = []
     counter, lease_end, now = QuotaCounter(limits.window), 0.0, 50.0
     in_transit: list[tuple[float, CreditLeases, CounterCall]] = []
     for tick in range(3000):
         now += 0.01
-        if tick in (900, 1700):  # its owner died: a new one starts when the old one's lease has ended
+        if tick in (900, 1700):  # the owner fails; a new owner starts when the old one's lease has ended
             counter, free_at = QuotaCounter(limits.window), lease_end
         owner = tick < 900 or now >= free_at
         lease_end = now + 1.0 if owner else lease_end
         for node in nodes:
             node.request_credit(now, "green", rate, burst, tick, 11)
             node.tick(now)
-            in_transit += [(now + draws.choice((0.001, 0.02, 0.04)), node, call) for call in node.calls]
+            in_transit += [(now + rng.choice((0.001, 0.02, 0.04)), node, call) for call in node.calls]
             node.calls = []
             served += [now for verdict in node.verdicts if verdict.admitted]
             node.verdicts = []
-        due, in_transit = [f for f in in_transit if f[0] <= now], [f for f in in_transit if f[0] > now]
+        due, in_transit = [c for c in in_transit if c[0] <= now], [c for c in in_transit if c[0] > now]
         for _, node, call in due:
-            if owner and draws.random() > 0.1:
+            if owner and rng.random() > 0.1:
                 limit, caller = limits.window_limit(rate, burst, 11), ("node", nodes.index(node))
                 granted = counter.grant(now, lease_end, "green", call.units, limit, caller, call.number)
                 node.on_granted(now, CreditsGranted("green", call.number, *granted))
-    most = max(
+    peak = max(
         sum(start <= t < start + limits.span for t in served) for start in [50 + n * 0.1 for n in range(250)]
     )
-    assert most <= (rate * limits.span + burst) * (1 + limits.overage) + limits.slack
-    assert len(served) / 30 > rate  # and the tenant gets what it pays for
+    assert peak <= (rate * limits.span + burst) * (1 + limits.overage) + limits.slack
+    assert len(served) / 30 > rate  # and the tenant gets at least its rate
 
 
-def test_credits_given_back_count_once_and_only_those_that_the_window_granted_to_the_caller() -> None:
+def test_credits_given_back_count_once_and_only_up_to_the_callers_grants_in_the_window() -> None:
     counter, one, other = QuotaCounter(10.0), ("a", 1), ("b", 1)
 
     def call(now: float, caller: tuple[str, int], number: int, units: float) -> float:
         return counter.grant(now, 1e9, "green", units, 40.0, caller, number)[0]
 
     assert (call(1, one, 1, 30.0), call(1, other, 1, 20.0)) == (30.0, 10.0)
-    for _ in range(3):  # comes more than once
+    for _ in range(3):  # the call arrives more than once
         call(2, one, 2, -10.0)
     assert call(3, other, 2, 40.0) == 10.0
-    call(4, ("a", 2), 1, -20.0)  # of another incarnation
+    call(4, ("a", 2), 1, -20.0)  # another incarnation of the caller
     assert call(5, other, 3, 40.0) == 0.0
     assert call(11, one, 4, 5.0) == 5.0
-    call(12, one, 3, -20.0)  # of the window before, late
+    call(12, one, 3, -20.0)  # a late call from the previous window
     call(12, other, 4, -10.0)
     assert call(13, other, 5, 40.0) == 35.0
 
 
-def test_routes_by_the_longest_prefix_and_splits_by_weight() -> None:
+def test_a_route_is_found_by_its_longest_prefix_and_splits_requests_by_weight() -> None:
     found = CONFIGURATION.find_route("h", "/r/deep/x")
     assert found is not None and found.name == "deep" and CONFIGURATION.find_route("h", "/none/") is None
     split = document()
@@ -339,10 +349,10 @@
     assert route is not None and {route.pick_service(n / 10) for n in range(10)} == {"other"}
 
 
-def changed(entry: int, **spec: Any) -> dict[str, Any]:
-    made = document()
-    made["resourceList"][entry]["specification"].update(spec)
-    return made
+def document_with(entry: int, **spec: Any) -> dict[str, Any]:
+    result = document()
+    result["resourceList"][entry]["specification"].update(spec)
+    return result
 
 
 @pytest.mark.parametrize(
@@ -351,24 +361,27 @@
         (json.dumps(document())[:-9], "body"),
         ("[1]", "_schema"),
         (json.dumps(document(versionNumber="12")), "versionNumber"),
-        (json.dumps(changed(0, service="none")), "routeTable.reads.service"),
-        (json.dumps(changed(0, pathPrefix="/w/")), "pathPrefix"),
-        (json.dumps(changed(0, weightedSplit=[{"service": "shop", "shareWeight": 0}])), "weightedSplit"),
-        (json.dumps(changed(0, weightedSplit=[])), "weightedSplit"),
-        (json.dumps(changed(0, timeoutMs=0)), "timeoutMs"),
-        (json.dumps(changed(0, targetAnswerMs=65_000)), "targetAnswerMs"),
-        (json.dumps(changed(0, routeKind="odd")), "routeKind"),
-        (json.dumps(changed(6, accessKeys=["k1"])), "accessKeys"),
-        (json.dumps(changed(0, hostName=5)), "hostName"),
+        (json.dumps(document_with(0, service="none")), "routeTable.reads.service"),
+        (json.dumps(document_with(0, pathPrefix="/w/")), "pathPrefix"),
+        (
+            json.dumps(document_with(0, weightedSplit=[{"service": "shop", "shareWeight": 0}])),
+            "weightedSplit",
+        ),
+        (json.dumps(document_with(0, weightedSplit=[])), "weightedSplit"),
+        (json.dumps(document_with(0, timeoutMs=0)), "timeoutMs"),
+        (json.dumps(document_with(0, targetAnswerMs=65_000)), "targetAnswerMs"),
+        (json.dumps(document_with(0, routeKind="odd")), "routeKind"),
+        (json.dumps(document_with(6, accessKeys=["k1"])), "accessKeys"),
+        (json.dumps(document_with(0, hostName=5)), "hostName"),
     ],
 )
-def test_every_invalid_configuration_is_refused_by_its_field(body: str, field: str) -> None:
+def test_the_error_for_an_invalid_configuration_names_the_invalid_field(body: str, field: str) -> None:
     with pytest.raises(InvalidConfigurationError, match=field):
         validate_configuration(body.encode())
     assert validate_configuration(json.dumps(document()).encode()) == 3
 
 
-def test_a_malformed_page_is_no_instance_list() -> None:
+def test_a_malformed_page_of_an_instance_list_raises_an_error() -> None:
     entry = {
         "service": "s",
         "address": "x:1",
