--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -1,7 +1,8 @@
-"""Seeded runs of nodes, request routing and the admission gateway, each with a digest of all that came out of it.
+"""Seeded runs of nodes, request routing and the admission gateway, each with a digest of all its output.
 
-A digest covers values alone: no class names, no attribute names, no reprs.  Where a message or an action gets another
-type, `wire_bytes` or `LABELS` is the one place to change, and the digests stay.
+A digest covers values only: no class names, attribute names or reprs. If the type of a message or an action
+changes, only `wire_bytes` or `LABELS` must follow, and the digests stay the same. The labels, and the texts
+that are passed to `Recorder.add`, are part of the digests, so they must not change.
 """
 
 from __future__ import annotations
@@ -57,25 +58,28 @@
 
 LABELS: dict[type, str] = {
     ReadList: "read list", ConfigurationChanged: "changed", EvacuatedZonesChanged: "changed",
-    MembersChanged: "changed", TableChanged: "changed", LoadReported: "load told", InvariantViolated: "violated",
+    MembersChanged: "changed", TableChanged: "changed", LoadReported: "load told",
+    InvariantViolated: "violated",
     CreditsGranted: "granted", CounterUnavailable: "lapsed", RejectOverQuota: "deny", LeaseCredits: "lease",
     AbandonAttempt: "leave", CounterCall: "counter call", i.Send: "send",
     i.Refuse: "refuse", i.Fail: "fail", i.Cancel: "cancel", i.SetTimer: "set timer", i.Probe: "probe",
-    i.CloseIdle: "close idle", i.Tell: "tell", i.Log: "log", i.Watch: "watch", i.Pull: "pull", i.Count: "count",
+    i.CloseIdle: "close idle", i.Tell: "tell", i.Log: "log", i.Watch: "watch", i.Pull: "pull",
+    i.Count: "count",
 }  # fmt: skip
-WITHOUT_VALUES = (TableChanged,)  # its value was a key of this process alone when the digests were made
+# The digests were recorded when the value of this type was only a key that is local to the process.
+WITHOUT_VALUES = (TableChanged,)
 SPLIT = [{"service": "shop", "shareWeight": 3}, {"service": "cart", "shareWeight": 1}]
 SERVERS = [f"{zone}-{n}" for zone in ("a1", "a2", "b1") for n in range(4)]
 OUTCOMES = (*[Outcome.OK] * 12, *Outcome)
 
 
 def wire_bytes(message: Message) -> bytes:
-    """Return the bytes that a message takes on the wire."""
+    """Return the encoding of a message as it is sent on the wire."""
     return codec.encode(message)
 
 
 def plain(value: Any) -> Any:
-    """Return a value as lists, numbers, texts and bytes, in an order that no hash seed changes."""
+    """Convert a value to lists, numbers, strings and bytes, in an order independent of the hash seed."""
     if dataclasses.is_dataclass(value):
         label = LABELS[type(value)]
         names = (
@@ -94,7 +98,7 @@
 
 
 class Recorder:
-    """Digests an ordered stream of rows."""
+    """Calculates the digest of an ordered sequence of rows."""
 
     def __init__(self) -> None:
         self.hash = hashlib.blake2b(digest_size=16)
@@ -107,19 +111,19 @@
         return self.hash.hexdigest()
 
 
-# --- nodes on simulated time -----------------------------------------------------------------------------------
+# --- nodes on simulated time ----------------------------------------------------------------------------
 
 
 class RecordedWorld(World):
-    """Records messages, saved records, ends of orders, and what other parts of a node's process are told."""
+    """Records messages, saved records, outcomes of proposals and other actions of nodes."""
 
     @cached_property
     def recorder(self) -> Recorder:
         return Recorder()
 
     @cached_property
-    def loads(self) -> dict[str, dict[str, tuple[float, dict[int, int]]]]:
-        """By node, the load that others told it, and when."""
+    def load_reports(self) -> dict[str, dict[str, tuple[float, dict[int, int]]]]:
+        """The load reports that each node got from other nodes, with the time of receipt."""
         return {}
 
     def actions(self, name: str, actions: list[Action]) -> None:
@@ -127,7 +131,7 @@
             if type(action) in LABELS:
                 self.recorder.add(self.now, name, action)
             if isinstance(action, LoadReported):
-                self.loads.setdefault(name, {})[action.node] = (self.now, action.in_flight_by_tag)
+                self.load_reports.setdefault(name, {})[action.node] = (self.now, action.in_flight_by_tag)
         super().actions(name, actions)
 
     def send(self, source: str, to: str, message: Message) -> None:
@@ -146,11 +150,11 @@
 
 
 class RecordedChaos(RecordedWorld, chaos.Chaos):
-    """A drawn day of troubles, recorded."""
+    """A random sequence of faults whose output is recorded."""
 
 
-def troubled_day(seed: int) -> str:
-    """Play a drawn day of troubles."""
+def run_with_faults(seed: int) -> str:
+    """Run nodes through a random sequence of faults; return the digest."""
     with mock.patch.object(chaos, "Chaos", RecordedChaos):
         world = chaos.play(draw(seed))
     assert isinstance(world, RecordedChaos)
@@ -159,29 +163,41 @@
 
 
 def routing_document() -> bytes:
-    """Return the configuration of tests/test_forage.py with a split, uploads and tenants of other kinds."""
-    made = document()
-    reads, _, writes, _, shop, limited, free = made["resourceList"]
-    made["resourceList"] += [
-        renamed(writes, "uploads", pathPrefix="/u/", routeKind="upload", openAccess=True),
-        renamed(reads, "split", pathPrefix="/s/", service=None, weightedSplit=SPLIT, maximumAttempts=3),
-        renamed(shop, "cart", coldStartS=0.2),
-        renamed(limited, "small", accessKeys=["k3"], requestsPerS=2, burstSize=1),
-        renamed(free, "placed", accessKeys=["k4"], homeRegions=["a"]),
+    """Return the configuration of test_request_router.py with a split, uploads and more kinds of tenants."""
+    result = document()
+    reads, _, writes, _, shop, limited, free = result["resourceList"]
+    result["resourceList"] += [
+        copy_resource(writes, "uploads", pathPrefix="/u/", routeKind="upload", openAccess=True),
+        copy_resource(
+            reads,
+            "split",
+            pathPrefix="/s/",
+            service=None,
+            weightedSplit=SPLIT,
+            maximumAttempts=3,
+        ),
+        copy_resource(shop, "cart", coldStartS=0.2),
+        copy_resource(limited, "small", accessKeys=["k3"], requestsPerS=2, burstSize=1),
+        copy_resource(free, "placed", accessKeys=["k4"], homeRegions=["a"]),
     ]
-    return json.dumps(made).encode()
+    return json.dumps(result).encode()
 
 
-def renamed(resource: dict[str, Any], name: str, **changes: Any) -> dict[str, Any]:
+def copy_resource(resource: dict[str, Any], name: str, **changes: Any) -> dict[str, Any]:
     specification = {**resource["specification"], **changes}
     return {**resource, "metadata": {"name": name}, "specification": specification}
 
 
 def large_document(number: int, changes: dict[int, int]) -> bytes:
-    """Return a configuration of many routes, of several packed blocks; `changes` are time-outs of some routes."""
+    """Return a configuration of so many routes that it is packed into several blocks.
+
+    `changes` are the time-outs, in milliseconds, of some of the routes by number.
+    """
     route, service = (document()["resourceList"][n] for n in (0, 4))
     resources = [
-        renamed(route, f"route-{n}", pathPrefix=f"/{server_tag(str(n)):x}/", timeoutMs=changes.get(n, 5000))
+        copy_resource(
+            route, f"route-{n}", pathPrefix=f"/{server_tag(str(n)):x}/", timeoutMs=changes.get(n, 5000)
+        )
         for n in range(600)
     ]
     return json.dumps({"versionNumber": f"r{number}", "resourceList": [*resources, service]}).encode()
@@ -192,151 +208,155 @@
     world.call(call, lambda core, token: core.put_configuration(world.now, token, body))
 
 
-def calm_play(core: int, others: int, seed: int, drop: float, odd: float) -> str:
-    """Play operators' calls, lists, load and quota calls where no node fails, but messages may be lost or late."""
+def run_without_node_failures(core: int, others: int, seed: int, drop: float, odd: float) -> str:
+    """Run nodes with calls of operators, server lists, load reports and quota calls; return the digest.
+
+    No node fails, but messages may be lost (`drop`), or late or duplicated (`odd`).
+    """
     world = RecordedWorld(core, others, seed=seed, drop=drop, odd=odd)
-    chance, changes, number = random.Random(seed), dict[int, int](), 1
+    rng, changes, number = random.Random(seed), dict[int, int](), 1
     world.run(3.0)
     for step in range(72):
-        name, act = chance.choice(list(world.machines)), chance.randrange(12)
+        name, operation = rng.choice(list(world.machines)), rng.randrange(12)
         if step % 18 == 0:
             number += 1
-            changes[chance.randrange(600)] = 1000 + number
+            changes[rng.randrange(600)] = 1000 + number
             configure(world, name, large_document(number, changes))
         elif step == 60:
             world.retire(name, f"d{core}")
-        elif act == 0:
-            world.evacuate(name, f"z{chance.randrange(3)}", chance.random() < 0.6)
-        elif act < 3:
+        elif operation == 0:
+            world.evacuate(name, f"z{rng.randrange(3)}", rng.random() < 0.6)
+        elif operation < 3:
             world.read(name)
-        elif act == 3:
-            number += chance.randrange(2)
-            world.put(name, number, chance.choice(["one", "other"]))
-        elif act == 4:
-            listed = draw_servers(chance, "shop")
-            world.listing = {"shop": {entry.id: entry for entry in listed}, "cart": {}}
+        elif operation == 3:
+            number += rng.randrange(2)
+            world.put(name, number, rng.choice(["one", "other"]))
+        elif operation == 4:
+            entries = random_servers(rng, "shop")
+            world.listing = {"shop": {entry.id: entry for entry in entries}, "cart": {}}
         for each in world.up():
             node = world.machines[each].core
             assert node is not None
-            outs = {server_tag(chance.choice(SERVERS)): chance.randrange(4) for _ in range(3)}
-            world.actions(each, node.disseminator.report_load(world.now, outs, world.loads.get(each, {})))
-            if chance.random() < 0.3:
-                tenant, units = f"tenant-{chance.randrange(4)}", float(chance.randrange(-3, 12))
+            in_flight = {server_tag(rng.choice(SERVERS)): rng.randrange(4) for _ in range(3)}
+            world.actions(
+                each, node.disseminator.report_load(world.now, in_flight, world.load_reports.get(each, {}))
+            )
+            if rng.random() < 0.3:
+                tenant, units = f"tenant-{rng.randrange(4)}", float(rng.randrange(-3, 12))
                 world.actions(each, node.lease_credits(world.now, tenant, step + 1, units))
-        world.run(chance.choice([0.02, 0.1, 0.1, 0.4]))
+        world.run(rng.choice([0.02, 0.1, 0.1, 0.4]))
     world.run(4.0)
     world.recorder.add("breaches", len(world.breaches))
     return world.recorder.hexdigest()
 
 
-# --- requests, without sockets -----------------------------------------------------------------------------------
+# --- requests, without sockets --------------------------------------------------------------------------
 
 
-def draw_servers(chance: random.Random, service: str) -> list[ServerEntry]:
+def random_servers(rng: random.Random, service: str) -> list[ServerEntry]:
     return [
-        ServerEntry(f"{service}-{n}", f"{n}:1", n[:2], chance.random() < 0.9, chance.randrange(1, 4), "v1")
-        for n in chance.sample(SERVERS, 9)
+        ServerEntry(f"{service}-{n}", f"{n}:1", n[:2], rng.random() < 0.9, rng.randrange(1, 4), "v1")
+        for n in rng.sample(SERVERS, 9)
     ]
 
 
 class Attempts:
-    """Tries that are out, as the host of a gateway keeps them, and how they end by lot."""
+    """Attempts in flight, as the host of a gateway tracks them, with random outcomes."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance, self.out, self.sent = chance, list[tuple[i.Send, int]](), dict[int, int]()
+    def __init__(self, rng: random.Random) -> None:
+        self.rng, self.in_flight, self.sent = rng, list[tuple[i.Send, int]](), dict[int, int]()
 
     def add(self, send: i.Send) -> None:
         attempt = self.sent.get(send.request, 0)
-        self.out.append((send, attempt))
+        self.in_flight.append((send, attempt))
         self.sent[send.request] = attempt + 1
 
     def finish(self) -> i.Finished:
-        send, attempt = self.out.pop(self.chance.randrange(len(self.out)))
-        outcome, spent = self.chance.choice(OUTCOMES), self.chance.expovariate(4.0)
-        report = self.chance.choice([(), (2.0, 1.0), (0.0, 0.0)])
-        closed, again = self.chance.random() < 0.1, self.chance.random() < 0.9
+        send, attempt = self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
+        outcome, spent = self.rng.choice(OUTCOMES), self.rng.expovariate(4.0)
+        report = self.rng.choice([(), (2.0, 1.0), (0.0, 0.0)])
+        closed, again = self.rng.random() < 0.1, self.rng.random() < 0.9
         key = (send.request, attempt, send.backend)
         return i.Finished(*key, outcome, closed, spent, 0, 0, report, again)
 
-    def disturb(self) -> i.Event:
-        """A client leaves, or an answer has begun, or the last byte of a request has come."""
-        send, attempt = self.chance.choice(self.out)
+    def random_event(self) -> i.Event:
+        """Return that a client left, a response began, or the last byte of a request arrived."""
+        send, attempt = self.rng.choice(self.in_flight)
         under_way = i.UnderWay(send.request, attempt, send.backend, 0.1)
         events: list[i.Event] = [i.Left(send.request), under_way, i.Whole(send.request, 2.0)]
-        return self.chance.choice(events)
+        return self.rng.choice(events)
 
 
 def routing(seed: int) -> str:
-    """Drive one node's routing by a drawn stream of events."""
-    chance, recorder, now = random.Random(seed), Recorder(), 10.0
-    attempts, calls = Attempts(chance), list[CounterCall]()
-    fleet = EndpointSet("a1", "a", {"a1": "a", "a2": "a", "b1": "b"}, random.Random(seed + 1))
+    """Drive one node's request router with a random sequence of events; return the digest."""
+    rng, recorder, now = random.Random(seed), Recorder(), 10.0
+    attempts, calls = Attempts(rng), list[CounterCall]()
+    endpoints = EndpointSet("a1", "a", {"a1": "a", "a2": "a", "b1": "b"}, random.Random(seed + 1))
     router, configuration = (
-        RequestRouter(SharedLimits(), fleet, seed + 2),
+        RequestRouter(SharedLimits(), endpoints, seed + 2),
         parse_configuration(routing_document()),
     )
     routes, tenants = configuration.routes_by_host["h"], [None, *configuration.tenants.values()]
 
-    def hand(event: object) -> None:
+    def deliver(event: object) -> None:
         actions: list[Any] = list(router.handle(now, event))
-        recorder.add(now, actions, fleet.in_flight_by_tag())
+        recorder.add(now, actions, endpoints.in_flight_by_tag())
         for action in actions:
             if isinstance(action, i.Send):
                 attempts.add(action)
             elif isinstance(action, LeaseCredits):
                 calls.append(action.call)
 
-    def change(what: int) -> None:
-        if what == 0:
-            service = chance.choice(["shop", "cart"])
-            gone = router.update_endpoints(now, service, draw_servers(chance, service))
-            recorder.add([server.number for server in gone])
-        elif what == 1:
-            router.set_evacuated_zones(now, frozenset(chance.sample(["a1", "a2", "b1"], chance.randrange(2))))
-        elif what == 2:
-            router.node_count, router.leaving = chance.choice([1, 4, 31]), chance.random() < 0.2
-            router.fresh_until = chance.choice([1e9, 1e9, 1e9, now])
+    def change(kind: int) -> None:
+        if kind == 0:
+            service = rng.choice(["shop", "cart"])
+            removed = router.update_endpoints(now, service, random_servers(rng, service))
+            recorder.add([server.number for server in removed])
+        elif kind == 1:
+            router.set_evacuated_zones(now, frozenset(rng.sample(["a1", "a2", "b1"], rng.randrange(2))))
+        elif kind == 2:
+            router.node_count, router.leaving = rng.choice([1, 4, 31]), rng.random() < 0.2
+            router.fresh_until = rng.choice([1e9, 1e9, 1e9, now])
         else:
-            outs = {server_tag(f"shop-{n}"): chance.randrange(4) for n in chance.sample(SERVERS, 3)}
-            fleet.on_load_report(now, f"d{chance.randrange(5)}", outs)
+            in_flight = {server_tag(f"shop-{n}"): rng.randrange(4) for n in rng.sample(SERVERS, 3)}
+            endpoints.on_load_report(now, f"d{rng.randrange(5)}", in_flight)
 
     router.use_configuration(configuration)
     router.fresh_until, router.node_count = 1e9, 4
     for service in ("shop", "cart"):
-        router.update_endpoints(now, service, draw_servers(chance, service))
+        router.update_endpoints(now, service, random_servers(rng, service))
     for request in range(1, 3001):
-        now += chance.expovariate(40.0)
-        act = chance.randrange(40)
-        if act < 14:
-            hand(
-                RequestArrived(
-                    request, chance.choice(routes), chance.choice(tenants), chance.uniform(0.0, 5.0)
-                )
-            )
-        elif act < 28 and attempts.out:
-            hand(attempts.finish())
-        elif act < 32 and calls:
-            call = calls.pop(chance.randrange(len(calls)))
-            units = max(0.0, min(call.units, float(chance.randrange(12))))
-            granted = CreditsGranted(call.tenant, call.number, units, chance.random(), chance.random())
-            hand(granted if chance.random() < 0.8 else CounterUnavailable(call.tenant))
-        elif act == 32 and attempts.out:
-            hand(attempts.disturb())
-        elif act == 33:
-            change(chance.randrange(12))
+        now += rng.expovariate(40.0)
+        operation = rng.randrange(40)
+        if operation < 14:
+            deliver(RequestArrived(request, rng.choice(routes), rng.choice(tenants), rng.uniform(0.0, 5.0)))
+        elif operation < 28 and attempts.in_flight:
+            deliver(attempts.finish())
+        elif operation < 32 and calls:
+            call = calls.pop(rng.randrange(len(calls)))
+            units = max(0.0, min(call.units, float(rng.randrange(12))))
+            granted = CreditsGranted(call.tenant, call.number, units, rng.random(), rng.random())
+            deliver(granted if rng.random() < 0.8 else CounterUnavailable(call.tenant))
+        elif operation == 32 and attempts.in_flight:
+            deliver(attempts.random_event())
+        elif operation == 33:
+            change(rng.randrange(12))
         else:
-            hand(TimerTick())
+            deliver(TimerTick())
     recorder.add(list(router.ends.values()), router.requests_on_stale_list)
     return recorder.hexdigest()
 
 
 def admission(seed: int, **settings: str) -> str:
-    """Drive an admission gateway by a drawn stream of events; `settings` are changes of the tests' usual ones."""
-    chance, recorder, now = random.Random(seed), Recorder(), helpers.START
+    """Drive an admission gateway with a random sequence of events; return the digest.
+
+    `settings` override the default settings of the tests.
+    """
+    rng, recorder, now = random.Random(seed), Recorder(), helpers.START
     gateway, counter = Gateway(parse_settings(helpers.text(**settings)), seed), helpers.Counter()
-    attempts, counts, probes, timers = Attempts(chance), list[i.Count](), list[int](), list[float]()
+    attempts, counts, probes, timers = Attempts(rng), list[i.Count](), list[int](), list[float]()
 
-    def hand(event: i.Event) -> None:
+    def deliver(event: i.Event) -> None:
         actions = gateway.handle(now, event)
         recorder.add(now, actions)
         for action in actions:
@@ -351,59 +371,60 @@
                     timers.append(action.at)
 
     def request(number: int) -> i.Request:
-        kind = {"cls": chance.randrange(3), "plan": chance.randrange(3), "customer": chance.randrange(9)}
-        made = helpers.request(number, **kind, left=chance.uniform(0.2, 4.0))
-        retry, streams = chance.random() < 0.1, chance.random() < 0.1
-        return dataclasses.replace(made, is_retry=retry, is_write=kind["cls"] == 2, streams=streams)
+        kind = {"cls": rng.randrange(3), "plan": rng.randrange(3), "customer": rng.randrange(9)}
+        result = helpers.request(number, **kind, left=rng.uniform(0.2, 4.0))
+        retry, streams = rng.random() < 0.1, rng.random() < 0.1
+        return dataclasses.replace(result, is_retry=retry, is_write=kind["cls"] == 2, streams=streams)
 
     def change(version: int) -> i.Event:
-        backend, state = chance.randrange(1, 10), chance.choice([*[i.State.READY] * 3, *i.State])
+        backend, state = rng.randrange(1, 10), rng.choice([*[i.State.READY] * 3, *i.State])
         entry = helpers.entry(backend, state=state, started=now)
-        retuned = {**settings, "tariffs__0__quota_rate": chance.choice(["2.0", "6.0"])}
+        new_settings = {**settings, "tariffs__0__quota_rate": rng.choice(["2.0", "6.0"])}
         events: list[i.Event] = [
             *[i.Members(i.Listing.DELTA, version, (entry,))] * 6,
             i.Detached(backend),
             *[i.Attached(backend, now)] * 2,
-            i.Retuned(parse_settings(helpers.text(**retuned))),
-            i.Processes(chance.randrange(1, 3)),
+            i.Retuned(parse_settings(helpers.text(**new_settings))),
+            i.Processes(rng.randrange(1, 3)),
         ]
-        return chance.choice(events)
+        return rng.choice(events)
 
-    hand(i.Members(i.Listing.CACHED, 1, tuple(helpers.entry(n, cell=n % 2) for n in range(1, 9))))
+    deliver(i.Members(i.Listing.CACHED, 1, tuple(helpers.entry(n, cell=n % 2) for n in range(1, 9))))
     for number in range(2, 2002):
-        now += chance.expovariate(50.0)
+        now += rng.expovariate(50.0)
         while timers and min(timers) <= now:
             timers.remove(min(timers))
-            hand(i.Fired(1))
-        act = chance.randrange(40)
-        if act < 14:
-            hand(request(number))
-        elif act < 28 and attempts.out:
-            hand(attempts.finish())
-        elif act < 35 and counts:
-            counter.outcome = Outcome.TIMEOUT if chance.random() < 0.1 else Outcome.OK
-            hand(counter.answer(counts.pop(0)))
-        elif act == 35 and attempts.out:
-            hand(attempts.disturb())
-        elif act == 36 and probes:
-            hand(i.Probed(probes.pop(), Outcome.OK, 0.01, (chance.random() * 5,)))
-        elif act == 37 and chance.random() < 0.4:
-            hand(change(number))
+            deliver(i.Fired(1))
+        operation = rng.randrange(40)
+        if operation < 14:
+            deliver(request(number))
+        elif operation < 28 and attempts.in_flight:
+            deliver(attempts.finish())
+        elif operation < 35 and counts:
+            counter.outcome = Outcome.TIMEOUT if rng.random() < 0.1 else Outcome.OK
+            deliver(counter.answer(counts.pop(0)))
+        elif operation == 35 and attempts.in_flight:
+            deliver(attempts.random_event())
+        elif operation == 36 and probes:
+            deliver(i.Probed(probes.pop(), Outcome.OK, 0.01, (rng.random() * 5,)))
+        elif operation == 37 and rng.random() < 0.4:
+            deliver(change(number))
         else:
-            hand(i.Fired(1))
+            deliver(i.Fired(1))
     return recorder.hexdigest()
 
 
-DAYS = (100, 103, 106, 111, 116, 120, 122)  # drawn days that take little time
-PULLED = {"caps__may_probe": "true", "report__how": "pull", "report__columns": "inflight"}
+FAULT_SEEDS = (100, 103, 106, 111, 116, 120, 122)  # seeds whose runs take little time
+PULLED_LOADS = {"caps__may_probe": "true", "report__how": "pull", "report__columns": "inflight"}
+# The names of the runs are keys of golden_digests.json.
 RUNS: dict[str, Callable[[], str]] = {
-    **{f"troubled day {seed}": partial(troubled_day, seed) for seed in DAYS},
-    "calm play 3+2": partial(calm_play, 3, 2, 1, 0.0, 0.0),
-    "calm play 4+1, drops": partial(calm_play, 4, 1, 2, 0.05, 0.0),
-    "calm play 3+4, late": partial(calm_play, 3, 4, 3, 0.0, 0.15),
-    "calm play 4+2, both": partial(calm_play, 4, 2, 4, 0.03, 0.1),
+    **{f"troubled day {seed}": partial(run_with_faults, seed) for seed in FAULT_SEEDS},
+    "calm play 3+2": partial(run_without_node_failures, 3, 2, 1, 0.0, 0.0),
+    "calm play 4+1, drops": partial(run_without_node_failures, 4, 1, 2, 0.05, 0.0),
+    "calm play 3+4, late": partial(run_without_node_failures, 3, 4, 3, 0.0, 0.15),
+    "calm play 4+2, both": partial(run_without_node_failures, 4, 2, 4, 0.03, 0.1),
     **{f"routing {seed}": partial(routing, seed) for seed in range(3)},
     "admission": partial(admission, 1),
-    "admission, loads pulled": partial(admission, 2, **PULLED),
+    "admission, loads pulled": partial(admission, 2, **PULLED_LOADS),
     "admission, many gateways": partial(admission, 3, peers_total="40", tariffs__0__quota_rate="0"),
 }
--- a/tests/test_behaviour_digests.py
+++ b/tests/test_behaviour_digests.py
@@ -1,7 +1,8 @@
-"""What nodes, routing and the admission gateway do in seeded runs, against digests recorded before.
+"""Compares digests of seeded runs of nodes, request routing and the admission gateway with recorded ones.
 
-A change that is to keep the behaviour must pass as it is.  One that changes it on purpose says so in its commit and
-copies into `golden_digests.json` what `python -m tests.test_behaviour_digests --print` shows; that writes no file.
+A change that is meant to preserve behaviour must pass with the recorded digests. A change of behaviour is
+stated in the commit message, and the commit updates `golden_digests.json` with the output of
+`python -m tests.test_behaviour_digests --print`, which writes no file itself.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 GOLDEN: dict[str, str] = json.loads((Path(__file__).parent / "golden_digests.json").read_text())
 
 
-def test_each_run_has_a_recorded_digest_and_each_digest_a_run() -> None:
+def test_runs_and_recorded_digests_have_the_same_names() -> None:
     assert sorted(GOLDEN) == sorted(RUNS)
 
 
 @pytest.mark.parametrize("name", sorted(GOLDEN))
-def test_a_seeded_run_does_what_it_did(name: str) -> None:
+def test_a_seeded_run_has_the_recorded_digest(name: str) -> None:
     assert RUNS[name]() == GOLDEN[name]
 
 
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -1,4 +1,4 @@
-"""Large bodies forwarded to servers, and what happens once nobody waits for their answer, without sockets."""
+"""Forwarding of large request bodies, also after the client has stopped waiting; without sockets."""
 
 from __future__ import annotations
 
@@ -38,17 +38,17 @@
 
 
 def make_listener() -> ClientListener:
-    """A client listener whose connections to servers are established by the test only."""
+    """Return a client listener whose connections to servers are established only by :func:`connect`."""
     counts = Counts()
-    fleet = EndpointSet("a1", "a", ZONES, random.Random(1))
-    router, upstream = RequestRouter(SharedLimits(), fleet, 1), UpstreamServers(0.3, 9.0, 100, counts)
-    carrier = RouterHost(router, upstream, counts, lambda call: None)
-    listener = ClientListener(Address("127.0.0.1", 9), carrier, 100, lambda: True)
+    endpoints = EndpointSet("a1", "a", ZONES, random.Random(1))
+    router, upstream = RequestRouter(SharedLimits(), endpoints, 1), UpstreamServers(0.3, 9.0, 100, counts)
+    host = RouterHost(router, upstream, counts, lambda call: None)
+    listener = ClientListener(Address("127.0.0.1", 9), host, 100, lambda: True)
     listener.use_configuration(CONFIGURATION)
     router.use_configuration(CONFIGURATION)
     router.fresh_until = 1e18
-    router.update_endpoints(carrier.clock(), "shop", servers("a1-0", "a1-1"))
-    for number in fleet.servers:
+    router.update_endpoints(host.clock(), "shop", servers("a1-0", "a1-1"))
+    for number in endpoints.servers:
         upstream.place(number, Address("127.0.0.1", 9), 0.0)
     return listener
 
@@ -61,7 +61,7 @@
 
 
 def connect(listener: ClientListener) -> list[bytes]:
-    """Establish the awaited connections, and return what servers receive on them."""
+    """Establish all pending connections; return the bytes that each of them carries to its server."""
     sent = []
     for pool in cast(UpstreamServers, listener.host.upstream).pools.values():
         while pool.waiting:
@@ -73,16 +73,19 @@
 
 
 @pytest.mark.parametrize("data", [CHUNKED, SIZED], ids=["chunked", "sized"])
-@pytest.mark.parametrize("end", ["left", "at the process's end"])
-def test_a_large_request_that_nobody_waits_for_is_not_sent_without_its_body(data: bytes, end: str) -> None:
+@pytest.mark.parametrize("end", ["client disconnects", "node shuts down"])
+def test_a_large_request_is_not_sent_without_its_body_once_its_client_has_stopped_waiting(
+    data: bytes, end: str
+) -> None:
     async def run() -> None:
         listener = make_listener()
         client, transport = ClientConnection(cast(Any, listener)), PausableTransport()
         client.connection_made(transport)
         feed(client, data)
         (request,) = listener.host.table.values()
-        assert [attempt.link for attempt in request.out.values()] == [None]  # it waits for a connection
-        if end == "left":
+        # The attempt waits for a connection.
+        assert [attempt.link for attempt in request.out.values()] == [None]
+        if end == "client disconnects":
             client.connection_lost(None)
         else:
             listener.host.answer_all()
@@ -98,7 +101,7 @@
 
 
 @pytest.mark.parametrize("data", [CHUNKED, SIZED], ids=["chunked", "sized"])
-def test_a_large_request_that_waited_for_a_connection_is_sent_whole(data: bytes) -> None:
+def test_a_large_request_that_waited_for_a_connection_is_sent_with_its_complete_body(data: bytes) -> None:
     async def run() -> None:
         listener = make_listener()
         client = ClientConnection(cast(Any, listener))
