--- a/hazelspring/routing/endpoint.py
+++ b/hazelspring/routing/endpoint.py
@@ -147,7 +147,7 @@
         self.relative_latency += LATENCY_WEIGHT * (bounded / slowdown - self.relative_latency)
 
     def record_load(self, now: float, report: tuple[float, ...]) -> None:
-        """Store the load that the server reported with a response; a report without it changes nothing."""
+        """Store the load that the server reported with a response; a report without load has no effect."""
         if len(report) >= MIN_REPORT_FIELDS:
             self.running = int(report[0])
             self.waiting = int(report[1])
