--- a/hazelspring/node/__init__.py
+++ b/hazelspring/node/__init__.py
@@ -1,1 +1,1 @@
-"""One node's state machine: messages and times in, actions out; no clock, no I/O."""
+"""One node's state machine: it takes messages and times, returns actions, reads no clock and does no I/O."""
--- a/hazelspring/node/actions.py
+++ b/hazelspring/node/actions.py
@@ -1,4 +1,4 @@
-"""What a core wants done: messages, saves, marks, and what others of its process are told."""
+"""The actions that a node returns to its process: messages to send, records to save, reads, and events."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Save:
-    """Records to be put on disk, all or none; None is to be removed.  `Core.saved` wants to hear of it."""
+    """Records to write to disk atomically, by name; a record whose value is None is to be removed.
+
+    `Node.on_saved` must be called with the serial number once the save has ended.
+    """
 
     serial: int
     records: dict[str, bytes | None]
@@ -27,24 +30,24 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadList:
-    """The platform's list is to be read; `Core.listed` wants to hear how that read, by its number, ended."""
+    """A request to read the platform's list; `Node.on_list_read` must be called with its result."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationChanged:
-    """Another configuration is in force."""
+    """A different configuration is now in force."""
 
 
 @dataclass(slots=True, frozen=True)
 class EvacuatedZonesChanged:
-    """Other zones are evacuated."""
+    """The set of evacuated zones has changed."""
 
 
 @dataclass(slots=True, frozen=True)
 class MembersChanged:
-    """The core has other members."""
+    """The set of the core's members has changed."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReported:
-    """Another node has told where its requests are, by servers' tags."""
+    """Another node has reported the number of its requests in flight, by the servers' tags."""
 
     node: str
     in_flight_by_tag: dict[int, int]
@@ -67,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InvariantViolated:
-    """An invariant has ceased to hold; by its name in `hazelspring.node.invariants`."""
+    """An invariant no longer holds; `name` is its name in `hazelspring.node.invariants`."""
 
     name: str
 
--- a/hazelspring/node/control_replica.py
+++ b/hazelspring/node/control_replica.py
@@ -1,4 +1,4 @@
-"""One node's replica of the control state: its acceptor and proposer, their messages and saves, and what it learns."""
+"""One node's replica of the control state: its acceptor and proposer, their messages and saves."""
 
 from __future__ import annotations
 
@@ -55,20 +55,20 @@
 
 
 class ControlReplica:
-    """Runs one node's acceptor and proposer: it takes messages and times, and returns actions; see docs/control.md.
+    """Runs one node's acceptor and proposer: takes messages and times, returns actions; see docs/control.md.
 
     Parameters
     ----------
     now
         Seconds of the steady clock.
     peers
-        What this node knows of the others.
+        What this node knows about the other nodes.
     records
         The records that were on disk at the start, by name.
     first
-        Whether the whole system starts for the first time.
+        Whether the entire system starts for the first time.
     seeds
-        The addresses from which the core is bootstrapped at that start.
+        The addresses from which the core is bootstrapped at the first start.
     """
 
     def __init__(
@@ -85,39 +85,40 @@
         )
         self.reconfiguration = Reconfiguration(now, peers, self.acceptor, self.proposer, first)
         self.saves = DurableReplies(self.acceptor, bool(me.disk_id))
-        self.admitted_round = NO_ROUND  # the round that other proposers' rounds wait for here
-        self.loopback_messages: list[ConsensusMessage] = []  # messages of this node to itself
+        self.admitted_round = NO_ROUND  # the round that has priority here: rounds of other nodes wait for it
+        self.loopback_messages: list[ConsensusMessage] = []  # messages from this node to itself
         self.transfer = StateTransfer(peers, self.acceptor)
-        self.nodes_behind: dict[str, None] = {}  # nodes that reported a lower lineage than the one here
+        self.nodes_behind: dict[str, None] = {}  # nodes that reported a lower lineage than this node's
         self.actions: list[Action] = []
         if self.acceptor.version > 0:
             self.peers.set_members(self.acceptor.state.members)  # type: ignore[union-attr]
 
     @property
     def state(self) -> ControlState | None:
-        """Return the state in force as far as this node knows; None before the core was bootstrapped."""
+        """Return the state in force as far as this node knows; None before the core is bootstrapped."""
         return self.acceptor.state if self.acceptor.version > 0 else None
 
     def control_versions(self) -> ControlVersions:
-        """Return the versions that this node reports: the one in force here, and one above it that may be in force.
+        """Return the versions to report: the one in force here, and a later one that may be in force.
 
-        The second is the version accepted above it (-1: none).  Once a higher lineage is known, it is at least the
-        lowest version of that lineage, so that no node of a lower one counts this report as a confirmation.
+        The later one is the version that this node has accepted above the one in force (-1: none).  Once a
+        higher lineage is known, it is at least the lowest version of that lineage, so that no node of a
+        lower lineage counts this report as a confirmation.
         """
         pending = self.acceptor.pending
-        told = pending.version if pending is not None else -1
+        pending_version = pending.version if pending is not None else -1
         if self.acceptor.is_superseded():
-            told = max(told, self.acceptor.highest_lineage * VERSIONS_PER_LINEAGE)
-        return ControlVersions(self.acceptor.version, told)
+            pending_version = max(pending_version, self.acceptor.highest_lineage * VERSIONS_PER_LINEAGE)
+        return ControlVersions(self.acceptor.version, pending_version)
 
     def observe_version(self, source: str, version: int) -> None:
-        """Record the version that another node reported as in force there."""
+        """Record the version that another node has reported as in force."""
         self.acceptor.observe_version(version)
         if lineage(version) < lineage(self.acceptor.version):
             self.nodes_behind[source] = None
 
     def unresponsive_members(self, now: float) -> tuple[str, ...]:
-        """Return the addresses of members that this node takes for unresponsive."""
+        """Return the addresses of the members that this node considers unresponsive."""
         state = self.state
         if state is None:
             return ()
@@ -129,25 +130,26 @@
         return state is not None and state.is_member(self.peers.me.ip, self.acceptor.disk_id)
 
     def must_stay_up(self) -> bool:
-        """Return whether this member should stay up, as too few others have reported the version in force here.
+        """Return whether this member should keep running, as too few others have reported its version.
 
-        It may end once a majority of all members, or all members but itself where those are fewer, have reported it.
+        It may stop once a majority of all members, or all members except itself if those are fewer, have
+        reported the version in force here or a later one.
         """
         state = self.state
         if state is None or not self.is_member():
             return False
         others = self.reconfiguration.other_members(state)
-        have = sum(
+        caught_up = sum(
             peer.control_versions is not None and peer.control_versions[0] >= state.version for peer in others
         )
-        return have < min(len(state.members) - 1, majority(len(state.members)))
+        return caught_up < min(len(state.members) - 1, majority(len(state.members)))
 
     def confirmation_times(self, now: float) -> list[float]:
-        """Return until when each member has confirmed the state in force here as the newest, the latest time first.
+        """Return the times up to which members have confirmed this node's state as the newest, latest first.
 
-        Such a time is when the latest heartbeat was sent whose reply reported no later version.  This node counts
-        itself as of now, while it is a member that has accepted nothing above the state in force.  Nothing is
-        confirmed without a state, or once a higher lineage is known.
+        For each member, this is when the latest heartbeat was sent whose reply reported no later
+        version.  This node adds `now` for itself while it is a member that has accepted nothing above the
+        state in force.  The list is empty if this node has no state, and once a higher lineage is known.
         """
         state = self.state
         if state is None or self.acceptor.is_superseded():
@@ -158,12 +160,13 @@
         return sorted(times, reverse=True)
 
     def confirmed_at(self, now: float) -> float:
-        """Return the time up to which every decision is known here, in seconds.
+        """Return the time, in seconds, up to which this node knows every decision.
 
-        A read quorum of members has confirmed the state in force here since then.  It shares a member with every
-        quorum that accepts, so one of its replies would have reported a later decision.
+        At that time or later, each member of a read quorum has confirmed the state in force here.  A read
+        quorum shares a member with every quorum that accepts, so one of its replies would have reported a
+        later decision.
 
-        `LONG_AGO` where no read quorum has confirmed it, or where no configuration is in force.
+        Returns `LONG_AGO` if no read quorum has confirmed the state, or if no configuration is in force.
         """
         state, times = self.state, self.confirmation_times(now)
         if state is None or state.configuration_digest == NO_CONFIGURATION:
@@ -172,46 +175,46 @@
         return times[needed - 1] if len(times) >= needed else LONG_AGO
 
     def is_confirmed_for(self, proposal: Proposal, now: float) -> bool:
-        """Return whether the state in force here includes all that was decided before a proposal came.
+        """Return whether the state in force here includes all decisions from before a proposal's submission.
 
-        Either a round of this node or replies of a read quorum have confirmed that since the proposal came.
+        A round of this node, or replies of a read quorum, must have confirmed that since the submission.
         """
         state = self.state
         if state is None or self.acceptor.is_superseded():
             return False
         since = proposal.started_at
-        told = sum(at >= since for at in self.confirmation_times(now))
-        return self.proposer.confirmed_since >= since or told >= read_quorum(len(state.members))
+        confirmations = sum(at >= since for at in self.confirmation_times(now))
+        return self.proposer.confirmed_since >= since or confirmations >= read_quorum(len(state.members))
 
     def tick(self, now: float) -> list[Action]:
-        """Run what is due at a time, and allow saves again after a failed one."""
+        """Perform what is due at `now`, and allow saves again after a failed one."""
         self.actions = []
         self.saves.has_failed = False
         self.reconfiguration.tick(now)
         return self.advance(now)
 
     def propose(self, now: float, proposal: Proposal) -> list[Action]:
-        """Submit a proposal of this node, and advance it."""
+        """Submit a proposal of this node, and advance it as far as possible."""
         self.actions = []
         self.proposer.submit(proposal)
         return self.advance(now)
 
     def proceed(self, now: float) -> list[Action]:
-        """Advance after another node's report, as that may settle a proposal."""
+        """Advance after a report from another node, as the report may settle a proposal."""
         self.actions = []
         return self.advance(now)
 
     def advance(self, now: float) -> list[Action]:
-        """Advance proposals and rounds as far as they go, and begin a save of what has changed."""
+        """Advance proposals and rounds as far as possible, and begin a save of the changed records."""
         while True:
             if self.acceptor.is_superseded():
                 self.proposer.abandon_round()
             idle = self.proposer.round is None
-            waits = idle and (
+            must_wait = idle and (
                 self.acceptor.is_superseded()
                 or self.must_yield_to(now, self.peers.me.ip, self.acceptor.version)
             )
-            requests = [] if waits else self.proposer.advance(now)
+            requests = [] if must_wait else self.proposer.advance(now)
             for request in [*requests, *self.proposer.take_outbox()]:
                 self.send(request.to, request.message)
             if self.loopback_messages:
@@ -228,9 +231,9 @@
         return self.actions
 
     def on_decision(self, now: float, ballot: Ballot, state: ControlState, packed: bytes | None) -> None:
-        """Learn the decision of this node's round, and send it to the current and previous members."""
+        """Learn the state decided by this node's round, and send it to the current and previous members."""
         if state.version <= self.acceptor.version:
-            return  # the round changed nothing
+            return  # the round decided no newer state
         self.learn(now, ballot, state, packed)
         message = Decision(ballot, state)
         for ip in dict.fromkeys(member.ip for members in state.member_sets() for member in members):
@@ -243,14 +246,15 @@
         Raises
         ------
         MissingConfigurationError
-            Its configuration is neither held here nor in `packed`.
+            The configuration of the state is neither stored at this node nor given in `packed`.
         """
         before = self.acceptor.state
         if not self.acceptor.learn(ballot, state, packed):
             return
         self.admitted_round = NO_ROUND
         self.proposer.on_new_state(now)
-        # Members get the decision from the node that decided it; others that wait for it here get it from this node.
+        # Members receive the decision from the node that decided it; other nodes that wait for it here
+        # receive it from this node.
         for source, held in self.proposer.forwarded.pop_waiting(state):
             self.send_state(source, held)
         if before is None or state.configuration_digest != before.configuration_digest:
@@ -263,32 +267,32 @@
             self.actions.append(MembersChanged())
 
     def catch_up(self, now: float) -> None:
-        """Send the state in force to nodes that reported a lower lineage; request a newer one that others reported."""
+        """Send the state in force to nodes of a lower lineage, and request a newer one that was reported."""
         while self.nodes_behind:
             self.send_state(self.nodes_behind.popitem()[0], HOLDS_NOTHING)
         if (to := self.transfer.next_source(now)) is not None:
             self.request_state(to)
 
-    def request_state(self, of: str, whole: bool = False) -> None:
-        """Request the state in force at a node, with its configuration; `whole`: complete and not as deltas."""
-        self.send(of, self.transfer.make_request(whole))
+    def request_state(self, from_node: str, complete: bool = False) -> None:
+        """Request the state in force at a node, with its configuration.
+
+        If `complete` is True, the reply must include the complete configuration and not deltas.
+        """
+        self.send(from_node, self.transfer.make_request(complete))
 
     def reply_when_durable(self, to: str, message: ConsensusMessage) -> None:
-        """Send a reply once every record that it acknowledges is on disk."""
+        """Send a reply as soon as every record that it acknowledges is on disk."""
         if not self.saves.defer(to, message):
             self.send(to, message)
 
     def write_record(self, name: str, body: bytes) -> None:
-        """Write a record that does not belong to the acceptor with the next save."""
+        """Include a record that does not belong to the acceptor in the next save."""
         self.saves.other_records[name] = body
 
-    def on_saved(self, now: float, serial: int, good: bool) -> list[Action]:
-        """Send the replies that waited for a save, and advance.
-
-        `serial` is the number of the save, `good` whether it succeeded.
-        """
+    def on_saved(self, now: float, serial: int, succeeded: bool) -> list[Action]:
+        """Send the replies that waited for the save with the number `serial`, and advance."""
         self.actions = []
-        replies = self.saves.end_save(serial, good)
+        replies = self.saves.end_save(serial, succeeded)
         if replies is None:
             return self.actions
         for reply in replies:
@@ -331,14 +335,14 @@
                 self.on_decision_message(now, source, message)
 
     def on_round_request(self, now: float, source: str, message: Prepare | Accept) -> None:
-        """Handle a `Prepare` or an `Accept` of a round, which another node leads or this one.
+        """Handle a `Prepare` or an `Accept` of a round led by another node or by this one.
 
-        A sender that follows an older version gets the state in force here; where it follows a higher lineage, its
-        state is requested.
+        If the round is based on an older version, the state in force here is sent to its sender.  If it is
+        based on a higher lineage, the sender's state is requested.
         """
         acceptor, base = self.acceptor, message.base_version
         if not acceptor.disk_id and not acceptor.may_bootstrap:
-            return  # a node without a disk that takes no part in the bootstrap is no member
+            return  # a node without a disk that takes no part in the bootstrap is not a member
         if base < acceptor.version:
             self.send_state(source, message.held if isinstance(message, Prepare) else HOLDS_NOTHING)
         theirs, own = lineage(base), lineage(acceptor.version)
@@ -346,7 +350,7 @@
         if theirs > own:
             self.request_state(source)
         if theirs != own or acceptor.is_superseded():
-            return  # a round, and all that its members accept, is of one lineage
+            return  # a round and every state that its members accept belong to a single lineage
         if isinstance(message, Prepare):
             self.on_prepare(now, source, message)
         else:
@@ -355,15 +359,16 @@
     def on_prepare(self, now: float, source: str, message: Prepare) -> None:
         """Promise to accept nothing below a ballot, or reject it.
 
-        The promise includes the state accepted last, with its configuration where that state is newer than the version
-        the round follows and the proposer does not hold the configuration.
+        The promise includes the state accepted last.  It also includes that state's configuration if the
+        state is newer than the version on which the round is based and the proposer does not hold the
+        configuration.
         """
         acceptor, base = self.acceptor, message.base_version
         if self.must_yield_to(now, source, base):
-            self.reject(now, source, message, waits=True)
+            self.reject(now, source, message, must_wait=True)
             return
         if not acceptor.prepare(message.ballot):
-            self.reject(now, source, message, waits=False)
+            self.reject(now, source, message, must_wait=False)
             return
         self.admitted_round = AdmittedRound(now + ADMITTED_ROUND_TIME, source, base)
         accepted, payload = None, None
@@ -377,13 +382,14 @@
         self.reply_when_durable(source, promise)
 
     def voter(self) -> Voter:
-        """Return the identity under which this node's votes are counted: its disk, and whether it may bootstrap."""
+        """Return the identity under which this node votes: its disk, and whether it may bootstrap."""
         return Voter(self.acceptor.disk_id, self.acceptor.may_bootstrap)
 
     def on_promise(self, source: str, message: Promise) -> None:
-        """Count a promise, with the configuration that came with it.
+        """Count a promise, together with the configuration that came with it.
 
-        Where deltas do not lead to that configuration, the proposer asks for the promise again.
+        If that configuration cannot be built from the deltas received, the proposer requests the promise
+        again.
         """
         accepted, packed, current = message.accepted, None, self.proposer.round
         is_awaited = current is not None and current.ballot == message.ballot and current.value is None
@@ -400,7 +406,7 @@
         self.proposer.on_promise(source, message, packed)
 
     def on_accept(self, now: float, source: str, message: Accept) -> None:
-        """Accept a state, reject it, or reply that its configuration is missing."""
+        """Accept a state, reject it, or reply that its configuration is missing at this node."""
         acceptor, state, packed = self.acceptor, message.state, None
         try:
             if message.ballot >= acceptor.promised:
@@ -409,24 +415,25 @@
         except MissingConfigurationError:
             self.send(source, ConfigurationMissing(message.ballot))
             return
-        if not accepted:  # a proposer that is outbid in its accept phase lets the higher ballot end first
-            self.reject(now, source, message, waits=self.admitted_round.source != source)
+        if not accepted:  # a proposer outbid in its accept phase waits for the round with the higher ballot
+            self.reject(now, source, message, must_wait=self.admitted_round.source != source)
             return
         until, base = now + ADMITTED_ROUND_TIME, message.base_version
         self.admitted_round = AdmittedRound(until, source, base, has_majority=True)
         self.reply_when_durable(source, Accepted(message.ballot, self.voter()))
 
     def on_round_ended(self, source: str, message: RoundEnded) -> None:
-        """Admit other rounds again, once the admitted one has ended."""
+        """Admit other rounds again after the end of the admitted one."""
         if self.admitted_round.source == source and message.ballot >= self.acceptor.promised:
             self.admitted_round = NO_ROUND
 
-    def reject(self, now: float, source: str, message: Prepare | Accept, waits: bool) -> None:
+    def reject(self, now: float, source: str, message: Prepare | Accept, must_wait: bool) -> None:
         """Reject a request of a round.
 
-        `waits` tells the proposer to wait before it tries again, for no longer than the admitted round may still take.
+        If `must_wait` is True, the reply makes the proposer wait before it retries, for at most the
+        remaining time of the admitted round.
         """
-        wait_ms = max(0, int(1000 * (self.admitted_round.until - now))) if waits else 0
+        wait_ms = max(0, int(1000 * (self.admitted_round.until - now))) if must_wait else 0
         if wait_ms:
             held = message.held if isinstance(message, Prepare) else HOLDS_NOTHING
             self.proposer.forwarded.waiting_nodes[source] = held
@@ -434,26 +441,27 @@
         self.send(source, Rejected(message.ballot, self.acceptor.promised, wait_ms, of_accept))
 
     def must_yield_to(self, now: float, source: str, base: int) -> bool:
-        """Return whether the admitted round goes before one of `source` that follows version `base`.
+        """Return whether the admitted round has priority over a round of `source` based on version `base`.
 
-        See `AdmittedRound`.
+        See `AdmittedRound.has_priority_over`.
         """
-        return self.admitted_round.goes_before(now, source, base)
+        return self.admitted_round.has_priority_over(now, source, base)
 
     def send_state(self, to: str, held: HeldConfiguration) -> None:
-        """Send the state in force here, with its configuration where the recipient does not hold that."""
+        """Send the state in force here, with its configuration unless the recipient holds it."""
         if (decision := self.transfer.make_decision(held)) is not None:
             self.send(to, decision)
 
     def on_state_request(self, source: str, message: StateRequest) -> None:
-        """Reply to a state request with the state in force here, where the requester's is older."""
+        """Reply to a state request with the state in force here if the requester's state is older."""
         if message.version < self.acceptor.version:
             self.send_state(source, message.held)
 
     def on_decision_message(self, now: float, source: str, message: Decision) -> None:
-        """Learn a decided state, or request it again where its configuration is missing.
+        """Learn a decided state, or request it again if its configuration is missing.
 
-        Where the configuration came as deltas that do not lead to it, it is requested complete.
+        If the configuration cannot be built from the deltas received, the complete configuration is
+        requested.
         """
         state, packed = message.state, None
         try:
@@ -462,4 +470,4 @@
             self.learn(now, message.ballot, state, packed)
             self.transfer.on_state()
         except MissingConfigurationError:
-            self.request_state(source, whole=isinstance(message.payload, DeltaPath))
+            self.request_state(source, complete=isinstance(message.payload, DeltaPath))
--- a/hazelspring/node/durable_replies.py
+++ b/hazelspring/node/durable_replies.py
@@ -1,4 +1,4 @@
-"""Durability of a node's replica: saves to disk, one at a time, and the replies that wait for them."""
+"""Durability of a node's replica: saves to disk, one at a time, and replies deferred until they succeed."""
 
 from __future__ import annotations
 
@@ -11,20 +11,23 @@
 
 
 class DurableReplies:
-    """Collects the records to be saved, and the replies that acknowledge them."""
+    """Collects the records to save, and defers the replies that acknowledge them until they are on disk."""
 
     def __init__(self, acceptor: Acceptor, has_disk: bool) -> None:
         self.acceptor, self.has_disk = acceptor, has_disk
-        # Records that do not belong to the acceptor, to be written with the next save.
+        # Records that do not belong to the acceptor and are to be written with the next save.
         self.other_records: dict[str, bytes | None] = {}
         self.save_number = 0
         self.records_being_saved: dict[str, bytes | None] | None = None
         self.after_current_save: list[OutgoingMessage] = []  # replies that wait for the save in progress
         self.after_next_save: list[OutgoingMessage] = []
-        self.has_failed = False  # a save has failed since the last tick; none begins before the next one
+        self.has_failed = False  # a save has failed since the last tick; none begins before the next tick
 
     def defer(self, to: str, reply: ConsensusMessage) -> bool:
-        """Keep a reply until all that it acknowledges is on disk; return False where it may be sent at once."""
+        """Defer a reply until all records that it acknowledges are on disk.
+
+        Return False if the reply may be sent immediately; it is then not kept.
+        """
         if self.acceptor.dirty_records and self.has_disk:
             self.after_next_save.append(OutgoingMessage(to, reply))
         elif self.records_being_saved is not None:
@@ -34,9 +37,10 @@
         return True
 
     def begin_save(self) -> Save | None:
-        """Return a save of all records to be written.
+        """Return a save of all records that are to be written.
 
-        None where there are none, while a save is in progress, or where one has failed since the last tick.
+        Returns None if there are no such records, while a save is in progress, or if a save has failed since
+        the last tick.
         """
         if not self.has_disk:
             self.acceptor.dirty_records.clear()
@@ -52,10 +56,10 @@
         return Save(self.save_number, self.records_being_saved)
 
     def end_save(self, serial: int, succeeded: bool) -> list[OutgoingMessage] | None:
-        """Return the replies that may be sent now that a save has ended; None where it is not the one in progress.
+        """Return the replies that may be sent now that a save has ended; None if it is not the current save.
 
-        Replies that waited for a save that failed are dropped, as their recipients ask again; its records are written
-        with the next save.
+        If the save has failed, the replies that waited for it are dropped, as their recipients repeat the
+        requests, and its records are written with the next save.
         """
         if serial != self.save_number or self.records_being_saved is None:
             return None
--- a/hazelspring/node/messages.py
+++ b/hazelspring/node/messages.py
@@ -1,6 +1,6 @@
 """Messages between nodes: heartbeats, tables of servers, singleton roles, load reports and quotas.
 
-Their short keys on the wire are known only to `hazelspring.node.codec` and the `codec_` modules beside it.
+Only `hazelspring.node.codec` and the `codec_` modules in the same package know their short keys on the wire.
 """
 
 from __future__ import annotations
@@ -15,23 +15,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Heartbeat:
-    """Asks another node for its state, and names the checksum of the state of it that is known to the sender."""
+    """Requests another node's state; includes the checksum of that state as last known to the sender."""
 
     incarnation: int
     number: int
     ready: bool
     core_checksum: int
-    known_state_checksum: int  # of the recipient's `NodeState`, as it is known to the sender
-    sender: NodeInfo | None = None  # named where the recipient may not know the sender
+    known_state_checksum: int  # of the recipient's `NodeState` as last known to the sender
+    sender: NodeInfo | None = None  # included if the recipient may not know the sender
     requested_roles: list[int] | None = None  # None from nodes that take no singleton role
-    grants_nothing: bool = False  # a new member, which may have granted leases before its restart
-    roster_checksum: int | None = None  # where the reply is to carry the roster if it differs
+    # The sender is a new member that grants no leases yet, as it may have granted some before its restart.
+    grants_nothing: bool = False
+    roster_checksum: int | None = (
+        None  # included if the reply is to contain the roster when its checksum differs
+    )
 
 
 class ControlVersions(NamedTuple):
-    """The version in force at a node, and a later one that may be in force elsewhere (-1: none).
+    """The version in force at a node, and a later version that may be in force elsewhere (-1: none).
 
-    The later one was accepted there, or is of a higher lineage that the node knows of.
+    The node has accepted the later version, or knows that it belongs to a higher lineage.
     """
 
     decided: int
@@ -40,29 +43,32 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeState:
-    """The part of a node's state that seldom changes; sent once, and then only where its checksum differs."""
+    """The part of a node's state that seldom changes; it is sent again only when its checksum differs."""
 
     table_versions: dict[str, int]
     max_node_count: int
     control_versions: ControlVersions
-    role_holders: dict[str, str] | None = None  # None from nodes that are no members, as the next field
+    role_holders: dict[str, str] | None = None  # None from nodes that are not members, like the next field
     unresponsive_members: tuple[str, ...] | None = None
     declined_roles: tuple[int, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class HeartbeatReply:
-    """Answers the heartbeat with the same number."""
+    """The reply to the heartbeat with the same number."""
 
     incarnation: int
     number: int
     sender: NodeInfo | None = None
-    asks_identity: bool = False  # the heartbeat's sender is not known to the replying node
-    relied_on_roles: list[int] | None = None  # by leases that an earlier incarnation of the recipient granted
+    asks_identity: bool = (
+        False  # the replying node does not know the heartbeat's sender and requests its identity
+    )
+    # Roles that the sender holds by leases granted by an earlier incarnation of the recipient.
+    relied_on_roles: list[int] | None = None
     granted_roles: list[int] | None = None
     list_age: int | None = None  # of the platform's list, in units of `list_freshness.AGE_UNIT`
     state: NodeState | None = None
-    state_checksum: int = 0  # of `state`, with all its keys on the wire; not sent
+    state_checksum: int = 0  # of `state` with all its keys on the wire; the checksum itself is not sent
     core_nodes: list[NodeInfo] | None = None
     roster_change: Sequence[Any] | None = None  # a `membership.roster.RosterChange`
     roster_rows: list[list[Any]] | None = None
@@ -77,13 +83,13 @@
 
 @dataclass(slots=True, frozen=True)
 class TableUpdate:
-    """A complete table of servers, or a change of one, as `ServerRegistry` encodes it."""
+    """A complete table of servers or a change to one, as encoded by `ServerRegistry`."""
 
     table: list[Any]
 
     @property
     def service(self) -> str:
-        """Return the service that the table is of."""
+        """Return the service whose servers the table lists."""
         service: str = self.table[0]
         return service
 
@@ -96,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RolesDeclined:
-    """A member declines roles that it could not perform, so that others take them; it stays a member."""
+    """A member declines roles that it could not perform, so that others take them; it remains a member."""
 
     member: NodeInfo
     roles: list[int]
@@ -116,7 +122,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CreditRequest:
-    """Requests units of a tenant's quota from its counter; units below 0 are given back."""
+    """Requests units of a tenant's quota from its counter; a negative number returns unused units."""
 
     tenant: str
     number: int
@@ -126,9 +132,9 @@
 
 @dataclass(slots=True, frozen=True)
 class CreditGrant:
-    """Answers `CreditRequest`: units, their lifetime, and the part of the window's limit that is granted."""
+    """The reply to a `CreditRequest`: units, their lifetime, and the granted part of the window's limit."""
 
-    incarnation: int  # of the recipient, when it asked
+    incarnation: int  # of the recipient when it sent the request
     tenant: str
     number: int
     units: int
@@ -138,15 +144,15 @@
 
 @dataclass(slots=True, frozen=True)
 class CounterUnavailableNotice:
-    """Answers `CreditRequest`: the sender does not hold the tenant's counter."""
+    """The reply to a `CreditRequest` from a node that does not hold the tenant's counter."""
 
     tenant: str
-    incarnation: int  # of the recipient, when it asked
+    incarnation: int  # of the recipient when it sent the request
 
 
 @dataclass(slots=True, frozen=True)
 class UnknownMessage:
-    """A message of a kind that this version of the program does not know, so that it is ignored."""
+    """A message of a kind that this version of the program does not know; it is ignored."""
 
     kind: str
 
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -49,10 +49,10 @@
 from hazelspring.registry.list_reader_role import LIST_READER, ListReaderRole, ListTiming
 from hazelspring.registry.tables import ServerEntry
 
-# Seconds after its start for which a core node without any table waits for one from the others; then none of them has
-# one, and it reads the platform's list itself, without the role.
+# Seconds for which a core node that has just started and has no table waits for one from the other nodes.
+# If none arrives, no other node has one, and this node reads the platform's list itself, without the role.
 EMPTY_REGISTRY_GRACE = 0.15
-# The name of the record that holds the largest number of nodes that there ever were.
+# The name of the record that stores the largest number of nodes that the system has had so far.
 NODE_COUNT_RECORD = "mark doors"
 
 
@@ -60,14 +60,14 @@
 class NodeStart:
     """What a node knows at its start.
 
-    The disk number in `info` is that of an empty disk: the one in the records has priority.
+    The disk number in `info` applies to an empty disk only: a number in the records has priority.
     """
 
     info: NodeInfo
     seeds: list[str]
-    first_start: bool  # the whole system starts for the first time
+    first_start: bool  # whether the entire system starts for the first time
     records: dict[str, bytes] = field(default_factory=dict)  # the records on disk, by name
-    link_bandwidth: float = math.inf  # bytes a second of this machine's own link
+    link_bandwidth: float = math.inf  # of this machine's own network link, in bytes per second
     bounds: InvariantBounds = field(default_factory=InvariantBounds)
 
 
@@ -77,13 +77,13 @@
     Parameters
     ----------
     now
-        Seconds of the steady clock, as all times here.
+        Seconds of the steady clock, as are all times in this class.
     start
         What the node knows at its start.
     window
         Seconds of one quota window.
     limit
-        Returns a tenant's limit for one window, as the configuration in force has it.
+        Returns a tenant's limit for one window under the configuration in force.
     """
 
     def __init__(self, now: float, start: NodeStart, window: float, limit: Callable[[str], float]) -> None:
@@ -116,21 +116,23 @@
         )
         self.was_member = self.control.is_member()
         self.members = self.control.state.members if self.control.state is not None else ()
-        self.dropped: dict[str, int] = {}  # messages dropped as sent by or to another incarnation, by kind
+        # The number of messages, by kind, dropped because another incarnation sent them or was their
+        # recipient.
+        self.dropped: dict[str, int] = {}
         self.actions: list[Action] = []
 
     def core_agreed(self) -> bool:
-        """Return whether the core was bootstrapped, as far as this node knows."""
+        """Return whether this node knows that the core has been bootstrapped."""
         return self.control.state is not None
 
     def confirmed_at(self, now: float) -> float:
-        """Return the time, in seconds, up to which every acknowledged change is known here."""
+        """Return the time, in seconds, up to which this node knows every acknowledged change."""
         return self.control.confirmed_at(now)
 
     def put_configuration(
         self, now: float, token: int, body: bytes, checked: ValidatedConfiguration | None = None
     ) -> list[Action]:
-        """Propose an operator's configuration, which `hazelspring.configuration.validation` has accepted.
+        """Propose an operator's configuration that `hazelspring.configuration.validation` has accepted.
 
         Parameters
         ----------
@@ -139,9 +141,9 @@
         token
             Identifies the proposal in its outcome.
         body
-            The configuration as it came.
+            The configuration as it was received.
         checked
-            Its number and packed bytes, where the validation has made them; else they are made here.
+            Its version and packed bytes if the validation has computed them; else they are computed here.
         """
         if checked is None:
             number = parse_version(json.loads(body)["versionNumber"])
@@ -159,25 +161,26 @@
         return self.propose(now, proposal)
 
     def set_evacuation(self, now: float, token: int, zone: str, closed: bool) -> list[Action]:
-        """Propose an operator's evacuation of a zone, or the end of one where `closed` is False."""
+        """Propose the evacuation of a zone for an operator, or its end if `closed` is False."""
         return self.propose(
             now, Proposal(token, now, ProposalKind.SET_EVACUATION, zone=zone, evacuate=closed)
         )
 
     def retire_member(self, now: float, token: int, ip: str) -> list[Action]:
-        """Propose an operator's removal of the member at an address from the core, for good."""
+        """Propose, for an operator, to remove the member at an address from the core permanently."""
         return self.propose(
             now, Proposal(token, now, ProposalKind.RETIRE, member=Member(ip), by_operator=True)
         )
 
     def read_configuration(self, now: float, token: int) -> list[Action]:
-        """Propose an operator's read of the configuration in force."""
+        """Propose a read of the configuration in force for an operator."""
         return self.propose(now, Proposal(token, now, ProposalKind.READ))
 
     def propose(self, now: float, proposal: Proposal) -> list[Action]:
-        """Submit a proposal, and send heartbeats to the other core nodes at once.
+        """Submit a proposal, and immediately send heartbeats to the other core nodes.
 
-        Their replies report the newest version that they know, which may confirm the state in force here.
+        Their replies report the newest version that they know, which may confirm that this node's state is
+        current.
         """
         self.actions = []
         requested_roles = self.requested_roles(now)
@@ -188,26 +191,27 @@
         return self.actions
 
     def tick(self, now: float) -> list[Action]:
-        """Run what is due at a time: heartbeats, roles, table requests, rounds of consensus, checks of invariants."""
+        """Perform what is due: heartbeats, roles, table requests, consensus rounds and invariant checks."""
         self.actions = []
-        enough = now - self.confirmed_at(now) < 2 * NEAR_INTERVAL
+        recently_confirmed = now - self.confirmed_at(now) < 2 * NEAR_INTERVAL
         before = self.roles.requested
         requested_roles = self.requested_roles(now)  # computed once for all heartbeats of this tick
-        anew = requested_roles != before
+        roles_changed = requested_roles != before
         for ip in self.peers.other_core_nodes():
-            if anew or self.heartbeats.is_due(now, ip, enough):
+            if roles_changed or self.heartbeats.is_due(now, ip, recently_confirmed):
                 self.send_heartbeat(now, ip, requested_roles)
-        heard = any(self.peers.is_alive(now, ip) for ip in self.peers.other_core_nodes())
-        lost = not heard or (self.first_start and not self.core_agreed())
-        # Nodes outside a core that was recovered by hand may not know of it, so its nodes send heartbeats to them.
-        rescued = lineage(self.control.acceptor.version) > 0
-        if lost or rescued:
+        any_alive = any(self.peers.is_alive(now, ip) for ip in self.peers.other_core_nodes())
+        lacks_core = not any_alive or (self.first_start and not self.core_agreed())
+        # Nodes outside a core that an operator has recovered may not know of it: its nodes send them
+        # heartbeats.
+        is_recovered = lineage(self.control.acceptor.version) > 0
+        if lacks_core or is_recovered:
             for ip in self.seeds:
                 known = ip == self.me.ip or ip in self.peers.core_nodes
                 if (
                     not known
                     and now - self.heartbeats.last_sent_at(ip)
-                    >= (NEAR_INTERVAL if lost else FAR_INTERVAL) - 0.01
+                    >= (NEAR_INTERVAL if lacks_core else FAR_INTERVAL) - 0.01
                 ):
                     self.send_heartbeat(now, ip, requested_roles)
         self.perform_roles(now)
@@ -225,32 +229,32 @@
         return self.actions
 
     def is_core_candidate(self) -> bool:
-        """Return whether this node is a member of the core, or may become one at the bootstrap."""
+        """Return whether this node is a member of the core or may become one at the bootstrap."""
         return bool(self.me.disk_id) and (self.control.is_member() or not self.peers.core_agreed)
 
     def check_membership(self, now: float) -> None:
-        """Handle a change of the core's members, or of this node's own membership.
+        """Handle a change of the core's members or of this node's own membership.
 
-        A new member grants no leases for a term, except at the first start of the whole system.
+        A new member grants no leases for one lease term, except at the first start of the entire system.
         """
-        seated, state = self.control.is_member(), self.control.state
+        is_member, state = self.control.is_member(), self.control.state
         if state is not None and state.members != self.members:
             if self.members:
                 follows = state.previous_members == self.members
                 self.roles.on_members_changed(now, follows, len(self.members), len(state.members))
             self.members = state.members
-        if seated and not self.was_member and not self.first_start:
+        if is_member and not self.was_member and not self.first_start:
             self.roles.granter.silent_until = max(self.roles.granter.silent_until, now + LEASE_TERM)
-        self.was_member = seated
+        self.was_member = is_member
 
     def requested_roles(self, now: float) -> list[int]:
-        """Return the roles that heartbeats sent now request; see `SingletonRoles.update_requests`."""
+        """Return the roles to request in heartbeats sent at `now`; see `SingletonRoles.update_requests`."""
         return self.roles.update_requests(now, self.core_agreed() and self.is_core_candidate())
 
     def send_heartbeat(self, now: float, ip: str, requested_roles: list[int] | None = None) -> None:
         """Send a heartbeat to an address.
 
-        `requested_roles` are the roles to request, where they were already computed for this time.
+        `requested_roles` are the roles to request if the caller has already computed them for this time.
         """
         requested_roles = self.requested_roles(now) if requested_roles is None else requested_roles
         self.actions.append(
@@ -263,29 +267,31 @@
         )
 
     def perform_roles(self, now: float) -> None:
-        """Grant leases of roles to this node itself, and perform the role of reading the platform's list.
+        """Grant role leases to this node itself, and perform the role of reading the platform's list.
 
-        After a restart, grants begin once the other members have reported which leases they rely on.  The list is also
-        read without the role: see `may_read_list`, and not before `EMPTY_REGISTRY_GRACE` has gone by.
+        After a restart, this node grants leases only once the other members have reported which leases they
+        rely on.  It may also read the list without the role (see `may_read_list`), but not before
+        `EMPTY_REGISTRY_GRACE` has passed since its start.
         """
         if not self.is_core_candidate():
             return
         if self.core_agreed():
             self.roles.restore_grants(now)
-            if self.heartbeats.may_grant_leases(self.peers.core_checksum()):  # the same rule as for others
+            # The condition is the same as for grants to other nodes.
+            if self.heartbeats.may_grant_leases(self.peers.core_checksum()):
                 self.roles.grant_to_self(now)
         if self.list_reader_role.must_decline(now):
             self.decline_role(now, LIST_READER)
-        young = now - self.started_at <= EMPTY_REGISTRY_GRACE and not self.list_reader_role.holds(now)
+        too_early = now - self.started_at <= EMPTY_REGISTRY_GRACE and not self.list_reader_role.holds(now)
         if (
             self.may_read_list(now)
-            and not young
+            and not too_early
             and (number := self.list_reader_role.begin_read(now)) is not None
         ):
             self.actions.append(ReadList(number))
 
     def decline_role(self, now: float, role: int) -> None:
-        """Give up a role that this node cannot perform, and notify the other core nodes: one takes it at once."""
+        """Give up a role that this node cannot perform; the notified core nodes take it over immediately."""
         self.roles.decline(now, role)
         message = RolesDeclined(self.me, [role])
         self.actions += [Send(ip, message) for ip in self.peers.other_core_nodes()]
@@ -293,13 +299,13 @@
     def may_read_list(self, now: float) -> bool:
         """Return whether this node may read the platform's list.
 
-        It holds the role, it has no table at all, or it knows of no read that is recent enough.
+        This is so if it holds the role, has no table at all, or knows of no sufficiently recent read.
         """
         role = self.list_reader_role
         return role.holds(now) or not self.registry.tables or role.is_backup_due(now, self.freshness.age(now))
 
     def drain(self, now: float) -> list[Action]:
-        """Begin a graceful shutdown: release this node's roles, so that other nodes take them at once."""
+        """Begin a graceful shutdown: release this node's roles, so that others can take them immediately."""
         self.actions = []
         self.control.reconfiguration.leaving = True
         message = RolesReleased(self.me, self.roles.release_all(now))
@@ -309,10 +315,11 @@
     def on_list_read(
         self, now: float, wall_ms: int, found: dict[str, dict[str, ServerEntry]] | None, number: int
     ) -> list[Action]:
-        """Apply the result of a read of the platform's list, and send what it changes.
+        """Apply the result of a read of the platform's list, and send the resulting table updates.
 
-        A read that was given up changes nothing.  Nor does one that another node's may be newer than: a table of it
-        came meanwhile, or, where this node does not hold the role, the other read is known to have begun later.
+        The result of an abandoned read is ignored.  So is a result that may be older than that of another
+        node's read: a table from that read has arrived in the meantime, or this node does not hold the role
+        and knows that the other read began later.
 
         Parameters
         ----------
@@ -321,7 +328,7 @@
         wall_ms
             Milliseconds of the wall clock.
         found
-            The servers in the list, by service; None where the read failed.
+            The servers in the list, by service; None if the read failed.
         number
             The number of the read.
         """
@@ -337,7 +344,7 @@
         return actions
 
     def lease_credits(self, now: float, tenant: str, number: int, units: float) -> list[Action]:
-        """Call a tenant's counter for units of its quota; see `QuotaCalls.lease`."""
+        """Request units of a tenant's quota from its counter; see `QuotaCalls.lease`."""
         return self.quota_calls.lease(now, tenant, number, units)
 
     def on_message(self, now: float, source: str, message: Message) -> list[Action]:
@@ -365,7 +372,7 @@
             case CounterUnavailableNotice():
                 self.on_counter_unavailable(message)
             case UnknownMessage():
-                pass  # from a newer version of the program; as any message, it may settle a proposal below
+                pass  # from a newer version of the program; like any message, it may settle a proposal below
             case _:
                 self.actions += self.control.on_message(now, source, message)
                 self.check_membership(now)
@@ -375,77 +382,78 @@
         return self.actions
 
     def count_dropped(self, message: Message) -> None:
-        """Count a dropped message, by its kind on the wire."""
+        """Increment the number of dropped messages of this message's kind on the wire."""
         kind = kind_of(message)
         self.dropped[kind] = self.dropped.get(kind, 0) + 1
 
     def on_table_request(self, now: float, source: str, request: TableRequest) -> None:
-        """Send a table that another node requests, where it is here."""
+        """Send a table that another node requests, if this node has it."""
         if request.service in self.registry.tables:
             self.actions.append(Send(source, TableUpdate(self.registry.encode(now, request.service))))
 
-    def on_table_update(self, now: float, news: TableUpdate) -> None:
-        """Apply an update of a table: the complete table, or a change of it."""
+    def on_table_update(self, now: float, update: TableUpdate) -> None:
+        """Apply an update of a table: the complete table or a change to it."""
         before = self.registry.versions()
-        self.actions += self.disseminator.apply_update(now, news)
+        self.actions += self.disseminator.apply_update(now, update)
         if self.registry.versions() is not before:
             self.list_reader_role.on_superseded(now)
-        self.table_requests.on_update(news.service)
+        self.table_requests.on_update(update.service)
 
     def on_heartbeat(self, now: float, source: str, message: Heartbeat) -> None:
-        """Record the sender of a heartbeat, and reply; one of an earlier incarnation that came late is ignored."""
-        about = self.heartbeats.sender_of(source, message)
-        if about is not None:
-            if self.peers.is_stale(now, about):
+        """Record the sender of a heartbeat and reply; a heartbeat of an earlier incarnation is ignored."""
+        sender = self.heartbeats.sender_of(source, message)
+        if sender is not None:
+            if self.peers.is_stale(now, sender):
                 return
-            self.peers.observe(now, about)
-            self.peers.record_heartbeat(now, about, message.ready)
-        self.actions.append(Send(source, self.heartbeats.make_reply(now, about, message)))
+            self.peers.observe(now, sender)
+            self.peers.record_heartbeat(now, sender, message.ready)
+        self.actions.append(Send(source, self.heartbeats.make_reply(now, sender, message)))
 
     def on_heartbeat_reply(self, now: float, source: str, message: HeartbeatReply) -> None:
         """Handle a heartbeat reply.
 
-        Newer tables that it reports are requested at once; a tick requests them again where they do not come.
+        Newer tables that it reports are requested immediately; a later tick requests them again if they do
+        not arrive.
         """
         self.apply_heartbeat_reply(now, source, message)
         if message.state is not None:
             self.actions += self.table_requests.request_missing(now)
 
     def apply_heartbeat_reply(self, now: float, source: str, message: HeartbeatReply) -> None:
-        """Record what a reply reports; one that an earlier incarnation sent, or was sent to, is dropped and counted."""
-        about = self.heartbeats.sender_of(source, message)
-        if about is None:  # a new incarnation: introduced to each other by the next heartbeat and its reply
+        """Record what a reply reports; a reply from or to an earlier incarnation is dropped and counted."""
+        sender = self.heartbeats.sender_of(source, message)
+        if sender is None:  # a new incarnation: the next heartbeat and its reply exchange the identities
             if (peer := self.peers.peers.get(source)) is not None:
                 peer.knows_me = False
             return
-        asked_at = self.heartbeats.request_sent_at(message.number)
-        if self.peers.is_stale(now, about) or asked_at is None:
+        sent_at = self.heartbeats.request_sent_at(message.number)
+        if self.peers.is_stale(now, sender) or sent_at is None:
             self.count_dropped(message)
             return
-        self.peers.observe(now, about)
-        if not self.heartbeats.on_reply(now, about, message, asked_at).knows_me:
+        self.peers.observe(now, sender)
+        if not self.heartbeats.on_reply(now, sender, message, sent_at).knows_me:
             self.send_heartbeat(now, source)
         for member in message.core_nodes or ():
             self.peers.observe(now, member)
 
     def on_credit_grant(self, message: CreditGrant) -> None:
-        """Return credits that another node's counter granted, as an action."""
+        """Append an action that reports the credits that another node's counter granted."""
         if message.incarnation != self.me.incarnation:
-            self.count_dropped(message)  # its number may equal that of a call of this incarnation
+            self.count_dropped(message)  # its number may be the same as that of a call by this incarnation
             return
         lifetime, granted_part = message.lifetime_ms / 1000, message.granted_percent / 100
         granted = CreditsGranted(message.tenant, message.number, message.units, lifetime, granted_part)
         self.actions.append(granted)
 
     def on_counter_unavailable(self, message: CounterUnavailableNotice) -> None:
-        """Report, as an action, that the node called does not hold a tenant's counter."""
+        """Append an action that reports that the called node does not hold a tenant's counter."""
         if message.incarnation != self.me.incarnation:
             self.count_dropped(message)
             return
         self.actions.append(CounterUnavailable(message.tenant))
 
-    def on_saved(self, now: float, serial: int, good: bool) -> list[Action]:
-        """Handle the end of a save; `serial` is its number, `good` whether it succeeded."""
-        self.actions = self.control.on_saved(now, serial, good)
+    def on_saved(self, now: float, serial: int, succeeded: bool) -> list[Action]:
+        """Handle the end of the save with the number `serial`."""
+        self.actions = self.control.on_saved(now, serial, succeeded)
         self.check_membership(now)
         return self.actions
--- a/hazelspring/node/state_transfer.py
+++ b/hazelspring/node/state_transfer.py
@@ -1,4 +1,4 @@
-"""State transfer: how a node gets the state in force from others, and what it sends to those that lack it."""
+"""Transfer of the control state: requests for a newer state, and the states sent to nodes that lack them."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 
 class StateTransfer:
-    """Makes the requests for newer states, and the replies to those of other nodes."""
+    """Creates requests for newer states and the decisions that answer the requests of other nodes."""
 
     def __init__(self, peers: PeerTable, acceptor: Acceptor) -> None:
         self.peers, self.acceptor = peers, acceptor
         self.last_request = NOT_SENT
 
     def next_source(self, now: float) -> str | None:
-        """Return the node of which to request a newer state now.
+        """Return the address of the node from which to request a newer state now.
 
-        None where no node reported one, or while the last request still has time left.  The nearest node that is alive
-        comes first; where it did not answer in time, the next one is asked, in turn.
+        Returns None if no node has reported a newer state, or while the last request has not timed out.  The
+        first request goes to the nearest live node; each request after a time-out goes to the next live
+        node, in rotation.
         """
         holders = self.peers.nodes_above_version(self.acceptor.version)
         last = self.last_request
@@ -31,19 +32,23 @@
         return alive[last.count % len(alive)]
 
     def on_state(self) -> None:
-        """Record that a state has come, so that a newer one may be requested at once."""
+        """Record that a state has arrived, so that a newer one may be requested immediately."""
         self.last_request = SentRequest(count=self.last_request.count)
 
-    def make_request(self, whole: bool) -> StateRequest:
-        """Return a request for the state in force; `whole`: its configuration is to come complete, not as deltas."""
+    def make_request(self, complete: bool) -> StateRequest:
+        """Return a request for the state in force.
+
+        If `complete` is True, the reply must include the complete configuration and not deltas.
+        """
         state = self.acceptor.state
         digest = state.configuration_digest if state is not None else NO_CONFIGURATION
-        return StateRequest(self.acceptor.version, HeldConfiguration(digest, not whole))
+        return StateRequest(self.acceptor.version, HeldConfiguration(digest, not complete))
 
     def make_decision(self, held: HeldConfiguration) -> Decision | None:
-        """Return the state in force here, with its configuration where that is not the one held by the recipient.
+        """Return the state in force at this node, with its configuration unless the recipient holds it.
 
-        None before the bootstrap, and once a higher lineage is known, which supersedes the state here.
+        Returns None before the bootstrap, and once a higher lineage is known, which supersedes this node's
+        state.
         """
         if self.acceptor.decided is None or self.acceptor.version <= 0 or self.acceptor.is_superseded():
             return None
