--- a/tests/test_rescue.py
+++ b/tests/test_rescue.py
@@ -1,4 +1,4 @@
-"""Disaster recovery: the losses that it is for, and that the old core decides and confirms nothing after it."""
+"""Disaster recovery: which losses require it; the old core decides and confirms nothing after it."""
 
 from __future__ import annotations
 
@@ -72,12 +72,12 @@
 
 
 def lineages(world: World) -> set[int]:
-    """Return the lineages of the states that the running nodes hold."""
+    """Return the lineages of the states at the running nodes."""
     return {lineage(world.machines[name].core.control.acceptor.version) for name in world.up()}  # type: ignore[union-attr]
 
 
 def member_addresses(world: World, name: str) -> list[str]:
-    """Return the members' addresses as a node knows them."""
+    """Return the addresses of the members as known to a node."""
     core = world.machines[name].core
     assert core is not None
     return [member.ip for member in core.peers.members]
@@ -88,14 +88,14 @@
     for name in ("d2", "d3", "d4"):
         world.wipe(name)
         world.start(name)
-    for _ in range(10):  # the loss that nothing but a recovery mends
+    for _ in range(10):  # only a recovery can repair this loss
         assert outcomes(world, world.put("d1", 6), world.evacuate("d2", "z1", True)) == [False, False]
     recover(world, "d1")
     world.run(2.0)
     assert member_addresses(world, "d6") == ["d1", "d2", "d3", "d4"]
     token = world.read("d3")
     assert outcomes(world, token, world.put("d5", 6)) == [True, True] and world.mark_read(token) == "five"
-    world.kill("d1")  # any one of them, as ever
+    world.kill("d1")  # the recovered core tolerates the loss of any one member, as before
     assert outcomes(world, world.put("d2", 8), world.read("d6")) == [True, True]
     assert not world.breaches
 
@@ -105,7 +105,7 @@
     for name in world.machines:
         world.wipe(name)
         world.start(name)
-    for _ in range(10):  # the loss that nothing but a recovery mends
+    for _ in range(10):  # only a recovery can repair this loss
         assert outcomes(world, world.put("d1", 6), world.read("d2")) == [False, False]
         assert not any(world.machines[name].core.core_agreed() for name in world.up())  # type: ignore[union-attr]
     recover(
@@ -128,9 +128,10 @@
 
 
 def world_with_two_cores(seed: int = 1, odd: float = 0.0) -> World:
-    """Return a world where d1 was recovered and has configuration 7, while the old core, out of its reach, went on.
+    """Return a world where d1 was recovered and has configuration 7, while the old core continued.
 
-    The old core has taken configurations of 8 to 12.
+    The links between d1 and the other nodes are cut.  The old core has decided some of the configurations
+    8 to 12.
     """
     world = bootstrapped_world(seed, odd)
     others = [name for name in world.machines if name != "d1"]
@@ -138,7 +139,7 @@
     tokens = [world.put(f"d{2 + number % 3}", number) for number in range(8, 13)]
     assert True in outcomes(world, *tokens)
     recover(world, "d1")
-    # nothing can prevent two cores that are out of each other's reach
+    # Nothing can prevent two cores while no node of one can reach the other.
     assert outcomes(world, world.put("d1", 7, "seven"), world.read("d2")) == [True, True]
     return world
 
@@ -150,17 +151,17 @@
     for name in ("d2", "d3", "d4"):
         if rng.random() < 0.5:
             world.kill(name)
-    # other breaches of the time with two cores are expected
+    # Other breaches are expected from the time with two cores.
     world.breaches = [breach for breach in world.breaches if "known to be over" in breach]
     world.cut.clear()
     for index, name in enumerate(["d2", "d3", "d4"]):
-        world.put(f"d{2 + index}", 13 + index)  # under way while the old members learn of the new core
+        world.put(f"d{2 + index}", 13 + index)  # in progress while the old members learn of the new core
         if name not in world.up():
             world.start(name)
         world.run(rng.random())
     assert not [breach for breach in world.breaches if "known to be over" in breach]
     world.run(4.0)
-    world.breaches.clear()  # of the time until the new core was heard of
+    world.breaches.clear()  # these are from the time before the nodes learned of the new core
     assert len(lineages(world)) == 1 and 0 not in lineages(world)
     assert member_addresses(world, "d6") == ["d1", "d2", "d3", "d4"]
     token = world.put("d3", 20, "on")
@@ -172,7 +173,7 @@
 
 
 def withhold_recovered_state(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let nodes hear of the recovered core's version, but lose the messages that bring its state."""
+    """Let nodes learn the version of the recovered core, but lose the messages that contain its state."""
     send = world.send
 
     def send_unless_recovered(source: str, to: str, message: Message) -> None:
@@ -195,13 +196,13 @@
     return outcomes(world, *tokens)
 
 
-def test_a_node_that_has_heard_of_a_recovered_core_confirms_nothing_of_the_old_one(
+def test_a_node_that_knows_of_a_recovered_core_confirms_nothing_from_the_old_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = world_with_two_cores()
     withhold_recovered_state(world, monkeypatch)
     world.cut.clear()
-    world.run(3.0)  # leases that were granted end
+    world.run(3.0)  # until the leases of the old core have expired
     world.breaches.clear()
     assert not any(outcomes_by_old_state(world, ["d2", "d3", "d4", "d5"])) and not world.breaches
     assert not any(world.fresh(name) for name in ("d2", "d5")) and lineages(world) >= {0}
@@ -210,7 +211,7 @@
     assert 0 not in lineages(world) and all(outcomes(world, world.put("d2", 31), world.read("d4")))
 
 
-def test_without_the_check_of_the_lineage_such_a_node_confirms_the_old_core(
+def test_without_the_check_of_the_lineage_a_node_confirms_the_old_core(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = world_with_two_cores()
@@ -223,7 +224,7 @@
     assert any("known to be over" in breach for breach in world.breaches)
 
 
-def test_of_two_recoveries_the_later_one_prevails() -> None:
+def test_the_later_one_of_two_recoveries_prevails() -> None:
     world = bootstrapped_world()
     world.cut |= {
         (a, b) for a in world.machines for b in world.machines if (a in "d1 d2") is not (b in "d1 d2")
@@ -241,7 +242,7 @@
     assert not world.breaches
 
 
-def test_a_recovered_disk_at_a_new_address_is_found_and_informs_the_old_members() -> None:
+def test_old_members_find_a_recovered_disk_at_a_new_address_and_adopt_its_state() -> None:
     world = bootstrapped_world()
     disk = world.machines["d4"].disk
     for name in ("d1", "d2", "d3", "d4"):
@@ -251,7 +252,7 @@
     world.kill("d9")
     world.machines["d9"].disk = disk
     recover(world, "d9")
-    world.start("d2")  # alone: it holds the old state, and is no majority
+    world.start("d2")  # it has the old state, and is not a majority on its own
     world.run(3.0)
     assert member_addresses(world, "d2") == ["d2", "d9"] and outcomes(world, world.put("d2", 6)) == [True]
     world.start("d1")
@@ -269,7 +270,7 @@
     return acceptor
 
 
-def test_recovery_goes_on_from_an_accepted_state_unless_the_decided_one_is_chosen() -> None:
+def test_recovery_continues_from_the_accepted_state_unless_the_decided_one_is_chosen() -> None:
     assert source_from_acceptor(acceptor_with_pending_state(), True).state.evacuated_zones == frozenset()
     source = source_from_acceptor(acceptor_with_pending_state(), False)
     assert source.state == DECIDED and source.highest_ballot_count == 9
@@ -291,7 +292,7 @@
         ).state
         == state
     )
-    earlier = 500  # the clock was set back
+    earlier = 500  # as if the clock had been set back
     again = recovered_acceptor(
         source_from_acceptor(recovered, True), Member("d9", "z", "east", 78), 0, earlier
     )
@@ -301,9 +302,9 @@
 
 
 def test_adopting_a_recovered_state_voids_what_was_accepted_at_a_higher_ballot() -> None:
-    """A round takes the value accepted at the highest ballot: the old one would hide what the new core accepts.
+    """A round takes the value accepted at the highest ballot: the old value would hide that of the new core.
 
-    The promise of the higher ballot is kept.
+    The promise at the higher ballot remains.
     """
     acceptor = acceptor_with_pending_state()
     source = RecoverySource(DECIDED, COMPRESSED_BODY)
@@ -315,7 +316,7 @@
 
 
 def control_replica_of(acceptor: Acceptor, ip: str) -> ControlReplica:
-    """Return a node's replica that starts with an acceptor's records."""
+    """Return the replica of a node that starts with the records of an acceptor."""
     records = {name: body for name, body in acceptor.take_dirty_records().items() if body is not None}
     return ControlReplica(
         0.0, PeerTable(NodeInfo(ip, "z", "east", acceptor.disk_id, 1), 0.0), records, False, []
@@ -323,8 +324,8 @@
 
 
 @pytest.mark.parametrize("kind", ["prepare", "accept"])
-def test_a_round_of_another_lineage_is_refused(kind: str) -> None:
-    """A promise across lineages would report what was accepted in the old one, at a ballot that hides the new."""
+def test_a_round_of_another_lineage_is_ignored(kind: str) -> None:
+    """A promise across lineages would report a state of the old one, at a ballot that hides the new one."""
     recovered = recovered_acceptor(
         RecoverySource(DECIDED, COMPRESSED_BODY), Member("d9", "z", "east", 77), 0, 1000
     )
@@ -343,7 +344,7 @@
     actions = old.on_message(1.0, "d9", request(recovered.version, recovered.state))
     replies = [action.message for action in actions if isinstance(action, Send)]
     assert [type(message) for message in replies] == [StateRequest] and old.acceptor.is_superseded()
-    # nor does it vote in a lineage that it knows to be over, or learn from it
+    # A node neither votes in a lineage that it knows to be superseded, nor learns a state from it.
     assert old.on_message(1.1, "d3", request(4, recovered.state)) == []
     later = ControlState(6, MEMBERS, MEMBERS, 3)
     old.on_message(1.2, "d3", Decision(Ballot(99, 1, "d3"), later))
