--- a/hazelspring/node/messages.py
+++ b/hazelspring/node/messages.py
@@ -26,9 +26,8 @@
     requested_roles: list[int] | None = None  # None from nodes that take no singleton role
     # The sender is a new member that grants no leases yet, as it may have granted some before its restart.
     grants_nothing: bool = False
-    roster_checksum: int | None = (
-        None  # included if the reply is to contain the roster when its checksum differs
-    )
+    # Included if the reply is to contain the roster when the roster's checksum differs from this one.
+    roster_checksum: int | None = None
 
 
 class ControlVersions(NamedTuple):
@@ -43,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeState:
-    """The part of a node's state that seldom changes; it is sent again only when its checksum differs."""
+    """The part of a node's state that seldom changes; it is sent once, then only if its checksum differs."""
 
     table_versions: dict[str, int]
     max_node_count: int
@@ -60,9 +59,7 @@
     incarnation: int
     number: int
     sender: NodeInfo | None = None
-    asks_identity: bool = (
-        False  # the replying node does not know the heartbeat's sender and requests its identity
-    )
+    asks_identity: bool = False  # the replying node does not know the sender of the heartbeat
     # Roles that the sender holds by leases granted by an earlier incarnation of the recipient.
     relied_on_roles: list[int] | None = None
     granted_roles: list[int] | None = None
