--- a/hazelspring/admission/benchlink.py
+++ b/hazelspring/admission/benchlink.py
@@ -1,4 +1,4 @@
-"""Host loop for the simulator: frames in on standard input, replies out on standard output."""
+"""The simulator's adapter: reads batches from standard input and writes replies to standard output."""
 
 from __future__ import annotations
 
@@ -9,34 +9,37 @@
 from hazelspring.admission import wire
 from hazelspring.admission.gateway import Gateway
 
-Listed = list[i.Action | wire.Fault]
+ActionList = list[i.Action | wire.Fault]
 
 
 def answer(gateways: dict[int, Gateway], batch: wire.Batch) -> bytes:
-    """Hand a batch's events to their instances and encode what they do."""
-    out: dict[int, Listed] = {}
+    """Pass a batch's events to the gateway of each instance and encode the resulting actions.
+
+    An exception in a gateway is reported as a `Fault` of its instance.
+    """
+    out: dict[int, ActionList] = {}
     for instance, event in batch.records:
-        listed = out.setdefault(instance, [])
+        actions = out.setdefault(instance, [])
         try:
             if isinstance(event, wire.Configure):
                 gateways[instance] = Gateway(wire.parse_settings(event.text), event.seed)
             elif isinstance(event, wire.Crash):
                 gateways.pop(instance, None)
-                listed.clear()
+                actions.clear()
             elif instance in gateways:
-                listed.extend(gateways[instance].handle(batch.now, event))
-        except Exception as error:  # any failure of the module is reported, none is hidden
-            listed.append(wire.Fault(f"{type(error).__name__}: {error}"))
+                actions.extend(gateways[instance].handle(batch.now, event))
+        except Exception as error:  # report every failure to the simulator
+            actions.append(wire.Fault(f"{type(error).__name__}: {error}"))
     return wire.encode_reply(batch.number, out.items())
 
 
 def read_batch(source: BinaryIO) -> wire.Batch | None:
-    """The next batch, or None at a clean end of input."""
+    """Return the next batch, or None at the end of the input; raise `WireError` if it is malformed."""
     head = source.read(wire.HEADER.size)
     if not head:
         return None
     if len(head) < wire.HEADER.size:
-        raise wire.WireError("the input ends inside a header")
+        raise wire.WireError("the input ends inside a batch header")
     size = wire.HEADER.unpack(head)[1] + wire.LENGTH_END - wire.HEADER.size
     if size < 0:
         raise wire.WireError("the batch's length is shorter than its header")
@@ -47,6 +50,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer batch after batch until the input ends."""
     gateways: dict[int, Gateway] = {}
     while (batch := read_batch(source)) is not None:
         sink.write(answer(gateways, batch))
@@ -54,6 +58,7 @@
 
 
 def main() -> int:
+    """Serve the simulator; returns 1 and prints one line if the input is malformed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/hazelspring/admission/wire.py
+++ b/hazelspring/admission/wire.py
@@ -1,4 +1,4 @@
-"""Codec for the simulator's wire 'quartz-61d8': bytes to events, actions to bytes, settings text to types."""
+"""Codec for the simulator's protocol 'quartz-61d8': decodes events, encodes actions and parses settings."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class WireError(ValueError):
-    """A frame that no correct peer would send."""
+    """A malformed frame: the simulator never sends one."""
 
 
 class SettingsError(ValueError):
-    """Settings that cannot be used: every problem found, each with the key's path and its value."""
+    """Settings that cannot be used; `problems` lists every problem with the path and value of its key."""
 
     def __init__(self, problems: Iterable[str]) -> None:
         self.problems = tuple(problems)
@@ -23,29 +23,38 @@
 
 @dataclass(slots=True)
 class Configure:
+    """Creates or replaces an instance's gateway, with a random seed and the settings message."""
+
     seed: int
     text: str
 
 
 @dataclass(slots=True)
 class Crash:
+    """Removes an instance's gateway and its state."""
+
     pass
 
 
 @dataclass(slots=True)
 class Fault:
+    """Reports an exception raised while an instance processed an event."""
+
     text: str
 
 
 @dataclass(slots=True)
 class Batch:
+    """The events of one time, in seconds, each with its instance; `number` is repeated in the reply."""
+
     now: float
     number: int
     records: list[tuple[int, i.Event | Configure | Crash]]
 
 
+# Layouts of headers and records, most of them under the protocol's names, such as ASSIGN for a `Send`.
 HEADER = struct.Struct("<IIdI")
-LENGTH_END = 8  # bytes of a batch header up to and with its length field
+LENGTH_END = 8  # bytes of a batch header up to the end of its length field
 REPLY = struct.Struct("<III")
 _U16 = struct.Struct("<H")
 _U32 = struct.Struct("<I")
@@ -77,7 +86,7 @@
 _OUTCOMES = {int(o): o for o in i.Outcome}
 _STATES = {int(s): s for s in i.State}
 _LISTINGS = {int(k): k for k in i.Listing}
-_Got = tuple[i.Event | Configure | Crash, int]
+_Decoded = tuple[i.Event | Configure | Crash, int]
 
 
 def _outcome(code: int) -> i.Outcome:
@@ -93,17 +102,17 @@
     return buf[at : at + size]
 
 
-def _configure(buf: bytes, at: int) -> _Got:
+def _configure(buf: bytes, at: int) -> _Decoded:
     seed, size = _CONFIGURE.unpack_from(buf, at)
     at += _CONFIGURE.size
     return Configure(seed, _bytes(buf, at, size).decode()), at + size
 
 
-def _view(buf: bytes, at: int) -> _Got:
+def _view(buf: bytes, at: int) -> _Decoded:
     form, version, count = _VIEW.unpack_from(buf, at)
     at += _VIEW.size
     if form not in _LISTINGS:
-        raise WireError(f"unknown list form {form}")
+        raise WireError(f"unknown form of a membership list: {form}")
     body = _bytes(buf, at, count * _ENTRY.size)
     entries = []
     for zone, started, state, kind, cell, weight, backend in _ENTRY.iter_unpack(body):
@@ -113,7 +122,7 @@
     return i.Members(_LISTINGS[form], version, tuple(entries)), at + len(body)
 
 
-def _demand(buf: bytes, at: int) -> _Got:
+def _demand(buf: bytes, at: int) -> _Decoded:
     rid, cls, plan, customer, left, units, width, first, marks = _DEMAND.unpack_from(buf, at)
     event = i.Request(
         rid, cls, plan, customer, left, units, int(width), int(first),
@@ -122,7 +131,7 @@
     return event, at + _DEMAND.size
 
 
-def _under_way(buf: bytes, at: int) -> _Got:
+def _under_way(buf: bytes, at: int) -> _Decoded:
     return i.UnderWay(*_UNDER_WAY.unpack_from(buf, at)), at + _UNDER_WAY.size
 
 
@@ -131,54 +140,54 @@
     return struct.unpack(f"<{count}f", body), at + len(body)
 
 
-def _finished(buf: bytes, at: int) -> _Got:
+def _finished(buf: bytes, at: int) -> _Decoded:
     rid, charged, closed, backend, how, spent, metered, attempt, count = _FINISHED.unpack_from(buf, at)
     report, at = _report(buf, at + _FINISHED.size, count)
     event = i.Finished(rid, attempt, backend, _outcome(how), bool(closed), spent, charged, metered, report)
     return event, at
 
 
-def _left(buf: bytes, at: int) -> _Got:
+def _left(buf: bytes, at: int) -> _Decoded:
     return i.Left(_ID.unpack_from(buf, at)[0]), at + _ID.size
 
 
-def _fired(buf: bytes, at: int) -> _Got:
+def _fired(buf: bytes, at: int) -> _Decoded:
     return i.Fired(_ID.unpack_from(buf, at)[0]), at + _ID.size
 
 
-def _checked(buf: bytes, at: int) -> _Got:
+def _checked(buf: bytes, at: int) -> _Decoded:
     backend, how, spent, count = _CHECKED.unpack_from(buf, at)
     report, at = _report(buf, at + _CHECKED.size, count)
     return i.Probed(backend, _outcome(how), spent, report), at
 
 
-def _says(buf: bytes, at: int) -> _Got:
+def _says(buf: bytes, at: int) -> _Decoded:
     source, size = _SAYS.unpack_from(buf, at)
     at += _SAYS.size
     return i.PeerSays(source, _bytes(buf, at, size)), at + size
 
 
-def _crash(buf: bytes, at: int) -> _Got:
+def _crash(buf: bytes, at: int) -> _Decoded:
     return Crash(), at
 
 
-def _sum(buf: bytes, at: int) -> _Got:
+def _sum(buf: bytes, at: int) -> _Decoded:
     how, name, total, spent = _SUM.unpack_from(buf, at)
     return i.Counted(name, _outcome(how), total, spent), at + _SUM.size
 
 
 _AT = 12
-_DECODERS: dict[int, Callable[[bytes, int], _Got]] = {
+_DECODERS: dict[int, Callable[[bytes, int], _Decoded]] = {
     1: _configure, 2: _view, 3: _demand, 4: _under_way, 5: _finished, 6: _left, 7: _fired,
     8: _checked, 9: _says, 10: _crash, 11: _sum,
 }  # fmt: skip
 
 
 def decode_batch(head: bytes, body: bytes) -> Batch:
-    """Decode one batch: its header and the records behind it."""
+    """Decode a batch from its header and the records after it; raise `WireError` if it is malformed."""
     count, length, now, number = HEADER.unpack(head)
     if length != len(body) + HEADER.size - LENGTH_END:
-        raise WireError("the batch's length does not match its body")
+        raise WireError("the length in the batch header does not match the body")
     batch = Batch(now, number, [])
     at, instance = 0, -1
     try:
@@ -193,20 +202,20 @@
             if decoder is None:
                 raise WireError(f"unknown record code {code}")
             if instance < 0:
-                raise WireError("a record stands before any AT")
+                raise WireError("a record precedes the first AT record")
             event, at = decoder(body, at)
             batch.records.append((instance, event))
     except (struct.error, IndexError):
         raise WireError("the frame is truncated") from None
     except UnicodeDecodeError:
-        raise WireError("the settings are not text") from None
+        raise WireError("the settings are not valid UTF-8") from None
     if at != len(body):
         raise WireError("bytes follow the last record")
     return batch
 
 
 def encode_action(action: i.Action | Fault) -> bytes:
-    """One action as the record that carries it."""
+    """Encode an action as its record."""
     match action:
         case i.Send():
             return _ASSIGN.pack(1, action.request, action.backend, action.timeout)
@@ -244,33 +253,40 @@
 
 
 def encode_reply(number: int, actions: Iterable[tuple[int, list[i.Action | Fault]]]) -> bytes:
-    """The reply to one batch: each instance's actions behind a BY record."""
+    """Encode the reply to a batch: for each instance, a BY record and its actions."""
     parts: list[bytes] = []
-    for instance, listed in actions:
-        if listed:
+    for instance, instance_actions in actions:
+        if instance_actions:
             parts.append(_CODE_U32.pack(14, instance))
-            parts.extend(map(encode_action, listed))
+            parts.extend(map(encode_action, instance_actions))
     body = b"".join(parts)
     return REPLY.pack(len(body) + REPLY.size - _U32.size, len(parts), number) + body
 
 
-_LEAST, _MOST = 1e-9, 1e12  # of a number that is not zero: what lies beyond breaks the arithmetic with it
+_MIN_MAGNITUDE, _MAX_MAGNITUDE = (
+    1e-9,
+    1e12,
+)  # magnitudes allowed for numbers other than zero: arithmetic fails beyond
 
 
 class Reader:
-    """Typed look-ups in settings by path.  What is wrong is noted, and something usable stands in for it, so
-    that one pass finds every problem.
+    """Reads settings by path, each method as its type.
+
+    A missing or invalid value is added to `problems` and replaced by a valid one, so that one pass finds
+    every problem.  Without a default in `absent`, a missing value is a problem.
     """
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self.values = values
-        self.read: set[str] = set()  # the keys that mean something
+        self.read: set[str] = set()  # keys that were looked up
         self.problems: list[str] = []
 
     def wrong(self, key: str, why: str) -> None:
+        """Add a problem with the key's value, which must be present."""
         self.problems.append(f"{key}: {why}: {self.values[key][:80]}")
 
     def text(self, key: str, absent: str | None = None) -> str:
+        """Return the value as it is."""
         self.read.add(key)
         value = self.values.get(key, absent)
         if value is None:
@@ -279,6 +295,7 @@
         return value
 
     def number(self, key: str, absent: float | None = None) -> float:
+        """Return a finite number, which is zero or of a magnitude between 1e-9 and 1e12."""
         self.read.add(key)
         if key not in self.values:
             if absent is None:
@@ -290,37 +307,42 @@
             number = float("nan")
         if not abs(number) < float("inf"):
             self.wrong(key, "not a number")
-        elif number and not _LEAST <= abs(number) <= _MOST:
+        elif number and not _MIN_MAGNITUDE <= abs(number) <= _MAX_MAGNITUDE:
             self.wrong(key, "out of range")
         else:
             return number
         return 1.0
 
     def positive(self, key: str) -> float:
+        """Return a number above zero."""
         if (number := self.number(key)) > 0:
             return number
         self.wrong(key, "not above zero")
         return 1.0
 
     def amount(self, key: str, absent: float | None = None) -> float:
+        """Return a number that is not negative."""
         if (number := self.number(key, absent)) >= 0:
             return number
         self.wrong(key, "below zero")
         return 1.0
 
     def share(self, key: str) -> float:
+        """Return a number between 0 and 1."""
         if (number := self.amount(key)) <= 1:
             return number
         self.wrong(key, "above one")
         return 1.0
 
     def whole(self, key: str, absent: int | None = None) -> int:
+        """Return an integer that is not negative."""
         number = self.amount(key, absent)
         if number != int(number):
             self.wrong(key, "not a whole number")
         return int(number)
 
     def count(self, key: str) -> int:
+        """Return an integer above zero."""
         if (number := self.whole(key)) > 0:
             return number
         if self.values.get(key) is not None:
@@ -328,16 +350,19 @@
         return 1
 
     def flag(self, key: str, absent: bool | None = None) -> bool:
+        """Return whether the value is `true`; it must be `true` or `false`."""
         value = self.text(key, None if absent is None else str(absent).lower())
         if value not in ("true", "false") and key in self.values:
             self.wrong(key, "neither true nor false")
         return value == "true"
 
     def listed(self, key: str) -> tuple[str, ...]:
+        """Return the non-empty parts of a comma-separated list, none if it is missing."""
         self.read.add(key)
         return tuple(part for part in self.values.get(key, "").split(",") if part)
 
     def effect(self, key: str) -> i.Effect:
+        """Return the effect, `UNSAFE` if it is missing or unknown."""
         value = self.text(key)
         if value in _EFFECTS:
             return _EFFECTS[value]
@@ -346,10 +371,11 @@
         return i.Effect.UNSAFE
 
     def scope(self, key: str) -> i.Scope:
+        """Return the deduplication scope, by default `ALL`."""
         value = self.text(key, "all")
         if value in _SCOPES:
             return _SCOPES[value]
-        self.wrong(key, "no scope")
+        self.wrong(key, "not a deduplication scope")
         return i.Scope.ALL
 
 
@@ -387,7 +413,7 @@
 
 
 def parse_settings(text: str) -> i.Settings:
-    """The settings message as a typed object; keys it does not know are skipped."""
+    """Parse the settings message; raise `SettingsError` if there are problems.  Unknown keys are ignored."""
     pairs = (line.partition("=") for line in text.splitlines())
     reader = Reader({key.strip(): value.strip() for key, sep, value in pairs if sep})
     settings = read_settings(reader)
@@ -397,7 +423,7 @@
 
 
 def read_settings(r: Reader) -> i.Settings:
-    """The settings as a typed object, which holds only if the reader has found no problem."""
+    """Build the settings, which are valid only if the reader has found no problem."""
     rules = i.Rules(
         answer_slack=r.amount("rules.answer_slack_s"),
         drain_grace=r.amount("rules.drain_grace_s"),
@@ -418,7 +444,7 @@
     )
     prices = {k.removeprefix("penalties."): r.number(k) for k in r.values if k.startswith("penalties.")}
     has_counter = r.flag("extra.has_counter", False)
-    r.read.add("extra.counter_timeout_s")  # of no use where there is none
+    r.read.add("extra.counter_timeout_s")  # accepted, but not used without a counter
     return i.Settings(
         me=r.whole("me"),
         peers=r.count("peers_total"),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec: the wire's published examples, round trips, and what bad input does."""
+"""The simulator's protocol: its published examples, and how malformed frames and settings are handled."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 CLOCK = struct.unpack("<d", bytes.fromhex("508d976e12d32040"))[0]
 
 
-def batch(hexed: str) -> wire.Batch:
+def decode(hexed: str) -> wire.Batch:
     data = bytes.fromhex(hexed)
     return wire.decode_batch(data[: wire.HEADER.size], data[wire.HEADER.size :])
 
 
-def one(record: str) -> i.Event | wire.Configure | wire.Crash:
+def decode_record(record: str) -> i.Event | wire.Configure | wire.Crash:
     body = bytes.fromhex("0c03000000" + record)
     head = wire.HEADER.pack(2, len(body) + 12, 1.0, 1)
     (found,) = wire.decode_batch(head, body).records
@@ -31,13 +31,13 @@
 
 
 def test_empty_batch_and_reply() -> None:
-    got = batch("000000000c000000508d976e12d3204001000000")
+    got = decode("000000000c000000508d976e12d3204001000000")
     assert (got.now, got.number, got.records) == (CLOCK, 1, [])
     assert wire.encode_reply(1, []).hex() == "080000000000000001000000"
 
 
 def test_published_batch_of_two_instances() -> None:
-    got = batch(
+    got = decode(
         "0500000054000000508d976e12d320400c000000" "0c03000000"
         "03c4913a5db2930800000000000000640ad2557c3bf091b81e85eb51b8ce3f00000040000040400000803f01"
         "074d000000000000000c0500000006192b6f0ea8d80100"
@@ -77,20 +77,20 @@
     ],
 )
 def test_published_records(record: str, event: object) -> None:
-    assert one(record) == event
+    assert decode_record(record) == event
 
 
 def test_published_finished_checked_sum_and_view() -> None:
-    finished = one("05c4913a5db293080003 0001074a1203008b6ce7fba9f1923f5600000000")
+    finished = decode_record("05c4913a5db293080003 0001074a1203008b6ce7fba9f1923f5600000000")
     assert isinstance(finished, i.Finished)
     assert (finished.charged, finished.closed, finished.outcome) == (3, True, i.Outcome.OK)
     assert (finished.metered, finished.attempt, finished.report) == (0x56, 0, ())
-    checked = one("08f211902c00c7bab88d06f0563f030000404052b81e3f0000e040")
+    checked = decode_record("08f211902c00c7bab88d06f0563f030000404052b81e3f0000e040")
     assert isinstance(checked, i.Probed)
     assert checked.report == pytest.approx((3.0, 0.62, 7.0))
-    counted = one("0b0090f68900000000000000184222fdf675e09c613f")
+    counted = decode_record("0b0090f68900000000000000184222fdf675e09c613f")
     assert isinstance(counted, i.Counted) and (counted.name, counted.total) == (0x89F690, 38.0)
-    view = one(
+    view = decode_record(
         "0201290000000000000002000000" "000000000000000000000100000000 00803f074a1203"
         "00006666666666661840010000000000c03ff211902c"
     )  # fmt: skip
@@ -127,10 +127,10 @@
         "010000000d000000508d976e12d32040010000000a",  # a record before any AT
         "0200000012000000508d976e12d32040010000000c0300000063",  # an unknown code
         "0200000014000000508d976e12d32040010000000c03000000070101",  # truncated
-        "010000000c000000508d976e12d3204001000000",  # fewer records than told
+        "010000000c000000508d976e12d3204001000000",  # fewer records than the header's count
     ],
 )
-def test_impossible_frames_end_the_adapter_with_one_line(hexed: str) -> None:
+def test_malformed_frames_end_the_adapter_with_one_error_line(hexed: str) -> None:
     run = subprocess.run(
         [sys.executable, "-m", "hazelspring.admission.benchlink"],
         input=bytes.fromhex(hexed),
@@ -141,7 +141,7 @@
     assert run.stderr.startswith(b"benchlink: ") and run.stderr.count(b"\n") == 1
 
 
-def test_end_of_input_is_clean_and_inside_a_frame_is_not() -> None:
+def test_input_may_end_between_batches_but_not_inside_one() -> None:
     assert benchlink.read_batch(io.BytesIO(b"")) is None
     with pytest.raises(wire.WireError, match="header"):
         benchlink.read_batch(io.BytesIO(b"\0" * 7))
@@ -161,12 +161,12 @@
         wire.parse_settings(text(**changes))
 
 
-def test_missing_settings_name_the_key_and_unknown_ones_are_skipped() -> None:
+def test_missing_settings_name_the_key_and_unknown_ones_are_ignored() -> None:
     with pytest.raises(wire.SettingsError, match=r"rules\.fall_s"):
         wire.parse_settings(text().replace("rules.fall_s", "rules.other"))
     assert wire.parse_settings(text() + "\nnew.key=7\nnonsense").plans[2].parallel == 2
 
 
-def test_a_failing_module_is_reported_as_fault() -> None:
+def test_an_exception_in_a_gateway_is_reported_as_a_fault() -> None:
     reply = benchlink.answer({}, wire.Batch(1.0, 9, [(3, wire.Configure(1, "me=0"))]))
     assert b"SettingsError: setting rules.answer_slack_s: missing; " in reply and reply[17] == 10
