--- a/hazelspring/admission/interface.py
+++ b/hazelspring/admission/interface.py
@@ -1,7 +1,7 @@
-"""The types a host exchanges with :class:`hazelspring.admission.gateway.Gateway`.
+"""The settings, events and actions that a host exchanges with `hazelspring.admission.gateway.Gateway`.
 
-A host builds one ``Gateway(settings, seed)``, passes it one event at a time with the current
-time in seconds, and carries out the returned actions in order.  Nothing in here decides.
+A host creates a ``Gateway(settings, seed)``, passes it one event at a time with the current time in seconds,
+and carries out the returned actions in order.  This module only defines types.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """What repeating a request may do."""
+    """Whether a request may be repeated: always, within its deduplication scope and memory, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -19,7 +19,7 @@
 
 
 class Scope(Enum):
-    """Which backends drop a repeat of a keyed request."""
+    """The backends among which a repeat of a keyed request is recognized and dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -53,7 +53,7 @@
 
 
 class Listing(IntEnum):
-    """What a membership event carries."""
+    """Whether a membership event carries a full list, perhaps a cached one, a change, or a failure."""
 
     CACHED = 1
     DELTA = 2
@@ -63,7 +63,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests; times in seconds."""
+    """A class of requests; times in seconds.
+
+    ``aim`` is the time for a worthwhile answer, ``memory`` the time for which repeats are deduplicated.
+    """
 
     name: str
     aim: float
@@ -78,7 +81,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """A plan; quotas hold for each customer over all gateways.  0 means no such limit."""
+    """The terms of a customer; its quotas apply to all gateways together.  0 means no such limit.
+
+    ``rate`` is in units a second, ``burst`` in units, ``parallel`` in requests in flight.  The ceiling is
+    another rate limit, which must hold even while the counter is unavailable.
+    """
 
     name: str
     rate: float
@@ -94,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """Figures of the rules; times in seconds."""
+    """Parameters of the rules, such as those for cold backends; times in seconds, shares between 0 and 1."""
 
     answer_slack: float
     drain_grace: float
@@ -107,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the deployment allows."""
+    """What the deployment supports and allows; times in seconds."""
 
     max_attempts: int
     second_copies: bool
@@ -120,7 +127,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a gateway is told at start."""
+    """The settings of a gateway; times in seconds.
+
+    ``me`` is its number, ``peers`` how many gateways share the fleet and the quotas, this one included.
+    """
 
     me: int
     peers: int
@@ -144,7 +154,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One backend in a membership list; ``started`` 0 means long ago."""
+    """One backend in a membership list; ``started`` is its start time, 0 if that is long ago."""
 
     backend: int
     zone: int
@@ -157,6 +167,8 @@
 
 @dataclass(slots=True)
 class Members:
+    """The list of backends, or a change of it."""
+
     listing: Listing
     version: int
     entries: tuple[Entry, ...]
@@ -164,7 +176,11 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's try; ``left`` is the time until the client gives up on it."""
+    """A request from a client.
+
+    ``left`` is the time until the client's time-out, in seconds; ``units`` is its cost in quota units;
+    ``width`` is how many gateways the customer's requests are spread over.
+    """
 
     request: int
     cls: int
@@ -176,14 +192,14 @@
     first: int
     is_retry: bool
     is_write: bool
-    own: RequestClass | None = None  # its class by value, where settings change while it is served
-    own_plan: Plan | None = None  # and its plan
-    streams: bool = False  # its body is still coming: an alert server begins it once it is `Whole`
+    own: RequestClass | None = None  # replaces `cls`, for a host whose settings may change meanwhile
+    own_plan: Plan | None = None  # replaces `plan`, for the same reason
+    streams: bool = False  # its body is still arriving: alert servers start it after `Whole`
 
 
 @dataclass(slots=True)
 class Whole:
-    """The last byte of a request that streams has come; its time begins now."""
+    """The last byte of a streamed request has arrived; ``left`` counts from now, in seconds."""
 
     request: int
     left: float
@@ -191,7 +207,7 @@
 
 @dataclass(slots=True)
 class UnderWay:
-    """An answer has begun to reach the client: the request is settled, its attempt still out."""
+    """An answer has begun to reach the client: the result is final, but the attempt is still in flight."""
 
     request: int
     attempt: int
@@ -201,6 +217,8 @@
 
 @dataclass(slots=True)
 class Finished:
+    """An attempt has ended; ``closed`` is set if its request has got its final answer."""
+
     request: int
     attempt: int
     backend: int
@@ -210,21 +228,27 @@
     charged: int
     metered: int
     report: tuple[float, ...]
-    again: bool = True  # whether all of the request is still there to be sent again
+    again: bool = True  # whether the host still has the complete request and can resend it
 
 
 @dataclass(slots=True)
 class Left:
+    """The host has closed a request, because its client left or its time is up."""
+
     request: int
 
 
 @dataclass(slots=True)
 class Fired:
+    """A timer has come due."""
+
     token: int
 
 
 @dataclass(slots=True)
 class Probed:
+    """The answer to a `Probe`, with the load report if there is one."""
+
     backend: int
     outcome: Outcome
     spent: float
@@ -233,13 +257,15 @@
 
 @dataclass(slots=True)
 class PeerSays:
+    """A message from another gateway."""
+
     source: int
     data: bytes
 
 
 @dataclass(slots=True)
 class Counted:
-    """The answer to one ``Count``; ``total`` holds only with ``Outcome.OK``."""
+    """The answer to one ``Count``; ``total`` is valid only with ``Outcome.OK``, ``spent`` is in seconds."""
 
     name: int
     outcome: Outcome
@@ -249,14 +275,14 @@
 
 @dataclass(slots=True)
 class Detached:
-    """An operator has taken a backend out by hand: nothing more goes to it until it is attached."""
+    """An operator has detached a backend: no attempt goes to it until it is attached again."""
 
     backend: int
 
 
 @dataclass(slots=True)
 class Attached:
-    """An operator has called a backend back, at that time; it was restarted meanwhile."""
+    """An operator has attached a backend again at time ``at``; it was restarted in between."""
 
     backend: int
     at: float
@@ -264,14 +290,14 @@
 
 @dataclass(slots=True)
 class Retuned:
-    """Other settings hold from now on, for what comes from now on."""
+    """New settings, for requests that arrive from now on."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class Processes:
-    """So many processes serve as this one front door: more than one while it is upgraded."""
+    """The number of processes that serve as this gateway: more than one during an upgrade."""
 
     count: int
 
@@ -296,7 +322,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; ``timeout`` 0 means until the client gives up."""
+    """Start an attempt; ``timeout`` is in seconds, 0 means until the client's time-out."""
 
     request: int
     backend: int
@@ -305,34 +331,46 @@
 
 @dataclass(slots=True)
 class Refuse:
+    """Answer that the request was not served; ``retry_after`` is in seconds."""
+
     request: int
     retry_after: float
 
 
 @dataclass(slots=True)
 class Fail:
+    """Answer that the request failed; it may have had an effect."""
+
     request: int
 
 
 @dataclass(slots=True)
 class Cancel:
+    """Cancel an attempt."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Send `Fired` with this token at time ``at``."""
+
     at: float
     token: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Request a load report from a backend."""
+
     backend: int
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close the idle connections to a backend."""
+
     backend: int
 
 
@@ -346,22 +384,28 @@
 
 @dataclass(slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
 @dataclass(slots=True)
 class Watch:
+    """Start or stop a subscription to membership changes."""
+
     on: bool
 
 
 @dataclass(slots=True)
 class Pull:
+    """Request the membership list."""
+
     pass
 
 
 @dataclass(slots=True)
 class Count:
-    """Add to a named count; a new name is forgotten ``expires`` seconds after its first call."""
+    """Add ``amount`` to a named counter, which expires ``expires`` seconds after its first call."""
 
     name: int
     amount: float
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and a small counter for driving gateways in tests."""
+"""Settings, events and a simulated counter for tests of the gateway."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def text(**changes: str) -> str:
-    """The settings message, with keys changed (dots written as double underscores)."""
+    """Return the settings message with some keys changed; dots in keys are written as double underscores."""
     values = BASE | {key.replace("__", "."): value for key, value in changes.items()}
     return "\n".join(f"{key}={value}" for key, value in values.items())
 
@@ -77,7 +77,7 @@
 
 
 class Counter:
-    """A shared counter as the deployments run it; `lose` forgets everything."""
+    """Simulates the shared counter; `lose` removes all totals, as a restart of the counter does."""
 
     def __init__(self) -> None:
         self.totals: dict[int, float] = {}
@@ -103,7 +103,7 @@
 
 
 def play(made: Gateway, counter: Counter, now: float, event: i.Event) -> list[i.Action]:
-    """Hand over an event and answer each counter call at once, to the end; timers are left alone."""
+    """Handle an event and answer each resulting counter call at once; timers are not fired."""
     found = made.handle(now, event)
     at = 0
     while at < len(found):
