--- a/hazelspring/consensus/acceptor.py
+++ b/hazelspring/consensus/acceptor.py
@@ -30,18 +30,19 @@
     HeldConfiguration,
 )
 
-# Begins the name of a record that holds the bytes of a configuration; the digest in hexadecimal follows.
+# Prefix of the names of records that hold a configuration's bytes; the digest in hexadecimal follows it.
 CONFIGURATION_RECORD_PREFIX = "word "
 
-# Bytes of all deltas that are kept.  One delta has some hundred bytes.  The deltas for a node that is further behind
-# would together be no smaller than most configurations, so such a node gets the complete configuration.
+# Bytes of all deltas that are kept.  One delta has some hundred bytes.  A node that is further behind gets
+# the complete configuration, as the deltas that it would need are together no smaller than most
+# configurations.
 MAX_KEPT_DELTA_BYTES = 1 << 20
 # Bytes up to which a configuration is always sent complete: it fits into one datagram, so a delta would save nothing.
 MIN_BYTES_FOR_DELTA = 1000
 
 
 class MissingConfigurationError(Exception):
-    """A state cannot be accepted or learned: the bytes of its configuration are neither held here nor came with it."""
+    """A state cannot be accepted or learned: its configuration was not sent with it and is unknown here."""
 
     code = "word_lacking"
 
@@ -49,26 +50,27 @@
 class Acceptor:
     """The acceptor and learner of one node (docs/control.md).
 
-    Its methods change it in memory at once.  A reply that depends on a change must wait until the records returned
-    by :meth:`take_dirty_records` are on disk.  The promised ballot never decreases, not by a decision either.
+    Its methods change its state in memory at once.  A reply that depends on a change must wait until the
+    records returned by :meth:`take_dirty_records` are on disk.  The promised ballot never decreases; a
+    decision does not lower it either.
 
     Parameters
     ----------
-    disk
+    disk_id
         The number of the node's disk; 0 where the node has none.
-    founder
+    may_bootstrap
         Whether the node may vote as a member of the bootstrap (`is_vote_of` in `control_state`).
     """
 
-    def __init__(self, disk: int, founder: bool) -> None:
-        self.disk_id, self.may_bootstrap = disk, founder
+    def __init__(self, disk_id: int, may_bootstrap: bool) -> None:
+        self.disk_id, self.may_bootstrap = disk_id, may_bootstrap
         self.promised: Ballot = NO_BALLOT
         self.accepted: tuple[Ballot, ControlState] | None = None
         self.decided: tuple[Ballot, ControlState] | None = None
         self.highest_lineage = 0  # the highest lineage that any node is known to have reached
         self.configurations: dict[bytes, bytes] = {}  # compressed, by digest
-        # By the digest that a delta leads to: the digest that it begins at, and the delta.  They are never saved, and
-        # no vote depends on them; they only make transfers to nodes with an older configuration smaller.
+        # By the digest of a delta's result: the digest of its base, and the delta.  Deltas are never saved,
+        # and no vote depends on them; they only make transfers to nodes with an older configuration smaller.
         self.deltas: dict[bytes, tuple[bytes, bytes]] = {}
         self.dirty_records: set[str] = set()  # names of records that have changed since they were last taken
         self.stored_records: set[str] = set()  # names of records that may be on disk
@@ -85,15 +87,15 @@
 
     @property
     def pending(self) -> ControlState | None:
-        """The accepted state where it is newer than the decided one: it may or may not have been decided."""
+        """The accepted state where it is newer than the decided one: it may have been decided or not."""
         if self.accepted is None or self.accepted[1].version <= self.version:
             return None
         return self.accepted[1]
 
     def version_fields(self) -> dict[str, int]:
-        """Return the decided version as it is shown to operators.
+        """Return the decided version in the form shown to operators.
 
-        That is its number within the lineage, and the lineage itself only after a disaster recovery.
+        This is its number within the lineage; the lineage itself is included only after a disaster recovery.
         """
         number = {"version": self.version % VERSIONS_PER_LINEAGE if self.version >= 0 else -1}
         return number | ({"lineage": lineage(self.version)} if self.version >= VERSIONS_PER_LINEAGE else {})
@@ -108,8 +110,8 @@
     def is_superseded(self) -> bool:
         """Return whether an operator has recovered the core and this node does not have the recovered state yet.
 
-        Until it does, the node reports, confirms and votes on nothing by the state that it holds
-        (hazelspring/consensus/disaster_recovery.py).
+        Until the node has that state, it does not vote, report or confirm anything based on the state that
+        it holds (hazelspring/consensus/disaster_recovery.py).
         """
         return self.highest_lineage > lineage(self.version)
 
@@ -125,7 +127,7 @@
     def prepare(self, ballot: Ballot) -> bool:
         """Promise to accept nothing below a ballot; return False where a higher ballot is promised already.
 
-        The record "vote" has to be on disk before the promise is sent.
+        The record "vote" must be on disk before the promise is sent.
         """
         if ballot < self.promised:
             return False
@@ -137,8 +139,8 @@
     def accept(self, ballot: Ballot, state: ControlState, packed: bytes | None = None) -> bool:
         """Accept a state at a ballot; return False where a higher ballot is promised.
 
-        The vote and the configuration have to be on disk before the acceptance is sent.  A request that
-        comes again at the ballot accepted last changes nothing.
+        The vote and the configuration must be on disk before the acceptance is sent.  A repeated request at
+        the ballot that was accepted last changes nothing.
 
         Parameters
         ----------
@@ -185,11 +187,11 @@
                 state.configuration_digest,
                 self.configurations.get(state.configuration_digest),
             )
-        # After a disaster recovery a state accepted in the old lineage is void, also one at a higher ballot.
-        rescued = lineage(state.version) > lineage(self.version)
+        # After a disaster recovery a state accepted in the old lineage is void, even one at a higher ballot.
+        recovered = lineage(state.version) > lineage(self.version)
         self.decided = (ballot, state)
         self.dirty_records.add("decided")
-        if self.accepted is None or self.accepted[0] < ballot or rescued:
+        if self.accepted is None or self.accepted[0] < ballot or recovered:
             self.accepted = (ballot, state)
             self.promised = max(self.promised, ballot)
             self.dirty_records.add("vote")
@@ -210,7 +212,7 @@
         ):
             return
         if packed is None:
-            raise MissingConfigurationError(f"configuration {state.configuration_version}")
+            raise MissingConfigurationError(f"configuration {state.configuration_version} is not held here")
         self.configurations[state.configuration_digest] = packed
         self.dirty_records.add(CONFIGURATION_RECORD_PREFIX + state.configuration_digest.hex())
 
@@ -233,10 +235,10 @@
             self.keep_delta(base, digest, make_delta(self.configurations[base], packed), packed)
 
     def keep_delta(self, base: bytes, digest: bytes, delta: bytes, packed: bytes) -> None:
-        """Keep a delta, and of the earlier ones the newest, as long as a path of them is worth sending.
+        """Keep a delta, and remove the oldest ones where a path of all deltas would not be worth sending.
 
-        Together they are no larger than the complete configuration `packed` that they lead to, nor than
-        `MAX_KEPT_DELTA_BYTES`, and they are at most `MAX_CHAINED_DELTAS`.
+        At most `MAX_CHAINED_DELTAS` are kept.  Together they are no larger than the complete configuration
+        `packed` that they lead to, nor than `MAX_KEPT_DELTA_BYTES`.
         """
         self.deltas.pop(digest, None)
         self.deltas[digest] = (base, delta)
@@ -247,10 +249,11 @@
                 del self.deltas[old]
 
     def configuration_payload(self, digest: bytes, held: HeldConfiguration) -> ConfigurationPayload:
-        """Return the payload that brings a configuration that is held here to a node.
+        """Return the payload by which a node receives a configuration that is held here.
 
-        It is a path of deltas from the configuration that the node holds, where the node accepts deltas and the path
-        is smaller than the complete configuration; otherwise the complete configuration.
+        The payload is a path of deltas from the configuration that the node holds, where the node accepts
+        deltas and the path is smaller than the complete configuration.  Otherwise it is the complete
+        configuration.
         """
         bases = [held.digest] if held.accepts_deltas else []
         path = self.delta_path(bases, digest, self.configurations[digest])
@@ -259,8 +262,8 @@
     def open_payload(self, payload: ConfigurationPayload | None, digest: bytes) -> bytes | None:
         """Return the compressed configuration of a payload.
 
-        None where there is no payload, or its deltas cannot be applied here, or a configuration that came as deltas
-        is held here already.
+        The result is None where there is no payload, where its deltas cannot be applied here, or where it
+        consists of deltas to a configuration that is held here already.
         """
         if isinstance(payload, FullConfiguration):
             return payload.packed
@@ -271,8 +274,9 @@
     def delta_path(self, holds: Iterable[bytes], digest: bytes, packed: bytes) -> DeltaPath | None:
         """Return the deltas that lead from one of the configurations a node holds to another one.
 
-        None where the kept deltas do not reach back to a configuration that the node holds, or where the complete
-        configuration `packed` is small (`MIN_BYTES_FOR_DELTA`) or no larger than the deltas with their digests.
+        The result is None where the kept deltas do not reach back to a configuration that the node holds, or
+        where the complete configuration `packed` is small (`MIN_BYTES_FOR_DELTA`) or no larger than the
+        deltas with their digests.
         """
         if len(packed) <= MIN_BYTES_FOR_DELTA:
             return None
@@ -304,10 +308,10 @@
         return packed
 
     def take_dirty_records(self) -> dict[str, bytes | None]:
-        """Return the records to be written, by name, and mark none as dirty any more.
+        """Return the records to be written, by name, and clear their dirty marks.
 
-        They have to be written all or none.  The value None stands for a record to be removed.  Where the save
-        fails, the caller gives them back to :meth:`restore_dirty_records`.
+        They must be written atomically.  The value None stands for a record to be removed.  Where the save
+        fails, the caller passes them to :meth:`restore_dirty_records`.
         """
         found: dict[str, bytes | None] = {}
         for name in sorted(self.dirty_records):
@@ -330,23 +334,23 @@
     def restore_dirty_records(self, records: Mapping[str, bytes | None]) -> None:
         """Mark the records of a failed save as dirty again.
 
-        Records that it was to remove count as stored again, so that the next save removes them.
+        Records that the failed save was to remove count as stored again, so that the next save removes them.
         """
         self.dirty_records |= records.keys()
         self.stored_records |= records.keys()
 
 
-def load_acceptor(records: Mapping[str, bytes], disk: int, first: bool) -> Acceptor:
+def load_acceptor(records: Mapping[str, bytes], new_disk_id: int, first_start: bool) -> Acceptor:
     """Return the acceptor that a disk's records describe.
 
     Parameters
     ----------
     records
-        All records of the disk, by name.  Without the record "disk" the disk is empty.
-    disk
+        All records of the disk, by name.  A disk without the record "disk" counts as empty.
+    new_disk_id
         The number that an empty disk gets.
-    first
-        Whether this is the first start of all: only then may an empty disk vote in the bootstrap.
+    first_start
+        Whether this is the first start of the fleet: only then may an empty disk vote in the bootstrap.
 
     Raises
     ------
@@ -354,11 +358,11 @@
         The records cannot be read, or a state names a configuration that has no record.
     """
     if "disk" not in records:
-        made = Acceptor(disk, first)
+        made = Acceptor(new_disk_id, first_start)
         made.dirty_records.add("disk")
         return made
-    number, founder = cbor2.loads(records["disk"])
-    found = Acceptor(number, founder)
+    disk_id, may_bootstrap = cbor2.loads(records["disk"])
+    found = Acceptor(disk_id, may_bootstrap)
     for name, body in records.items():
         if name.startswith(CONFIGURATION_RECORD_PREFIX):
             found.configurations[bytes.fromhex(name[len(CONFIGURATION_RECORD_PREFIX) :])] = body
@@ -376,6 +380,8 @@
             and pair[1].configuration_digest != NO_CONFIGURATION
             and pair[1].configuration_digest not in found.configurations
         ):
-            raise ValueError(f"configuration {pair[1].configuration_version} is named and not there")
+            raise ValueError(
+                f"configuration {pair[1].configuration_version} is named by a state but has no record"
+            )
     found.prune_configurations()
     return found
--- a/hazelspring/consensus/control_state.py
+++ b/hazelspring/consensus/control_state.py
@@ -8,10 +8,10 @@
 
 
 class Ballot(NamedTuple):
-    """A proposer's round; ballots compare by counter, then incarnation, then address.
+    """Identifies a proposer's round; ballots compare by counter, then incarnation, then address.
 
-    No two rounds share one: a proposer counts up within one run of its process, and each run has an incarnation of
-    its own.
+    No two rounds share a ballot: a proposer increases the counter within one run of its process, and each
+    run has an incarnation of its own.
     """
 
     counter: int
@@ -28,7 +28,7 @@
 
 NO_BALLOT = Ballot(0, 0, "")  # below every ballot of a round
 NO_CONFIGURATION = b""  # the digest before any configuration
-VERSIONS_PER_LINEAGE = 1 << 32  # versions of one lineage: more changes than a core ever sees
+VERSIONS_PER_LINEAGE = 1 << 32  # versions of one lineage: more than a core can decide in its lifetime
 
 Voters = Mapping[str, Voter]  # by the address of the node that has answered
 
@@ -37,9 +37,9 @@
 class Member:
     """A member of the core: a node's address, and the disk that holds its replica.
 
-    A disk is known by a number drawn when it was empty, so an emptied or another disk at the same address is not
-    taken for the member.  Disk 0 stands for a member of the bootstrap: it is whichever disk the node has had since
-    the first start of all.
+    A disk is identified by a number drawn when it was empty, so a disk at the same address that was wiped or
+    replaced is not mistaken for the member.  Disk 0 stands for a member of the bootstrap: it is whichever
+    disk the node has had since the first start of the fleet.
     """
 
     ip: str
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlState:
-    """One version of all that the core agrees on.
+    """One version of everything that the core agrees on.
 
     Attributes
     ----------
@@ -59,13 +59,14 @@
     members
         The members of the core, sorted.
     previous_members
-        The members of the version that this one follows: a change of members is agreed by a majority of both.
+        The members of the preceding version: a change of members needs a majority of both the old and the
+        new members.
     target_size
         How many members the core is meant to have.
     configuration_version, configuration_digest
         Number and digest of the configuration in force; -1 and ``NO_CONFIGURATION`` before the first one.
     evacuated_zones
-        Zones that are to get no requests.
+        Zones to which no requests are to be sent.
     """
 
     version: int
@@ -77,13 +78,13 @@
     evacuated_zones: frozenset[str] = field(default_factory=frozenset)
 
     def member_sets(self) -> list[tuple[Member, ...]]:
-        """Return the sets of members of each of which a quorum is needed for this state."""
+        """Return the sets of members; this state needs a quorum of each set."""
         if self.previous_members == self.members:
             return [self.members]
         return [self.previous_members, self.members]
 
     def encode(self) -> list[Any]:
-        """Return the state as it goes on the wire and to disk; the previous members are 0 where they are the same."""
+        """Return the state as encoded on the wire and on disk, with 0 for unchanged previous members."""
         same_members = self.previous_members == self.members
         return [
             self.version,
@@ -137,7 +138,7 @@
 
 
 def bootstrap_state(seeds: Iterable[str]) -> ControlState:
-    """Return the state that every node holds at the first start of all: version 0, whose members are the seeds.
+    """Return the state of every node at the first start of the fleet: version 0, with the seeds as members.
 
     It is the same at all nodes, so that the seeds can agree on the first members.
     """
@@ -146,9 +147,9 @@
 
 
 def lineage(version: int) -> int:
-    """Return the lineage of a version: 0 from the bootstrap on, a higher one from each disaster recovery on.
+    """Return the lineage of a version: 0 from the bootstrap on, a higher one after each disaster recovery.
 
-    It is the version's high part, so wherever versions are compared the higher lineage is newer
+    The lineage is the version's high part, so wherever versions are compared the higher lineage is newer
     (hazelspring/consensus/disaster_recovery.py).
     """
     return max(0, version) // VERSIONS_PER_LINEAGE
@@ -160,10 +161,10 @@
 
 
 def read_quorum(members: int) -> int:
-    """Return how many members together know of every decided state, as they share one with any majority.
+    """Return how many members include one of any majority, and so together know of every decided state.
 
-    So many promises begin a round, and so many answers make a read; of an even number of members that is half
-    (docs/control.md).
+    A round needs this many promises, and a read this many answers; for an even number of members that is
+    half (docs/control.md).
     """
     return max(1, members - majority(members) + 1)
 
@@ -176,16 +177,17 @@
 def missing_votes(
     member_sets: Iterable[tuple[Member, ...]], voters: Voters, quorum: Callable[[int], int]
 ) -> int:
-    """Return how many answers are missing yet, over all sets of members.
+    """Return how many answers are still missing, summed over all sets of members.
 
     Parameters
     ----------
     member_sets
-        Sets of members, of each of which a quorum is needed.
+        Sets of members; a quorum of each set is needed.
     voters
-        Who has answered.
+        The disks that have answered, by the addresses of their nodes.
     quorum
-        :func:`majority` or :func:`read_quorum`: the answers needed of so many members.
+        :func:`majority` or :func:`read_quorum`: returns how many answers are needed from a number of
+        members.
     """
     return sum(
         max(
