--- a/hazelspring/consensus/forwarding.py
+++ b/hazelspring/consensus/forwarding.py
@@ -1,6 +1,7 @@
 """Proposals that nodes forward to each other when their rounds compete (docs/control.md).
 
-This module says which proposals are forwarded, to which nodes, and to which versions the recipient may apply them.
+This module determines which proposals are forwarded, to which nodes, and to which versions the recipient may
+apply them.
 """
 
 from __future__ import annotations
@@ -12,14 +13,15 @@
 from hazelspring.consensus.messages import HOLDS_NOTHING, ForwardedChange, HeldConfiguration
 from hazelspring.consensus.proposal import Proposal, ProposalKind
 
-# Seconds for which a node keeps a proposal that was forwarded to it.
+# Seconds for which a node keeps a proposal that another node forwarded to it.
 FORWARDED_LIFETIME = 1.0
 # Successive versions to which a forwarded proposal may be applied: the one decided at the sender, and the next.  With
 # three, a proposal that arrives late could undo a later change (see ForwardedProposal).
 VALID_VERSIONS = 2
 # Nodes to which a node forwards its proposals while one version is in force.
 MAX_RECIPIENTS = 2
-# Forwarded proposals that a node keeps.  Further ones are dropped; the nodes that forwarded them carry them out.
+# Forwarded proposals that a node keeps.  Further ones are dropped; they are left to rounds of the nodes that
+# forwarded them.
 MAX_FORWARDED = 64
 
 FORWARDABLE_KINDS = (ProposalKind.PUT_CONFIGURATION, ProposalKind.SET_EVACUATION)
@@ -28,7 +30,7 @@
 def can_forward(proposal: Proposal, state: ControlState) -> bool:
     """Return whether a proposal may be forwarded.
 
-    It has to be an operator's change, with a caller that waits for it, that a decided state does not fulfil yet.
+    It must be an operator's change that a caller waits for and that the decided state does not contain yet.
     """
     return (
         proposal.token != 0
@@ -54,10 +56,10 @@
 class ForwardedProposal(Proposal):
     """A proposal that another node has forwarded; no caller at this node waits for its outcome.
 
-    It may be applied to the version V (`valid_from_version`) and to V+1, and to no other, so that a duplicate or a
-    late message can undo nothing: it comes into force in V+1 or V+2.  A change that undoes it is then decided at
-    V+2 with the base V+1, on which a duplicate changes nothing, or at a higher version; to V+2 and above a duplicate
-    cannot be applied.
+    It may be applied to the version V (`valid_from_version`) and to V+1 only, so that a duplicate or a late
+    message cannot undo a later change.  The proposal comes into force in V+1 or V+2.  A change that undoes
+    it is then either decided at V+2 with the base V+1, on which a duplicate changes nothing, or at a higher
+    version.  A duplicate cannot be applied to V+2 and above.
 
     Attributes
     ----------
@@ -75,8 +77,9 @@
         return 0 <= state.version - self.valid_from_version < VALID_VERSIONS
 
     def apply(self, state: ControlState) -> ControlState:
-        """Return the state that follows `state` by this proposal; `state` itself where that is not valid."""
-        # The base class is named, as a dataclass with slots is a new class, and `super()` would refer to the old one.
+        """Return `state` with this proposal applied, or `state` itself where it is not valid for it."""
+        # The base class is named because `dataclass(slots=True)` creates a new class, and `super()` refers
+        # to the old one.
         return Proposal.apply(self, state) if self.is_valid_for(state) else state
 
 
@@ -91,16 +94,17 @@
     proposals
         The forwarded proposals.
     waiting_nodes
-        The configuration that each node holds which waits for the outcome of a round, by the node's address.
+        The nodes that wait for the outcome of a round: by address, the configuration that the node holds.
     """
 
     proposals: list[ForwardedProposal] = field(default_factory=list)
     waiting_nodes: dict[str, HeldConfiguration] = field(default_factory=dict)
 
-    def add(self, now: float, source: str, on: int, changes: Iterable[ForwardedChange]) -> None:
-        """Keep proposals that another node has forwarded, and note that it waits for their outcome.
+    def add(self, now: float, source: str, base_version: int, changes: Iterable[ForwardedChange]) -> None:
+        """Keep proposals forwarded by another node, and record that this other node waits for their outcome.
 
-        A duplicate of a proposal that is kept already is dropped, and so is what exceeds `MAX_FORWARDED`.
+        Duplicates of proposals that are kept already are dropped, and so are proposals beyond
+        `MAX_FORWARDED`.
 
         Parameters
         ----------
@@ -108,8 +112,8 @@
             Seconds of the node's clock.
         source
             The address of the node that forwarded them.
-        on
-            The version that was decided there.
+        base_version
+            The version that was decided at that node when it forwarded them.
         changes
             The proposals.
         """
@@ -124,7 +128,7 @@
                 change.configuration,
                 change.zone,
                 change.evacuate,
-                valid_from_version=on,
+                valid_from_version=base_version,
                 source=source,
             )
             if len(self.proposals) < MAX_FORWARDED and not any(
@@ -144,21 +148,20 @@
         """Remove proposals that are too old, or that are valid for no version that can still come after `state`."""
         version = state.version if state is not None else -1
         self.proposals = [
-            o
-            for o in self.proposals
-            if now - o.started_at <= FORWARDED_LIFETIME and version < o.valid_from_version + VALID_VERSIONS
+            proposal
+            for proposal in self.proposals
+            if now - proposal.started_at <= FORWARDED_LIFETIME
+            and version < proposal.valid_from_version + VALID_VERSIONS
         ]
 
     def pop_waiting(self, state: ControlState) -> list[tuple[str, HeldConfiguration]]:
         """Return the nodes outside the core that wait for the state decided now, with the configurations they hold.
 
-        They are to be sent that state; members get it from the proposer that decided it.  From now on only nodes
-        with proposals that are not fulfilled yet are waiting.
+        The caller sends them that state; members get it from the proposer that decided it.  Afterwards only
+        nodes whose proposals are not fulfilled yet are waiting.
         """
         due = [
-            (source, asking)
-            for source, asking in self.waiting_nodes.items()
-            if state.member_at(source) is None
+            (source, held) for source, held in self.waiting_nodes.items() if state.member_at(source) is None
         ]
         self.waiting_nodes = {
             proposal.source: self.waiting_nodes.get(proposal.source, HOLDS_NOTHING)
@@ -169,17 +172,17 @@
     def applicable(self, base: ControlState) -> list[ForwardedProposal]:
         """Return the proposals that change a state.
 
-        One that the state fulfils already is left out, as it must not undo what another proposal of the same round
-        changes.
+        A proposal that the state fulfils already is left out, so that it cannot undo a change by another
+        proposal of the same round.
         """
         return [proposal for proposal in self.proposals if proposal.apply(base) is not base]
 
 
 @dataclass(slots=True)
 class ProposalForwarder:
-    """Records to which nodes this node has forwarded its proposals since `version` was decided.
+    """Remembers which proposals this node has forwarded to which nodes since `version` was decided.
 
-    `tokens_by_node` has the tokens of the forwarded proposals, by the recipient's address.
+    `tokens_by_node` holds the tokens of the forwarded proposals, by the recipient's address.
     """
 
     version: int = -1
@@ -188,16 +191,18 @@
     def select(self, state: ControlState, to: str, proposals: Iterable[Proposal]) -> list[ForwardedChange]:
         """Return the proposals to be forwarded to a node now, and record them as forwarded.
 
-        Empty where the node was sent all of them already, or `MAX_RECIPIENTS` other nodes were sent some on this
-        version.
+        The list is empty where all of them were sent to the node already, or where `MAX_RECIPIENTS` other
+        nodes were sent proposals while this version was in force.
         """
         if state.version != self.version:
             self.version, self.tokens_by_node = state.version, {}
         if to not in self.tokens_by_node and len(self.tokens_by_node) >= MAX_RECIPIENTS:
             return []
-        had = self.tokens_by_node.setdefault(to, set())
+        forwarded = self.tokens_by_node.setdefault(to, set())
         new = [
-            proposal for proposal in proposals if proposal.token not in had and can_forward(proposal, state)
+            proposal
+            for proposal in proposals
+            if proposal.token not in forwarded and can_forward(proposal, state)
         ]
-        had |= {proposal.token for proposal in new}
+        forwarded |= {proposal.token for proposal in new}
         return [forwarded_change(proposal) for proposal in new]
--- a/hazelspring/consensus/messages.py
+++ b/hazelspring/consensus/messages.py
@@ -1,6 +1,6 @@
 """Messages between proposers, acceptors and learners of the control state, and the payloads that they carry.
 
-Only the codec modules of `hazelspring.node` know the short keys that their fields have on the wire.
+The short keys of their fields on the wire are defined in the codec modules of `hazelspring.node`.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Prepare:
-    """Asks a member for a promise to accept nothing below a ballot.
+    """Requests a member's promise to accept nothing below a ballot.
 
     Attributes
     ----------
@@ -73,7 +73,7 @@
     base_version
         The version of the decided state from which the round starts.
     held
-        The configuration that the proposer holds, so that the promise need not bring it.
+        The configuration that the proposer holds; the promise need not include it.
     """
 
     ballot: Ballot
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Promise:
-    """Answers `Prepare`: the promise is on the sender's disk.
+    """Answers `Prepare`: the sender has promised, and its promise is on its disk.
 
     Attributes
     ----------
@@ -92,7 +92,7 @@
     voter
         The disk that promises.
     held_digests
-        Digests of the configurations that the member holds, which an `Accept` need not bring.
+        Digests of the configurations that the member holds; an `Accept` need not include these.
     accepted
         The state that the member accepted last; None where it has accepted none.
     payload
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Accept:
-    """Asks a member to accept a state at a ballot.
+    """Requests that a member accept a state at a ballot.
 
     Attributes
     ----------
@@ -147,9 +147,9 @@
     promised
         The highest ballot that the sender has promised.
     wait_ms
-        Milliseconds for which another proposer's round may still go first at the sender.  A `Prepare` that is refused
-        only because a higher ballot is promised gets 0; an `Accept` refused for that reason gets the time that is
-        left to the other round, or 0 where no other round is admitted.
+        Milliseconds for which the sender may still give precedence to another proposer's round.  A `Prepare`
+        that is refused only because a higher ballot is promised gets 0; an `Accept` refused for that reason
+        gets the time that the other round has left, or 0 where no other round is admitted.
     of_accept
         Whether an `Accept` is refused, rather than a `Prepare`.
     """
@@ -169,14 +169,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationMissing:
-    """Answers an `Accept` whose state names a configuration that its recipient neither holds nor could open."""
+    """Answers an `Accept` whose state's configuration the recipient neither holds nor could unpack."""
 
     ballot: Ballot
 
 
 @dataclass(slots=True, frozen=True)
 class ForwardedChange:
-    """One operator's proposal as one node forwards it to another: a configuration, or a zone's evacuation or reopening.
+    """An operator's proposal, as forwarded: a configuration, or a zone's evacuation or reopening.
 
     The fields are those of :class:`~hazelspring.consensus.proposal.Proposal` of the same names.
     """
@@ -202,7 +202,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StateRequest:
-    """Asks for the recipient's decided state where that is newer than `version`, which the sender knows."""
+    """Requests the recipient's decided state where it is newer than the sender's, which is `version`."""
 
     version: int
     held: HeldConfiguration
@@ -236,7 +236,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OutgoingMessage:
-    """A message, and the node that it is to be sent to."""
+    """A message and its recipient."""
 
     to: str  # the node's address
     message: ConsensusMessage
--- a/hazelspring/consensus/outcomes.py
+++ b/hazelspring/consensus/outcomes.py
@@ -1,4 +1,4 @@
-"""How proposals end: whether the decided state at a proposal's node settles it, and with which outcome."""
+"""Determines whether the decided state at a proposal's node settles the proposal, and with which outcome."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def outcome_of(
     proposal: Proposal, state: ControlState, acceptor: Acceptor, is_confirmed: Callable[[Proposal], bool]
 ) -> ProposalOutcome | None:
-    """Return the outcome of a proposal by the decided state at this node; None where that does not settle it yet.
+    """Return the outcome of a proposal; None where the decided state at this node does not settle it yet.
 
     Parameters
     ----------
@@ -23,16 +23,17 @@
     acceptor
         The node's acceptor, for the accepted state that may still be undecided, and for the configuration.
     is_confirmed
-        Returns whether this node knows every state that was decided before the proposal came.
+        Returns whether this node knows every state that was decided before the proposal was submitted.
     """
     if proposal.kind == ProposalKind.RESOLVE:
         is_settled = acceptor.pending is None
         return ProposalOutcome(proposal.token, True, state=state) if is_settled else None
     if proposal.apply(state) is not state:
         return None
-    # Once these bytes, or a configuration with a higher number, are in force, that stays true, whichever node reports
-    # it.  Any other effect may have been in force only before the proposal came, unless the state was the newest
-    # at some time since then, or was decided above one that was: then the proposal is marked as confirmed.
+    # Once the proposed configuration or one with a higher number is in force, this remains so, whichever
+    # node reports it.  Any other effect may have been in force only before the proposal was submitted.  It
+    # was in force afterwards too where the state was the newest one at some time since then, or was decided
+    # above one that was; such a proposal is marked as confirmed.
     conflicts = proposal.conflicts_with(state)
     lasting = (
         proposal.kind == ProposalKind.PUT_CONFIGURATION
@@ -43,7 +44,7 @@
         return None  # the state known here may be outdated
     if conflicts:
         if not is_confirmed(proposal):
-            return None  # the proposal may have been acknowledged since then, below a higher number
+            return None  # it may have been acknowledged since, before a higher number came into force
         reason = f"r{state.configuration_version} is another body"
         return ProposalOutcome(proposal.token, False, reason, True, state)
     if proposal.kind != ProposalKind.READ:
--- a/hazelspring/consensus/proposal.py
+++ b/hazelspring/consensus/proposal.py
@@ -9,9 +9,10 @@
 
 
 class ProposalKind(StrEnum):
-    """What a proposal asks for.
+    """The kinds of proposals.
 
-    The values of ``PUT_CONFIGURATION`` and ``SET_EVACUATION`` go on the wire, as these two may be forwarded.
+    The values of ``PUT_CONFIGURATION`` and ``SET_EVACUATION`` are sent on the wire, as these two may be
+    forwarded.
     """
 
     PUT_CONFIGURATION = "put"  # put an operator's configuration in force
@@ -19,9 +20,7 @@
     READ = "read"  # read the configuration in force; changes nothing
     JOIN = "join"  # make a node with a disk a member of the core
     RETIRE = "retire"  # remove a member from the core
-    RESOLVE = (
-        "settle"  # bring an accepted state that may have been decided to its end; changes nothing itself
-    )
+    RESOLVE = "settle"  # complete an accepted state that may have been decided; changes nothing itself
     BOOTSTRAP = "found"  # choose the first members of the core
 
 
@@ -30,35 +29,36 @@
 
 @dataclass(slots=True)
 class Proposal:
-    """One change to the control state, or one read of it, that an operator or this node asks for.
+    """One change to the control state, or one read of it, that an operator or this node requests.
 
-    It may be acknowledged once the decided state shows its effect and either that cannot have been so only before
-    the proposal came (a configuration of this version was decided since), or the state was confirmed to be the
-    newest at some time after the proposal came.
+    It may be acknowledged once the decided state shows its effect, and this effect is known to have been in
+    force after the proposal was submitted: either a configuration of this version was decided since then, or
+    the state was confirmed to be the newest at some time after the submission.
 
     Attributes
     ----------
     token
         Identifies the caller that waits for the outcome; 0 where nobody does.
     started_at
-        When the proposal came, in seconds of the node's clock.
+        When the proposal was submitted, in seconds of the node's clock.
     kind
-        What is asked for; it says which of the following fields are used.
+        What is requested; it determines which of the following fields are used.
     configuration_version, configuration_digest, configuration
         ``PUT_CONFIGURATION``: the operator's version number, the digest of the body, and the compressed body.
     zone, evacuate
-        ``SET_EVACUATION``: the zone, and whether it is to be evacuated or open from now on.
+        ``SET_EVACUATION``: the zone, and whether it is to be evacuated or reopened.
     member
         ``JOIN``, ``RETIRE``: the member that joins or leaves.
     grows_core
-        ``JOIN``: the core is meant to be larger by one from then on, where the node's address is no member yet.
+        ``JOIN``: the core's target size grows by one, unless the node's address is that of a member already.
     by_operator
-        ``RETIRE``: an operator removes the member for good, and the core is meant to be smaller from then on.
-        Such a removal goes by the address alone.
+        ``RETIRE``: an operator removes the member permanently, and the core's target size becomes at most
+        the number of members left.  Such a removal identifies the member by its address alone.
     base_version
-        Version of the decided state that this node knew when the proposal came.
+        Version of the decided state that this node knew when the proposal was submitted.
     confirmed
-        Whether the state known here was, at some time after the proposal came, the newest decided one.
+        Whether the state known here was the newest decided one at some time after the proposal was
+        submitted.
     """
 
     token: int
@@ -76,13 +76,12 @@
     confirmed: bool = False
 
     def apply(self, state: ControlState) -> ControlState:
-        """Return the state that follows `state` by this proposal; `state` itself where nothing is to change.
+        """Return `state` with this proposal applied; `state` itself where nothing is to change.
 
-        The version and the previous members are left for the proposer to set, as one round may carry several
-        proposals.
+        The proposer sets the version and the previous members, as one round may carry out several proposals.
         """
         if state.version == 0:
-            return state  # nothing can be agreed on before the first members are
+            return state  # nothing can be decided before the first members have been chosen
         match self.kind:
             case ProposalKind.PUT_CONFIGURATION:
                 return self._apply_configuration(state)
@@ -112,7 +111,7 @@
         return replace(state, evacuated_zones=state.evacuated_zones ^ {self.zone})
 
     def _apply_join(self, state: ControlState) -> ControlState:
-        """Add the member in place of any other disk at its address, and of members of the bootstrap (disk 0)."""
+        """Add the member in place of other disks at its address and of the bootstrap's members (disk 0)."""
         if self.member is None or self.member in state.members:
             return state
         others = [member for member in state.members if member.ip != self.member.ip and member.disk_id]
@@ -120,20 +119,20 @@
         return replace(state, members=tuple(sorted([*others, self.member])), target_size=size)
 
     def _apply_removal_by_operator(self, state: ControlState) -> ControlState:
-        """Remove the member at an address, and make the core smaller; the last member stays."""
+        """Remove the member at an address, but never the last; limit the target size to the members left."""
         left = tuple(member for member in state.members if self.member is None or member.ip != self.member.ip)
         if not left or left == state.members:
             return state
         return replace(state, members=left, target_size=min(state.target_size, len(left)))
 
     def _apply_retirement(self, state: ControlState) -> ControlState:
-        """Remove a member that is lost, as long as the core is larger than it is meant to be."""
+        """Remove a member that is lost, as long as the core is larger than its target size."""
         if self.member not in state.members or len(state.members) <= state.target_size:
             return state
         return replace(state, members=tuple(member for member in state.members if member != self.member))
 
     def conflicts_with(self, state: ControlState) -> bool:
-        """Return whether another configuration was decided under the version number of this proposal's."""
+        """Return whether another configuration was decided under the version number of this proposal."""
         return (
             self.kind == ProposalKind.PUT_CONFIGURATION
             and self.configuration_version == state.configuration_version
@@ -141,13 +140,13 @@
         )
 
     def changes_members(self) -> bool:
-        """Return whether this proposal is about the members of the core."""
+        """Return whether this kind of proposal changes the members of the core."""
         return self.kind in MEMBERSHIP_KINDS
 
 
 @dataclass(slots=True)
 class BootstrapProposal(Proposal):
-    """The first members of the core, chosen by the proposer that wins the bootstrap's round.
+    """Proposes the first members of the core; the proposer whose bootstrap round succeeds chooses them.
 
     Attributes
     ----------
@@ -166,7 +165,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProposalOutcome:
-    """How a proposal ended.
+    """The result of a proposal that has ended.
 
     Attributes
     ----------
@@ -178,11 +177,11 @@
     reason
         Why it did not succeed, for the operator.
     conflict
-        Another configuration is in force under the proposal's version number.
+        Whether another configuration is in force under the proposal's version number.
     state
-        The decided state that settled the proposal; none where it was given up after its time.
+        The decided state that settled the proposal; None where the proposal timed out.
     configuration
-        The compressed configuration, where a read succeeded.
+        The compressed configuration; only after a successful read of one.
     """
 
     token: int
