--- a/hazelspring/consensus/disaster_recovery.py
+++ b/hazelspring/consensus/disaster_recovery.py
@@ -1,10 +1,11 @@
-"""Disaster recovery: a new core from what one disk holds, after more members were lost than the core survives.
-
-The recovered core goes on in a lineage of its own.  Nothing tells a node that the old core is lost: a majority of it
-may come back, with versions decided meanwhile.  So the lineage is the high part of the version number.  Wherever
-versions are compared (heartbeats, rounds, requests for a newer state) the recovered core's state is then newer than
-anything the old core has decided or still decides; a node that has heard of the higher lineage neither votes nor
-confirms anything by an older one, and asks for the recovered state.
+"""Disaster recovery: builds a new core from the contents of one disk, after the loss of too many members.
+
+The recovered core continues in a lineage of its own.  A node cannot detect that the old core is lost: a
+majority of it may come back, with versions that it decided meanwhile.  So the lineage is the high part of
+the version number.  Wherever versions are compared (heartbeats, rounds, requests for a newer state) the
+recovered core's state is therefore newer than anything that the old core has decided or will decide.  A node
+that has learned of the higher lineage neither votes nor confirms anything based on an older one, and
+requests the recovered state.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 )
 from hazelspring.errors import HazelspringError
 
-# Keys of the items that storage format 1 kept, and what it kept for an evacuated zone.
+# Keys of the items in storage format 1, and the body of the item of an evacuated zone.
 CONFIGURATION_KEY = "word"
 ZONE_KEY_PREFIX = "zone/"
 EVACUATED = b"1"
@@ -36,21 +37,21 @@
 
 
 class UnrecoverableError(HazelspringError, ValueError):
-    """What a disk holds cannot become a new core; the text says why."""
+    """The contents of a disk cannot become a new core; the message says why."""
 
     code = "unfit"
 
 
 @dataclass(slots=True, frozen=True)
 class RecoverySource:
-    """What a recovered core goes on from.
+    """The state from which a recovered core continues.
 
     Attributes
     ----------
     state
-        The control state to go on from.
+        The control state.
     configuration
-        Its configuration, compressed; none where there was none.
+        Its configuration, compressed; None where there was none.
     highest_ballot_count
         The highest counter of a ballot that the disk has promised.
     """
@@ -61,7 +62,7 @@
 
 
 def newest_items(disks: Iterable[LegacyItems]) -> dict[str, tuple[Stamp, bytes]]:
-    """Return each item of several disks of format 1 as it has the highest stamp, which is what was in force."""
+    """Return each item of several disks of format 1 with its highest stamp, the one that was in force."""
     newest: dict[str, tuple[Stamp, bytes]] = {}
     for items in disks:
         for key, item in items.items():
@@ -71,7 +72,7 @@
 
 
 def source_from_items(items: LegacyItems) -> RecoverySource:
-    """Return what disks of format 1 hold as one state.
+    """Return the contents of disks of format 1 as one state.
 
     Raises
     ------
@@ -95,20 +96,20 @@
 
 
 def source_from_acceptor(acceptor: Acceptor, prefer_accepted: bool) -> RecoverySource:
-    """Return what a disk of format 2 holds.
+    """Return the contents of a disk of format 2.
 
     Parameters
     ----------
     acceptor
         The disk's acceptor.
     prefer_accepted
-        Go on from a state that was accepted above the newest decided one, where there is one: it may have been
-        decided, and acknowledged, without this disk having heard of it.
+        Use the accepted state where it is newer than the decided one: it may have been decided and
+        acknowledged without the decision having reached this disk.
 
     Raises
     ------
     UnrecoverableError
-        Where nothing was agreed on yet.
+        Where the disk knows no decided state after the bootstrap state.
     """
     state = acceptor.pending if prefer_accepted and acceptor.pending is not None else acceptor.state
     if state is None or state.version == 0:
@@ -137,19 +138,21 @@
 
 
 def recovered_acceptor(source: RecoverySource, member: Member, target_size: int, now: int) -> Acceptor:
-    """Return the acceptor of a new core with one member; its records are to replace all others on the disk.
+    """Return the acceptor of a new core with one member; its records are to replace all records on the disk.
 
     Parameters
     ----------
     source
-        What the core goes on from.
+        The state from which the core continues.
     member
-        Its only member, on a disk whose number no node knows yet: the old core's votes of this disk count no more.
+        The only member, on a disk whose number no node knows yet, so that votes of this disk in the old core
+        no longer count.
     target_size
         How many members the core is meant to have; 0 for as many as before.
     now
-        A number that grows with time, as incarnations do.  It becomes the lineage, unless that is not above the
-        source's: so of two recoveries the later one prevails, also of two that do not know of each other.
+        A number that grows with time, as incarnations do.  It becomes the lineage where it is above the
+        source's lineage; otherwise the lineage after the source's is used.  So the later of two recoveries
+        prevails, even if neither knew of the other.
     """
     state = source.state
     new_lineage = max(lineage(state.version) + 1, now)
--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -1,6 +1,6 @@
 """The proposer of one node: its open proposals, and the rounds that carry them out.
 
-A round first asks members for promises, then for acceptances of one state.
+A round requests promises from the members, and then acceptances of one state.
 """
 
 from __future__ import annotations
@@ -41,22 +41,26 @@
 
 # Seconds between requests to a member that has not answered.
 RESEND_INTERVAL = 0.25
-# Bytes a second of a node's link of a gigabit, which all copies of a configuration that are sent at once share.
+# Bytes per second of a node's gigabit link, which is shared by all copies of a configuration that are sent
+# at once.
 LINK_BANDWIDTH = 100e6
-# Seconds after which a phase of a round that competes with another round expects no more answers: two syncs of a slow
-# disk.
+# Seconds after which a round that competes with another round stops waiting for answers in a phase: two
+# syncs of a slow disk.
 CONTENDED_ROUND_TIMEOUT = 0.7
-# Seconds after which a proposal fails.  Its caller gives up on this node sooner, and sends it to any node again.
+# Seconds after which a proposal fails.  Its caller's time-out for this node is shorter; the caller then
+# sends the proposal again to any node.
 PROPOSAL_TIMEOUT = 3.0
-# Seconds in which answers of members may settle a proposal that changes nothing, before a round is begun for it.
+# Seconds within which answers of members may settle a proposal that changes nothing, before a round begins
+# for it.
 NO_CHANGE_GRACE = 0.3
-# Seconds of the first back-off after a round that met a competing one: a part of a round trip between regions.
+# Seconds of the first back-off after a round that met a competing one: a fraction of a round trip between
+# regions.
 MIN_BACKOFF = 0.03
-# Seconds up to which the back-off is doubled with each failed round; with its random factor of 0.5 to 1.5 it stays
-# below half of the time for which a member lets another round go first.
+# Seconds at which the back-off stops doubling with each failed round; with its random factor of 0.5 to 1.5
+# it stays below half of the time for which a member gives precedence to another round.
 MAX_BACKOFF = 0.3
-# Seconds that the recipient of forwarded proposals has at least to carry them out, before this node begins a round of
-# its own; up to as much again is added at random.
+# Minimum seconds that the recipient of forwarded proposals has to carry them out before this node begins a
+# round of its own; a random part of up to the same length is added.
 FORWARDING_GRACE = 0.2
 
 
@@ -64,7 +68,7 @@
     """The proposer of one node.
 
     It leads one round at a time, which carries out all open proposals together.  A round that finds an accepted state
-    which may have been decided completes that state first, and proposes nothing of its own.
+    which may have been decided completes only that state, and proposes nothing of its own.
 
     Parameters
     ----------
@@ -74,8 +78,8 @@
         The node's address and the incarnation of its process, which become part of its ballots.
     random_source
         Draws the random parts of back-offs.
-    answers
-        Returns whether a member has answered lately, at a time in seconds of the node's clock.
+    is_responsive
+        Returns whether a member has answered recently, at a time in seconds of the node's clock.
     """
 
     def __init__(
@@ -83,43 +87,46 @@
         acceptor: Acceptor,
         me: tuple[str, int],
         random_source: random.Random,
-        answers: Callable[[float, Member], bool],
+        is_responsive: Callable[[float, Member], bool],
     ) -> None:
-        self.acceptor, self.me, self.random, self.is_responsive = acceptor, me, random_source, answers
+        self.acceptor, self.me, self.random, self.is_responsive = acceptor, me, random_source, is_responsive
         self.proposals: list[Proposal] = []
         self.round: Round | None = None
         self.abandoned_ballot = NO_BALLOT  # of the last round that ended without deciding a new state
         self.highest_count = 0  # the highest counter of a ballot that is known
-        # Rounds in a row that competing ones have ended, and the time until which no new round begins.
+        # How many rounds in a row competing rounds have ended, and the time until which no new round begins.
         self.failed_rounds, self.backoff_until = 0, LONG_AGO
-        self.outbox: list[OutgoingMessage] = []  # ended rounds, and proposals to forward
+        self.outbox: list[OutgoingMessage] = []  # notices of ended rounds, and proposals to forward
         self.forwarded, self.forwarder = ForwardedProposals(), ProposalForwarder()
         # The start of the last round that succeeded: every state decided before that time is known here.
         self.confirmed_since = LONG_AGO
 
     def submit(self, proposal: Proposal) -> None:
-        """Add a proposal of this node, with the version of the decided state that the node knows now."""
+        """Add a proposal of this node, and record in it the decided version that the node knows now."""
         proposal.base_version = self.acceptor.version
         self.proposals.append(proposal)
 
     def on_new_state(self, now: float) -> None:
         """End the back-off, as a newer decided state means that the competing round has ended.
 
-        Where this node's proposals met a competing round, those that are still open are forwarded to the node that
-        decided the new state, as its next round begins at once.  This node then begins a round of its own only where
-        they are not carried out within `FORWARDING_GRACE` and its random addition.
+        Where this node's rounds competed with another one, the proposals that are still open are forwarded
+        to the node that decided the new state, as its next round begins at once.  This node then begins a
+        round of its own only where they are not carried out within `FORWARDING_GRACE` and its random part.
         """
-        met = self.failed_rounds > 0 or bool(self.forwarder.tokens_by_node)
+        competed = self.failed_rounds > 0 or bool(self.forwarder.tokens_by_node)
         self.failed_rounds, self.backoff_until = 0, LONG_AGO
         decided = self.acceptor.decided
-        if not met or decided is None or decided[0][2] == self.me[0]:
+        if not competed or decided is None or decided[0][2] == self.me[0]:
             return
         if any(can_forward(proposal, decided[1]) for proposal in self.proposals):
             self.forward(decided[0][2])
             self.backoff_until = now + FORWARDING_GRACE * (1 + self.random.random())
 
     def forward(self, to: str) -> None:
-        """Forward open proposals of operators to the node whose round goes first, for that round or its next one."""
+        """Forward operators' open proposals to the node whose round has precedence.
+
+        That node includes them in this round or in its next one.
+        """
         state = self.acceptor.state
         if state is None or to == self.me[0]:
             return
@@ -135,7 +142,7 @@
         """Return whether a proposal of a kind is open here."""
         return any(proposal.kind == kind for proposal in self.proposals)
 
-    def resolve(self, now: float, sure: Callable[[Proposal], bool]) -> list[ProposalOutcome]:
+    def resolve(self, now: float, is_confirmed: Callable[[Proposal], bool]) -> list[ProposalOutcome]:
         """Remove the proposals that the decided state settles or that have timed out; return their outcomes.
 
         Outcomes are returned only for proposals with a caller that waits (a token other than 0).
@@ -144,17 +151,17 @@
         ----------
         now
             Seconds of the node's clock.
-        sure
-            Returns whether this node knows every state that was decided before a proposal came.
+        is_confirmed
+            Returns whether this node knows every state that was decided before a proposal was submitted.
         """
         state, ended = self.acceptor.state, []
         for proposal in list(self.proposals):
-            if state is not None and state.version > 0 and not proposal.confirmed and sure(proposal):
+            if state is not None and state.version > 0 and not proposal.confirmed and is_confirmed(proposal):
                 self.proposals[self.proposals.index(proposal)] = proposal = replace(proposal, confirmed=True)
             if (
                 state is not None
                 and state.version > 0
-                and (outcome := outcome_of(proposal, state, self.acceptor, sure))
+                and (outcome := outcome_of(proposal, state, self.acceptor, is_confirmed))
             ):
                 ended.append(outcome)
             elif now - proposal.started_at > PROPOSAL_TIMEOUT:
@@ -165,7 +172,7 @@
         return [outcome for outcome in ended if outcome.token]
 
     def stall_reason(self) -> str:
-        """Return a text for operators that says which answers the current round is waiting for."""
+        """Return an error text for operators that states which answers the current round is waiting for."""
         if self.round is None:
             return "look: too few voices"
         current = self.round
@@ -177,16 +184,21 @@
     def advance(self, now: float) -> list[OutgoingMessage]:
         """Advance the round as far as it goes, and return the requests to be sent.
 
-        A round begins where a proposal needs one and no back-off is under way.  It is abandoned where another node
-        has decided a newer state, or no proposal is left.  A round that met a competing one backs off once its phase
-        has taken `CONTENDED_ROUND_TIMEOUT`.  Members that have not answered are asked again.
+        A round begins where a proposal needs one and no back-off is in progress.  It is abandoned where
+        another node has decided a newer state, or no proposal is left.  A round that competes with another
+        one backs off once its phase has taken `CONTENDED_ROUND_TIMEOUT`.  Members that have not answered are
+        sent the request again.
         """
         state = self.acceptor.state
         if self.round is not None and self.acceptor.version > self.round.base.version:
-            self.abandon_round()  # another node has decided: the next round starts from its state
-        met = self.round is not None and (self.round.rejections or self.round.contended)
-        if met and self.round is not None and now - self.round.phase_started_at > CONTENDED_ROUND_TIMEOUT:
-            self.back_off(now)  # the members that have not refused do not answer either
+            self.abandon_round()  # another node has decided: the next round starts from that state
+        contended = self.round is not None and (self.round.rejections or self.round.contended)
+        if (
+            contended
+            and self.round is not None
+            and now - self.round.phase_started_at > CONTENDED_ROUND_TIMEOUT
+        ):
+            self.back_off(now)  # members that have not refused are not expected to answer any more
         self.forwarded.expire(now, state)
         if state is None or not (self.proposals or self.forwarded.applicable(state)):
             self.abandon_round()
@@ -220,29 +232,29 @@
         return state.version > 0 and now - proposal.started_at > NO_CHANGE_GRACE
 
     def next_state(self, base: ControlState) -> ControlState:
-        """Return the state that follows `base` by all open proposals; `base` itself where nothing is to change.
+        """Return `base` with all open proposals applied, or `base` itself where nothing is to change.
 
         Forwarded proposals are applied before this node's own.  At most one proposal changes the members, as one
         version may change them only once.
         """
-        state, moved = base, False
+        state, members_changed = base, False
         for forwarded in self.forwarded.applicable(base):
             state = forwarded.apply(state)
         for proposal in self.proposals:
             if proposal.changes_members():
-                if moved:
+                if members_changed:
                     continue
-                moved = proposal.apply(state) is not state
+                members_changed = proposal.apply(state) is not state
             state = proposal.apply(state)
         if state is base:
             return base
         return replace(state, version=base.version + 1, previous_members=base.members)
 
     def prepare_member_sets(self, current: Round) -> list[tuple[Member, ...]]:
-        """Return the sets of members of each of which the round needs a read quorum of promises.
+        """Return the sets of members; the round needs a read quorum of promises from each set.
 
-        These are the members of its base and, without duplicates, those of the accepted state that it has to
-        complete or else of the state that it is to propose.
+        These are the members of the round's base and, without duplicates, the member sets of the accepted
+        state that the round has to complete, or else of the state that it is to propose.
         """
         sets = [current.base.members]
         if current.highest_accepted[1].version > current.base.version:
@@ -254,7 +266,7 @@
     def requests(self, now: float, current: Round) -> list[OutgoingMessage]:
         """Return the requests of the current phase to members that have not answered.
 
-        A member that was asked less than `RESEND_INTERVAL` ago, or has refused, is left out.
+        A member is left out where it was sent a request less than `RESEND_INTERVAL` ago, or has refused.
         """
         if current.value is current.base:
             return []  # nothing is to change, so no state has to be accepted
@@ -284,11 +296,11 @@
     def payload_to_send(
         self, now: float, ip: str, current: Round, value: ControlState, recipients: int
     ) -> ConfigurationPayload | None:
-        """Return the payload that an `Accept` to a member brings now.
+        """Return the payload of an `Accept` that is sent to a member now.
 
-        A complete configuration is not sent again while it may still be on its way, which takes the longer the more
-        recipients share the link.  Until then the member is asked without it, and answers `ConfigurationMissing`
-        where it has not arrived.
+        A complete configuration is not sent again while it may still be in transit; the transfer takes
+        longer the more recipients share the link.  Requests in the meantime have no payload, and the member
+        answers them by `ConfigurationMissing` where the configuration has not arrived.
         """
         payload = self.payload_for(ip, value.configuration_digest, current)
         if isinstance(payload, FullConfiguration):
@@ -299,10 +311,10 @@
         return payload
 
     def payload_for(self, ip: str, digest: bytes, current: Round) -> ConfigurationPayload | None:
-        """Return the payload that brings a configuration to a member; None where it holds it, or there is none.
+        """Return a configuration's payload for a member; None where the member holds it or it is not known.
 
-        It is a path of deltas from a configuration that the member holds, where that is smaller, or else the
-        complete configuration.
+        The payload is a path of deltas from a configuration that the member holds, where that is smaller, or
+        else the complete configuration.  There is none for `NO_CONFIGURATION`.
         """
         # A member that has not promised yet most likely holds the configuration in force.
         holds = current.known_digests.get(ip, [current.base.configuration_digest])
@@ -317,7 +329,8 @@
     def find_configuration(self, digest: bytes) -> bytes | None:
         """Return the compressed configuration of a digest; None where it is unknown here.
 
-        It may be held by the acceptor, have come with a promise, or belong to an open or forwarded proposal.
+        It may be held by the acceptor, be received with a promise, or belong to an open or forwarded
+        proposal.
         """
         if digest in self.acceptor.configurations:
             return self.acceptor.configurations[digest]
@@ -329,7 +342,7 @@
         )
 
     def on_promise(self, source: str, message: Promise, packed: bytes | None = None) -> None:
-        """Count a promise for the current round, and note the accepted state that it reports.
+        """Count a promise for the current round, and record the accepted state that it reports.
 
         A promise that arrives after its round was abandoned is answered by `RoundEnded`.
 
@@ -340,7 +353,7 @@
         message
             The promise.
         packed
-            The compressed configuration that came with it, of the state that the member accepted last.
+            The compressed configuration received with it, of the state that the member accepted last.
         """
         current, accepted = self.round, message.accepted
         if message.ballot == self.abandoned_ballot:  # the promise was sent before `RoundEnded` arrived
@@ -356,9 +369,9 @@
     def choose_value(self, now: float, current: Round) -> None:
         """Choose the state to be accepted, and begin the second phase, once read quorums have promised.
 
-        It is the state accepted at the highest ballot where that is newer than the base, else the one that the open
-        proposals make of the base.  The round waits while a majority cannot be reached, or the configuration of the
-        state is unknown here.
+        The value is the state accepted at the highest ballot, where that is newer than the base, or else the
+        base with the open proposals applied.  The round waits while a majority cannot be reached, or the
+        configuration of the state is unknown here.
         """
         if missing_votes(self.prepare_member_sets(current), current.promises, read_quorum):
             return
@@ -380,8 +393,9 @@
     def can_reach_majority(self, now: float, current: Round, target: ControlState) -> bool:
         """Return whether a majority of each set of members can be expected to accept a state.
 
-        Members count that have promised or have answered lately.  A state that fewer than a majority accept would
-        remain accepted and undecided, and keep nodes from confirming that the decided state is the newest.
+        Members that have promised or have answered recently count.  A state that fewer than a majority
+        accept would remain accepted but undecided, and would keep nodes from confirming that the decided
+        state is the newest.
         """
         for members in target.member_sets():
             answer = {m.ip: Voter(m.disk_id, m.disk_id == 0) for m in members if self.is_responsive(now, m)}
@@ -396,25 +410,27 @@
             current.acceptances[source] = message.voter
 
     def on_missing_configuration(self, source: str, ballot: Ballot) -> None:
-        """Have a missing configuration sent complete in place of deltas.
+        """Request or send a complete configuration where deltas were not enough.
 
-        Either a member lacks the configuration of an `Accept` that it was believed to hold, and gets it complete; or
-        the deltas that came with a promise cannot be applied here, and the promise is asked for again with the
-        complete configuration.
+        Either a member lacks the configuration of an `Accept` that it was believed to hold, and is sent the
+        complete one; or the deltas in a promise cannot be applied here, and the promise is requested again
+        with the complete configuration.
         """
         if self.round is not None and self.round.ballot == ballot:
             self.round.without_deltas = True
             self.round.known_digests[source] = []
-            # Bytes that were sent already may still be on their way, and are sent again in time.
+            # A configuration that was sent already may still be in transit; it is sent again
+            # once the time of the transfer is over.
             if source not in self.round.payload_sent_at:
                 self.round.sent_at.pop(source, None)
 
     def on_rejected(self, now: float, source: str, message: Rejected) -> None:
-        """Handle a refusal: the member has promised a higher ballot, or lets another round go first for a while.
+        """Handle a refusal: the member has promised a higher ballot, or gives precedence to another round.
 
-        A member that refuses a `Prepare` with a time to wait is asked again.  Any other refusal is final for this
-        phase, and the round backs off where too few members are left for a quorum.  Where a time to wait is given,
-        the open proposals are forwarded to the node whose round goes first.
+        Where the refusal of a `Prepare` gives a time to wait, the request is sent again later.  Any other
+        refusal is final for this phase, and the round backs off where too few members are left for a quorum.
+        Where a time to wait is given, the open proposals are forwarded to the node whose round has
+        precedence.
         """
         highest, wait = message.promised, message.wait_ms / 1000
         self.highest_count = max(self.highest_count, highest[0])
@@ -422,7 +438,7 @@
         if current is None or current.ballot != message.ballot:
             return
         if message.of_accept is (current.value is None):
-            return  # it refuses a request of the other phase
+            return  # the refused request belongs to the other phase
         if wait and not message.of_accept:
             current.deferred_by.add(source)
             current.contended = True
@@ -440,9 +456,10 @@
             self.back_off(now)
 
     def may_answer(self, now: float, member: Member, refused: Collection[str], have: Collection[str]) -> bool:
-        """Return whether a member has granted what the current phase asks for, or may still do so.
+        """Return whether a member has granted the request of the current phase, or may still grant it.
 
-        It must not have refused, and has either granted it, or is this node, or has answered lately.
+        This holds where it has not refused, and has either granted the request, is this node, or has
+        answered recently.
         """
         if member.ip in refused:
             return False
@@ -451,22 +468,22 @@
     def abandon_round(self) -> None:
         """End the round, if there is one, without a new decision.
 
-        All members that have promised, or whose promise may still be on its way, are notified, so that they do not
-        keep other rounds waiting for this one.  Members that have refused are not.
+        All members that have promised, or whose promise may still be in transit, are notified, so that they
+        do not keep other rounds waiting for this one.  Members that have refused are not notified.
         """
         if self.round is not None:
             message = RoundEnded(self.round.ballot)
-            out = self.round.rejections | self.round.deferred_by
-            asked = dict.fromkeys([*self.round.promises, *self.round.sent_at])
-            self.outbox += [OutgoingMessage(ip, message) for ip in asked if ip not in out]
+            refused = self.round.rejections | self.round.deferred_by
+            recipients = dict.fromkeys([*self.round.promises, *self.round.sent_at])
+            self.outbox += [OutgoingMessage(ip, message) for ip in recipients if ip not in refused]
             self.abandoned_ballot, self.round = self.round.ballot, None
 
     def back_off(self, now: float) -> None:
         """Abandon a round that met a competing one, and set the time before which no new round begins.
 
-        The new round, at a higher ballot, begins once the competing one has had its time, or sooner where a newer
-        decided state shows that it has ended (:meth:`on_new_state`).  An exponential back-off with a random part is
-        added, but for a first failed round that was given no time to wait.
+        The new round, at a higher ballot, begins once the time of the competing one is over, or sooner where
+        a newer decided state shows that it has ended (:meth:`on_new_state`).  An exponential back-off with a
+        random part is added, except after a first failed round that was given no time to wait.
         """
         wait = self.round.rival_wait if self.round is not None else 0.0
         self.abandon_round()
@@ -477,8 +494,8 @@
     def take_decision(self) -> tuple[Ballot, ControlState, bytes | None] | None:
         """Return the ballot, the state and the compressed configuration that the round has decided, and end the round.
 
-        None while acceptances are missing.  Where nothing was to change, the state is the round's base: a read quorum
-        has confirmed that it was the newest one when the round began.
+        The result is None while acceptances are missing.  Where nothing was to change, the state is the
+        round's base: a read quorum has confirmed that it was the newest one when the round began.
         """
         current = self.round
         if current is None or current.value is None:
