--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -135,6 +135,8 @@
                 node_status(fleet, n) and (fleet.folder / f"node-{n + 1}" / "comb.sqlite.aside").exists()
             )
         )
+    for n in fleet.remaining_nodes():
+        fleet.wait_until(lambda n=n: node_status(fleet, n))
     check_nothing_settles(fleet)  # until the recovery
     assert all(node_status(fleet, n)["configuration"] is None for n in fleet.remaining_nodes())
     fleet.kill(3)
