--- /dev/null
+++ b/bench/mixed_builds.py
@@ -0,0 +1,147 @@
+"""Runs two builds of the system beside each other in one fleet, and lets each read what the other wrote.
+
+    python -m bench.mixed_builds OLD NEW      (folders of two checkouts; exit status 1 where a check fails)
+
+Three core nodes and one without a disk.  A fleet of the old build writes its disks and the configuration; its nodes
+are then restarted one by one with the new build, and back again.  After each restart a configuration is put at the
+restarted node, and every node must have it, be ready and answer a read; the core must still have three members.  At
+the end, the new build and then the old one start alone on disks that the other build has left.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+import signal
+import subprocess
+import sys
+import tempfile
+from pathlib import Path
+from typing import Any
+
+from hazelspring.cli.control_client import call_once, call_until_settled
+from hazelspring.localfleet.__main__ import BackgroundStandIns
+from hazelspring.localfleet.fleet import LocalFleet, configuration
+from hazelspring.localfleet.stand_ins import StandIns
+
+CORE = 3
+OTHERS = 1
+CALL_PATIENCE = 30.0  # seconds for an operator's call
+STATUS_TIMEOUT = 2.0  # seconds
+AGREEMENT_TIMEOUT = 30.0  # seconds for all nodes to have a configuration and to be ready
+
+
+class MixedFleet(LocalFleet):
+    """A fleet whose nodes run the program of a checkout of their own."""
+
+    def __init__(self, folder: Path, build: Path) -> None:
+        super().__init__(folder, core=CORE, others=OTHERS, servers=2)
+        self.builds = dict.fromkeys(range(CORE + OTHERS), build)
+
+    def start(self, node: int, first: bool = False) -> None:
+        """Start a node from its checkout; its log goes to a file beside its settings."""
+        environment = {**os.environ, "HAZELSPRING_SETTINGS": str(self.write_settings(node, first))}
+        environment.pop("PYTHONPATH", None)
+        with (self.folder / f"node-{node + 1}.log").open("ab") as log:
+            self.processes[node] = subprocess.Popen(
+                [sys.executable, *self.program],
+                cwd=self.builds[node],
+                env=environment,
+                stdout=log,
+                stderr=log,
+            )
+
+    def restart(self, node: int, build: Path) -> None:
+        """Stop a node by SIGTERM, and start it again from another checkout."""
+        self.kill(node, signal.SIGTERM)
+        self.builds[node] = build
+        self.start(node)
+
+    def status(self, node: int) -> dict[str, Any]:
+        """Return a node's status, empty while it does not answer."""
+        try:
+            answer = call_once(self.control_addresses()[node], "GET", "/-/status", None, STATUS_TIMEOUT)
+        except OSError:
+            return {}
+        return dict(json.loads(answer.body))
+
+    def agrees(self, number: int) -> bool:
+        """Whether all nodes have a configuration, are ready and answer a read, with all core nodes as members."""
+        statuses = [self.status(node) for node in range(CORE + OTHERS)]
+        return (
+            all(status.get("configuration") == number for status in statuses)
+            and all(status.get("member") for status in statuses[:CORE])
+            and all(self.is_ready(node) for node in range(CORE + OTHERS))
+            and all(
+                self.request(node, "GET", "/read/a", f"read-{number}-{node}").status == 200
+                for node in range(CORE + OTHERS)
+            )
+        )
+
+
+def check(fleet: MixedFleet, step: str, number: int, at: int | None) -> bool:
+    """Put a configuration at a node (None: put nothing), and return whether all nodes come to agree on it."""
+    if at is not None:
+        address = fleet.control_addresses()[at]
+        call_until_settled([address], "PUT", "/-/configuration", configuration(number), CALL_PATIENCE)
+    try:
+        fleet.wait_until(lambda: fleet.agrees(number), AGREEMENT_TIMEOUT)
+    except TimeoutError:
+        print(f"FAILED {step}: {[fleet.status(node) for node in range(CORE + OTHERS)]}")
+        return False
+    print(f"good   {step}: configuration r{number} at {CORE + OTHERS} nodes, all ready, reads answered")
+    return True
+
+
+def play(fleet: MixedFleet, old: Path, new: Path) -> bool:
+    """Go from the old build to the new one and back, node by node; return whether all checks held."""
+    fleet.start_all(first=True)
+    number = 1
+    good = check(fleet, "old build alone", number, 0)
+    for name, build in (("new", new), ("old", old)):
+        for node in range(CORE + OTHERS):
+            fleet.restart(node, build)
+            number += 1
+            good &= check(fleet, f"node {node + 1} restarted with the {name} build", number, node)
+    for name, build in (
+        ("new build on disks of the old one", new),
+        ("old build on disks of the new one", old),
+    ):
+        for node in range(CORE + OTHERS):
+            fleet.kill(node)
+        fleet.builds = dict.fromkeys(range(CORE + OTHERS), build)
+        fleet.start_all()
+        good &= check(fleet, f"{name}, all killed at once", number, None)
+        number += 1
+        good &= check(fleet, name, number, 0)
+    return good
+
+
+def log_problems(folder: Path) -> list[str]:
+    """Return the log lines that tell of an unforeseen error or of a message that could not be decoded."""
+    lines = [line for log in sorted(folder.glob("node-*.log")) for line in log.read_text().splitlines()]
+    return [line for line in lines if "error=" in line or "malformed" in line or "Traceback" in line]
+
+
+def main() -> int:
+    """Play with the two checkouts of the command line; return the exit status."""
+    if len(sys.argv) != 3:
+        print(__doc__)
+        return 2
+    old, new = (Path(argument).resolve() for argument in sys.argv[1:])
+    with tempfile.TemporaryDirectory(prefix="hazelspring-") as folder:
+        fleet = MixedFleet(Path(folder), old)
+        background = BackgroundStandIns(StandIns(fleet.platform, fleet.servers))
+        try:
+            good = play(fleet, old, new)
+        finally:
+            fleet.close()
+            background.close()
+        problems = log_problems(Path(folder))
+    print("\n".join(problems[:10]))
+    print(f"{len(problems)} log lines of errors; {'all checks good' if good else 'a check FAILED'}")
+    return 0 if good else 1
+
+
+if __name__ == "__main__":
+    sys.exit(main())
