--- a/hazelspring/gateway/caller.py
+++ b/hazelspring/gateway/caller.py
@@ -1,4 +1,4 @@
-"""A client's connection, whatever it asks: HTTP/1.1 in, bodies as they come, answers in turn; a listener."""
+"""HTTP/1.1 connections of clients, with streamed bodies and pipelined requests, and a listener for them."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from hazelspring.gateway.link import READ, SMALL, Flow, Link
 from hazelspring.gateway.metrics import Counts
 from hazelspring.gateway.periodic import Periodic
-from hazelspring.gateway.upstream import STALLED
-
-MOST_BODY = 40 << 20  # bytes of a request's body: 32 MB come
-MOST_HEAD = 16 * 1024
-MOST_HELD = 12 << 20  # bytes of bodies held in all; beyond it requests are refused
-REPLAY = 2 * SMALL  # bytes of a body passed on that are kept, so that it can be sent again
-MOST_PIPELINED = 4  # requests on one connection that wait for their answers
-HEAD_TIMEOUT = 2.45  # seconds for a request's head, on a new connection from its start on
-BODY_GRACE = 1.5  # seconds that a body may lag behind the least rate
-LEAST_RATE = 32 * 1024  # bytes a second of a body
-IDLE_TIMEOUT = 75.0  # seconds that a connection may stand idle
-LEAST_ADVICE = 0.001  # seconds: what rounds to 0 would be no advice
+from hazelspring.gateway.upstream import STALL_TIMEOUT
+
+MOST_BODY = 40 << 20  # maximum bytes of a request's body; bodies of 32 MB are in use
+MOST_HEAD = 16 * 1024  # maximum bytes of a request's head
+MOST_HELD = 12 << 20  # maximum bytes of all buffered bodies; beyond it requests are refused
+REPLAY_LIMIT = 2 * SMALL  # bytes up to which a streamed body is kept, so that it can be sent again
+MOST_PIPELINED = 4  # maximum requests on one connection that wait for their answers
+HEAD_TIMEOUT = 2.45  # seconds for a request's head; on a new connection counted from its start
+BODY_GRACE = 1.5  # seconds that a body may be behind the minimum rate
+MIN_BODY_RATE = 32 * 1024  # bytes per second of a body that is arriving
+IDLE_TIMEOUT = 75.0  # seconds that a connection may be idle
+LEAST_ADVICE = 0.001  # minimum seconds of Retry-After: a value rounded to 0 would be no advice
 LINGER = 2.0  # seconds that a client has to read the last answer on its connection
-SURPLUS = 32  # connections above the most that are still answered, with a refusal
-CROWDED = 0.5  # part of the connections there may be from which on answered ones are not kept
-SWEEP = 0.25  # seconds between looks at how long connections have been silent
+SURPLUS = 32  # connections above the limit whose requests are still answered, with a refusal
+CROWDED = 0.5  # fraction of the connection limit above which connections are closed after an answer
+SWEEP = 0.25  # seconds between checks of the time-outs of connections
 
 REASONS = {
     200: "OK", 400: "Bad Request", 401: "Unauthorized", 404: "Not Found", 405: "Method Not Allowed",
@@ -49,12 +49,15 @@
 
 
 class BadRequest(ValueError):
+    """A request that is answered with an error status; its text is the body of that answer."""
+
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
         self.status = status
 
 
 def encode(answer: Answer, close: bool) -> bytes:
+    """Encode a complete answer; `close` announces the end of the connection."""
     head = f"HTTP/1.1 {answer.status} {REASONS[answer.status]}\r\nContent-Length: {len(answer.body)}\r\n"
     if answer.retry_after > 0:
         head += f"Retry-After: {max(answer.retry_after, LEAST_ADVICE):.3f}\r\n"
@@ -66,6 +69,7 @@
 
 
 def flow_head(flow: Flow, chunked: bool, close: bool) -> bytes:
+    """Encode the head of a streamed answer; `close` announces the end of the connection."""
     head = b"HTTP/1.1 200 OK\r\n"
     if flow.length is not None:
         head += b"Content-Length: %d\r\n" % flow.length
@@ -78,19 +82,25 @@
     return head + b"\r\n"
 
 
-class Desk(Protocol):
-    """What becomes of the requests that clients make, as a connection sees it."""
+class RequestHost(Protocol):
+    """The host that processes the requests of clients, as a connection uses it."""
 
     @property
-    def counts(self) -> Counts: ...
+    def counts(self) -> Counts:
+        """The counters of events, as metrics show them."""
+        ...
 
-    def left(self, request: Open) -> None: ...
+    def left(self, request: Open) -> None:
+        """Note that the client of a request has disconnected."""
+        ...
 
-    def whole(self, request: Open) -> None: ...
+    def whole(self, request: Open) -> None:
+        """Note that the last byte of a streamed request body has arrived."""
+        ...
 
 
 class Exchange:
-    """One request on a client's connection and its answer, which waits for those before it."""
+    """A request on a client's connection, and its answer, which is sent after those to earlier requests."""
 
     __slots__ = (
         "answer", "chunked", "client", "early", "flow", "held", "keep_alive", "live", "over", "request",
@@ -101,35 +111,39 @@
         self.client, self.keep_alive = client, keep_alive
         self.answer: Answer | None = None
         self.request: Open | None = None
-        self.held = 0
-        self.upload: Upload | None = None  # its body, where that is passed on as it comes
-        self.flow: Flow | None = None  # its answer, where that is
+        self.held = 0  # bytes of its body that are buffered, except by `upload`
+        self.upload: Upload | None = None  # the body of the request, if it is streamed
+        self.flow: Flow | None = None  # the answer, if it is streamed
         self.live = self.over = self.whole = self.chunked = False
-        self.early = b""  # of that, what came before its turn
+        self.early = b""  # the part of a streamed answer that arrived before earlier answers were sent
 
     def reply(self, answer: Answer) -> None:
+        """Take the complete answer, and send it after those to earlier requests."""
         self.answer = answer
         self.release()
         self.client.flush()
 
     def begin(self, flow: Flow) -> None:
+        """Take the head of a streamed answer, and send it after the answers to earlier requests."""
         self.flow = flow
         self.release()
         self.client.flush()
 
     def feed(self, data: bytes) -> None:
+        """Send the next part of a streamed answer, or buffer it and pause its source until its turn."""
         if self.live:
             self.client.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
         elif self.flow is not None:
             self.early += data
-            self.flow.source.pause()  # an earlier answer on its connection is not out yet
+            self.flow.source.pause()  # an earlier answer on the client's connection has not been sent yet
 
     def finish(self, whole: bool) -> None:
+        """Note the end of a streamed answer; `whole` is False if it was cut short."""
         self.over, self.whole = True, whole
         self.client.flush()
 
     def release(self) -> None:
-        """The request is settled: what was kept for it is let go."""
+        """Free the buffered body of the request, which has been settled."""
         self.client.server.held -= self.held
         self.held = 0
         if self.upload is not None:
@@ -137,25 +151,28 @@
 
 
 class Upload:
-    """A body too large to be held: passed on as it comes, and read no faster than the alert server reads."""
+    """A body too large to buffer; it is streamed, and read no faster than the alert server reads it."""
 
     def __init__(self, client: Client, first: bytes, length: int | None) -> None:
         self.client, self.length = client, length
-        self.held = bytearray(first)  # all that has come, while it can be sent again
+        self.held = bytearray(first)  # all bytes so far, while the body can be sent again
         self.again, self.whole, self.dropped = True, False, False
         self.link: Link | None = None
         client.server.held += len(first)
         client.hold("no alert server")
 
     def framing(self) -> bytes:
+        """Return the header line that frames the body."""
         if self.length is None:
             return b"Transfer-Encoding: chunked\r\n"
         return b"Content-Length: %d\r\n" % self.length
 
     def encode(self, data: bytes) -> bytes:
+        """Encode a part of the body; as a chunk if its length is unknown."""
         return data if self.length is not None else b"%x\r\n%b\r\n" % (len(data), data)
 
     def attach(self, link: Link) -> None:
+        """Send the body on this connection from now on, starting with the part that is buffered."""
         self.link = link
         link.write(self.encode(bytes(self.held)))
         if self.whole:
@@ -163,19 +180,22 @@
         self.room(link)
 
     def detach(self, link: Link) -> None:
+        """Stop sending on this connection, and read no more unless the body is complete or dropped."""
         if self.link is link:
             self.link = None
             if not (self.dropped or self.whole):
                 self.client.hold("no alert server")
 
     def room(self, link: Link) -> None:
+        """Resume reading, as the connection can take more bytes."""
         if self.link is link and not link.unsent:
             self.client.unhold("no alert server")
 
     def feed(self, data: bytes) -> None:
+        """Send the next part of the body, and buffer it while the body can be sent again."""
         if self.dropped:
             return
-        if self.link is None or (self.again and len(self.held) + len(data) <= REPLAY):
+        if self.link is None or (self.again and len(self.held) + len(data) <= REPLAY_LIMIT):
             self.held += data
             self.client.server.held += len(data)
         elif self.again:
@@ -187,20 +207,22 @@
                 self.client.hold("no alert server")
 
     def finish(self) -> None:
-        """The last byte has come."""
+        """Note that the last byte has arrived."""
         self.whole = True
         self.end()
 
     def end(self) -> None:
+        """Send the last chunk, if the body is chunked."""
         if self.link is not None and self.length is None:
             self.link.write(b"0\r\n\r\n")
 
     def forget(self) -> None:
+        """Free the buffered part of the body."""
         self.client.server.held -= len(self.held)
         self.held.clear()
 
     def drop(self) -> None:
-        """Nobody needs it any more: the rest is read to its end, and goes nowhere."""
+        """Discard the body, including the rest that is still read from the client."""
         if not self.dropped:
             self.dropped = True
             self.forget()
@@ -211,44 +233,48 @@
     """One client connection."""
 
     __slots__ = (
-        "arriving", "body", "body_since", "broken", "closing", "exchange", "full", "head", "headed",
-        "headers", "holds", "length", "moved_at", "opened", "parser", "pending", "proven", "server", "since",
-        "size", "surplus", "transport", "unread", "url",
+        "arriving", "body", "body_since", "broken", "closing", "exchange", "full", "head", "head_complete",
+        "headers", "holds", "last_progress_at", "length", "opened", "parser", "pending", "proven", "server",
+        "since", "size", "surplus", "transport", "unread", "url",
     )  # fmt: skip
 
     def __init__(self, server: Listener) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.pending: list[Exchange] = []  # few: an empty deque holds 600 bytes
-        self.opened = self.since = time.monotonic()  # idle, or a request has been coming in, since then
-        self.arriving = False
-        self.surplus = False  # one too many when it came: answered with a refusal
-        self.proven = False  # a whole request has come on it
-        self.broken = False  # nothing more is read as a request
-        self.closing = False  # the last answer is out before its request's body has come whole
-        self.holds: tuple[str, ...] = ()  # why it is not read
-        self.full = False  # it does not read its answers
-        self.moved_at, self.unread = 0.0, 0  # when bytes to it last went, and how many still wait
+        self.pending: list[Exchange] = []  # a list, as it is short and an empty deque takes 600 bytes
+        self.opened = self.since = time.monotonic()  # `since`: when it became idle or a request began
+        self.arriving = False  # whether part of a request has arrived, but not all of it
+        self.surplus = False  # whether it was above the limit when opened; its requests are refused
+        self.proven = False  # whether a complete request has arrived on it
+        self.broken = False  # whether further bytes are no longer read as requests
+        self.closing = False  # whether the last answer was sent before the body of its request was complete
+        self.holds: tuple[str, ...] = ()  # the reasons for which reading is paused
+        self.full = False  # whether its write buffer is full, as the client does not read its answers
+        # When the size of its write buffer was last seen to change, and that size in bytes.
+        self.last_progress_at, self.unread = 0.0, 0
         self.clear()
 
     def clear(self) -> None:
+        """Reset the state that belongs to one request."""
         self.url = b""
         self.headers: list[tuple[bytes, bytes]] = []
-        self.headed = False
+        self.head_complete = False
         self.head = 0
         self.body: list[bytes] = []
         self.size = 0
         self.length: int | None = None
         self.body_since = 0.0
-        self.exchange: Exchange | None = None  # of a request whose body is passed on
+        self.exchange: Exchange | None = None  # that of a request whose body is being streamed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
+        """Register the connection with its listener."""
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self.transport = transport
         self.server.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Free the buffered bodies, and report each open request as left by its client."""
         self.transport = None
         self.server.clients.discard(self)
         pending, self.pending = self.pending, []
@@ -262,9 +288,11 @@
     # --- reading -----------------------------------------------------------------------------------
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """Return the shared read buffer."""
         return READ
 
     def buffer_updated(self, count: int) -> None:
+        """Parse the bytes just read; a request that is not valid HTTP is answered with 400."""
         if self.broken:
             return
         try:
@@ -276,7 +304,7 @@
             self.reject(cause if isinstance(cause, BadRequest) else BadRequest("malformed request"))
 
     def hold(self, why: str) -> None:
-        """Read no more of it until every reason has gone."""
+        """Pause reading for the reason `why`, until `unhold` has removed every reason."""
         if self.transport is not None and not self.transport.is_closing():
             if not self.holds:
                 self.transport.pause_reading()
@@ -284,33 +312,39 @@
                 self.holds += (why,)
 
     def unhold(self, why: str) -> None:
+        """Remove a reason for a pause; the pause does not count against the minimum rate of the body."""
         if why in self.holds:
             self.holds = tuple(other for other in self.holds if other != why)
-            self.body_since = max(self.body_since, time.monotonic() - self.size / LEAST_RATE)
+            self.body_since = max(self.body_since, time.monotonic() - self.size / MIN_BODY_RATE)
             if not self.holds and self.transport is not None and not self.transport.is_closing():
                 self.transport.resume_reading()
 
     def on_message_begin(self) -> None:
+        """Reset the parser state, and note that a request is arriving."""
         self.clear()
         self.since, self.arriving = time.monotonic(), True
 
     def count(self, size: int) -> None:
+        """Add to the size of the head; raises `BadRequest` if it becomes too large."""
         self.head += size
         if self.head > self.server.most_head:
             raise BadRequest("header too large", self.server.head_status)
 
     def on_url(self, url: bytes) -> None:
+        """Take a part of the request target; raises `BadRequest` if the head becomes too large."""
         self.url += url
         self.count(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take one header; raises `BadRequest` if the head becomes too large."""
         self.count(len(name) + len(value) + 4)
-        if not self.headed:  # a trailer is no header: it could stand in for one that was left out
-            # The parser leaves white space behind a value that came in pieces.
+        if not self.head_complete:  # a trailer is ignored, as it could pass for a header that is missing
+            # The parser leaves white space after a value that arrives in several reads.
             self.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        self.headed = True
+        """Check the body's length and the Expect header; raises `BadRequest` if they are not acceptable."""
+        self.head_complete = True
         self.body_since = time.monotonic()
         for name, value in self.headers:
             if name == b"content-length":
@@ -324,6 +358,7 @@
                     self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
+        """Buffer a part of the body, or stream it once the body is larger than `SMALL`."""
         self.size += len(body)
         if self.size > self.server.most_body:
             raise BadRequest("body too large", 413)
@@ -339,8 +374,9 @@
             self.accept(self.exchange)
 
     def on_message_complete(self) -> None:
+        """Process the request, or finish its streamed body if it is being processed already."""
         if self.broken:
-            return  # one read held this behind a request that ended the connection
+            return  # it arrived in the same read as a request that ended the connection
         self.arriving, self.proven = False, True
         if self.exchange is None:
             self.accept(Exchange(self, self.parser.should_keep_alive()))
@@ -355,9 +391,10 @@
         self.since = time.monotonic()
 
     def accept(self, exchange: Exchange) -> None:
+        """Queue and process a request; errors and requests beyond `MOST_PIPELINED` are answered here."""
         self.pending.append(exchange)
         if len(self.pending) > MOST_PIPELINED:
-            # One read may hold hundreds of requests, each with an answer of 64 KiB to be kept for its turn.
+            # One read may contain hundreds of requests, each with an answer of 64 KiB that waits to be sent.
             self.server.host.counts.rejected[503] += 1
             exchange.reply(Answer(503, retry_after=1.0))
             return
@@ -367,12 +404,15 @@
             self.server.host.counts.rejected[error.status] += 1
             exchange.reply(Answer(error.status, f"{error}\n".encode()))
         except Exception:
-            log.exception("a request could not be taken")
+            log.exception("unexpected error while processing a request")
             if exchange.answer is None:
                 exchange.reply(Answer(502))
 
     def no_repeats(self, single: frozenset[bytes]) -> None:
-        """A header that counts and stands twice could be read differently here and at a backend."""
+        """Raise `BadRequest` if one of the headers in `single` is repeated.
+
+        This process and a backend could each use a different one of them.
+        """
         seen = set()
         for name, _ in self.headers:
             if name in seen and name in single:
@@ -380,16 +420,18 @@
             seen.add(name)
 
     def take(self, exchange: Exchange) -> None:
-        """Answer a request, or bring about its answer."""
+        """Process a request: answer it, or submit it so that it is answered later; raises `BadRequest`."""
         raise NotImplementedError
 
     # --- writing -----------------------------------------------------------------------------------
 
     def write(self, data: bytes) -> None:
+        """Send bytes, unless the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def flush(self) -> None:
+        """Send the answers that are ready, in the order of their requests."""
         while self.pending:
             exchange = self.pending[0]
             if exchange.flow is not None:
@@ -405,7 +447,8 @@
                 close = close or (self.server.keeps_none() and not self.pending)
                 self.transport.write(self.server.encode(exchange.answer, close))
             if close and exchange is self.exchange:
-                self.closing = True  # its body is still coming: an end now could overtake the answer
+                # Its body is still arriving, and ending now could make the client lose the answer.
+                self.closing = True
                 return
             if close:
                 self.end()
@@ -414,14 +457,13 @@
             self.since = time.monotonic()
 
     def pass_on(self, exchange: Exchange, flow: Flow) -> bool:
-        """The answer whose turn it is goes out as it comes; whether it is out."""
+        """Stream the answer that is next; returns whether it has been sent to its end."""
         if not exchange.live:
-            old = (
-                flow.length is None and self.parser.get_http_version() == "1.0"
-            )  # no chunks: the end is its end
-            exchange.chunked = flow.length is None and not old
+            # HTTP/1.0 has no chunks, so that the end of the connection is the end of the answer.
+            ends_by_close = flow.length is None and self.parser.get_http_version() == "1.0"
+            exchange.chunked = flow.length is None and not ends_by_close
             last = self.server.keeps_none() and len(self.pending) == 1
-            exchange.keep_alive = exchange.keep_alive and not old and not last
+            exchange.keep_alive = exchange.keep_alive and not ends_by_close and not last
             self.write(self.server.flow_head(flow, exchange.chunked, not exchange.keep_alive))
             exchange.live = True
             early, exchange.early = exchange.early, b""
@@ -432,26 +474,27 @@
         if not exchange.over:
             return False
         if not exchange.whole and self.transport is not None:
-            self.transport.abort()  # what is missing shows
+            self.transport.abort()  # so that the client can detect that the answer is incomplete
         elif exchange.chunked:
             self.write(b"0\r\n\r\n")
         return True
 
     def pause_writing(self) -> None:
-        """Answers that a client does not read must not pile up here: no further requests until it does."""
-        self.full, self.moved_at = True, time.monotonic()
+        """Read no further requests until the client reads its answers, which must not accumulate here."""
+        self.full, self.last_progress_at = True, time.monotonic()
         self.hold("unread answers")
         if self.pending and (flow := self.pending[0].flow) is not None:
             flow.source.pause()
 
     def resume_writing(self) -> None:
+        """Read requests again, as the client has read its answers."""
         self.full = False
         self.unhold("unread answers")
         if self.pending and (flow := self.pending[0].flow) is not None and self.pending[0].live:
             flow.source.resume()
 
     def reject(self, error: BadRequest) -> None:
-        """Answer what cannot be read as a request, behind the answers still owed, and end."""
+        """Answer a request that cannot be read, after those before it, and end the connection."""
         if self.broken:
             return
         self.broken = True
@@ -461,21 +504,25 @@
             exchange = Exchange(self, keep_alive=False)
             self.pending.append(exchange)
         elif exchange.request is not None:
-            self.server.host.left(exchange.request)  # it will never come whole
+            self.server.host.left(exchange.request)  # its body will never be complete
         exchange.keep_alive = False
         if exchange in self.pending and exchange.flow is None and exchange.answer is None:
             exchange.reply(Answer(error.status, f"{error}\n".encode()))
         elif exchange not in self.pending:
-            self.end()  # it has its answer
+            self.end()  # it has already been answered
 
     def end(self) -> None:
-        """End sending; read on for a moment, as a reset on unread bytes could overtake the answer."""
+        """Stop sending, and close after `LINGER` seconds of reading.
+
+        Closing with unread bytes would cause a reset, which could make the client lose the answer.
+        """
         self.broken = True
         if self.transport is not None:
             self.transport.write_eof()
             self.server.loop.call_later(LINGER, self.transport.abort)
 
     def look(self, now: float) -> None:
+        """Apply the time-outs of the connection at the monotonic time `now`."""
         if self.transport is None:
             return
         if self.full and self.stuck(now, self.transport.get_write_buffer_size()):
@@ -483,8 +530,8 @@
         if self.broken:
             return
         waited = now - (self.since if self.proven else self.opened)
-        if self.arriving and self.headed:
-            late = now - self.body_since - self.size / LEAST_RATE > BODY_GRACE
+        if self.arriving and self.head_complete:
+            late = now - self.body_since - self.size / MIN_BODY_RATE > BODY_GRACE
             if late and not self.holds:
                 self.reject(BadRequest("the request did not come whole", 408))
         elif self.pending:
@@ -492,27 +539,28 @@
         elif self.arriving and waited > self.server.head_timeout:
             self.reject(BadRequest("the request did not come whole", 408))
         elif not self.proven and waited > self.server.head_timeout:
-            self.transport.close()  # without a word: a request that crosses this is sent once more
+            # No answer is sent, so that the client sends a request that crosses the close once more.
+            self.transport.close()
         elif waited > self.server.idle_timeout:
             self.transport.abort()
 
     def stuck(self, now: float, unread: int) -> bool:
-        """Whether its client has read nothing for long."""
+        """Whether the write buffer, of size `unread`, has not changed for `STALL_TIMEOUT` seconds."""
         if unread != self.unread:
-            self.moved_at, self.unread = now, unread
-        return now - self.moved_at > STALLED
+            self.last_progress_at, self.unread = now, unread
+        return now - self.last_progress_at > STALL_TIMEOUT
 
 
 class Listener:
-    """An address that clients connect to, and their connections."""
+    """A listening socket and the connections of its clients."""
 
     make: Callable[[Listener], Client]
     most_head, most_body, head_timeout, idle_timeout = MOST_HEAD, MOST_BODY, HEAD_TIMEOUT, IDLE_TIMEOUT
-    head_status = 400  # of a head that is too large
+    head_status = 400  # the answer to a head that is too large
     encode = staticmethod(encode)
     flow_head = staticmethod(flow_head)
 
-    def __init__(self, listen: Address, passed: int | None, host: Desk, most_clients: int) -> None:
+    def __init__(self, listen: Address, passed: int | None, host: RequestHost, most_clients: int) -> None:
         self.listen, self.passed, self.host, self.most_clients = listen, passed, host, most_clients
         self.loop = asyncio.get_running_loop()
         self.clients: set[Client] = set()
@@ -522,45 +570,52 @@
         self.sweeper = Periodic(self.loop, SWEEP, self.sweep, self.sweep_failed)
 
     async def start(self) -> None:
+        """Start to listen on the address, or on the socket that was passed."""
         if self.passed is None:
             self.server = await self.loop.create_server(
                 lambda: self.make(self), self.listen.host, self.listen.port, backlog=1024
             )
             return
-        # The platform's socket, and another process's too: only this duplicate is ever closed.
+        # The platform owns the socket, which other processes share, so only this duplicate is ever closed.
         sock = socket.socket(fileno=os.dup(self.passed))
         sock.setblocking(False)
         self.server = await self.loop.create_server(lambda: self.make(self), sock=sock, backlog=1024)
 
     def keeps_none(self) -> bool:
-        """Whether a connection ends with its answer: clients may hold only so many in all, and where they are
-        many, each with its own, those that stand idle keep the others from asking.
+        """Whether connections are closed after an answer.
+
+        The number of connections is limited.  With many clients that each have their own connection, idle
+        connections would keep other clients from sending requests.
         """
         return self.stopping or len(self.clients) > CROWDED * self.most_clients
 
     def add(self, client: Client) -> None:
+        """Register a new connection; above the limit an idle one is closed, or else this one is refused."""
         self.clients.add(client)
         self.host.counts.clients_opened += 1
         if len(self.clients) <= self.most_clients:
             return
-        # Descriptors are bounded: a connection that has ended or never asked gives way, else the one that has
-        # been idle longest.  With none idle the new one is refused, as ending it could lose a request.
+        # Descriptors are bounded.  A connection that has ended or has never had a request is closed first,
+        # else the one that has been idle longest.  If none is idle, the new one is answered with a refusal,
+        # as ending it could lose a request.
         idle = [c for c in self.clients if not c.pending and not c.arriving and c is not client]
-        victim = min(idle, key=lambda c: (not c.broken, c.proven, c.since), default=None)
-        client.surplus = victim is None
+        to_close = min(idle, key=lambda c: (not c.broken, c.proven, c.since), default=None)
+        client.surplus = to_close is None
         self.host.counts.clients_refused += client.surplus
-        if victim is None and len(self.clients) > self.most_clients + SURPLUS:
-            victim = client
-        if victim is not None and victim.transport is not None:
-            self.clients.discard(victim)  # now: it must not be chosen again before it is closed
-            if victim.transport.get_write_buffer_size():
-                victim.transport.abort()  # a close would wait for a client that does not read
+        if to_close is None and len(self.clients) > self.most_clients + SURPLUS:
+            to_close = client
+        if to_close is not None and to_close.transport is not None:
+            self.clients.discard(to_close)  # at once, so that it is not chosen again before it is closed
+            if to_close.transport.get_write_buffer_size():
+                to_close.transport.abort()  # a close would wait for a client that does not read
             else:
-                victim.transport.close()
+                to_close.transport.close()
 
     def limit(self, most_clients: int) -> None:
-        """So many connections from now on: those that stand idle go at once, longest idle first, and those
-        with an open request with its answer.
+        """Change the limit on connections.
+
+        Idle connections above it are closed at once, longest idle first; those with an open request are
+        closed after their answer.
         """
         self.most_clients = most_clients
         surplus = len(self.clients) - most_clients
@@ -573,18 +628,20 @@
                 client.transport.close()
 
     def sweep(self) -> None:
+        """Apply the time-outs of all connections."""
         now = time.monotonic()
         for client in list(self.clients):
             try:
                 client.look(now)
-            except Exception as error:  # the others are looked at all the same
+            except Exception as error:  # the other connections must still be checked
                 self.sweep_failed(error)
 
     def sweep_failed(self, error: Exception) -> None:
+        """Log and count an error in a sweep."""
         self.host.counts.failed("sweep of clients", error)
 
     def stop_listening(self) -> None:
-        """No new connections; those that are open end with their next answer."""
+        """Accept no new connections; open ones are closed after their next answer."""
         self.stopping = True
         if self.server is not None:
             self.server.close()
@@ -594,7 +651,7 @@
         return any(not client.broken for client in self.clients)
 
     def owes(self) -> bool:
-        """Whether a request is coming in, or part of an answer has yet to leave this process."""
+        """Whether a request is arriving, or part of an answer has yet to be sent."""
         return any(
             client.pending or client.arriving or client.transport.get_write_buffer_size()
             for client in self.clients
@@ -602,11 +659,13 @@
         )
 
     def close_idle(self) -> None:
+        """Close the connections that have no open request."""
         for client in list(self.clients):
             if not client.pending and not client.arriving and client.transport is not None:
                 client.transport.close()
 
     def close(self) -> None:
+        """Stop the sweeps and close all connections."""
         self.sweeper.cancel()
         for client in list(self.clients):
             if client.transport is not None:
--- a/hazelspring/gateway/link.py
+++ b/hazelspring/gateway/link.py
@@ -1,4 +1,4 @@
-"""One connection to an alert server, and the attempt that it carries: how each of them ends."""
+"""A connection to an alert server and the attempt that it carries, and how each of them ends."""
 
 from __future__ import annotations
 
@@ -15,68 +15,94 @@
 from hazelspring.admission.interface import Outcome
 from hazelspring.gateway.metrics import Counts
 
-SMALL = 64 * 1024  # bytes of a body that are held whole; a larger one is passed on as it comes
-EAGER = 16 * 1024  # bytes after which an answer of unknown length is passed on too
-EAGER_AFTER = 0.1  # seconds after its head from which on it is, however little has come
-MOST_HEAD = 16 * 1024
-SPREAD = 0.25  # of a connection's age, from the earliest to the latest: front doors must not do it in step
+SMALL = 64 * 1024  # bytes up to which a body is buffered completely; a larger one is streamed
+STREAM_AFTER_BYTES = 16 * 1024  # an answer of unknown length is streamed once more than this has arrived
+STREAM_AFTER_S = 0.1  # or once this time has passed since its head, however little has arrived
+MOST_HEAD = 16 * 1024  # maximum bytes of an answer's head
+IDLE_AGE_SPREAD = 0.25  # relative range of the maximum idle ages, as gateways must not close in step
 
-READ = memoryview(bytearray(SMALL))  # all reads go here, one after another: none brings more at once
+READ = memoryview(bytearray(SMALL))  # shared by all reads, one after another; limits the bytes of each
 
 log = logging.getLogger(__name__)
 
 
 class Owner(Protocol):
-    """Who owns the pools, as a connection sees it."""
+    """The owner of the connection pools, as a connection uses it."""
 
     @property
-    def counts(self) -> Counts: ...
+    def counts(self) -> Counts:
+        """The counters of events, as metrics show them."""
+        ...
 
     @property
-    def loop(self) -> asyncio.AbstractEventLoop: ...
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The event loop that all connections run on."""
+        ...
 
-    def report(self, text: bytes) -> tuple[float, ...]: ...
+    def report(self, text: bytes) -> tuple[float, ...]:
+        """Parse a load report; the result is empty if there is no valid one."""
+        ...
 
 
-class Home(Protocol):
-    """The pool that a connection belongs to, as the connection sees it."""
+class LinkPool(Protocol):
+    """The pool that a connection belongs to, as the connection uses it."""
 
     @property
-    def name(self) -> int: ...
+    def name(self) -> int:
+        """The number of the backend."""
+        ...
 
     @property
-    def owner(self) -> Owner: ...
+    def owner(self) -> Owner:
+        """The owner of this and all other pools."""
+        ...
 
-    def put(self, link: Link) -> None: ...
+    def put(self, link: Link) -> None:
+        """Take back a connection that can carry another attempt."""
+        ...
 
-    def forget(self, link: Link) -> None: ...
+    def forget(self, link: Link) -> None:
+        """Remove a connection that has been lost."""
+        ...
 
-    def suspect(self, since: float) -> None: ...
+    def suspect(self, since: float) -> None:
+        """End the idle connections that have received nothing since `since`, in monotonic seconds."""
+        ...
 
 
 class Sink(Protocol):
-    """Where a large answer goes, piece by piece."""
+    """The receiver of a large answer, which is streamed to it."""
 
-    def feed(self, data: bytes) -> None: ...
+    def feed(self, data: bytes) -> None:
+        """Take the next part of the answer's body."""
+        ...
 
-    def finish(self, whole: bool) -> None: ...
+    def finish(self, whole: bool) -> None:
+        """Note the end of the answer; `whole` is False if it was cut short."""
+        ...
 
 
 class Body(Protocol):
-    """A large request's body, on its way from its client."""
+    """The body of a large request, which is streamed from its client."""
 
-    whole: bool
+    whole: bool  # whether the client has sent its last byte
 
-    def attach(self, link: Link) -> None: ...
+    def attach(self, link: Link) -> None:
+        """Send the body on this connection from now on, starting with the part that is buffered."""
+        ...
 
-    def detach(self, link: Link) -> None: ...
+    def detach(self, link: Link) -> None:
+        """Stop sending on this connection."""
+        ...
 
-    def room(self, link: Link) -> None: ...
+    def room(self, link: Link) -> None:
+        """Note that this connection can take more bytes."""
+        ...
 
 
 @dataclass(slots=True)
 class Flow:
-    """A large answer that begins: its length where it is known, and the connection that it comes on."""
+    """A large answer that is about to be streamed: its length, if known, and the connection it comes on."""
 
     length: int | None
     content_type: bytes
@@ -88,15 +114,17 @@
     """How an attempt or a probe ended."""
 
     outcome: Outcome
-    spent: float
+    spent: float  # seconds from the start of the attempt to its end
     report: tuple[float, ...] = ()
     body: bytes = b""
     content_type: bytes = b""
 
 
 class Attempt:
-    """One request on its way to one backend; `done` hears of its end exactly once, and `begun` before it of
-    an answer that is too large to hold.
+    """One request sent to one backend.
+
+    `done` is called exactly once, when the attempt ends.  If the answer is too large to buffer, `begun` is
+    called before that, when the answer begins.
     """
 
     __slots__ = ("began", "begun", "body", "done", "flowing", "link", "over", "payload", "timer", "verdict")
@@ -111,133 +139,146 @@
         self.payload, self.done, self.begun, self.body = payload, done, begun, body
         self.flowing = False
         self.began = time.perf_counter()
-        self.link: Link | None = None  # once its first byte may have been written
+        self.link: Link | None = None  # set once the first byte may have been written
         self.timer: asyncio.TimerHandle | None = None
-        self.verdict: Outcome | None = None  # why it was given up here
+        self.verdict: Outcome | None = None  # why this process gave the attempt up
         self.over = False
 
     def finish(self, result: Result) -> None:
+        """End the attempt with this result; has no effect on one that has ended."""
         if not self.over:
             self.over = True
             self.stop_timer()
             self.done(result)
 
     def stop_timer(self) -> None:
+        """Cancel the time-out, if one is set."""
         if self.timer is not None:
             self.timer.cancel()
 
     def fail(self, outcome: Outcome) -> None:
+        """End the attempt without an answer."""
         self.finish(Result(outcome, time.perf_counter() - self.began))
 
     def give_up(self, why: Outcome) -> None:
-        """Stop waiting.  What was written is out until its connection has ended, so that ends first and
-        `done` hears of it then; else a further attempt might be out beside this one.
+        """Stop waiting for an answer, unless one is already being streamed.
+
+        A request that has been written may run until its connection has ended.  So the connection is ended
+        first, and `done` is called after that; otherwise a further attempt could run at the same time.
         """
         if self.over or self.verdict is not None or self.flowing:
             return
         if self.link is None:
-            # Nothing was written: it never ran, whatever the reason for giving it up.
+            # Nothing was written, so the request never ran, whatever the reason for giving the attempt up.
             self.fail(Outcome.MOOT if why is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
         else:
             self.verdict = why
             if why is Outcome.TIMEOUT and not self.link.head:
-                self.link.pool.suspect(self.link.carried_at)
+                self.link.pool.suspect(self.link.request_sent_at)
             self.link.end("given_up")
 
 
 class Link(asyncio.BufferedProtocol):
-    """One connection to a backend; it carries one attempt at a time."""
+    """A connection to a backend; it carries one attempt at a time."""
 
     __slots__ = (
-        "age_part", "attempt", "body", "carried_at", "content_type", "framed", "head", "headed_at",
-        "heard_at", "idle_since", "keep", "length", "load", "moved_at", "not_started", "parser", "paused",
-        "pool", "result", "sink", "surplus", "transport", "unsent", "why",
+        "age_part", "attempt", "body", "content_type", "framed", "head", "headed_at", "idle_since", "keep",
+        "last_byte_at", "last_progress_at", "length", "load", "not_started", "parser", "paused", "pool",
+        "request_sent_at", "result", "sink", "surplus", "transport", "unsent", "why",
     )  # fmt: skip
 
-    def __init__(self, pool: Home) -> None:
+    def __init__(self, pool: LinkPool) -> None:
         self.pool = pool
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
         self.idle_since = 0.0
-        self.age_part = 1 + SPREAD * (random.random() - 0.5)  # of the idle time that it may stand
-        self.unsent = False  # whether part of the request still waits in this process
-        self.result: Result | None = None  # of the answer that has come whole
-        self.keep = False  # whether another request may follow it on this connection
-        self.surplus = False  # more has come behind it
-        self.sink: Sink | None = None  # where an answer goes that is passed on as it comes
-        self.paused = False  # it is not read: its client does not read either
-        self.carried_at = self.heard_at = 0.0  # when a request was last written, and a byte last came
-        self.moved_at = 0.0  # when a byte last came, or was last written
-        self.why = ""  # it was ended here
+        self.age_part = 1 + IDLE_AGE_SPREAD * (random.random() - 0.5)  # factor on the maximum idle time
+        self.unsent = False  # whether part of the request is still in the write buffer
+        self.result: Result | None = None  # set once the answer is complete
+        self.keep = False  # whether this connection may carry another request
+        self.surplus = False  # whether more bytes have arrived after the answer
+        self.sink: Sink | None = None  # the receiver of an answer that is streamed
+        self.paused = False  # whether reading is paused, as the client does not read its answer
+        self.request_sent_at = self.last_byte_at = 0.0  # the last write of a request, the last byte received
+        self.last_progress_at = 0.0  # when a byte last arrived or was last written
+        self.why = ""  # why this process ended the connection; empty if it did not
         self.parser = httptools.HttpResponseParser(self)
         self.clear()
 
     def clear(self) -> None:
+        """Reset the state that belongs to one answer."""
         self.head = 0  # bytes read since the last answer
-        self.headed_at = 0.0  # when the head had come whole; 0 before
+        self.headed_at = 0.0  # when the head was complete; 0 before that
         self.body = bytearray()
         self.not_started = False
-        self.framed = False  # whether the answer's end can be told from its connection's end
+        self.framed = False  # whether the answer's end can be found before its connection ends
         self.length: int | None = None
         self.load = b""
         self.content_type = b""
         self.sink = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
-        transport.set_write_buffer_limits(high=0)  # hear at once of bytes that could not be written
+        """Keep the transport, and have it report every byte that it cannot write at once."""
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
+        transport.set_write_buffer_limits(high=0)  # be notified at once of bytes that could not be written
         self.transport = transport
 
     def carry(self, attempt: Attempt) -> None:
+        """Send the request of an attempt; the connection must carry none."""
         assert self.transport is not None
         self.attempt, attempt.link = attempt, self
-        self.carried_at = time.monotonic()
+        self.request_sent_at = time.monotonic()
         self.transport.write(attempt.payload)
         attempt.payload = b""
         if attempt.body is not None:
-            self.moved_at = time.monotonic()
+            self.last_progress_at = time.monotonic()
             attempt.body.attach(self)
 
     def write(self, data: bytes) -> None:
-        """A piece of a large request."""
+        """Send a part of the body of a large request."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def pause_writing(self) -> None:
+        """Note that bytes wait in the write buffer."""
         self.unsent = True
 
     def resume_writing(self) -> None:
+        """Note that the write buffer is empty, and request more of a streamed body."""
         self.unsent = False
-        self.moved_at = time.monotonic()
+        self.last_progress_at = time.monotonic()
         if self.attempt is not None and self.attempt.body is not None:
             self.attempt.body.room(self)
 
     def pause(self) -> None:
-        """The client reads no faster: read no more for now."""
+        """Pause reading, because the client does not read its answer fast enough."""
         if not self.paused and self.transport is not None and not self.transport.is_closing():
             self.paused = True
             self.transport.pause_reading()
 
     def resume(self) -> None:
+        """Resume reading after `pause`."""
         if self.paused and self.transport is not None and not self.transport.is_closing():
-            self.paused, self.moved_at = False, time.monotonic()
+            self.paused, self.last_progress_at = False, time.monotonic()
             self.transport.resume_reading()
 
     def sending(self) -> bool:
-        """Whether the attempt's last byte is still to be written."""
+        """Whether the last byte of the attempt's request has yet to be written."""
         body = self.attempt.body if self.attempt is not None else None
         return self.unsent or (body is not None and not body.whole)
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """Return the shared read buffer."""
         return READ
 
     def buffer_updated(self, count: int) -> None:
+        """Parse the bytes just read; ends the connection if they are not part of an expected answer."""
         if self.attempt is None:
             self.pool.owner.counts.stale += 1
-            self.end("unasked_bytes")  # an answer that nobody asked for: framing is lost
+            self.end("unasked_bytes")  # bytes without a request: the framing is lost
             return
         self.head += count
-        self.heard_at = self.moved_at = time.monotonic()
+        self.last_byte_at = self.last_progress_at = time.monotonic()
         try:
             self.parser.feed_data(READ[:count])
         except httptools.HttpParserUpgrade:
@@ -246,25 +287,29 @@
             log.warning("backend %s: %s", self.pool.name, error)
             self.spoilt("malformed")
         if not self.headed_at and self.head > MOST_HEAD:
-            self.spoilt("endless_head")  # it would hold its attempt to the deadline
-        # Not from within the parser: the rest of these bytes is no answer to a request that is sent now.
+            self.spoilt("endless_head")  # otherwise the attempt would last until its deadline
+        # Not from within a parser callback: the rest of these bytes must not be read as the answer to a
+        # request that is sent now.
         if self.result is not None:
-            self.hand_over(self.result)
+            self.complete_attempt(self.result)
 
     def eof_received(self) -> None:
-        """An answer without a length ends with its connection."""
+        """Complete an answer that has no length and so ends with its connection."""
         if self.attempt is not None and self.headed_at and not self.framed and self.result is None:
             self.on_message_complete()
             if self.result is not None:
-                self.hand_over(self.result)
+                self.complete_attempt(self.result)
 
     def on_message_begin(self) -> None:
+        """Note whether another answer begins after a complete one."""
         self.surplus = self.result is not None
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take one header of the answer; trailers are ignored."""
         if self.headed_at:
-            return  # a trailer is no header
-        name, value = name.lower(), value.strip(b" \t")  # the parser leaves some behind one in pieces
+            return  # this is a trailer, which is not treated as a header
+        # The parser leaves white space after a value that arrives in several reads.
+        name, value = name.lower(), value.strip(b" \t")
         if name == b"server-load":
             self.load = value
         elif name == b"not-started":
@@ -277,29 +322,31 @@
             self.framed = True
 
     def on_headers_complete(self) -> None:
-        self.headed_at = self.moved_at
+        """Note when the head was complete."""
+        self.headed_at = self.last_progress_at
 
     def serves(self, status: int) -> bool:
-        """Whether an answer of this status serves its client."""
+        """Whether an answer with this status is a success that can be passed to the client."""
         return status == 200
 
     def on_body(self, body: bytes) -> None:
+        """Buffer a part of the answer, or stream it if the answer is large or slow and of unknown length."""
         if self.result is not None:
-            return  # of a second answer, behind the one that is whole
+            return  # part of a second answer, after the complete one
         if self.sink is not None:
             self.sink.feed(body)
             return
         self.body += body
         if not self.serves(self.parser.get_status_code()):
-            del self.body[SMALL:]  # nobody is served this
+            del self.body[SMALL:]  # this body is not passed to a client
         elif self.length is not None:
             if self.length > SMALL:
                 self.begin()
-        elif len(self.body) > EAGER or self.moved_at > self.headed_at + EAGER_AFTER:
+        elif len(self.body) > STREAM_AFTER_BYTES or self.last_progress_at > self.headed_at + STREAM_AFTER_S:
             self.begin()
 
     def begin(self) -> None:
-        """Pass the answer on from here; where nobody waits for it, it ends here."""
+        """Stream the answer from here on, or end the connection if no client waits for the answer."""
         attempt = self.attempt
         if attempt is None or attempt.verdict is not None or self.result is not None:
             return
@@ -315,12 +362,14 @@
         self.body.clear()
 
     def flow(self) -> Flow:
+        """Describe the answer that is about to be streamed."""
         return Flow(self.length, self.content_type, self)
 
     def on_message_complete(self) -> None:
+        """Set the result of the attempt from the complete answer; interim responses are skipped."""
         status = self.parser.get_status_code()
         if status < 200:
-            self.clear()  # an interim answer; the final one follows
+            self.clear()  # an interim response; the final one follows
             return
         if self.transport is None or self.transport.is_closing() or self.attempt is None or self.surplus:
             return
@@ -339,8 +388,11 @@
             self.content_type,
         )
 
-    def hand_over(self, result: Result) -> None:
-        """End the attempt: its answer is whole.  A connection that brought more is of no further use."""
+    def complete_attempt(self, result: Result) -> None:
+        """End the attempt with its complete answer.
+
+        A connection that received bytes after the answer cannot be used again and is ended.
+        """
         attempt, self.attempt, self.result = self.attempt, None, None
         assert self.transport is not None and attempt is not None
         sink = self.sink
@@ -361,28 +413,34 @@
         attempt.finish(result)
 
     def abort(self) -> None:
+        """Close the connection at once, without sending what is still buffered."""
         if self.transport is not None:
             self.transport.abort()
 
     def end(self, why: str) -> None:
+        """Abort the connection; the first reason given is the one that is counted."""
         self.why = self.why or why
         self.abort()
 
     def spoilt(self, how: str) -> None:
-        """What came is no answer, or more than one."""
+        """End the connection because it received something other than exactly one valid answer."""
         self.pool.owner.counts.broken[how] += 1
         self.end("spoilt")
 
     def look(self, before: float) -> None:
-        """End a body that has made no way since then: neither its client nor another limit may ever do so."""
+        """End the connection if its body has made no progress since the time `before`.
+
+        Otherwise the transfer could stall forever, as neither its client nor another limit need ever end it.
+        """
         if self.attempt is None or (self.sink is None and self.attempt.body is None):
             return
         stuck = self.unsent if self.sending() else self.sink is not None and not self.paused
-        if stuck and self.moved_at < before:
-            log.warning("backend %s: a body stood still", self.pool.name)
+        if stuck and self.last_progress_at < before:
+            log.warning("backend %s: the transfer of a body stalled; closing the connection", self.pool.name)
             self.end("stalled")
 
     def connection_lost(self, error: Exception | None) -> None:
+        """End the attempt, with an outcome that says whether the request may have run."""
         self.pool.forget(self)
         self.pool.owner.counts.closed[self.why or ("broke_off" if self.attempt else "by_server")] += 1
         if (attempt := self.attempt) is not None:
@@ -395,5 +453,5 @@
                 outcome = Outcome.MOOT
             if self.sink is not None:
                 self.sink.finish(whole=False)
-            # The descriptor is closed only after this call returns; a further attempt must come later.
+            # The descriptor is closed only after this call returns; a further attempt must start after that.
             self.pool.owner.loop.call_soon(attempt.fail, outcome)
--- a/hazelspring/gateway/pool.py
+++ b/hazelspring/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Connections to one alert server: which are open, which stand idle, and which one an attempt gets."""
+"""Pool of connections to one alert server: opens them, assigns them to attempts and ends idle ones."""
 
 from __future__ import annotations
 
@@ -11,25 +11,29 @@
 from hazelspring.admission.interface import Outcome
 from hazelspring.gateway.config import Address
 from hazelspring.gateway.link import Attempt, Link
-from hazelspring.gateway.link import Owner as Connected
+from hazelspring.gateway.link import Owner as LinkOwner
 
-PER_BACKEND = 128  # connections to one backend
-MOST_CONNECTS = 16  # of these on their way at once: a server that starts must not get them all in one moment
+PER_BACKEND = 128  # maximum connections to one backend
+MOST_CONNECTS = 16  # maximum of these being opened at once, so that a starting server is not flooded
 
 
-class Owner(Connected, Protocol):
-    """Who owns the pools, as one of them sees it."""
+class Owner(LinkOwner, Protocol):
+    """The owner of the pools, as a pool uses it."""
 
-    open: int
-    most_open: int
-    per_backend: int
-    connect_timeout: float
+    open: int  # connections and attempts to connect, of all pools
+    most_open: int  # limit of these
+    per_backend: int  # limit of one pool's
+    connect_timeout: float  # seconds
     tasks: set[asyncio.Task[None]]
 
     @property
-    def pools(self) -> Mapping[int, Pool]: ...
+    def pools(self) -> Mapping[int, Pool]:
+        """The pools in use, by the number of their backend."""
+        ...
 
-    def make_room(self) -> bool: ...
+    def make_room(self) -> bool:
+        """End an idle connection if the limit is reached; whether another connection may be opened."""
+        ...
 
 
 class Pool:
@@ -39,12 +43,16 @@
         self, owner: Owner, name: int, address: Address, started: float, make: Callable[[Pool], Link]
     ) -> None:
         self.owner, self.name, self.address, self.started, self.make = owner, name, address, started, make
-        self.idle: deque[Link] = deque()  # the newest last; it is used first
+        self.idle: deque[Link] = deque()  # the most recently used one is last, and is used first
         self.links: set[Link] = set()
-        self.waiting: deque[Attempt] = deque()  # for a connection, the oldest first
+        self.waiting: deque[Attempt] = deque()  # attempts that wait for a connection, oldest first
         self.connecting = 0
 
     def start(self, attempt: Attempt) -> None:
+        """Send an attempt on an idle connection, or let it wait for one that is being opened.
+
+        It fails with `Outcome.FULL` if neither is possible within the limits.
+        """
         while self.idle:
             link = self.idle.pop()
             if link.transport is not None and not link.transport.is_closing():
@@ -53,16 +61,17 @@
                 return
             self.owner.counts.stale += 1
         if self.connecting + len(self.links) >= self.owner.per_backend or not self.owner.make_room():
-            # Nothing was sent.  Not a failed connection: the backend is not to blame.
+            # Nothing was sent.  The outcome is not CONNECT_FAILED, as the backend is not at fault.
             self.owner.loop.call_soon(attempt.fail, Outcome.FULL)
             return
         self.waiting.append(attempt)
         if self.connecting < MOST_CONNECTS:
             self.open()
-        else:  # it shares those that are on their way, but waits no longer than for one of its own
+        else:  # waits for one that is already being opened, but no longer than one of its own could take
             self.owner.loop.call_later(self.owner.connect_timeout, self.late, attempt)
 
     def open(self) -> None:
+        """Start a task that opens another connection."""
         self.connecting += 1
         self.owner.open += 1
         task = self.owner.loop.create_task(self.connect())
@@ -70,6 +79,7 @@
         task.add_done_callback(self.owner.tasks.discard)
 
     async def connect(self) -> None:
+        """Open a connection, and assign it to a waiting attempt or keep it as idle."""
         try:
             async with asyncio.timeout(self.owner.connect_timeout):
                 _, link = await self.owner.loop.create_connection(
@@ -88,11 +98,11 @@
         if link.transport is None or link.transport.is_closing():
             self.forget(link)
             self.failed()
-        elif not self.give(link):  # given up meanwhile, or another came free first; it is paid for
+        elif not self.give(link):  # no attempt waits any more; the connection is open, so it is kept
             self.put(link)
 
     def give(self, link: Link) -> bool:
-        """The connection to the attempt that has waited longest for one, if any waits."""
+        """Assign the connection to the attempt that has waited longest; False if none waits."""
         while self.waiting:
             attempt = self.waiting.popleft()
             if not attempt.over:
@@ -101,7 +111,11 @@
         return False
 
     def failed(self) -> None:
-        """A connection did not come up: one attempt less can have one, and the others need theirs still."""
+        """Handle a connection that could not be opened.
+
+        If more attempts wait than connections are being opened, the one that has waited longest fails.  For
+        each other that lacks a connection, another is opened within the limits, or else it fails too.
+        """
         self.waiting = deque(attempt for attempt in self.waiting if not attempt.over)
         if len(self.waiting) > self.connecting:
             self.waiting.popleft().fail(Outcome.CONNECT_FAILED)
@@ -115,24 +129,27 @@
                 self.waiting.popleft().fail(Outcome.CONNECT_FAILED)
 
     def late(self, attempt: Attempt) -> None:
+        """Fail an attempt that still waits for a connection after the connect time-out."""
         if attempt in self.waiting:
             self.waiting.remove(attempt)
             attempt.fail(Outcome.CONNECT_FAILED)
 
     def put(self, link: Link) -> None:
+        """Take back a connection that is free: assign it to a waiting attempt, keep it as idle or end it."""
         if self.owner.pools.get(self.name) is not self:
-            link.end("moved")  # the backend has, or is gone
+            link.end("moved")  # the backend has another address, has restarted or is gone
             return
         if self.give(link):
             self.owner.counts.reused += 1
             return
         if self.owner.open > self.owner.most_open:
-            link.end("limit")  # there may be fewer by now
+            link.end("limit")  # the limit has been lowered meanwhile
             return
         link.idle_since = time.monotonic()
         self.idle.append(link)
 
     def forget(self, link: Link) -> None:
+        """Remove a connection that has ended."""
         if link in self.links:
             self.links.remove(link)
             self.owner.open -= 1
@@ -140,20 +157,23 @@
             self.idle.remove(link)
 
     def retire(self, now: float, keep_idle: float) -> None:
-        """End what has stood idle for long, well before the server does."""
+        """End connections that have been idle for about `keep_idle` seconds, well before the server does."""
         for link in [link for link in self.idle if now - link.idle_since > link.age_part * keep_idle]:
             self.idle.remove(link)
             link.end("idle")
 
     def suspect(self, since: float) -> None:
-        """Nothing came on a connection since then: the machine behind it may be gone without a word.  Those
-        that stand idle and have brought nothing since either are not ridden on; one opened anew proves more.
+        """End the idle connections that have received nothing since the monotonic time `since` either.
+
+        Called when a request that was sent at that time timed out without an answer: the machine may have
+        vanished without closing its connections.  A newly opened connection shows whether it is reachable.
         """
-        for link in [link for link in self.idle if max(link.heard_at, link.idle_since) < since]:
+        for link in [link for link in self.idle if max(link.last_byte_at, link.idle_since) < since]:
             self.idle.remove(link)
             link.end("suspect")
 
     def close_idle(self, why: str) -> None:
+        """End all idle connections; `why` is the reason under which they are counted."""
         idle, self.idle = self.idle, deque()
         for link in idle:
             link.end(why)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of every size and form, over loopback sockets."""
+"""Bodies of requests and answers in every size and framing, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from hazelspring.admission import interface as i
 from hazelspring.admission.interface import Outcome
 from hazelspring.gateway import link
-from hazelspring.gateway.caller import BODY_GRACE, HEAD_TIMEOUT, REPLAY
+from hazelspring.gateway.caller import BODY_GRACE, HEAD_TIMEOUT, REPLAY_LIMIT
 from hazelspring.gateway.link import SMALL
-from hazelspring.gateway.upstream import STALLED
+from hazelspring.gateway.upstream import STALL_TIMEOUT
 
 from .sockets import Backend, Client, http_answer, listening, read_message, run, until
 from .test_frontdoor import FIRST, front_door, send_on
 
 LARGE = bytes(range(256)) * 4096  # 1 MiB
 HUGE = 32 << 20
-Chat = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 async def read_chunked(reader: asyncio.StreamReader) -> bytes:
@@ -39,10 +39,10 @@
     return b"".join(b"%x;ext=1\r\n%b\r\n" % (len(p), p) for p in pieces) + b"0\r\nX-Trailer: t\r\n\r\n"
 
 
-def answering(*parts: bytes, gate: asyncio.Event | None = None, keep: bool = False) -> Chat:
-    """A backend that answers one request a connection with these bytes; all but the first await the gate."""
+def answering(*parts: bytes, gate: asyncio.Event | None = None, keep: bool = False) -> ConnectionHandler:
+    """Return a backend that answers one request per connection; all parts but the first await the gate."""
 
-    async def chat(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         for number, part in enumerate(parts):
             if number and gate is not None:
@@ -52,7 +52,7 @@
         if keep:
             await reader.read()
 
-    return chat
+    return handle
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/x\r\n"
@@ -61,36 +61,36 @@
 
 
 @pytest.mark.parametrize("form", ["sized", "chunked", "close"])
-def test_a_large_answer_is_passed_on_unchanged_as_it_comes(form: str) -> None:
+def test_a_large_answer_is_streamed_unchanged(form: str) -> None:
     async def test() -> None:
         gate = asyncio.Event()
         body = chunked(LARGE) if form == "chunked" else LARGE
         head = {"sized": SIZED, "chunked": CHUNKS, "close": HEAD + b"\r\n"}[form]
         half = len(body) // 2
         async with (
-            listening(answering(head + body[:half], body[half:], gate=gate)) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(answering(head + body[:half], body[half:], gate=gate)) as address,
+            front_door(address, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             client.writer.write(client.request())
-            lines = (await client.reader.readuntil(b"\r\n\r\n")).lower()  # before the rest is even there
+            lines = (await client.reader.readuntil(b"\r\n\r\n")).lower()  # before the rest has been sent
             assert lines.startswith(b"http/1.1 200") and b"content-type: text/x" in lines
             (begun,) = script.of(i.UnderWay)
             assert (begun.request, begun.attempt, begun.backend) == (1, 0, FIRST)
-            assert not script.outcomes() and door.host.waiting == 1
+            assert not script.outcomes() and gateway.host.waiting == 1
             gate.set()
             if form == "sized":
                 assert await client.reader.readexactly(len(LARGE)) == LARGE
             else:
                 assert b"chunked" in lines and await read_chunked(client.reader) == LARGE
             await until(lambda: script.outcomes() == [Outcome.OK])
-            assert door.host.waiting == 0 and not door.host.table and door.server.held == 0
+            assert gateway.host.waiting == 0 and not gateway.host.table and gateway.server.held == 0
 
     run(test())
 
 
-def test_a_small_answer_of_every_form_is_held_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(link, "EAGER_AFTER", 60.0)  # however slow this machine is
+def test_a_small_answer_of_every_form_is_buffered(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(link, "STREAM_AFTER_S", 60.0)  # so that a slow machine changes nothing
     forms = [HEAD + b"\r\nsmall", CHUNKS + chunked(b"small", 2), http_answer(body=b"small")]
     forms.append(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + forms[1])
 
@@ -98,9 +98,9 @@
         for form in forms:
             in_pieces = [form[at : at + 1] for at in range(len(form))]
             async with (
-                listening(answering(*in_pieces)) as dial,
-                front_door(dial, react=send_on) as (door, script),
-                Client(door.server) as client,
+                listening(answering(*in_pieces)) as address,
+                front_door(address, react=send_on) as (gateway, script),
+                Client(gateway.server) as client,
             ):
                 answer = await client.ask()
                 assert (answer.status, answer.body) == (200, b"small")
@@ -109,20 +109,20 @@
     run(test())
 
 
-def test_an_answer_of_unknown_length_that_is_slow_is_passed_on_before_it_is_large(
+def test_a_slow_answer_of_unknown_length_is_streamed_before_it_is_large(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(link, "EAGER_AFTER", -1.0)
+    monkeypatch.setattr(link, "STREAM_AFTER_S", -1.0)
 
     async def test() -> None:
         gate = asyncio.Event()
         async with (
-            listening(answering(CHUNKS + b"5\r\nsmall\r\n", b"0\r\n\r\n", gate=gate)) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(answering(CHUNKS + b"5\r\nsmall\r\n", b"0\r\n\r\n", gate=gate)) as address,
+            front_door(address, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             client.writer.write(client.request())
-            await client.reader.readuntil(b"small\r\n")  # though more is to come
+            await client.reader.readuntil(b"small\r\n")  # although the rest has not been sent
             gate.set()
             assert await client.reader.readexactly(5) == b"0\r\n\r\n"
             await until(lambda: script.outcomes() == [Outcome.OK])
@@ -131,14 +131,14 @@
 
 
 @pytest.mark.parametrize("form", ["sized", "chunked"])
-def test_an_answer_broken_midway_is_cut_so_that_its_client_can_tell(form: str) -> None:
+def test_a_client_can_detect_an_answer_that_breaks_off_midway(form: str) -> None:
     async def test() -> None:
         gate = asyncio.Event()
         head, body = (SIZED, LARGE) if form == "sized" else (CHUNKS, chunked(LARGE))
         async with (
-            listening(answering(head + body[:200_000], b"", gate=gate)) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(answering(head + body[:200_000], b"", gate=gate)) as address,
+            front_door(address, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             client.writer.write(client.request())
             await client.reader.readuntil(b"\r\n\r\n")
@@ -149,22 +149,22 @@
                 else:
                     await read_chunked(client.reader)
             await until(lambda: script.outcomes() == [Outcome.RESET])
-            assert door.host.waiting == 0 and not door.host.table
+            assert gateway.host.waiting == 0 and not gateway.host.table
 
     run(test())
 
 
-def test_a_client_that_leaves_midway_frees_its_attempt() -> None:
+def test_a_client_that_disconnects_midway_ends_its_attempt() -> None:
     async def test() -> None:
         async with (
-            listening(answering(SIZED + LARGE[:200_000], keep=True)) as dial,
-            front_door(dial, react=send_on) as (door, script),
+            listening(answering(SIZED + LARGE[:200_000], keep=True)) as address,
+            front_door(address, react=send_on) as (gateway, script),
         ):
-            async with Client(door.server) as client:
+            async with Client(gateway.server) as client:
                 client.writer.write(client.request())
                 await client.reader.readuntil(b"\r\n\r\n")
             await until(lambda: script.outcomes() == [Outcome.RESET])
-            assert door.host.upstream.open == 0 and not door.host.table and door.host.waiting == 0
+            assert gateway.host.upstream.open == 0 and not gateway.host.table and gateway.host.waiting == 0
 
     run(test())
 
@@ -183,15 +183,15 @@
                 sent += len(LARGE)
 
         async with (
-            listening(pour) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(pour) as address,
+            front_door(address, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             client.writer.write(client.request())
-            await until(lambda: any(c.full for c in door.server.clients))
-            (link,) = door.host.upstream.pools[FIRST].links
-            assert link.paused and sent < HUGE  # the rest waits where it is
-            (served,) = door.server.clients
+            await until(lambda: any(c.full for c in gateway.server.clients))
+            (link,) = gateway.host.upstream.pools[FIRST].links
+            assert link.paused and sent < HUGE  # the rest stays at the backend
+            (served,) = gateway.server.clients
             assert served.transport is not None and served.transport.get_write_buffer_size() <= 3 * SMALL
             await client.reader.readuntil(b"\r\n\r\n")
             assert len(await client.reader.readexactly(HUGE)) == HUGE
@@ -200,22 +200,22 @@
     run(test())
 
 
-def test_a_client_that_reads_nothing_of_a_large_answer_is_ended() -> None:
+def test_a_client_that_reads_nothing_of_a_large_answer_is_disconnected() -> None:
     async def test() -> None:
         async with (
-            listening(answering(HEAD + b"Content-Length: %d\r\n\r\n" % HUGE, bytes(HUGE))) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(answering(HEAD + b"Content-Length: %d\r\n\r\n" % HUGE, bytes(HUGE))) as address,
+            front_door(address, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             client.writer.write(client.request())
-            await until(lambda: any(c.full for c in door.server.clients))
-            (served,) = door.server.clients
-            served.look(time.monotonic() + STALLED - 1)  # as yet it may be slow
-            served.look(time.monotonic() + STALLED - 1)
+            await until(lambda: any(c.full for c in gateway.server.clients))
+            (served,) = gateway.server.clients
+            served.look(time.monotonic() + STALL_TIMEOUT - 1)  # the client may just be slow
+            served.look(time.monotonic() + STALL_TIMEOUT - 1)
             assert served.transport is not None and not served.transport.is_closing()
-            served.look(time.monotonic() + 3 * STALLED)
+            served.look(time.monotonic() + 3 * STALL_TIMEOUT)
             await until(lambda: script.outcomes() == [Outcome.RESET])
-            assert not door.server.clients
+            assert not gateway.server.clients
 
     run(test())
 
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize("form", ["sized", "chunked"])
-def test_a_large_request_reaches_its_server_as_it_comes_and_begins_at_its_last_byte(form: str) -> None:
+def test_a_large_request_is_streamed_and_its_time_out_starts_at_its_last_byte(form: str) -> None:
     async def test() -> None:
         got = bytearray()
 
@@ -235,7 +235,7 @@
             head = (await reader.readuntil(b"\r\n\r\n")).lower()
             assert (b"chunked" in head) == (form == "chunked")
             if form == "chunked":
-                got.extend(await reader.readline())  # proof that it has begun to come
+                got.extend(await reader.readline())  # shows that the body has begun to arrive
                 got[:] = await reader.readexactly(int(bytes(got), 16))
                 await reader.readexactly(2)
                 got.extend(await read_chunked(reader))
@@ -247,23 +247,23 @@
 
         body = chunked(LARGE) if form == "chunked" else LARGE
         async with (
-            listening(take) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(take) as address,
+            front_door(address, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             half = len(body) // 2
             client.writer.write(head_of(client, form, len(LARGE)) + body[:half])
             await until(lambda: len(got) > SMALL / 2)
-            (asked,) = script.of(i.Request)
-            assert asked.streams and not script.of(i.Whole)
-            (opened,) = door.host.table.values()
-            assert opened.guard is None  # its time has not begun
+            (received,) = script.of(i.Request)
+            assert received.streams and not script.of(i.Whole)
+            (opened,) = gateway.host.table.values()
+            assert opened.guard is None  # its time-out has not started
             client.writer.write(body[half:])
             answer = await read_message(client.reader)
             assert (answer.status, answer.body, bytes(got)) == (200, b"thanks", LARGE)
-            (whole,) = script.of(i.Whole)
-            assert whole.left == 4.0 and script.outcomes() == [Outcome.OK]
-            assert (door.server.held, door.host.waiting) == (0, 0)
+            (completed,) = script.of(i.Whole)
+            assert completed.left == 4.0 and script.outcomes() == [Outcome.OK]
+            assert (gateway.server.held, gateway.host.waiting) == (0, 0)
 
     run(test())
 
@@ -282,17 +282,17 @@
             writer.write(http_answer(body=b"thanks"))
 
         async with (
-            listening(slow) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            listening(slow) as address,
+            front_door(address, react=send_on) as (gateway, _),
+            Client(gateway.server) as client,
         ):
             client.writer.write(client.request(1, Content_Length=str(HUGE)))
             sending = asyncio.create_task(send_all(client, HUGE))
-            await until(lambda: any(c.holds for c in door.server.clients) and door.host.upstream.open)
-            await until(lambda: [link for link in door.host.upstream.pools[FIRST].links if link.unsent])
-            (link,) = door.host.upstream.pools[FIRST].links
+            await until(lambda: any(c.holds for c in gateway.server.clients) and gateway.host.upstream.open)
+            await until(lambda: [link for link in gateway.host.upstream.pools[FIRST].links if link.unsent])
+            (link,) = gateway.host.upstream.pools[FIRST].links
             assert link.transport is not None and link.transport.get_write_buffer_size() <= 3 * SMALL
-            assert door.server.held <= 2 * REPLAY and not sending.done()
+            assert gateway.server.held <= 2 * REPLAY_LIMIT and not sending.done()
             go.set()
             assert (await read_message(client.reader)).body == b"thanks"
             await sending
@@ -306,15 +306,15 @@
         await client.writer.drain()
 
 
-@pytest.mark.parametrize("held", [True, False])
-def test_a_large_request_is_sent_again_only_while_all_of_it_is_held(held: bool) -> None:
-    """The first server turns it away once it has seen more of it than is held, or less."""
-    size = REPLAY - 1000 if held else 4 * REPLAY
+@pytest.mark.parametrize("buffered", [True, False])
+def test_a_large_request_is_sent_again_only_while_all_of_it_is_buffered(buffered: bool) -> None:
+    """The first server refuses the request after reading less than is buffered, or more."""
+    size = REPLAY_LIMIT - 1000 if buffered else 4 * REPLAY_LIMIT
 
     async def test() -> None:
         async def turn_away(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            await reader.readexactly(SMALL if held else 3 * REPLAY)
+            await reader.readexactly(SMALL if buffered else 3 * REPLAY_LIMIT)
             writer.write(http_answer(503, Not_Started="1", Connection="close"))
             await writer.drain()
 
@@ -335,38 +335,41 @@
         async with (
             listening(turn_away) as first,
             listening(take) as second,
-            front_door(first, second, react=react) as (door, script),
-            Client(door.server) as client,
+            front_door(first, second, react=react) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             client.writer.write(client.request(1, Content_Length=str(size)) + LARGE[:size])
             answer = await read_message(client.reader)
-            if held:
+            if buffered:
                 assert (answer.status, answer.body) == (200, b"second")
                 assert script.outcomes() == [Outcome.FULL, Outcome.OK]
             else:
                 assert answer.status == 503 and script.outcomes() == [Outcome.FULL]
-            await until(lambda: not door.host.table and door.server.held == 0)
+            await until(lambda: not gateway.host.table and gateway.server.held == 0)
 
     run(test())
 
 
-def test_a_large_request_is_answered_at_once_and_its_rest_goes_nowhere() -> None:
+def test_a_large_request_is_answered_at_once_and_its_rest_is_discarded() -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             return [i.Refuse(event.request, 0.5)] if isinstance(event, i.Request) else []
 
-        async with front_door("127.0.0.1:1", react=react) as (door, script), Client(door.server) as client:
+        async with (
+            front_door("127.0.0.1:1", react=react) as (gateway, script),
+            Client(gateway.server) as client,
+        ):
             client.writer.write(client.request(1, Content_Length=str(len(LARGE))) + LARGE[: 2 * SMALL])
             assert (await read_message(client.reader)).status == 503  # long before the last byte
             client.writer.write(LARGE[2 * SMALL :])
             assert (await client.ask()).status == 503  # the next request on the connection
-            assert len(script.of(i.Request)) == 2 and door.server.held == 0
+            assert len(script.of(i.Request)) == 2 and gateway.server.held == 0
 
     run(test())
 
 
 @pytest.mark.parametrize("how", ["leaves", "stalls", "breaks"])
-def test_a_large_request_that_never_comes_whole_never_runs(how: str) -> None:
+def test_a_large_request_that_stays_incomplete_never_runs(how: str) -> None:
     async def test() -> None:
         ended = asyncio.Event()
         started = asyncio.Event()
@@ -378,11 +381,11 @@
             assert not body.endswith(b"0\r\n\r\n")
             ended.set()
 
-        async with listening(take) as dial, front_door(dial, react=send_on) as (door, script):
-            async with Client(door.server) as client:
+        async with listening(take) as address, front_door(address, react=send_on) as (gateway, script):
+            async with Client(gateway.server) as client:
                 client.writer.write(head_of(client, "chunked", 0) + chunked(LARGE)[: 2 * SMALL])
                 await started.wait()
-                (served,) = door.server.clients
+                (served,) = gateway.server.clients
                 if how == "stalls":
                     served.look(time.monotonic() + BODY_GRACE + 10)
                 if how == "breaks":
@@ -392,28 +395,28 @@
                     assert answer.status == (408 if how == "stalls" else 400)
             await ended.wait()
             await until(lambda: script.outcomes() == [Outcome.MOOT])
-            assert len(script.of(i.Left)) == 1 and not door.host.table and door.server.held == 0
+            assert len(script.of(i.Left)) == 1 and not gateway.host.table and gateway.server.held == 0
 
     run(test())
 
 
-def test_a_slow_head_and_a_slow_body_have_timers_of_their_own() -> None:
+def test_a_slow_head_and_a_slow_body_have_separate_time_outs() -> None:
     async def test() -> None:
         async with (
-            listening(Backend().handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            listening(Backend().handle) as address,
+            front_door(address, react=send_on) as (gateway, _),
+            Client(gateway.server) as client,
         ):
-            await until(lambda: door.server.clients)
-            (served,) = door.server.clients
-            whole = client.request(1, body=b"x" * SMALL)
-            head, body = whole[:-SMALL], whole[-SMALL:]
+            await until(lambda: gateway.server.clients)
+            (served,) = gateway.server.clients
+            request = client.request(1, body=b"x" * SMALL)
+            head, body = request[:-SMALL], request[-SMALL:]
             client.writer.write(head[:50])
             await until(lambda: served.arriving)
-            served.look(served.opened + 2.2)  # 2 s of a head are a client's right
+            served.look(served.opened + 2.2)  # a client may take 2 s for the head
             client.writer.write(head[50:] + body[: SMALL // 2])
             await until(lambda: served.size == SMALL // 2)
-            # At half of 64 kB a second and more it goes on, however long ago the connection was opened.
+            # A body at half of 64 kB per second or more may continue, however old the connection is.
             served.look(served.body_since + 1.0 + BODY_GRACE / 2)
             client.writer.write(body[SMALL // 2 :])
             assert (await read_message(client.reader)).status == 200
@@ -426,15 +429,15 @@
     run(test())
 
 
-def test_a_request_in_pieces_is_read_as_one_in_a_piece() -> None:
-    """The parser leaves white space behind a header value that is cut there."""
+def test_a_request_sent_byte_by_byte_is_read_like_one_sent_at_once() -> None:
+    """The parser leaves white space after a header value if a read ends there."""
 
     async def test() -> None:
         backend = Backend(lambda message: http_answer(body=message.body))
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            listening(backend.handle) as address,
+            front_door(address, react=send_on) as (gateway, _),
+            Client(gateway.server) as client,
         ):
             text = (
                 client.request(1, body=b"in pieces")
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one alert server: which one an attempt gets, and when they end."""
+"""The connection pool of one alert server: which connection an attempt uses, and when connections end."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from hazelspring.admission.interface import Outcome
 from hazelspring.gateway.config import parse_address
-from hazelspring.gateway.link import SPREAD, Attempt, Link, Result
+from hazelspring.gateway.link import IDLE_AGE_SPREAD, Attempt, Link, Result
 from hazelspring.gateway.metrics import Counts
 from hazelspring.gateway.pool import MOST_CONNECTS, Pool
 from hazelspring.gateway.upstream import Upstream
@@ -21,19 +21,19 @@
 
 
 @contextlib.asynccontextmanager
-async def upstream(dial: str) -> AsyncIterator[tuple[Upstream, Pool]]:
-    made = Upstream(0.5, 30.0, (), 100, Counts())
-    made.place(1, parse_address(dial), 0.0)
+async def upstream(address: str) -> AsyncIterator[tuple[Upstream, Pool]]:
+    servers = Upstream(0.5, 30.0, (), 100, Counts())
+    servers.place(1, parse_address(address), 0.0)
     try:
-        yield made, made.pools[1]
+        yield servers, servers.pools[1]
     finally:
-        made.close()
+        servers.close()
 
 
-def start(made: Upstream, path: str = "/", timeout: float = 10.0) -> list[Result]:
+def start(servers: Upstream, path: str = "/", timeout: float = 10.0) -> list[Result]:
     results: list[Result] = []
     attempt = Attempt(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(), results.append)
-    made.start(1, timeout, attempt)
+    servers.start(1, timeout, attempt)
     return results
 
 
@@ -41,45 +41,46 @@
     return None if "quiet" in message.start else http_answer(body=b"done")
 
 
-async def three_idle(made: Upstream, pool: Pool) -> list[Link]:
-    """Three connections that stand idle, the one that was used last at the end."""
-    results = [start(made) for _ in range(3)]
+async def three_idle(servers: Upstream, pool: Pool) -> list[Link]:
+    """Return three idle connections, with the most recently used one last."""
+    results = [start(servers) for _ in range(3)]
     await until(lambda: all(results))
     await until(lambda: len(pool.idle) == 3)
     return list(pool.idle)
 
 
-def test_after_a_silent_cut_idle_connections_that_brought_nothing_since_are_not_ridden_on() -> None:
+def test_after_a_time_out_idle_connections_that_received_nothing_since_are_not_reused() -> None:
     async def test() -> None:
         backend = Backend(answer=quiet)
-        async with listening(backend.handle) as dial, upstream(dial) as (made, pool):
-            first, second, last = await three_idle(made, pool)
-            silent = start(made, "/quiet", timeout=600.0)  # on the one used last
+        async with listening(backend.handle) as address, upstream(address) as (servers, pool):
+            first, second, last = await three_idle(servers, pool)
+            silent = start(servers, "/quiet", timeout=600.0)  # on the connection that was used last
             attempt = last.attempt
             assert attempt is not None
-            proven = start(made)  # on the one before
+            proven = start(servers)  # on the connection that was used before it
             await until(lambda: proven)
             await until(lambda: second in pool.idle)
             attempt.give_up(Outcome.TIMEOUT)
             await until(lambda: silent)
             assert silent[0].outcome is Outcome.TIMEOUT
-            assert list(pool.idle) == [second]  # it brought an answer meanwhile
+            assert list(pool.idle) == [second]  # it received an answer meanwhile
             await until(lambda: pool.links == {second})
-            assert made.counts.closed == {"suspect": 1, "given_up": 1}
-            assert first not in pool.links and backend.opened == 3  # and no new one before it is needed
+            assert servers.counts.closed == {"suspect": 1, "given_up": 1}
+            # No new connection is opened before it is needed.
+            assert first not in pool.links and backend.opened == 3
 
     run(test())
 
 
-def test_an_attempt_that_heard_something_or_was_called_off_casts_no_suspicion() -> None:
+def test_a_cancelled_attempt_or_a_time_out_after_part_of_an_answer_ends_no_idle_connection() -> None:
     async def test() -> None:
         backend = Backend(answer=quiet)
-        async with listening(backend.handle) as dial, upstream(dial) as (made, pool):
-            for why, heard in ((Outcome.CANCELLED, 0), (Outcome.TIMEOUT, 5)):
-                *others, last = await three_idle(made, pool)
-                ended = start(made, "/quiet")
+        async with listening(backend.handle) as address, upstream(address) as (servers, pool):
+            for why, received in ((Outcome.CANCELLED, 0), (Outcome.TIMEOUT, 5)):
+                *others, last = await three_idle(servers, pool)
+                ended = start(servers, "/quiet")
                 assert last.attempt is not None
-                last.head = heard  # bytes of an answer that does not end
+                last.head = received  # bytes of an answer that does not end
                 last.attempt.give_up(why)
                 await until(ended.copy)
                 assert list(pool.idle) == others
@@ -94,41 +95,46 @@
         draws = iter([0.0, 0.5, 1.0])
         monkeypatch.setattr("hazelspring.gateway.link.random.random", lambda: next(draws))
         backend = Backend()
-        async with listening(backend.handle) as dial, upstream(dial) as (made, pool):
-            links = await three_idle(made, pool)
-            assert sorted(link.age_part for link in links) == [1 - SPREAD / 2, 1, 1 + SPREAD / 2]
+        async with listening(backend.handle) as address, upstream(address) as (servers, pool):
+            links = await three_idle(servers, pool)
+            assert sorted(link.age_part for link in links) == [
+                1 - IDLE_AGE_SPREAD / 2,
+                1,
+                1 + IDLE_AGE_SPREAD / 2,
+            ]
             now = time.monotonic()
             for link in links:
                 link.idle_since = now
-            left = []
+            remaining = []
             for part in (0.87, 0.88, 1.01, 1.13):
-                pool.retire(now + part * made.keep_idle, made.keep_idle)
-                left.append(len(pool.idle))
-            assert left == [3, 2, 1, 0] and 1.13 * made.keep_idle < 30.0  # the server closes
+                pool.retire(now + part * servers.keep_idle, servers.keep_idle)
+                remaining.append(len(pool.idle))
+            # The server closes idle connections after 30 s.
+            assert remaining == [3, 2, 1, 0] and 1.13 * servers.keep_idle < 30.0
 
     run(test())
 
 
-def test_the_connection_used_last_is_used_first() -> None:
+def test_the_most_recently_used_connection_is_used_first() -> None:
     async def test() -> None:
         backend = Backend()
-        async with listening(backend.handle) as dial, upstream(dial) as (made, pool):
-            *_, last = await three_idle(made, pool)
+        async with listening(backend.handle) as address, upstream(address) as (servers, pool):
+            *_, last = await three_idle(servers, pool)
             for _ in range(5):
-                results = start(made)
+                results = start(servers)
                 await until(results.copy)
                 assert pool.idle[-1] is last
-            assert (made.counts.opened, made.counts.reused) == (3, 5)
+            assert (servers.counts.opened, servers.counts.reused) == (3, 5)
 
     run(test())
 
 
-class Slow:
-    """A loop whose connections come up, or fail, when a test says so."""
+class ManualLoop:
+    """A loop on which a test decides when a connection is opened or fails, by the futures in `pending`."""
 
-    def __init__(self, made: Upstream) -> None:
-        self.inner = made.loop
-        made.loop = self  # type: ignore[assignment]
+    def __init__(self, servers: Upstream) -> None:
+        self.inner = servers.loop
+        servers.loop = self  # type: ignore[assignment]
         self.pending: list[asyncio.Future[None]] = []
 
     def __getattr__(self, name: str) -> Any:
@@ -140,74 +146,75 @@
         return await self.inner.create_connection(make, host, port)
 
 
-def test_an_attempt_whose_connection_hangs_rides_on_one_that_comes_free() -> None:
+def test_an_attempt_whose_connection_hangs_uses_one_that_becomes_free() -> None:
     async def test() -> None:
         backend = Backend()
-        async with listening(backend.handle) as dial, upstream(dial) as (made, pool):
-            await until(start(made).copy)
-            slow = Slow(made)
-            first, second = start(made), start(made)  # one rides at once, the other's connection hangs
-            await until(lambda: slow.pending)
+        async with listening(backend.handle) as address, upstream(address) as (servers, pool):
+            await until(start(servers).copy)
+            loop = ManualLoop(servers)
+            # One uses the idle connection; the connection that the other opens hangs.
+            first, second = start(servers), start(servers)
+            await until(lambda: loop.pending)
             await until(lambda: first and second)
             assert [r[0].outcome for r in (first, second)] == [Outcome.OK] * 2
             assert (pool.connecting, backend.opened) == (1, 1) and not pool.waiting
-            slow.pending[0].set_result(None)
-            await until(lambda: len(pool.idle) == 2)  # it is paid for
-            assert pool.connecting == 0 and made.open == 2
+            loop.pending[0].set_result(None)
+            await until(lambda: len(pool.idle) == 2)  # a connection that opens late is kept
+            assert pool.connecting == 0 and servers.open == 2
 
     run(test())
 
 
-def test_connections_on_their_way_to_one_server_are_bounded_and_shared() -> None:
+def test_connections_being_opened_to_one_server_are_limited_and_shared() -> None:
     async def test() -> None:
         backend = Backend()
-        async with listening(backend.handle) as dial, upstream(dial) as (made, pool):
-            slow = Slow(made)
-            made.connect_timeout = 10.0
-            results = [start(made) for _ in range(MOST_CONNECTS + 10)]
-            await until(lambda: len(slow.pending) == MOST_CONNECTS)
-            assert (pool.connecting, made.open) == (MOST_CONNECTS, MOST_CONNECTS)
-            slow.pending[0].set_result(None)  # one that comes up serves many
+        async with listening(backend.handle) as address, upstream(address) as (servers, pool):
+            loop = ManualLoop(servers)
+            servers.connect_timeout = 10.0
+            results = [start(servers) for _ in range(MOST_CONNECTS + 10)]
+            await until(lambda: len(loop.pending) == MOST_CONNECTS)
+            assert (pool.connecting, servers.open) == (MOST_CONNECTS, MOST_CONNECTS)
+            loop.pending[0].set_result(None)  # one connection that opens serves many attempts
             await until(lambda: sum(map(len, results)) == MOST_CONNECTS + 10)
             assert {r[0].outcome for r in results} == {Outcome.OK} and backend.opened == 1
-            assert len(slow.pending) == MOST_CONNECTS
+            assert len(loop.pending) == MOST_CONNECTS
 
     run(test())
 
 
-def test_a_connection_that_fails_costs_one_attempt_and_the_others_get_theirs() -> None:
+def test_a_failed_connection_fails_one_attempt_and_is_replaced_for_the_others() -> None:
     async def test() -> None:
         backend = Backend()
-        async with listening(backend.handle) as dial, upstream(dial) as (made, pool):
-            slow = Slow(made)
-            made.connect_timeout = 10.0
-            results = [start(made) for _ in range(MOST_CONNECTS + 2)]
-            await until(lambda: len(slow.pending) == MOST_CONNECTS)
-            slow.pending[0].set_exception(ConnectionRefusedError())
-            await until(lambda: results[0])  # the one that has waited longest
+        async with listening(backend.handle) as address, upstream(address) as (servers, pool):
+            loop = ManualLoop(servers)
+            servers.connect_timeout = 10.0
+            results = [start(servers) for _ in range(MOST_CONNECTS + 2)]
+            await until(lambda: len(loop.pending) == MOST_CONNECTS)
+            loop.pending[0].set_exception(ConnectionRefusedError())
+            await until(lambda: results[0])  # the attempt that has waited longest
             assert results[0][0].outcome is Outcome.CONNECT_FAILED
-            await until(lambda: len(slow.pending) == MOST_CONNECTS + 1)  # in its place
+            await until(lambda: len(loop.pending) == MOST_CONNECTS + 1)  # another is opened in its place
             assert sum(map(len, results)) == 1
-            made.remove(1)  # gone: nothing new goes there
-            for future in slow.pending[1:]:
+            servers.remove(1)  # no new connections are opened to a removed backend
+            for future in loop.pending[1:]:
                 future.set_exception(ConnectionRefusedError())
             await until(lambda: all(results))
             assert {r[0].outcome for r in results} == {Outcome.CONNECT_FAILED}
-            assert (pool.connecting, made.open, len(slow.pending)) == (0, 0, MOST_CONNECTS + 1)
+            assert (pool.connecting, servers.open, len(loop.pending)) == (0, 0, MOST_CONNECTS + 1)
 
     run(test())
 
 
-def test_an_attempt_beyond_the_bound_waits_no_longer_than_for_a_connection_of_its_own() -> None:
+def test_an_attempt_beyond_the_limit_waits_no_longer_than_the_connect_timeout() -> None:
     async def test() -> None:
-        async with listening(Backend().handle) as dial, upstream(dial) as (made, pool):
-            slow = Slow(made)
-            made.connect_timeout = 10.0
+        async with listening(Backend().handle) as address, upstream(address) as (servers, pool):
+            loop = ManualLoop(servers)
+            servers.connect_timeout = 10.0
             for _ in range(MOST_CONNECTS):
-                start(made)
-            await until(lambda: len(slow.pending) == MOST_CONNECTS)
-            made.connect_timeout = 0.01
-            last = start(made)
+                start(servers)
+            await until(lambda: len(loop.pending) == MOST_CONNECTS)
+            servers.connect_timeout = 0.01
+            last = start(servers)
             await until(lambda: last)
             assert last[0].outcome is Outcome.CONNECT_FAILED and len(pool.waiting) == MOST_CONNECTS
 
@@ -217,17 +224,17 @@
 def test_an_attempt_given_up_while_it_waits_leaves_its_connection_to_others() -> None:
     async def test() -> None:
         backend = Backend()
-        async with listening(backend.handle) as dial, upstream(dial) as (made, pool):
-            slow = Slow(made)
-            made.connect_timeout = 10.0
-            start(made)
+        async with listening(backend.handle) as address, upstream(address) as (servers, pool):
+            loop = ManualLoop(servers)
+            servers.connect_timeout = 10.0
+            start(servers)
             pool.waiting[0].give_up(Outcome.TIMEOUT)
-            other = start(made)
-            await until(lambda: len(slow.pending) == 2)
-            slow.pending[1].set_exception(ConnectionRefusedError())
+            other = start(servers)
+            await until(lambda: len(loop.pending) == 2)
+            loop.pending[1].set_exception(ConnectionRefusedError())
             await until(lambda: pool.connecting == 1)
-            assert not other  # the other connection is for it now
-            slow.pending[0].set_result(None)
+            assert not other  # it waits for the connection that is still being opened
+            loop.pending[0].set_result(None)
             await until(lambda: other)
             assert other[0].outcome is Outcome.OK and backend.opened == 1
 
