--- a/hazelspring/gateway/__init__.py
+++ b/hazelspring/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP plumbing, and the admission gateway that runs on it."""
+"""The HTTP connection layer, and the admission gateway that is built on it."""
--- a/hazelspring/gateway/host.py
+++ b/hazelspring/gateway/host.py
@@ -1,4 +1,4 @@
-"""Drives the one Gateway: events in, its actions carried out in order, the table of open requests."""
+"""Passes events to the decision module, carries out its actions in order, and keeps the open requests."""
 
 from __future__ import annotations
 
@@ -21,82 +21,99 @@
 if TYPE_CHECKING:
     from hazelspring.gateway.counter import Counter
 
-ATTEMPT_MARGIN = 0.030  # seconds before the client's deadline at which an attempt is given up
-OUTCOMES = {200: "served", 503: "refused"}  # of requests, by the answer's status; any other: failed
-GUARD_MARGIN = 0.015  # and at which the request is answered whatever the module does
+ATTEMPT_MARGIN = 0.030  # seconds before the client's deadline at which attempts are given up
+OUTCOMES = {200: "served", 503: "refused"}  # outcome of a request by its answer's status; else "failed"
+GUARD_MARGIN = 0.015  # seconds before that deadline at which a request is answered whatever the module does
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class Answer:
-    """A final answer.  `status` 200 serves, 503 refuses, any other fails."""
+    """A final answer.  Status 200 counts as served, 503 as refused and any other as failed."""
 
     status: int
     body: bytes = b""
     content_type: bytes = b""
-    retry_after: float = 0.0
+    retry_after: float = 0.0  # seconds; 0 for no advice
 
 
 class Caller(Sink, Protocol):
-    """Who waits for a request's answer: one that is there, or one that begins."""
+    """The receiver of a request's answer, which is either complete or streamed."""
 
-    def reply(self, answer: Answer) -> None: ...
+    def reply(self, answer: Answer) -> None:
+        """Take a complete answer."""
+        ...
 
-    def begin(self, flow: Flow) -> None: ...
+    def begin(self, flow: Flow) -> None:
+        """Take the head of an answer that is streamed; its body follows by `feed`."""
+        ...
 
 
 class Upload(Body, Protocol):
-    """A request's body that is passed on as it comes."""
+    """The body of a request, which is streamed to a backend while it arrives."""
 
-    again: bool  # whether all that has come is still held
+    again: bool  # whether all bytes so far are still buffered, so that the body can be sent again
 
 
 @dataclass(slots=True)
 class Open:
-    """A request that still needs an answer, or whose attempts are still out."""
+    """A request that has not been answered yet or has attempts that have not ended."""
 
     number: int
-    payload: Callable[[float, int], bytes]  # what goes to a backend, given the time that is left, and which
+    payload: Callable[[float, int], bytes]  # builds the request to a backend: remaining seconds, backend
     caller: Caller
-    timeout: float  # seconds that its client waits from its last byte on
-    limits: i.Limits  # those that held when it came
+    timeout: float  # seconds that its client waits, counted from the last byte of the request
+    limits: i.Limits  # those in force when it arrived
     upload: Upload | None
-    label: str  # its class's, where it is counted
-    mark: bytes = b""  # what its answer must bear
-    last: Result | None = None  # the last answer of a server that was no success, where one is kept
-    end: float = math.inf  # monotonic time at which its client gives up; its last byte has yet to come
+    label: str  # its class, as a label of metrics
+    mark: bytes = b""  # the attempt id that an answer must bear, where that is checked
+    last: Result | None = None  # the last unsuccessful answer of a server, if it is kept
+    end: float = math.inf  # monotonic time of its client's deadline; inf until its last byte has arrived
     guard: asyncio.TimerHandle | None = None
-    flow: Flow | None = None  # the answer that is being passed on
-    out: dict[int, Attempt] = field(default_factory=dict)
-    sent: int = 0
+    flow: Flow | None = None  # the answer that is being streamed
+    out: dict[int, Attempt] = field(default_factory=dict)  # attempts that have not ended, by number
+    sent: int = 0  # attempts that the module has requested
     may_have_run: bool = False
-    settled: bool = False  # answered, or nobody waits any more
+    settled: bool = False  # it has been answered, or its client has gone
 
 
-class Module(Protocol):
-    """Whose decisions are carried out."""
+class DecisionModule(Protocol):
+    """The module that decides what happens to requests."""
 
     @property
-    def settings(self) -> Told: ...
+    def settings(self) -> HasLimits:
+        """The settings that the module works under."""
+        ...
 
     @property
     def actions(self) -> list[i.Action]:
-        """What the last event has brought about so far."""
+        """The actions that the last event has caused so far."""
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]: ...
+    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+        """Return the actions that an event causes; `now` is the host's `clock`."""
+        ...
 
 
-class Told(Protocol):
+class HasLimits(Protocol):
+    """Settings that contain limits."""
+
     @property
-    def limits(self) -> i.Limits: ...
+    def limits(self) -> i.Limits:
+        """The limits on attempts."""
+        ...
 
 
-M = TypeVar("M", bound=Module)
+M = TypeVar("M", bound=DecisionModule)
 
 
 class Host(Generic[M]):
-    held_by: tuple[type, ...] = (i.Request, i.Finished)  # events whose request nothing else would end
+    """Passes events to the decision module, carries out its actions and keeps the open requests.
+
+    `held_by` lists the types of event whose request nothing else would end if the module failed on them.
+    """
+
+    held_by: tuple[type, ...] = (i.Request, i.Finished)
 
     def __init__(self, gateway: M, upstream: Upstream, counts: Counts) -> None:
         self.gateway, self.upstream, self.counts = gateway, upstream, counts
@@ -108,18 +125,18 @@
         self.busy = False
         self.now = 0.0
         self.number = 0
-        self.unknown: set[str] = set()  # kinds of action that were logged as not supported
-        self.waiting = 0  # requests without their whole answer
+        self.unknown: set[str] = set()  # types of action that were logged as not supported
+        self.waiting = 0  # requests that have not got their complete answer
 
     # --- events in ---------------------------------------------------------------------------------
 
     def clock(self) -> float:
-        """Unix time, as lease windows must agree between front doors; it never goes back."""
+        """Return the Unix time, as lease windows must agree between gateways; it never goes backwards."""
         self.now = max(self.now, time.time())
         return self.now
 
     def post(self, event: i.Event) -> None:
-        """Hand an event to the module.  Those that its actions bring about wait for their turn."""
+        """Pass an event to the module; events that its actions cause are queued and passed after it."""
         self.events.append(event)
         if self.busy:
             return
@@ -131,26 +148,27 @@
             self.busy = False
 
     def step(self, event: i.Event) -> None:
+        """Pass one event to the module and carry out the actions that it returns."""
         gateway = self.gateway
         failed = False
         try:
             actions = gateway.handle(self.clock(), event)
         except Exception:
-            # One bad event must not lose the others: what was decided before the error still holds.
+            # An error must not affect other requests: actions decided before it are still carried out.
             log.exception("the module failed on %s", type(event).__name__)
             actions, failed = gateway.actions, True
         for action in actions:
             try:
                 self.carry_out(action)
             except Exception:
-                log.exception("could not carry out %s", type(action).__name__)
+                log.exception("could not carry out the action %s", type(action).__name__)
                 if isinstance(action, i.Send | i.Refuse | i.Fail):
                     self.give_up(action.request)
         if failed and isinstance(event, self.held_by):
             self.give_up(event.request)  # type: ignore[union-attr]
 
     def give_up(self, number: int) -> None:
-        """A truthful final answer for a request that an error has left without one."""
+        """Answer a request that an error has left without one: 502 if it may have run, 503 if not."""
         request = self.table.get(number)
         if request is not None and not request.settled and not request.out:
             self.settle(request, Answer(502 if request.may_have_run else 503))
@@ -167,6 +185,7 @@
         upload: Upload | None = None,
         mark: bytes = b"",
     ) -> Open:
+        """Register a request and pass it to the module as the event that `make` creates for its number."""
         self.number += 1
         event = make(self.number)
         request = Open(
@@ -175,28 +194,30 @@
         self.table[request.number] = request
         self.waiting += 1
         if upload is None:
-            self.run_time(request)
+            self.start_deadline(request)
         self.post(event)
         return request
 
-    def run_time(self, request: Open) -> None:
-        """Its last byte has come: its client's patience begins to run out."""
+    def start_deadline(self, request: Open) -> None:
+        """Start the client's time-out, as the last byte of the request has arrived."""
         request.end = time.monotonic() + request.timeout
         left = max(0.0, request.timeout - GUARD_MARGIN)
         request.guard = self.loop.call_later(left, self.overdue, request)
 
     def whole(self, request: Open) -> None:
-        """The last byte of a body that was passed on has come."""
+        """Note that the last byte of a streamed request body has arrived."""
         if request.settled:
             return
-        self.run_time(request)
+        self.start_deadline(request)
         for attempt in request.out.values():
             self.upstream.expire(attempt, max(0.0, request.timeout - ATTEMPT_MARGIN))
         self.post(i.Whole(request.number, request.timeout))
 
     def left(self, request: Open) -> None:
-        """The client has gone away.  Attempts that are out run on, but none whose request never came whole,
-        and no answer is read that nobody is there to take.
+        """Note that the client has disconnected.
+
+        Attempts that have been sent continue, except those of a request that did not arrive completely.  The
+        connection of an answer that is being streamed is aborted, as nobody receives the answer.
         """
         if request.flow is not None:
             request.flow.source.abort()
@@ -209,26 +230,28 @@
             self.drop(request)
 
     def overdue(self, request: Open) -> None:
-        """Guards the rule that no request is lost: its client's time is nearly up, and nobody answered."""
+        """Answer a request that is still open shortly before its client's deadline, so that none is lost."""
         if request.settled:
             return
         for attempt in list(request.out.values()):
             attempt.give_up(Outcome.TIMEOUT)
-        if not request.settled:  # what never ran may have been answered just now
+        if not request.settled:  # ending an attempt that never ran may just have answered the request
             self.settle(request, Answer(504))
             self.post(i.Left(request.number))
             self.drop(request)
 
     def answer_all(self) -> None:
-        """The process is about to end: what is still held gets its final answer."""
+        """Answer all open requests, because the process is about to end."""
         for request in list(self.table.values()):
             self.overdue(request)
 
     def retune(self, settings: i.Settings) -> None:
+        """Apply new settings; requests that are open keep the limits they arrived under."""
         self.limits = settings.limits
         self.post(i.Retuned(settings))
 
     def members(self, members: i.Members, addresses: dict[int, Address]) -> None:
+        """Apply a list of backends, or a change to it, to the pools and pass it to the module."""
         if members.listing is not i.Listing.DELTA:
             for backend in [b for b in self.upstream.pools if b not in addresses]:
                 self.upstream.remove(backend)
@@ -242,6 +265,7 @@
     # --- actions out -------------------------------------------------------------------------------
 
     def carry_out(self, action: i.Action) -> None:
+        """Carry out one action of the module; one that is not supported is logged once a type."""
         match action:
             case i.Send():
                 self.send(action)
@@ -269,12 +293,13 @@
                 self.upstream.close_idle(action.backend)
             case i.Log():
                 log.info("module: %s", action.text)
-            case _:  # discovery is always watched, and front doors cannot talk to each other
+            case _:  # discovery is always watched, and gateways cannot send messages to each other
                 if type(action).__name__ not in self.unknown:
                     self.unknown.add(type(action).__name__)
-                    log.warning("not supported here: %s", type(action).__name__)
+                    log.warning("the gateway does not support the action %s", type(action).__name__)
 
     def send(self, action: i.Send) -> None:
+        """Start an attempt; one that is of no use or not allowed ends at once as `Outcome.MOOT`."""
         request = self.table.get(action.request)
         number = request.sent if request is not None else 0
         if request is not None:
@@ -314,26 +339,31 @@
         done: Callable[[Result], None],
         begun: Callable[[Flow], Sink | None],
     ) -> Attempt:
+        """Create an attempt of a request."""
         return Attempt(payload, done, begun, request.upload)
 
     def time_left(self, request: Open) -> float:
-        """What an attempt may take."""
+        """Return the seconds that an attempt may take."""
         if request.upload is not None and not request.upload.whole:
             return request.timeout - ATTEMPT_MARGIN
         return request.end - ATTEMPT_MARGIN - time.monotonic()
 
     def begun(self, request: Open, number: int, backend: int, flow: Flow) -> Sink | None:
-        """An answer too large to hold begins: its client gets it as it comes, and no other."""
+        """Stream an answer that is too large to buffer; its client gets no other answer.
+
+        Returns None if the request needs no answer any more.
+        """
         if request.settled:
             return None
         request.flow = flow
         self.settle(request, None)
-        self.waiting += 1  # until its last byte
+        self.waiting += 1  # until the last byte of the answer
         self.post(i.UnderWay(request.number, number, backend, 0.0))
         request.caller.begin(flow)
         return request.caller
 
     def finished(self, request: Open, number: int, backend: int, result: Result) -> None:
+        """Count the end of an attempt, answer its request if it succeeded, and post `Finished`."""
         attempt = request.out.pop(number, None)
         self.counts.attempts[result.outcome.name.lower()] += 1
         if attempt is not None and attempt.flowing:
@@ -351,15 +381,21 @@
         self.drop(request)
 
     def served(self, result: Result) -> Answer:
+        """Build the answer for the client from a successful result."""
         return Answer(200, result.body, result.content_type)
 
     def end(self, number: int, answer: Answer) -> None:
+        """Answer an open request by its number, unless it has been answered."""
         request = self.table.get(number)
         if request is not None and not request.settled:
             self.settle(request, answer)
             self.drop(request)
 
     def settle(self, request: Open, answer: Answer | None) -> None:
+        """Mark a request as settled, count it, and send its answer.
+
+        `answer` is None if the answer is streamed or the client has gone.
+        """
         request.settled = True
         self.waiting -= 1
         if answer is not None:
@@ -373,19 +409,23 @@
             request.caller.reply(answer)
         if request.upload is not None:
             for attempt in list(request.out.values()):
-                if attempt.link is None:  # its body has been let go: it could only be sent without
+                if attempt.link is None:  # not sent yet, and its body has just been dropped
                     attempt.give_up(Outcome.CANCELLED)
 
     def drop(self, request: Open) -> None:
+        """Remove a request once it is settled and all its attempts have ended."""
         if request.settled and not request.out:
             self.table.pop(request.number, None)
 
     def set_timer(self, at: float, token: int) -> None:
-        # The loop counts whole milliseconds from a cached clock and may fire early by some: look again.
+        """Post `Fired` with this token once `clock` has reached `at`."""
+        # The loop counts whole milliseconds from a cached clock and may fire some of them early, so `fire`
+        # checks the time.
         delay = math.ceil((at - self.clock()) * 1000) / 1000
         self.loop.call_later(max(0.001, delay), self.fire, at, token)
 
     def fire(self, at: float, token: int) -> None:
+        """Post `Fired`, or set the timer again if it has fired early."""
         if self.clock() < at:
             self.set_timer(at, token)
         else:
--- a/hazelspring/gateway/periodic.py
+++ b/hazelspring/gateway/periodic.py
@@ -1,4 +1,4 @@
-"""A call that is made again and again, and that no error of its own ends."""
+"""A periodic call that continues after an exception."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 class Periodic:
     """Calls `call` every `interval` seconds, counted from the end of the last call, until it is cancelled.
 
-    `interval` is a number or a function that is asked after each call.  An exception that either raises goes to
-    `failed`, and the next call is made after the last interval that was told: a timer that an error has ended would be
-    missed by nobody.
+    `interval` is a number, or a function that is called after each `call` to get the next interval.  An
+    exception that either of them raises is passed to `failed`, and the next call is made after the last
+    known interval: a timer that ended because of an error would go unnoticed.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self.timer = self.loop.call_later(self.seconds, self._run)
 
     def cancel(self) -> None:
-        """Make no further call."""
+        """Cancel the timer, so that no further call is made."""
         self.cancelled = True
         self.timer.cancel()
 
--- a/hazelspring/gateway/server.py
+++ b/hazelspring/gateway/server.py
@@ -1,4 +1,4 @@
-"""The terms of the front door's requests: /-/ready, classes, tariffs, call terms."""
+"""The gateway's listener: answers /-/ready, and reads the class, tariff and call terms of requests."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from hazelspring.gateway.config import Config
 from hazelspring.gateway.host import Answer, Host
 
-MOST_TIMEOUT = 600.0  # seconds that a request is held, whatever its client would wait
-FADE = 2.0  # seconds after a reload in which classes are also taken as they were before it
-OURS = HOP_BY_HOP | {b"request-timeout"}  # headers that are not passed on as they came
-SINGLE = frozenset(
+MOST_TIMEOUT = 600.0  # maximum seconds that a request is kept open, even if its client would wait longer
+RELOAD_GRACE = 2.0  # seconds after a reload in which the previous classes and tariffs are also accepted
+NOT_FORWARDED = HOP_BY_HOP | {b"request-timeout"}  # headers that are not forwarded unchanged
+SINGLE_HEADERS = frozenset(  # headers that must not be repeated
     b"request-id request-class x-tier request-timeout idempotency-key x-call-terms content-length host"
     b" client-retry".split()
 )
@@ -28,9 +28,9 @@
 REQUEST_ID = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")
 
 
-@functools.lru_cache(maxsize=4096)  # few distinct ones come; bounded against odd clients
+@functools.lru_cache(maxsize=4096)  # few distinct values are in use; bounded against misbehaving clients
 def parse_call_terms(text: bytes) -> tuple[float, int, int]:
-    """Units, spread and first of X-Call-Terms."""
+    """Parse X-Call-Terms into units, spread and first; raises `BadRequest`."""
     try:
         pairs = dict(part.split("=", 1) for part in text.decode("ascii").replace(" ", "").split(","))
         units, spread, first = float(pairs["units"]), int(pairs["spread"]), int(pairs["first"])
@@ -42,7 +42,7 @@
 
 
 def parse_timeout(text: bytes) -> float:
-    """Request-Timeout in seconds."""
+    """Parse Request-Timeout into seconds, at most `MOST_TIMEOUT`; raises `BadRequest`."""
     found = TIMEOUT.fullmatch(text)
     if found is None:
         raise BadRequest("malformed Request-Timeout")
@@ -51,11 +51,12 @@
 
 
 class Caller(Client):
-    """One client connection of the front door."""
+    """A client's connection to the gateway."""
 
     __slots__ = ()
 
     def take(self, exchange: Exchange) -> None:
+        """Answer a request here, or submit it to the host; raises `BadRequest` if it is not valid."""
         try:
             url = httptools.parse_url(self.url)
         except httptools.HttpParserInvalidURLError:
@@ -73,7 +74,7 @@
             return
         headers = dict(self.headers)
         if len(headers) != len(self.headers):
-            self.no_repeats(SINGLE)
+            self.no_repeats(SINGLE_HEADERS)
         effect = Effect.SAFE if method == b"GET" else Effect.UNSAFE
         if method == b"POST" and headers.get(b"idempotency-key"):
             effect = Effect.KEYED
@@ -96,12 +97,12 @@
         streams = upload is not None
         if server.held + len(body) > MOST_HELD:
             server.host.counts.rejected[503] += 1
-            exchange.reply(Answer(503, retry_after=1.0))  # nothing has run: memory is bounded
+            exchange.reply(Answer(503, retry_after=1.0))  # nothing has run; memory is bounded
             return
         exchange.held = len(body)
         server.held += len(body)
         head = b"%s %s HTTP/1.1\r\n" % (method, self.url) + b"".join(
-            b"%s: %s\r\n" % pair for pair in self.headers if pair[0] not in OURS
+            b"%s: %s\r\n" % pair for pair in self.headers if pair[0] not in NOT_FORWARDED
         )
         if upload is not None:
             head += upload.framing()
@@ -133,7 +134,7 @@
 
 
 class Server(Listener):
-    """The front door's listener, and the terms on which requests are taken."""
+    """The gateway's listener, and the classes and tariffs that requests may name."""
 
     host: Host[Gateway]
 
@@ -145,19 +146,24 @@
         self.retune(config.settings)
 
     def retune(self, settings: i.Settings) -> None:
-        """Classes and tariffs from now on.  Clients hear of them a moment later, so what they name in the old
-        way is taken as it was for that long.
+        """Set the classes and tariffs.
+
+        Clients learn of a change a moment later, so the previous classes and tariffs are also accepted for
+        `RELOAD_GRACE` seconds.
         """
-        self.fading, self.fading_plans = self.classes, self.plans
-        self.faded_at = time.monotonic() + FADE
+        self.previous_classes, self.previous_plans = self.classes, self.plans
+        self.faded_at = time.monotonic() + RELOAD_GRACE
         self.classes = {c.name.encode(): (n, c) for n, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): (n, p) for n, p in enumerate(settings.plans)}
 
     def find_class(self, name: bytes, effect: Effect) -> tuple[int, i.RequestClass]:
-        """The class that a request means; just after a reload that may be one as it was before."""
+        """Return the number and the class that a request names; raises `BadRequest` if there is none.
+
+        For `RELOAD_GRACE` seconds after a reload this may be a class as it was before.
+        """
         found = self.classes.get(name)
         if (found is None or found[1].effect is not effect) and time.monotonic() < self.faded_at:
-            before = self.fading.get(name)
+            before = self.previous_classes.get(name)
             if before is not None and before[1].effect is effect:
                 return before
         if found is None:
@@ -165,13 +171,17 @@
         return found
 
     def find_plan(self, name: bytes) -> tuple[int, i.Plan]:
-        """The tariff that a request names; one that was renamed or dropped a moment ago as it was."""
+        """Return the number and the tariff that a request names; raises `BadRequest` if there is none.
+
+        For `RELOAD_GRACE` seconds after a reload this may be a tariff that it renamed or removed.
+        """
         found = self.plans.get(name)
         if found is None and time.monotonic() < self.faded_at:
-            found = self.fading_plans.get(name)
+            found = self.previous_plans.get(name)
         if found is None:
             raise BadRequest("no such X-Tier")
         return found
 
     def ready(self) -> bool:
+        """Whether this gateway accepts connections and knows at least one backend."""
         return self.server is not None and not self.stopping and bool(self.host.upstream.pools)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -20,7 +20,7 @@
 
 
 def run(test: Awaitable[None]) -> None:
-    """Run one test on the loop that serves, bounded in time."""
+    """Run a test on uvloop, as the gateway runs, with a time-out of 20 s."""
 
     async def bounded() -> None:
         async with asyncio.timeout(20):
@@ -30,7 +30,7 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait for a condition; the test's own time-out ends one that never comes."""
+    """Wait until a condition holds; the time-out of `run` ends a wait for one that never does."""
     while not condition():
         await asyncio.sleep(0.002)
 
@@ -88,7 +88,7 @@
 
 @dataclass
 class Backend:
-    """Answers each request with what `answer` makes of it; None keeps silent."""
+    """A fake backend that answers each request with the result of `answer`; None sends no answer."""
 
     answer: Callable[[Message], bytes | None] = lambda message: http_answer(body=b"done")
     seen: list[Message] = field(default_factory=list)
@@ -112,7 +112,7 @@
 
 @dataclass
 class Tally:
-    """A counter; `reply` may stand in for the answer to the call with that number."""
+    """A fake counter; `reply` may return other bytes to send as the answer to the call with that number."""
 
     reply: Callable[[int, list[bytes]], bytes | None] | None = None
     totals: dict[bytes, float] = field(default_factory=dict)
@@ -130,15 +130,15 @@
                 writer.write(b"+PONG\r\n")
                 continue
             self.calls.append(parts)
-            special = self.reply(len(self.calls) - 1, parts) if self.reply else None
+            replacement = self.reply(len(self.calls) - 1, parts) if self.reply else None
             self.totals[parts[1]] = self.totals.get(parts[1], 0.0) + float(parts[2])
             total = f"{self.totals[parts[1]]:g}".encode()
-            writer.write(b"$%d\r\n%s\r\n" % (len(total), total) if special is None else special)
+            writer.write(b"$%d\r\n%s\r\n" % (len(total), total) if replacement is None else replacement)
 
 
 @dataclass
 class Agent:
-    """Discovery: each watch gets the lines put into `lines`, one chunk a line."""
+    """A fake discovery service; each watch receives the lines that are added to `lines`, one per chunk."""
 
     lines: list[bytes] = field(default_factory=list)
     targets: list[str] = field(default_factory=list)
@@ -166,14 +166,14 @@
 
 
 def nest(flat: dict[str, str]) -> dict[str, Any]:
-    """The helpers' settings as a front door finds them: nested, with typed values."""
+    """Return the settings of `helpers` as a gateway's configuration has them: nested, with lists."""
     root: dict[str, Any] = {}
     for path, value in flat.items():
-        at = root
+        level = root
         *parents, leaf = path.split(".")
         for part in parents:
-            at = at.setdefault(part, {})
-        at[leaf] = value.split(",") if leaf in ("zones", "columns") else value
+            level = level.setdefault(part, {})
+        level[leaf] = value.split(",") if leaf in ("zones", "columns") else value
     for name in ("classes", "tariffs"):
         root[name] = [root[name][str(n)] for n in range(int(root[name].pop("count")))]
     return root
@@ -199,7 +199,7 @@
 
 
 class Client:
-    """A client's connection to a front door."""
+    """A client's connection to a gateway."""
 
     def __init__(self, server: Server) -> None:
         assert server.server is not None
@@ -214,7 +214,7 @@
         self.writer.close()
 
     def request(self, cls: int = 0, timeout_ms: int = 4000, body: bytes = b"", **headers: str) -> bytes:
-        """The bytes of a request of one of the helpers' classes: safe, keyed, unsafe."""
+        """Encode a request of one of the classes in `helpers`: 0 is safe, 1 keyed and 2 unsafe."""
         self.count += 1
         base = {
             "Host": "origin.svc",
