--- a/hazelspring/configuration/__init__.py
+++ b/hazelspring/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: its model, its validation, and how one version differs from the next."""
+"""The operator's configuration: its model, its validation, and the differences between versions."""
--- a/hazelspring/configuration/blocks.py
+++ b/hazelspring/configuration/blocks.py
@@ -1,25 +1,27 @@
 """The packed form of a configuration: a zlib stream of blocks, followed by a table of these blocks.
 
-A packed body is
+A packed body consists of these parts, in this order:
 
 =================  =============================  ==============================================================
 part               format                         content
 =================  =============================  ==============================================================
 stream header      ``78 9c``                      of zlib
-blocks             one after the other            each a raw deflate run that ends with a full flush, so that it
+blocks             one after the other            each is raw deflate data ended by a full flush, so that it
                                                   can be unpacked without the blocks before it
 last block         ``03 00``                      an empty final deflate block
 checksum           ``>I``                         Adler-32 of the unpacked body, as zlib requires
-table              ``<II`` for each block         bytes of the block packed, bytes of it unpacked
-trailer            ``<I4s``                       number of blocks, and the name of the form, ``hzb1``
+table              ``<II`` for each block         size of the block packed, and its size unpacked
+trailer            ``<I4s``                       number of blocks, and the name of the format, ``hzb1``
 =================  =============================  ==============================================================
 
-All sizes are in bytes.  Any reader of zlib can read the stream, as it ignores what follows the checksum.  A body
-without the table, as earlier versions packed it, is read too: it is split into blocks anew.
+All sizes are in bytes.  Any zlib decompressor can read the stream, because it ignores the bytes after the
+checksum.  Earlier versions wrote bodies without the table; these can be read too, and are split into blocks
+again.
 
-A block begins at the start of a resource which is chosen by the resource's own first bytes (content-defined chunking),
-so a change of the configuration moves only the bounds of the blocks beside it.  All other blocks stay byte for byte
-the same, need not be packed again, and are left out of a delta (`hazelspring.configuration.delta`).
+A block begins at the start of a resource.  Whether a resource begins a block depends only on its own first
+bytes (content-defined chunking), so a change to the configuration moves only the boundaries of the blocks
+next to it.  All other blocks stay byte for byte the same, need not be packed again, and are not part of a
+delta (`hazelspring.configuration.delta`).
 """
 
 from __future__ import annotations
@@ -32,43 +34,41 @@
 from hazelspring.errors import HazelspringError
 
 BLOCK_BOUNDARY = b'{"resourceKind"'  # the start of a resource, as the operators' tools write it
-MIN_BLOCK_BYTES = 32 << 10  # smaller blocks compress worse, larger ones make a change pack more than it must
-MAX_BLOCK_BYTES = 256 << 10  # bytes of a block where no boundary is chosen before
-BOUNDARY_HASH_BYTES = 96  # bytes from the start of a resource that decide on a boundary: its kind and name
+MIN_BLOCK_BYTES = 32 << 10  # smaller ones compress worse; larger ones make a change pack more
+MAX_BLOCK_BYTES = 256 << 10  # size at which a block ends if no boundary was found before
+BOUNDARY_HASH_BYTES = 96  # bytes of a resource (its kind and name) that decide whether it begins a block
 BOUNDARY_MASK = 63  # one resource in 64 begins a block
-MAX_BODY_BYTES = (
-    512 << 20
-)  # bytes of an unpacked body that is accepted: six times the largest one planned for
+MAX_BODY_BYTES = 512 << 20  # largest unpacked body that is accepted: six times the largest one planned for
 COMPRESSION_LEVEL = 6  # of zlib
 
 STREAM_HEADER = b"\x78\x9c"  # the first bytes of a zlib stream
-FINAL_DEFLATE_BLOCK = b"\x03\x00"  # an empty last block of deflate
-ADLER_BYTES = 4  # bytes of the checksum that ends a zlib stream
-TABLE_ROW = struct.Struct("<II")  # of one block: bytes packed, bytes unpacked
+FINAL_DEFLATE_BLOCK = b"\x03\x00"  # an empty final deflate block
+ADLER_BYTES = 4  # size of the checksum at the end of a zlib stream
+TABLE_ROW = struct.Struct("<II")  # for one block: its size packed, and its size unpacked
 TRAILER = struct.Struct("<I4s")  # the number of rows, and FORMAT_NAME
 FORMAT_NAME = b"hzb1"
 
-BODY_DIGEST_BYTES = 8  # bytes, of `hazelspring.configuration.model.configuration_digest`
+BODY_DIGEST_BYTES = 8  # as in `hazelspring.configuration.model.configuration_digest`
 BLOCK_DIGEST_BYTES = 16
 
 
 class PackedError(HazelspringError, ValueError):
-    """A packed body is damaged or claims sizes that it does not have."""
+    """A packed body is damaged, or its sizes differ from those in its table."""
 
     code = "packed"
 
 
 class Block:
-    """A run of a body's bytes, of which the packed or the unpacked form is held.
+    """A contiguous part of a body, kept in packed or in unpacked form.
 
     Parameters
     ----------
     size
-        Bytes unpacked.
+        The number of bytes unpacked.
     packed
-        The block as it stands in a packed body.
+        The block in its packed form.
     text
-        The block's bytes unpacked; given where `packed` is not.
+        The block's unpacked bytes; required if `packed` is not given.
     """
 
     __slots__ = ("packed", "size", "text")
@@ -77,7 +77,7 @@
         self.size, self.packed, self.text = size, packed, text
 
     def unpacked(self) -> bytes:
-        """Return the block's bytes unpacked; raise PackedError where they are damaged or of another size."""
+        """Return the block's unpacked bytes; raise PackedError if they are damaged or of the wrong size."""
         if self.text is not None:
             return self.text
         assert self.packed is not None
@@ -85,13 +85,13 @@
         try:
             text = decompressor.decompress(self.packed, self.size + 1)
         except zlib.error as error:
-            raise PackedError(f"a block: {error}") from None
+            raise PackedError(f"cannot unpack a block: {error}") from None
         if len(text) != self.size:
-            raise PackedError("a block of another size")
+            raise PackedError(f"the unpacked size of a block is not {self.size} bytes as stated")
         return text
 
     def pack(self) -> bytes:
-        """Return the block packed, and hold only this form from then on."""
+        """Return the block packed, and keep only this form from then on."""
         if self.packed is None:
             assert self.text is not None
             compressor = zlib.compressobj(COMPRESSION_LEVEL, zlib.DEFLATED, -zlib.MAX_WBITS)
@@ -108,7 +108,7 @@
     text
         A body, or a part of one.
     separate_head
-        Whether what stands before the first resource becomes blocks of its own.
+        Whether the text before the first resource is put into separate blocks.
     """
     start = 0
     if separate_head:
@@ -123,7 +123,7 @@
 
 
 def _find_block_end(text: bytes, start: int) -> int:
-    """Return where the block that begins at an offset ends: at a chosen resource, or as large as it may be."""
+    """Return the end of the block that begins at `start`: the next boundary, or the maximum size."""
     limit = start + MAX_BLOCK_BYTES
     last_resource = 0
     position = text.find(BLOCK_BOUNDARY, start + MIN_BLOCK_BYTES, limit)
@@ -138,24 +138,24 @@
 
 
 def _is_boundary(text: bytes, position: int) -> bool:
-    """Whether the resource at an offset begins a block; only its own first bytes decide."""
+    """Return whether the resource at an offset begins a block; this depends only on its own first bytes."""
     return not zlib.crc32(text[position : position + BOUNDARY_HASH_BYTES]) & BOUNDARY_MASK
 
 
 def read_blocks(packed: bytes) -> list[Block]:
-    """Return the blocks of a packed body; one without a table of blocks is unpacked and split anew.
+    """Return the blocks of a packed body; a body without a table of blocks is unpacked and split again.
 
     Raises
     ------
     PackedError
-        The table does not fit the body, or the body claims more than `MAX_BODY_BYTES`.
+        The table does not match the body, or states an unpacked size above `MAX_BODY_BYTES`.
     """
     if not packed.endswith(FORMAT_NAME):
         return [Block(len(text), text=text) for text in split_blocks(unpack(packed))]
     row_count, _ = TRAILER.unpack(packed[-TRAILER.size :])
     table_start = len(packed) - TRAILER.size - row_count * TABLE_ROW.size
     if table_start < 0:
-        raise PackedError("it says nothing of its blocks")
+        raise PackedError("the block table is larger than the body")
     blocks = []
     position = len(STREAM_HEADER)
     total_size = 0
@@ -164,30 +164,30 @@
         position += packed_size
         total_size += size
         if not packed_size or not size or total_size > MAX_BODY_BYTES:
-            raise PackedError("blocks of no size, or too large")
+            raise PackedError("a block is empty, or the blocks are too large")
     stream_end = position + len(FINAL_DEFLATE_BLOCK) + ADLER_BYTES
     if stream_end != table_start or not packed.startswith(STREAM_HEADER):
-        raise PackedError("blocks that are not all of it")
+        raise PackedError("the block table does not match the size of the body")
     return blocks
 
 
-def seal_blocks(blocks: Iterable[Block], digest: bytes | None = None) -> bytes:
-    """Join blocks to one packed body.
+def join_blocks(blocks: Iterable[Block], digest: bytes | None = None) -> bytes:
+    """Join blocks into one packed body.
 
     Parameters
     ----------
     blocks
-        In the order of the body; those that are not packed yet are packed.
+        The blocks in the order of the body; those that are not packed yet are packed.
     digest
-        What the unpacked body must have as its digest; None leaves it unchecked.
+        The expected digest of the unpacked body; None skips the check.
 
     Raises
     ------
     PackedError
-        A block is damaged, or the body has another digest.
+        A block is damaged, or the digest of the body is not the expected one.
     """
     body_hash = hashlib.blake2b(digest_size=BODY_DIGEST_BYTES)
-    adler = 1  # the checksum of no bytes
+    adler = 1  # the Adler-32 checksum of empty data
     parts = [STREAM_HEADER]
     rows = []
     for block in blocks:
@@ -199,7 +199,7 @@
         parts.append(packed)
         rows.append(TABLE_ROW.pack(len(packed), block.size))
     if digest is not None and body_hash.digest() != digest:
-        raise PackedError("bytes of another digest")
+        raise PackedError("the digest of the body is not the expected one")
     checksum = adler.to_bytes(ADLER_BYTES, "big")
     trailer = TRAILER.pack(len(rows), FORMAT_NAME)
     return b"".join([*parts, FINAL_DEFLATE_BLOCK, checksum, *rows, trailer])
@@ -213,16 +213,17 @@
     body
         The document.
     base
-        Another packed body; its packed blocks are reused where their text is the same.  A damaged one is ignored.
+        Another packed body, whose packed blocks are reused where their text is the same.  It is ignored if
+        it is damaged.
     """
     packed_by_digest = _packed_blocks_by_digest(base) if base else {}
-    return seal_blocks(
+    return join_blocks(
         Block(len(text), packed_by_digest.get(block_digest(text)), text) for text in split_blocks(body)
     )
 
 
 def _packed_blocks_by_digest(packed: bytes) -> dict[bytes, bytes]:
-    """Return the packed blocks of a body by the digests of their texts; none where the body is damaged."""
+    """Return the packed blocks of a body by the digests of their texts; empty if the body is damaged."""
     found: dict[bytes, bytes] = {}
     try:
         for block in read_blocks(packed):
@@ -234,17 +235,17 @@
 
 
 def block_digest(text: bytes) -> bytes:
-    """Return the digest by which equal blocks are found."""
+    """Return the digest that identifies a block by its unpacked text."""
     return hashlib.blake2b(text, digest_size=BLOCK_DIGEST_BYTES).digest()
 
 
 def unpack(packed: bytes) -> bytes:
-    """Return the body of a packed one; raise PackedError where it is damaged, cut or too large."""
+    """Return the unpacked body; raise PackedError if the packed one is damaged, truncated or too large."""
     decompressor = zlib.decompressobj()
     try:
         body = decompressor.decompress(packed, MAX_BODY_BYTES)
     except zlib.error as error:
-        raise PackedError(f"not packed: {error}") from None
+        raise PackedError(f"cannot unpack the body: {error}") from None
     if not decompressor.eof:
-        raise PackedError("it has no end")
+        raise PackedError("the body is truncated or too large")
     return body
--- a/hazelspring/configuration/change.py
+++ b/hazelspring/configuration/change.py
@@ -1,7 +1,7 @@
-"""The change of a configuration's tables by the resources that differ.
+"""Incremental update of a configuration's tables from the resources that differ.
 
-The new configuration shares all objects that stay with the one before, which is left as it is, since requests under way
-still use it.
+The new configuration shares all unchanged objects with the previous one.  The previous configuration is not
+modified, because requests in progress still use it.
 """
 
 from __future__ import annotations
@@ -26,12 +26,15 @@
 )
 from hazelspring.errors import HazelspringError
 
-# What reading a resource raises that no schema has checked yet.
+# Exceptions that reading a resource may raise if no schema has checked it yet.
 MALFORMED_RESOURCE_ERRORS = (LookupError, TypeError, ValueError, AttributeError, RecursionError)
 
 
 class NotIncrementalError(HazelspringError, ValueError):
-    """A text is not whole resources block by block, or a change cannot be read alone: it must be read whole."""
+    """A document cannot be read block by block, or a change cannot be applied incrementally.
+
+    The caller must parse the complete document instead.
+    """
 
     code = "irregular"
 
@@ -44,9 +47,9 @@
     document
         The new document with an empty ``resourceList``.
     resources
-        The resources of the new one's blocks that the old one does not have.
+        The resources of those blocks of the new configuration that the old one does not have.
     previous_resources
-        The resources of the old one's blocks that the new one does not have.
+        The resources of those blocks of the old configuration that the new one does not have.
     """
 
     document: dict[str, Any]
@@ -55,19 +58,21 @@
 
 
 class ResourceKey(NamedTuple):
-    """What names a resource: its kind, and its name among those of the kind."""
+    """The identity of a resource: its kind, and its name, which is unique within the kind."""
 
     kind: str
     name: str
 
 
 def apply_change(configuration: Configuration, change: ConfigurationChange) -> Configuration:
-    """Return the configuration after a change; it shares what stays, and the given one is left as it is.
+    """Return the configuration after a change.
+
+    It shares unchanged objects with the given configuration, which is not modified.
 
     Raises
     ------
     NotIncrementalError
-        Two resources would be the same one, or resources are not as validation leaves them.
+        Two resources would have the same name, path prefix or access key, or a resource is malformed.
     """
     try:
         return ConfigurationRewrite(configuration, change).run()
@@ -76,27 +81,28 @@
 
 
 def resources_by_key(resources: list[ResourceDocument]) -> dict[ResourceKey, ResourceDocument]:
-    """Return resources by kind and name; raise NotIncrementalError where two have the same ones."""
+    """Return resources by kind and name; raise NotIncrementalError if two have the same kind and name."""
     found = {
         ResourceKey(resource["resourceKind"], resource_name(resource)): resource for resource in resources
     }
     if len(found) != len(resources):
-        raise NotIncrementalError("an entry that stands twice")
+        raise NotIncrementalError("two resources have the same kind and name")
     return found
 
 
 class ConfigurationRewrite:
-    """One change of a configuration's tables.
+    """Applies one change to a copy of a configuration's tables.
 
-    A table is copied if a resource of its kind changes, and the routes of a host if one of them does.  Resources are
-    removed before others are added, so that a route may take the place, and a tenant the key, of one that goes.
+    A table is copied if a resource of its kind changes, and the routes of a host if one of them changes.
+    Resources are removed before others are added, so that a new route may have the host and path prefix of a
+    removed one, and a new tenant the access key of a removed one.
 
     Parameters
     ----------
     previous
-        The configuration before the change; it is not changed.
+        The configuration before the change; it is not modified.
     change
-        The difference, with resources that changed their block and are the same otherwise.
+        The difference; it may contain unchanged resources that only moved to another block.
     """
 
     def __init__(self, previous: Configuration, change: ConfigurationChange) -> None:
@@ -106,11 +112,11 @@
         self.added = {key: new for key, new in new_resources.items() if old_resources.get(key) != new}
         self.previous = previous
         self.configuration = replace(previous, version=parse_version(change.document["versionNumber"]))
-        self.copied_hosts: set[str] = set()  # hosts whose list of routes is this configuration's own
-        self.route_names: set[str] = set()  # routes that stay or were added; filled if any route changes
+        self.copied_hosts: set[str] = set()  # hosts whose list of routes has been copied already
+        self.route_names: set[str] = set()  # of unchanged and added routes; filled only if a route changes
 
     def run(self) -> Configuration:
-        """Return the configuration after the change; raise NotIncrementalError where it cannot be made alone."""
+        """Return the configuration after the change; raise NotIncrementalError if that fails."""
         self._copy_tables({key.kind for key in [*self.removed, *self.added]})
         for key, resource in self.removed.items():
             self._remove(key, resource["specification"])
@@ -118,11 +124,11 @@
             self._add(key, resource["specification"])
         self._finish_hosts()
         if self.previous.limits_entries > 1 or self.configuration.limits_entries > 1:
-            raise NotIncrementalError("limits that stand twice: the later one counts")
+            raise NotIncrementalError("several limits resources: the last one in the document is in force")
         return self.configuration
 
     def _copy_tables(self, kinds: set[str]) -> None:
-        """Give the new configuration tables of its own for the kinds that change."""
+        """Copy the tables of the kinds that change into the new configuration."""
         previous, configuration = self.previous, self.configuration
         if ResourceKind.ROUTE in kinds:
             configuration.routes_by_host = dict(previous.routes_by_host)
@@ -184,20 +190,20 @@
         route = parse_route(name, specification)
         routes = self._host_routes(route.host)
         if name in self.route_names or any(other.path_prefix == route.path_prefix for other in routes):
-            raise NotIncrementalError(f"route {name}: its name or place is taken")
+            raise NotIncrementalError(f"route {name}: its name, or its host and prefix, is in use")
         self.route_names.add(name)
         routes.append(route)
 
     def _add_service(self, name: str, specification: Specification) -> None:
         if name in self.configuration.services:
-            raise NotIncrementalError(f"service {name} stands twice")
+            raise NotIncrementalError(f"two services are named {name}")
         self.configuration.services[name] = parse_service(name, specification)
 
     def _add_tenant(self, name: str, specification: Specification) -> None:
         if name in self.configuration.tenants:
-            raise NotIncrementalError(f"tenant {name} stands twice")
+            raise NotIncrementalError(f"two tenants are named {name}")
         tenant = parse_tenant(name, specification)
         self.configuration.tenants[name] = tenant
         for access_key in specification.get("accessKeys") or ():
             if self.configuration.tenants_by_key.setdefault(access_key, tenant) is not tenant:
-                raise NotIncrementalError(f"tenant {name}: a key that another holds")
+                raise NotIncrementalError(f"tenant {name}: another tenant has one of its access keys")
--- a/hazelspring/configuration/incremental.py
+++ b/hazelspring/configuration/incremental.py
@@ -1,13 +1,14 @@
-"""A configuration read block by block, and by its difference from the one that is held.
+"""Loading of a configuration block by block, and by its difference from the current one.
 
-A packed body (`hazelspring.configuration.blocks`) is split where resources begin.  So its first block is the document
-up to the resource list, each block between holds whole resources, and the last one holds the last resources and the
-rest of the document.  Where two bodies have a block in common, its resources need not be read again, and the tables of
-the configuration share the objects made of them.
+A packed body (`hazelspring.configuration.blocks`) is split where resources begin.  So its first block is the
+document up to the resource list, each block in the middle consists of complete resources, and the last one
+has the last resources and the rest of the document.  If two bodies have a block in common, its resources
+need not be parsed again, and the tables of both configurations share the objects made from them.
 
-Not every text is like that: a document may have other fields first, or hold the start of a resource within a string.
-`NotIncrementalError` says so, and the document is then read whole.  Nothing here decides whether a configuration is
-valid; see `hazelspring.configuration.validation`.
+Some documents are not structured like this: a document may have other fields first, or contain the start of
+a resource within a string.  `NotIncrementalError` is raised for them, and the complete document is then
+parsed at once.  This module does not decide whether a configuration is valid; see
+`hazelspring.configuration.validation`.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
     parse_version,
 )
 
-# A JSON constant that stands for the blocks which are left out: no other text is read as the object.
+# A JSON constant in the place of the blocks that are left out.  No other text is parsed as this object.
 PLACEHOLDER = object()
 PLACEHOLDER_TEXT = b"-Infinity"
 
@@ -42,11 +43,11 @@
     Attributes
     ----------
     configuration
-        Its tables.
+        The parsed tables.
     packed
-        The packed body that the tables were read from.
+        The packed body from which the tables were parsed.
     block_aligned
-        Whether each block but the first and the last was seen to be whole resources.
+        Whether each block except the first and the last was found to consist of complete resources.
     """
 
     configuration: Configuration
@@ -55,22 +56,22 @@
 
 
 class ValidatedConfiguration(NamedTuple):
-    """A configuration that was found valid.
+    """A configuration that passed validation.
 
     Attributes
     ----------
     version
         The number in ``versionNumber``.
     packed
-        Its packed body.
+        The packed body of the configuration.
     """
 
     version: int
     packed: bytes
 
 
-class DocumentFrame(NamedTuple):
-    """The first and the last block of a document.
+class DocumentEnvelope(NamedTuple):
+    """The parsed content of the first and the last block of a document.
 
     Attributes
     ----------
@@ -90,51 +91,53 @@
     Raises
     ------
     NotIncrementalError
-        The block is not whole resources.
+        The block does not consist of complete resources.
     """
     try:
-        # nested as deep as in its body, so that it is refused for its depth where the body is
+        # nested as deep as in the document, so that the parser rejects the block for its nesting depth
+        # if it would reject the document
         resources = json.loads(b'{"":[' + block.unpacked() + b"null]}")[""]
     except MALFORMED_RESOURCE_ERRORS as error:
         raise NotIncrementalError(str(error)) from None
     if not resources or resources.pop() is not None:
-        raise NotIncrementalError("a block that does not end with an entry")
+        raise NotIncrementalError("a block does not end with a complete resource")
     return list(resources)
 
 
 def parse_constant(text: str) -> object:
-    """Return the value of a JSON constant such as NaN; `PLACEHOLDER` for the text that stands for it."""
+    """Return the value of a JSON constant such as NaN, or `PLACEHOLDER` for `PLACEHOLDER_TEXT`."""
     return PLACEHOLDER if text.encode() == PLACEHOLDER_TEXT else float(text)
 
 
-def parse_frame(blocks: list[Block]) -> DocumentFrame:
-    """Return what the first and the last block hold.
+def parse_envelope(blocks: list[Block]) -> DocumentEnvelope:
+    """Return the parsed content of the first and the last block.
 
-    The other blocks belong between them: a placeholder that is put there must be found as the first resource.
+    The other blocks belong between these two.  To check this, a placeholder is put there, which must be
+    parsed as the first resource.
 
     Raises
     ------
     NotIncrementalError
-        The document does not begin as usual, or the other blocks are no part of its resource list.
+        The document does not begin as expected, or the other blocks are not part of its resource list.
     """
     if len(blocks) < 2:
-        raise NotIncrementalError("one block")
+        raise NotIncrementalError("the document has fewer than two blocks")
     head, last = blocks[0].unpacked(), blocks[-1].unpacked()
     other_encoding = head[:1] != b"{" or head[1:2] == b"\0"
     if other_encoding or PLACEHOLDER_TEXT in head or PLACEHOLDER_TEXT in last:
-        raise NotIncrementalError("no head as it is usual")
+        raise NotIncrementalError("the document does not begin as expected, or contains the placeholder")
     try:
         document = json.loads(head + PLACEHOLDER_TEXT + b"," + last, parse_constant=parse_constant)
         first, *last_resources = document["resourceList"]
     except MALFORMED_RESOURCE_ERRORS as error:
         raise NotIncrementalError(str(error)) from None
     if first is not PLACEHOLDER:
-        raise NotIncrementalError("entries before the first mark")
-    return DocumentFrame({**document, "resourceList": []}, last_resources)
+        raise NotIncrementalError("the first block contains resources")
+    return DocumentEnvelope({**document, "resourceList": []}, last_resources)
 
 
-def diff_blocks(held: LoadedConfiguration, packed: bytes) -> ConfigurationChange:
-    """Return what differs between the configuration that is held and a packed one.
+def diff_blocks(current: LoadedConfiguration, packed: bytes) -> ConfigurationChange:
+    """Return the difference between the current configuration and a packed one.
 
     Raises
     ------
@@ -143,11 +146,11 @@
     PackedError
         One of the two is damaged.
     """
-    if not held.block_aligned:
-        raise NotIncrementalError("what is held was read whole")
-    old_blocks, new_blocks = read_blocks(held.packed), read_blocks(packed)
-    new_frame = parse_frame(new_blocks)
-    old_frame = parse_frame(old_blocks)
+    if not current.block_aligned:
+        raise NotIncrementalError("the current configuration is not aligned to blocks")
+    old_blocks, new_blocks = read_blocks(current.packed), read_blocks(packed)
+    new_envelope = parse_envelope(new_blocks)
+    old_envelope = parse_envelope(old_blocks)
     removed_blocks = {block.packed: block for block in old_blocks[1:-1]}
     resources: list[ResourceDocument] = []
     for block in new_blocks[1:-1]:
@@ -157,25 +160,26 @@
     for block in removed_blocks.values():
         previous_resources += parse_block(block)
     return ConfigurationChange(
-        document=new_frame.document,
-        resources=resources + new_frame.last_resources,
-        previous_resources=previous_resources + old_frame.last_resources,
+        document=new_envelope.document,
+        resources=resources + new_envelope.last_resources,
+        previous_resources=previous_resources + old_envelope.last_resources,
     )
 
 
-def load_configuration(packed: bytes, held: LoadedConfiguration | None = None) -> LoadedConfiguration:
+def load_configuration(packed: bytes, current: LoadedConfiguration | None = None) -> LoadedConfiguration:
     """Read a packed configuration that `hazelspring.configuration.validation` has accepted.
 
-    It is read by its difference from the one that is held where that is possible, else block by block, else whole.
+    It is loaded by its difference from the current one if possible, otherwise block by block, otherwise as
+    one document.
 
     Raises
     ------
     PackedError
         The packed body is damaged.
     """
-    if held is not None:
+    if current is not None:
         try:
-            configuration = apply_change(held.configuration, diff_blocks(held, packed))
+            configuration = apply_change(current.configuration, diff_blocks(current, packed))
             return LoadedConfiguration(configuration, packed, block_aligned=True)
         except (NotIncrementalError, PackedError):
             pass
@@ -186,13 +190,13 @@
 
 
 def _build_by_blocks(blocks: list[Block]) -> Configuration:
-    """Return the configuration of all blocks, with the resources of one block at a time in memory."""
-    frame = parse_frame(blocks)
-    version = parse_version(frame.document["versionNumber"])
-    return build_configuration(version, _read_resources(blocks, frame))
+    """Return the configuration of all blocks; only one block's parsed resources are in memory at a time."""
+    envelope = parse_envelope(blocks)
+    version = parse_version(envelope.document["versionNumber"])
+    return build_configuration(version, _read_resources(blocks, envelope))
 
 
-def _read_resources(blocks: list[Block], frame: DocumentFrame) -> Iterator[ResourceDocument]:
+def _read_resources(blocks: list[Block], envelope: DocumentEnvelope) -> Iterator[ResourceDocument]:
     for block in blocks[1:-1]:
         yield from parse_block(block)
-    yield from frame.last_resources
+    yield from envelope.last_resources
--- a/hazelspring/configuration/validation.py
+++ b/hazelspring/configuration/validation.py
@@ -1,11 +1,11 @@
-"""Whether a configuration is valid: first each field by its schema, then what ties resources together.
+"""Validation of a configuration: first each field by its schema, then the relations between resources.
 
-A document is refused whole or accepted whole, before anything of it is stored.  The first problem found is reported,
-with the field that it is about; the texts are part of the interface for operators.
+A document is rejected or accepted as a whole, before any part of it is stored.  The first problem found is
+reported, with the field that it is about.  The error texts are part of the interface for operators.
 
-`validate_change` reaches the same verdict from the difference to the configuration that is held, which is faster for a
-large document.  It only ever accepts by the difference: any doubt is decided, and any problem reported, by
-`validate_configuration` on the whole document.
+`validate_change` gives the same result from the difference to the current configuration, which is faster for
+a large document.  The difference alone can only lead to acceptance.  In all other cases
+`validate_configuration` checks the complete document, and reports any problem.
 """
 
 from __future__ import annotations
@@ -32,23 +32,23 @@
 from hazelspring.configuration.schema import flatten_errors
 from hazelspring.errors import HazelspringError
 
-MAX_TARGET_EXCESS_MS = 60_000  # milliseconds; targetAnswerMs must be less than this above timeoutMs
-MAX_QUOTED_CHARACTERS = 80  # of the JSON parser's message
+MAX_TARGET_EXCESS_MS = 60_000  # targetAnswerMs must be less than timeoutMs plus this
+MAX_QUOTED_CHARACTERS = 80  # of the JSON parser's message, quoted in an error
 
 
 class InvalidConfigurationError(HazelspringError, ValueError):
-    """A configuration is refused; the text names the field and the problem."""
+    """A configuration is not valid; the text names the field and the problem."""
 
     code = "invalid_configuration"
 
 
 def validate_configuration(body: bytes) -> int:
-    """Return the version number of a configuration that is valid.
+    """Validate a complete document and return its version number.
 
     Raises
     ------
     InvalidConfigurationError
-        It is not, with the first problem found.
+        The document is not valid; the text names the first problem found.
     """
     document = _parse_document(body)
     _check_document(document)
@@ -61,7 +61,7 @@
 
 
 def _parse_document(body: bytes) -> Any:
-    """Return the parsed JSON of a body, of whatever type."""
+    """Return the parsed JSON of a body, which may be of any type."""
     try:
         return json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -70,7 +70,7 @@
 
 
 def _check_document(document: Any) -> None:
-    """Check all fields outside of the specifications."""
+    """Check all fields except those in the specifications of resources."""
     try:
         DOCUMENT_SCHEMA.load(document)
     except ValidationError as error:
@@ -90,21 +90,24 @@
 
 
 class UniquenessCheck:
-    """What no two resources may share: the names of a kind, the places of routes, the access keys of tenants.
+    """Checks what must be unique among resources.
+
+    No two resources of a kind may have the same name, no two routes the same host and path prefix, and no
+    two tenants the same access key.
 
     Attributes
     ----------
     names
-        The names found so far, by kind.
+        The names of the resources added so far, by kind.
     """
 
     def __init__(self) -> None:
         self.names: dict[str, set[str]] = {kind: set() for kind in SPECIFICATION_SCHEMAS}
-        self._route_by_place: dict[tuple[str, str], str] = {}  # by host and path prefix
+        self._route_by_host_and_prefix: dict[tuple[str, str], str] = {}
         self._tenant_by_key: dict[str, str] = {}
 
     def add(self, resource: ResourceDocument) -> None:
-        """Check one more resource, whose fields are valid; raise InvalidConfigurationError."""
+        """Add a resource with valid fields; raise InvalidConfigurationError if it conflicts with another."""
         kind, name = resource["resourceKind"], resource_name(resource)
         if name in self.names[kind]:
             raise InvalidConfigurationError(f"{kind}.{name}: stands twice")
@@ -116,17 +119,17 @@
             self._add_tenant(name, resource["specification"])
 
     def _add_route(self, name: str, specification: Specification) -> None:
-        place = (specification["hostName"].lower(), specification["pathPrefix"])
-        if place in self._route_by_place:
-            other = self._route_by_place[place]
+        host_and_prefix = (specification["hostName"].lower(), specification["pathPrefix"])
+        if host_and_prefix in self._route_by_host_and_prefix:
+            other = self._route_by_host_and_prefix[host_and_prefix]
             raise InvalidConfigurationError(f"routeTable.{name}.pathPrefix: the place of {other}")
-        self._route_by_place[place] = name
+        self._route_by_host_and_prefix[host_and_prefix] = name
 
     def _add_tenant(self, name: str, specification: Specification) -> None:
         for key in specification.get("accessKeys") or ():
-            holder = self._tenant_by_key.setdefault(key, name)
-            if holder != name:
-                raise InvalidConfigurationError(f"tenantTable.{name}.accessKeys: a key that {holder} holds")
+            owner = self._tenant_by_key.setdefault(key, name)
+            if owner != name:
+                raise InvalidConfigurationError(f"tenantTable.{name}.accessKeys: a key that {owner} holds")
 
 
 def _check_named(kind: str, name: str) -> None:
@@ -135,14 +138,14 @@
 
 
 def _check_references(resources: list[ResourceDocument], service_names: Container[str]) -> None:
-    """Check the routes among resources against the services that there are."""
+    """Check that the routes among the resources refer to existing services."""
     for resource in resources:
         if resource["resourceKind"] == ResourceKind.ROUTE:
             validate_route(resource_name(resource), resource["specification"], service_names)
 
 
 def validate_route(name: str, specification: Specification, service_names: Container[str]) -> None:
-    """Check the services that a route refers to, and its figures against each other.
+    """Check the services that a route refers to, and the relation between its timeout and its target.
 
     Raises
     ------
@@ -164,49 +167,50 @@
         raise InvalidConfigurationError(f"routeTable.{name}.targetAnswerMs: a minute or more above timeoutMs")
 
 
-def validate_change(body: bytes, held: LoadedConfiguration | None) -> ValidatedConfiguration:
-    """Return a configuration that is valid, packed.
+def validate_change(body: bytes, current: LoadedConfiguration | None) -> ValidatedConfiguration:
+    """Validate a document and return it packed.
 
     Parameters
     ----------
     body
         The document.
-    held
-        The configuration in use, if any: the document is validated by its difference where that is enough.
+    current
+        The current configuration, if any.  The document is validated by its difference from it if that
+        is sufficient.
 
     Raises
     ------
     InvalidConfigurationError
-        The document is not valid, with the same text as `validate_configuration` gives.
+        The document is not valid; the text is the same as that of `validate_configuration`.
     """
-    if held is None:
+    if current is None:
         return ValidatedConfiguration(validate_configuration(body), pack(body))
-    packed = pack(body, held.packed)
+    packed = pack(body, current.packed)
     with contextlib.suppress(InvalidConfigurationError, NotIncrementalError, PackedError):
-        return ValidatedConfiguration(validate_incrementally(held, packed), packed)
+        return ValidatedConfiguration(validate_incrementally(current, packed), packed)
     return ValidatedConfiguration(validate_configuration(body), packed)
 
 
-def validate_incrementally(held: LoadedConfiguration, packed: bytes) -> int:
-    """Return the version number of a configuration whose difference from the held one is valid.
+def validate_incrementally(current: LoadedConfiguration, packed: bytes) -> int:
+    """Validate a configuration by its difference from the current one, and return its version number.
 
     Raises
     ------
     InvalidConfigurationError
-        The difference is not valid; the text need not be the one for the operator.
+        The difference is not valid; the text may differ from that of `validate_configuration`.
     NotIncrementalError
-        The difference alone does not decide.
+        The difference alone does not show whether the configuration is valid.
     PackedError
         The packed body is damaged.
     """
-    change = diff_blocks(held, packed)
+    change = diff_blocks(current, packed)
     _check_document({**change.document, "resourceList": change.resources})
     for resource in change.resources:
         _check_specification(resource)
         _check_named(resource["resourceKind"], resource_name(resource))
-    configuration = apply_change(held.configuration, change)
+    configuration = apply_change(current.configuration, change)
     _check_references(change.resources, configuration.services)
-    if held.configuration.services.keys() - configuration.services.keys():
+    if current.configuration.services.keys() - configuration.services.keys():
         _check_remaining_routes(configuration)
     return configuration.version
 
@@ -219,4 +223,4 @@
             references = {share.name for share in route.weighted_services}
             references.update(route.zero_weight_services)
             if not service_names >= references:
-                raise InvalidConfigurationError(f"routeTable.{route.name}.service: it is gone")
+                raise InvalidConfigurationError(f"routeTable.{route.name}.service: it was removed")
