--- a/hazelspring/configuration/model.py
+++ b/hazelspring/configuration/model.py
@@ -1,10 +1,10 @@
 """The model of the operator's configuration: routes, services, tenants and limits, looked up by request.
 
-The operator's document is a JSON object with ``versionNumber`` (``"r"`` and a number) and ``resourceList``.  Each
-resource has a ``resourceKind``, a ``metadata.name`` and a ``specification``; the classes here say which field of the
-specification each of their fields is read from.  Documents are checked by `hazelspring.configuration.validation`
-before they are parsed here, so that parsing needs no checks of its own.  Durations in milliseconds on the wire
-(``...Ms``) are seconds here.
+The operator's document is a JSON object with ``versionNumber`` (``"r"`` and a number) and ``resourceList``.
+Each resource has a ``resourceKind``, a ``metadata.name`` and a ``specification``; the classes here document
+from which field of the specification each attribute is read.  Documents are validated by
+`hazelspring.configuration.validation` before they are parsed here, so the parser does not check them.
+Fields ``...Ms`` of the document are durations in milliseconds; the durations in this model are in seconds.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 ResourceDocument = dict[str, Any]  # one entry of resourceList, parsed from JSON
 Specification = dict[str, Any]  # the specification of a resource, parsed from JSON
-Stamp = tuple[int, bytes]  # of a store of format 1: a version number, and the tie-break between equal numbers
+Stamp = tuple[int, bytes]  # in a store of format 1: a version number, and a tie-breaker for equal numbers
 
-DEFAULT_TIMEOUT_MS = 30_000  # milliseconds, of a route without timeoutMs
+DEFAULT_TIMEOUT_MS = 30_000  # for a route without timeoutMs
 DEFAULT_HEALTH_PATH = "/health"
 MS_PER_S = 1000
-DIGEST_BYTES = 8  # bytes of the digest that names a configuration
+DIGEST_BYTES = 8  # size of the digest that identifies a configuration
 
 
 class ResourceKind(StrEnum):
-    """The kinds of resources, as ``resourceKind`` gives them."""
+    """The kinds of resources; the values of ``resourceKind``."""
 
     ROUTE = "routeTable"
     SERVICE = "serviceTable"
@@ -36,14 +36,15 @@
 
 
 class RouteKind(StrEnum):
-    """What the requests of a route do, as ``routeKind`` gives it."""
+    """What the requests of a route do; the values of ``routeKind``."""
 
     READ_ONLY = "read_only"
     MUTATING = "mutating"
     UPLOAD = "upload"
 
 
-# A member looked up by its class, or by a call, takes ten times as long: requests and large documents would pay it.
+# Looking up an enum member through its class, or by a call, takes ten times as long, which would slow down
+# each request and the parsing of large documents.
 READ_ONLY = RouteKind.READ_ONLY
 ROUTE_KIND_BY_VALUE = {kind.value: kind for kind in RouteKind}
 
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """One route: which requests it takes, and how they are served.  From a resource of kind ``routeTable``.
+    """One route: which requests it matches and how they are served.  From a resource of kind ``routeTable``.
 
     Attributes
     ----------
@@ -78,21 +79,21 @@
     kind
         From ``routeKind``.
     timeout
-        Seconds a request may take, from ``timeoutMs``; 30 without it.
+        Seconds a request may take, from ``timeoutMs``; default 30.
     latency_target
-        Seconds an answer should take, from ``targetAnswerMs``; the timeout without it.
+        Seconds an answer should take, from ``targetAnswerMs``; default `timeout`.
     priority
-        From ``priority``; 0 without it.
+        From ``priority``; default 0.
     weighted_services
-        From ``weightedSplit`` without the services of weight 0, or ``service`` alone.
+        From ``weightedSplit`` without the services of weight 0, or from ``service``.
     max_attempts
-        Attempts at one request, from ``maximumAttempts``; 1 without it.
+        The maximum number of attempts for one request, from ``maximumAttempts``; default 1.
     open_access
         Whether requests need no access key, from ``openAccess``.
     home_regions
         From ``homeRegions``.
     zero_weight_services
-        Services that ``weightedSplit`` names with a weight of 0.
+        Services with a weight of 0 in ``weightedSplit``.
     """
 
     name: str
@@ -114,7 +115,7 @@
         return self.kind is READ_ONLY
 
     def pick_service(self, chance: float) -> str:
-        """Return the service for a request, by a random number in [0, 1) that is drawn for it."""
+        """Return the service for a request; `chance` is a random number in [0, 1) drawn for this request."""
         if len(self.weighted_services) == 1:  # nearly all routes
             return self.weighted_services[0].name
         total_weight = self.weighted_services[-1].cumulative_weight
@@ -135,11 +136,11 @@
     health_path
         Path of the health check, from ``healthPath``.
     connection_limit
-        From ``connectionLimit``; 0 without it.
+        From ``connectionLimit``; default 0.
     slow_start_time
-        Seconds after a server's start during which it gets fewer requests, from ``coldStartS``.
+        Seconds after the start of a server during which it receives fewer requests, from ``coldStartS``.
     slow_start_rate
-        Requests a second meanwhile, over all nodes, from ``coldPerS``.
+        Requests per second during this time, from all nodes together, from ``coldPerS``.
     """
 
     name: str
@@ -151,18 +152,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """One tenant: a customer whose requests carry its access keys.  From a resource of kind ``tenantTable``.
+    """One tenant: a customer with access keys to send in its requests.  From a ``tenantTable`` resource.
 
     Attributes
     ----------
     name
         From ``metadata.name``.
     rate
-        Requests a second over all nodes, from ``requestsPerS``; 0 is no limit.
+        Requests per second over all nodes, from ``requestsPerS``; 0 means no limit.
     burst
-        Requests above the rate at once, from ``burstSize``.
+        Number of requests that may exceed the rate at once, from ``burstSize``.
     priority
-        From ``priority``; None leaves it to the route.
+        From ``priority``; None means that the priority of the route applies.
     home_regions
         From ``homeRegions``.
     """
@@ -181,13 +182,13 @@
     Attributes
     ----------
     max_head_bytes
-        Bytes of a request's head, from ``headerBytes``.
+        Maximum size of the head of a request, from ``headerBytes``.
     max_body_bytes
-        Bytes of a request's body, from ``bodyBytes``.
+        Maximum size of the body of a request, from ``bodyBytes``.
     head_timeout
-        Seconds until a request's head is complete, from ``headerTimeoutMs``.
+        Seconds within which the head of a request must be complete, from ``headerTimeoutMs``.
     idle_timeout
-        Seconds that a connection may stand idle, from ``idleTimeoutMs``.
+        Seconds that a connection may be idle, from ``idleTimeoutMs``.
     """
 
     max_head_bytes: int = 16 * 1024
@@ -205,17 +206,17 @@
     version
         The number in ``versionNumber``.
     routes_by_host
-        The routes of each host, the longest path prefix first.
+        The routes of each host, ordered from the longest path prefix to the shortest.
     services
-        By name.
+        The services by name.
     tenants
-        By name.
+        The tenants by name.
     tenants_by_key
-        By access key, from ``accessKeys``.
+        The tenants by access key, from ``accessKeys``.
     limits
-        Those of the last resource of kind ``limits``, or the defaults.
+        The limits of the last resource of kind ``limits``, or the defaults.
     limits_entries
-        How many resources of kind ``limits`` the document has.
+        The number of resources of kind ``limits`` in the document.
     """
 
     version: int
@@ -227,7 +228,7 @@
     limits_entries: int = 0
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path on a host, given in lower case."""
+        """Return the route of a host with the longest prefix of a path; `host` must be in lower case."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -240,18 +241,18 @@
 
 
 def configuration_digest(body: bytes) -> bytes:
-    """Return the 8 bytes that name a configuration: the BLAKE2b digest of its document."""
+    """Return the 8-byte BLAKE2b digest of a document, which identifies its configuration."""
     return hashlib.blake2b(body, digest_size=DIGEST_BYTES).digest()
 
 
 def resource_name(resource: ResourceDocument) -> str:
-    """Return the name of a resource; empty where it has none, as limits may."""
+    """Return the name of a resource, or an empty string if it has none, which only ``limits`` may lack."""
     name: str = resource["metadata"].get("name", "")
     return name
 
 
 def parse_tenant(name: str, specification: Specification) -> Tenant:
-    """Return the tenant that a checked specification describes."""
+    """Return the tenant that a validated specification describes."""
     return Tenant(
         name=name,
         rate=float(specification.get("requestsPerS") or 0),
@@ -262,7 +263,7 @@
 
 
 def parse_route(name: str, specification: Specification) -> Route:
-    """Return the route that a checked specification describes."""
+    """Return the route that a validated specification describes."""
     split = specification.get("weightedSplit") or [{"service": specification["service"], "shareWeight": 1}]
     cumulative_weight = 0.0
     weighted_services = []
@@ -288,7 +289,7 @@
 
 
 def parse_service(name: str, specification: Specification) -> Service:
-    """Return the service that a checked specification describes."""
+    """Return the service that a validated specification describes."""
     return Service(
         name=name,
         health_path=specification.get("healthPath") or DEFAULT_HEALTH_PATH,
@@ -299,7 +300,7 @@
 
 
 def parse_limits(specification: Specification) -> Limits:
-    """Return the limits that a checked specification describes; what it leaves out has its default."""
+    """Return the limits that a validated specification describes; omitted fields have their defaults."""
     default = Limits()
     head_timeout_ms = specification.get("headerTimeoutMs") or MS_PER_S * default.head_timeout
     idle_timeout_ms = specification.get("idleTimeoutMs") or MS_PER_S * default.idle_timeout
@@ -314,7 +315,7 @@
 def route_order(route: Route) -> tuple[int, str]:
     """Return the sort key of the routes of one host.
 
-    The longest prefix comes first; of two different prefixes of one length at most one matches a path.
+    The longest prefix comes first.  Of two different prefixes of the same length, at most one can match.
     """
     return -len(route.path_prefix), route.path_prefix
 
@@ -326,7 +327,7 @@
 
 
 def build_configuration(version: int, resources: Iterable[ResourceDocument]) -> Configuration:
-    """Return the configuration of checked resources, which are taken one after the other."""
+    """Return the configuration of validated resources; the iterable is consumed one resource at a time."""
     configuration = Configuration(version)
     for resource in resources:
         add_resource(configuration, resource)
@@ -336,7 +337,7 @@
 
 
 def add_resource(configuration: Configuration, resource: ResourceDocument) -> None:
-    """Add one checked resource to the tables; the routes of its host are left unsorted."""
+    """Add one validated resource to the tables; the routes of its host are not sorted."""
     add = RESOURCE_ADDERS.get(resource["resourceKind"])
     if add is not None:
         add(configuration, resource["metadata"].get("name", ""), resource["specification"])
--- a/hazelspring/configuration/resource_schemas.py
+++ b/hazelspring/configuration/resource_schemas.py
@@ -1,8 +1,8 @@
-"""The marshmallow schemas of the operator's document: the type and range of every field, each for itself.
+"""The marshmallow schemas of the operator's document: the type and range of each single field.
 
-Names of fields are those of the document (``hostName``), as the texts of errors give them to the operator.  What the
-fields mean is said in `hazelspring.configuration.model`; what ties resources together is checked in
-`hazelspring.configuration.validation`.
+The attributes are named like the fields of the document (``hostName``), because error texts name the fields
+to the operator.  `hazelspring.configuration.model` describes what the fields mean, and
+`hazelspring.configuration.validation` checks the relations between fields and between resources.
 """
 
 from __future__ import annotations
@@ -68,13 +68,13 @@
 
 
 class MetadataSchema(LenientSchema):
-    """What names a resource; resources of all kinds but ``limits`` must have a name."""
+    """The metadata of a resource; resources of all kinds except ``limits`` must have a name."""
 
     name = fields.String()
 
 
 class ResourceSchema(LenientSchema):
-    """One resource, whose specification has a schema of its own."""
+    """One resource; its specification is checked by the schema of its kind in `SPECIFICATION_SCHEMAS`."""
 
     resourceKind = fields.String(required=True)
     metadata = fields.Nested(MetadataSchema, required=True)
@@ -82,7 +82,7 @@
 
 
 class DocumentSchema(LenientSchema):
-    """The whole document."""
+    """The complete document of the operator."""
 
     versionNumber = fields.String(required=True, validate=validate.Regexp(VERSION_PATTERN))
     resourceList = fields.List(fields.Nested(ResourceSchema), required=True)
--- a/hazelspring/configuration/schema.py
+++ b/hazelspring/configuration/schema.py
@@ -1,4 +1,4 @@
-"""What all marshmallow schemas of this program share: unknown fields are ignored, problems name their field."""
+"""The base of all marshmallow schemas of this program, and the texts of validation errors."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LenientSchema(Schema):
-    """A schema that ignores unknown fields, so that documents may be newer than the program."""
+    """A schema that ignores unknown fields, so that a document may have fields of a newer version."""
 
     class Meta:
         """Options that marshmallow reads."""
@@ -17,14 +17,14 @@
 
 
 def flatten_errors(messages: Any, path: str = "") -> list[str]:
-    """Return marshmallow's messages, a line a problem, each with the path of its field, in the order found.
+    """Return marshmallow's messages in their order, one line per problem, each with the path of its field.
 
     Parameters
     ----------
     messages
-        `ValidationError.messages`: lists of texts, nested in maps by field.
+        `ValidationError.messages`: lists of texts, nested in dictionaries by field.
     path
-        The field, with dots, that the messages are about.
+        The dotted path of the field that the messages are about.
     """
     if not isinstance(messages, dict):
         return [f"{path}: {text}" for text in messages]
