--- a/hazelspring/storage/__init__.py
+++ b/hazelspring/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable records of a replica: one SQLite file, read and written by one process."""
+"""Durable storage of the records of a replica: one SQLite file, used by one process at a time."""
--- a/hazelspring/storage/offline.py
+++ b/hazelspring/storage/offline.py
@@ -1,8 +1,9 @@
-"""The file of a replica's store while no node runs on it: read from a copy, or replaced whole.
+"""Access to the file of a replica's store while no node uses it: reading, and replacing all of its content.
 
-This serves recovery after a disaster, so it never changes what it reads, and keeps what it replaces.  It knows both
-versions of the file that `hazelspring.storage.replica_store` describes.  In version 1 there were two tables:
-``item (key, number, tie, body, sum)``, an item of the configuration with its stamp, and ``mark (name, body)``.
+This is used for disaster recovery.  Reading therefore never modifies the file, and replacing first makes a
+backup. Both file versions that `hazelspring.storage.replica_store` describes are supported.  Version 1 had
+two tables: ``item (key, number, tie, body, sum)`` with items of the configuration and their stamps, and
+``mark (name, body)``.
 """
 
 from __future__ import annotations
@@ -27,28 +28,28 @@
 )
 
 ITEM_FORMAT_VERSION = 1  # the version before `FORMAT_VERSION`
-TABLES = ("item", "mark", "record")  # of all versions
-FIRST_SHARED_LOCK_BYTE = 0x40000002  # offset in the file of the bytes that SQLite locks, whoever reads it
-SHARED_LOCK_BYTES = 510  # how many these are
-COPIED_SUFFIXES = ("", "-wal", "-journal")  # of the files that hold content; -shm is made anew
+TABLES = ("item", "mark", "record")  # the tables of both versions
+FIRST_SHARED_LOCK_BYTE = 0x40000002  # offset in the file of the bytes that each reader locks in SQLite
+SHARED_LOCK_BYTES = 510  # number of these bytes
+COPIED_SUFFIXES = ("", "-wal", "-journal")  # of the files with content; SQLite creates -shm again
 
 
 @dataclass(slots=True)
 class StoreContents:
-    """What the file of a store holds.
+    """The content of a store's file.
 
     Attributes
     ----------
     format
         The version of the file, 1 or 2.
     records
-        Version 2: bodies of records by name.
+        In version 2: the bodies of records by name.
     items
-        Version 1: stamp and body by key.
+        In version 1: the stamps and bodies of items by key.
     marks
-        Version 1: bodies by name; they have no checksum.
+        In version 1: the bodies of marks by name; marks have no checksum.
     corrupt
-        Names or keys of rows whose checksum is wrong; these rows are left out.
+        Names or keys of rows with a wrong checksum; these rows are not in the other attributes.
     """
 
     format: int
@@ -59,22 +60,25 @@
 
 
 def item_checksum(key: str, number: int, tie: bytes, body: bytes) -> bytes:
-    """Return the 16-byte checksum that version 1 stored beside an item."""
+    """Return the 16-byte checksum that version 1 stored with an item."""
     prefix = b"%s %d %s " % (key.encode(), number, tie)
     return hashlib.blake2b(prefix + body, digest_size=CHECKSUM_BYTES).digest()
 
 
 def inspect_store(path: Path) -> StoreContents:
-    """Return what a file holds; nothing is written, not even what SQLite would do by opening it.
+    """Return the content of a store's file without modifying it.
+
+    The file is copied and the copy is opened, because SQLite may write to a file when opening it.
 
     Raises
     ------
     StoreError
-        The file is in use, damaged, or of a version that is not known.
+        The file is in use, damaged, or of an unknown version.
     """
     try:
         with path.open("rb") as file, tempfile.TemporaryDirectory() as folder:
-            # a node holds these bytes exclusively while it runs; what it is writing must not be copied half
+            # A running node has an exclusive lock on these bytes.  Without this check, the copy could have
+            # only a part of a write in progress.
             fcntl.lockf(file, fcntl.LOCK_SH | fcntl.LOCK_NB, SHARED_LOCK_BYTES, FIRST_SHARED_LOCK_BYTE)
             copy = _copy_files(path, Path(folder))
             connection = sqlite3.connect(copy, isolation_level=None)
@@ -83,13 +87,13 @@
             finally:
                 connection.close()
     except BlockingIOError as error:
-        raise StoreError("look", OSError(f"{path} is in use: stop the door that runs on it")) from error
+        raise StoreError("inspect", OSError(f"{path} is in use: stop the node that uses it")) from error
     except (sqlite3.Error, OSError) as error:
-        raise StoreError("look", error) from error
+        raise StoreError("inspect", error) from error
 
 
 def _copy_files(path: Path, folder: Path) -> Path:
-    """Copy a database, and the files that SQLite keeps beside it, to a folder; return the copy's path."""
+    """Copy a database with its journal files to a folder, and return the path of the copy."""
     copy = folder / "copy"
     for suffix in COPIED_SUFFIXES:
         source = Path(f"{path}{suffix}")
@@ -99,18 +103,18 @@
 
 
 def read_contents(connection: sqlite3.Connection) -> StoreContents:
-    """Return what an open database of either version holds.
+    """Return the content of an open database of either version.
 
     Raises
     ------
     sqlite3.DatabaseError
-        It is damaged, or of a version that is not known.
+        The database is damaged, or of an unknown version.
     """
     (version,) = connection.execute("pragma user_version").fetchone()
     if version not in (ITEM_FORMAT_VERSION, FORMAT_VERSION):
-        raise sqlite3.DatabaseError(f"format {version} is not known")
+        raise sqlite3.DatabaseError(f"unknown format version {version}")
     if connection.execute("pragma quick_check").fetchone() != ("ok",):
-        raise sqlite3.DatabaseError("damaged")
+        raise sqlite3.DatabaseError("the database is damaged")
     contents = StoreContents(version)
     if version == FORMAT_VERSION:
         _read_records(connection, contents)
@@ -141,21 +145,21 @@
 
 
 def replace_contents(path: Path, records: Mapping[str, bytes], backup_path: Path) -> None:
-    """Put records in the place of all that a file of either version holds, in one transaction.
+    """Replace the content of a file of either version by records, in one transaction.
 
     Parameters
     ----------
     path
         The file of the store.
     records
-        What it holds afterwards, in version 2.
+        The new content, which is written in version 2.
     backup_path
-        A new file; what the store held is there, synced, before anything is replaced.
+        A new file, to which the old content is copied and synced before anything is replaced.
 
     Raises
     ------
     StoreError
-        The disk refuses, or a node runs on the file; it holds what it held before.
+        A disk operation failed, or a node is using the file; its content is unchanged.
     """
     try:
         connection = sqlite3.connect(path, timeout=0.0, isolation_level=None)
@@ -170,25 +174,25 @@
 
 
 def _lock_exclusively(connection: sqlite3.Connection) -> None:
-    """Keep all others from the file until the connection is closed."""
+    """Lock the file against all other connections until this one is closed."""
     connection.execute("pragma locking_mode=exclusive")
     connection.execute("pragma synchronous=extra")
     connection.execute("pragma journal_mode=wal")
-    connection.execute("begin immediate")  # takes the lock, which stays after the commit
+    connection.execute("begin immediate")  # takes the lock, which is kept after the commit
     connection.execute("commit")
 
 
 def _back_up(connection: sqlite3.Connection, backup_path: Path) -> None:
-    """Copy a database to a new file that survives a loss of power."""
+    """Copy a database to a new file, and sync it so that it survives a power loss."""
     backup = sqlite3.connect(backup_path)
     connection.backup(backup)
     backup.close()
     sync_path(backup_path)
-    sync_path(backup_path.parent)  # or the new file has no name after a loss of power
+    sync_path(backup_path.parent)  # otherwise the new file may be missing after a power loss
 
 
 def _replace_tables(connection: sqlite3.Connection, records: Mapping[str, bytes]) -> None:
-    """Make records the only content of a database, in one transaction."""
+    """Replace all tables of a database by one with these records, in one transaction."""
     connection.execute("begin immediate")
     for table in TABLES:
         connection.execute(f"drop table if exists {table}")
--- a/hazelspring/storage/replica_store.py
+++ b/hazelspring/storage/replica_store.py
@@ -1,23 +1,25 @@
 """The records of one replica on disk.
 
 Schema
-    One SQLite file, ``comb.sqlite``, with one table: ``record (name text primary key, body blob, sum blob)``.  ``sum``
-    is the 16-byte BLAKE2b digest of the name, a zero byte and the body (`record_checksum`).  What names and bodies mean
-    is up to the caller.
+    One SQLite file, ``comb.sqlite``, with one table:
+    ``record (name text primary key, body blob, sum blob)``.  ``sum`` is the 16-byte BLAKE2b digest of the
+    name, a zero byte and the body (`record_checksum`).  The caller defines the meaning of names and bodies.
 
 Format versions
-    ``pragma user_version`` holds the version: 0 is a new file, 2 is this one.  Version 1, which earlier programs wrote,
-    had a row for each item of the configuration and no consensus; only `hazelspring.storage.offline` reads it.
+    ``pragma user_version`` is the version: 0 for a new file, 2 for the current format.  Version 1, written
+    by earlier releases, had a row for each item of the configuration and no consensus state; only
+    `hazelspring.storage.offline` reads it.
 
 Durability
-    A save is one transaction and is on disk when it returns, since a replica answers others on the strength of it.
-    Hence ``synchronous=extra``: it syncs the directory, too, after a journal is removed; without that the journal could
-    come back after a loss of power and undo what was committed since.
-
-    A file that is foreign, damaged or of an unknown version is quarantined: it is renamed to ``comb.sqlite.aside`` and
-    an empty one is begun.  What the replica has promised is not known any more then, so no part of the file may be
-    used; it is kept for an operator to look at.  The directory is synced after the renaming, or the old file could be
-    back after a loss of power in the place of the new one.
+    A save is one transaction and is on disk when the call returns, because a replica sends answers to other
+    members that rely on it.  For this reason ``synchronous=extra`` is set: it also syncs the directory after
+    a journal is removed.  Without that, the journal could reappear after a power loss and undo later
+    commits.
+
+    A file that is not a store, is damaged or has an unknown version is quarantined: it is renamed to
+    ``comb.sqlite.aside``, and an empty file is created.  It is then unknown what the replica has promised,
+    so no part of the old file may be used; it is kept for an operator to inspect.  The directory is synced
+    after the renaming.  Otherwise the old file could reappear after a power loss in the place of the new one.
 """
 
 from __future__ import annotations
@@ -32,22 +34,22 @@
 
 from hazelspring.errors import HazelspringError
 
-FORMAT_VERSION = 2  # version 1 had one row an item of the configuration, without consensus
-EMPTY_FILE_VERSION = 0  # what SQLite gives as the version of a new file
+FORMAT_VERSION = 2  # version 1 had a row for each item of the configuration, and no consensus state
+EMPTY_FILE_VERSION = 0  # the version that SQLite reports for a new file
 SCHEMA = "create table if not exists record (name text primary key, body blob, sum blob);"
 FILE_NAME = "comb.sqlite"
-FILE_SUFFIXES = ("", "-wal", "-shm", "-journal")  # of all files that SQLite may keep for a database
+FILE_SUFFIXES = ("", "-wal", "-shm", "-journal")  # of all files that SQLite may create for a database
 QUARANTINE_SUFFIX = ".aside"
 CHECKSUM_BYTES = 16
 
 
 class StoreError(HazelspringError):
-    """A step on disk failed.
+    """A disk operation failed.
 
     Attributes
     ----------
     step
-        What was to be done: load, save, look or replace.
+        The operation: load, save, inspect or replace.
     """
 
     code = "disk"
@@ -58,12 +60,12 @@
 
 
 def record_checksum(name: str, body: bytes) -> bytes:
-    """Return the 16-byte checksum that is stored beside a record."""
+    """Return the 16-byte checksum that is stored with a record."""
     return hashlib.blake2b(name.encode() + b"\0" + body, digest_size=CHECKSUM_BYTES).digest()
 
 
 def sync_path(path: Path) -> None:
-    """Make a file's content, or a directory's entries, survive a loss of power; raise OSError."""
+    """Sync a file's content or a directory's entries, so that they survive a power loss; raise OSError."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -72,21 +74,21 @@
 
 
 class ReplicaStore:
-    """The file with the records of one replica.
+    """The SQLite file with the records of one replica.
 
-    `load` and `save` may be called from any thread; each holds the lock.
+    `load`, `save` and `close` may be called from any thread; a lock serializes them.
 
     Parameters
     ----------
     folder
         The directory of the file.
     connect
-        Opens a database as `sqlite3.connect` does; tests give another one.
+        Opens a database as `sqlite3.connect` does; tests pass a replacement.
 
     Attributes
     ----------
     quarantined
-        Why files were quarantined, for the log; whoever writes it there removes it.
+        Why files were quarantined.  The caller that logs a reason removes it from the list.
     """
 
     def __init__(self, folder: str, connect: Callable[..., Any] = sqlite3.connect) -> None:
@@ -97,12 +99,13 @@
         self.quarantined: list[str] = []
 
     def open(self) -> sqlite3.Connection:
-        """Return the open file; one that cannot be read is quarantined first.
+        """Return the open database; a file that cannot be read is quarantined and replaced by an empty one.
 
         Raises
         ------
         sqlite3.Error, OSError
-            The disk refuses, which says nothing of the file, or an empty file cannot be read either.
+            The disk operation failed, which does not mean that the file is damaged, or even a new file
+            cannot be read.
         """
         if self.connection is not None:
             return self.connection
@@ -114,7 +117,7 @@
                 self._prepare(connection)
             except sqlite3.DatabaseError as error:
                 connection.close()
-                # an operational error, as of a full disk, does not mean that the file is damaged
+                # an operational error, for example a full disk, does not mean that the file is damaged
                 if not may_quarantine or isinstance(error, sqlite3.OperationalError):
                     raise
                 self.quarantine(str(error))
@@ -125,56 +128,55 @@
 
     @staticmethod
     def _prepare(connection: sqlite3.Connection) -> None:
-        """Set a connection up and check its file; raise sqlite3.DatabaseError where that cannot be read."""
+        """Set up a connection and check its file; raise sqlite3.DatabaseError if the file cannot be read."""
         connection.execute("pragma locking_mode=exclusive")
-        # before the first write: a journal whose removal was not synced would come back and undo the file
+        # must precede the first write: a journal whose removal is not synced could reappear and undo commits
         connection.execute("pragma synchronous=extra")
         connection.execute("pragma journal_mode=wal")
         connection.execute("pragma cache_size=-256")  # KiB
         (version,) = connection.execute("pragma user_version").fetchone()
         if version not in (EMPTY_FILE_VERSION, FORMAT_VERSION):
-            raise sqlite3.DatabaseError(f"format {version} is not known")
-        if version == EMPTY_FILE_VERSION:  # any other file is opened without a write: the disk may be full
+            raise sqlite3.DatabaseError(f"unknown format version {version}")
+        if version == EMPTY_FILE_VERSION:  # other files are opened without writing, as the disk may be full
             connection.executescript(SCHEMA)
             connection.execute(f"pragma user_version={FORMAT_VERSION}")
         if connection.execute("pragma quick_check").fetchone() != ("ok",):
-            raise sqlite3.DatabaseError("damaged")
+            raise sqlite3.DatabaseError("the database is damaged")
 
     def quarantine(self, reason: str) -> None:
-        """Rename the file, and those that SQLite keeps beside it, so that it is never read again."""
+        """Rename the file, and the files that SQLite creates with it, so that it is never read again."""
         self.quarantined.append(reason)
         for suffix in FILE_SUFFIXES:
             path = Path(f"{self.path}{suffix}")
             if path.exists():
                 path.replace(f"{self.path}{QUARANTINE_SUFFIX}{suffix}")
-        sync_path(
-            self.path.parent
-        )  # or the old file is back after a loss of power, in the place of the new one
+        # otherwise the old file could reappear after a power loss, in the place of the new one
+        sync_path(self.path.parent)
 
     def load(self) -> dict[str, bytes]:
         """Return all records by name.
 
-        If the checksum of one is wrong, it is not known any more what this replica promised: the file is quarantined,
-        and the disk counts as empty.
+        If a checksum is wrong, it is unknown what this replica has promised.  The file is then quarantined,
+        and no records are returned.
 
         Raises
         ------
         StoreError
-            The disk refuses.
+            A disk operation failed.
         """
         with self.lock:
             try:
                 rows = list(self.open().execute("select name, body, sum from record"))
                 for name, body, checksum in rows:
                     if record_checksum(name, body) != checksum:
-                        self.discard(f"record {name}: its sum is wrong")
+                        self.discard(f"record {name}: wrong checksum")
                         return {}
                 return {name: body for name, body, _ in rows}
             except (sqlite3.Error, OSError) as error:
                 raise StoreError("load", error) from error
 
     def discard(self, reason: str) -> None:
-        """Quarantine a file whose records are of no use, and begin an empty one."""
+        """Quarantine the file because its records must not be used, and create an empty one."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
@@ -182,12 +184,14 @@
         self.open()
 
     def save(self, records: Mapping[str, bytes | None]) -> None:
-        """Put records on disk, and remove those that are None; all of it is there once this returns, or none.
+        """Write records to disk, and remove those that are None, in one transaction.
+
+        All changes are on disk when the call returns; if it raises, none of them was made.
 
         Raises
         ------
         StoreError
-            The disk refuses; it holds what it held before.
+            A disk operation failed; the records on disk are unchanged.
         """
         with self.lock:
             try:
@@ -197,7 +201,7 @@
 
     @staticmethod
     def _save_all(connection: sqlite3.Connection, records: Mapping[str, bytes | None]) -> None:
-        """Save records in one transaction."""
+        """Write and remove records in one transaction."""
         connection.execute("begin immediate")
         try:
             for name, body in records.items():
@@ -213,7 +217,7 @@
             raise
 
     def close(self) -> None:
-        """Close the file; the next call opens it again."""
+        """Close the file; the next `load` or `save` opens it again."""
         with self.lock:
             if self.connection is not None:
                 self.connection.close()
