--- a/hazelspring/configuration/blocks.py
+++ b/hazelspring/configuration/blocks.py
@@ -123,7 +123,11 @@
 
 
 def _find_block_end(text: bytes, start: int) -> int:
-    """Return the end of the block that begins at `start`: the next boundary, or the maximum size."""
+    """Return the end of the block that begins at `start`.
+
+    This is the next boundary or the end of the text.  A block that would be larger than `MAX_BLOCK_BYTES` ends
+    at the last start of a resource within this size, or at this size.
+    """
     limit = start + MAX_BLOCK_BYTES
     last_resource = 0
     position = text.find(BLOCK_BOUNDARY, start + MIN_BLOCK_BYTES, limit)
--- a/hazelspring/storage/offline.py
+++ b/hazelspring/storage/offline.py
@@ -1,7 +1,7 @@
 """Access to the file of a replica's store while no node uses it: reading, and replacing all of its content.
 
 This is used for disaster recovery.  Reading therefore never modifies the file, and replacing first makes a
-backup. Both file versions that `hazelspring.storage.replica_store` describes are supported.  Version 1 had
+backup.  Both file versions that `hazelspring.storage.replica_store` describes are supported.  Version 1 had
 two tables: ``item (key, number, tie, body, sum)`` with items of the configuration and their stamps, and
 ``mark (name, body)``.
 """
--- a/hazelspring/storage/replica_store.py
+++ b/hazelspring/storage/replica_store.py
@@ -19,7 +19,7 @@
     A file that is not a store, is damaged or has an unknown version is quarantined: it is renamed to
     ``comb.sqlite.aside``, and an empty file is created.  It is then unknown what the replica has promised,
     so no part of the old file may be used; it is kept for an operator to inspect.  The directory is synced
-    after the renaming.  Otherwise the old file could reappear after a power loss in the place of the new one.
+    after the renaming.  Otherwise the old file could replace the new one again after a power loss.
 """
 
 from __future__ import annotations
--- a/tests/test_configuration_change.py
+++ b/tests/test_configuration_change.py
@@ -1,4 +1,7 @@
-"""Packed bodies, deltas and incremental reading: exact bytes, and the verdict and tables of the whole document."""
+"""Packed bodies, deltas and incremental loading.
+
+Deltas reproduce the exact bytes, and an incremental change has the result of parsing the complete document.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +40,7 @@
 
 @pytest.fixture(autouse=True, scope="module")
 def small_blocks() -> Iterator[None]:
-    """Blocks of a few resources, so that small configurations have many."""
+    """Reduce the block size to a few resources, so that small configurations have many blocks."""
     with pytest.MonkeyPatch.context() as patch:
         for name, value in (("MIN_BLOCK_BYTES", 300), ("MAX_BLOCK_BYTES", 2000), ("BOUNDARY_MASK", 3)):
             patch.setattr(blocks_module, name, value)
@@ -49,9 +52,9 @@
     return {"resourceKind": kind, "metadata": {"name": name}, "specification": spec}
 
 
-def resources(seed: int) -> list[ResourceDocument]:
-    draw = random.Random(seed)
-    found = [resource("serviceTable", f"s{n}", connectionLimit=n) for n in range(5)]
+def make_resources(seed: int) -> list[ResourceDocument]:
+    rng = random.Random(seed)
+    entries = [resource("serviceTable", f"s{n}", connectionLimit=n) for n in range(5)]
     for n in range(24):
         spec: ResourceDocument = {
             "hostName": f"H{n // 4}.example",
@@ -59,26 +62,26 @@
             "routeKind": "upload",
         }
         if n % 3:
-            spec["service"] = f"s{draw.randrange(5)}"
+            spec["service"] = f"s{rng.randrange(5)}"
         else:
-            weights = [{"service": f"s{draw.randrange(5)}", "shareWeight": w} for w in (0, 1)]
-            spec["weightedSplit"] = weights
-        found.append(resource("routeTable", f"r{n}", **spec))
+            split = [{"service": f"s{rng.randrange(5)}", "shareWeight": weight} for weight in (0, 1)]
+            spec["weightedSplit"] = split
+        entries.append(resource("routeTable", f"r{n}", **spec))
     for n in range(30):
-        keys = [f"k{n}", f"k{n}-{draw.randrange(3)}"]
-        found.append(resource("tenantTable", f"t{n}", accessKeys=keys, requestsPerS=draw.randrange(9)))
-    found += [resource("limits", f"l{n}", bodyBytes=1000 + n) for n in range(seed % 3)]
+        keys = [f"k{n}", f"k{n}-{rng.randrange(3)}"]
+        entries.append(resource("tenantTable", f"t{n}", accessKeys=keys, requestsPerS=rng.randrange(9)))
+    entries += [resource("limits", f"l{n}", bodyBytes=1000 + n) for n in range(seed % 3)]
     if seed % 2:
-        draw.shuffle(found)
-    return found
+        rng.shuffle(entries)
+    return entries
 
 
-def document_bytes(found: list[Any], number: Any = "r7", indent: int | None = None) -> bytes:
-    document = {"versionNumber": number, "resourceList": found, "after": {"resourceKind": []}}
+def document_bytes(entries: list[Any], version: Any = "r7", indent: int | None = None) -> bytes:
+    document = {"versionNumber": version, "resourceList": entries, "after": {"resourceKind": []}}
     return json.dumps(document, indent=indent).encode()
 
 
-ODD_VALUES: list[Any] = [
+UNUSUAL_VALUES: list[Any] = [
     None, "", "s1", "s9", "k1", "k2", "t1", "/ab", True, 0, 1.0, -1, 10**30, "read_only", [], ["k3", "k4"], {}, ["s1"],
     [{"service": "s2", "shareWeight": 0}], [{"service": "s8", "shareWeight": 1}], "upload", "H1.example", "h1.EXAMPLE",
     {"resourceKind": "limits"}, [{"resourceKind": "routeTable", "metadata": {}}, {"resourceKind": 1}], float("nan"),
@@ -89,8 +92,11 @@
 ]  # fmt: skip
 EDITS = st.lists(
     st.tuples(
-        st.sampled_from(["drop", "twice", "move", "swap", "name", "kind", "put", "set", "set", "set", "odd", "key"]),
-        st.integers(0, 400), st.integers(0, 400), st.sampled_from(FIELD_NAMES), st.sampled_from(ODD_VALUES),
+        st.sampled_from([
+            "remove", "duplicate", "move", "swap", "rename", "change kind", "insert tenant",
+            "set field", "set field", "set field", "insert value", "rename kind field",
+        ]), st.integers(0, 400), st.integers(0, 400), st.sampled_from(FIELD_NAMES),
+        st.sampled_from(UNUSUAL_VALUES),
     ),
     max_size=4,
 )  # fmt: skip
@@ -104,53 +110,56 @@
 )
 
 
-def edited(found: list[Any], edits: list[tuple[str, int, int, str, Any]]) -> list[Any]:
-    found = copy.deepcopy(found)
-    for what, one, other, name, value in edits:
-        if not found:
-            return found
-        at, to = one % len(found), other % len(found)
-        it = found[at]
-        if what == "drop":
-            del found[at]
-        elif what == "twice":
-            found.insert(to, copy.deepcopy(it))
-        elif what in ("move", "swap"):
-            found.insert(to, found.pop(at))
-        elif what == "odd":
-            found.insert(to, value)
-        elif not isinstance(it, dict) or "metadata" not in it:
+def apply_edits(entries: list[Any], edits: list[tuple[str, int, int, str, Any]]) -> list[Any]:
+    entries = copy.deepcopy(entries)
+    for operation, first, second, field, value in edits:
+        if not entries:
+            return entries
+        index, target = first % len(entries), second % len(entries)
+        entry = entries[index]
+        if operation == "remove":
+            del entries[index]
+        elif operation == "duplicate":
+            entries.insert(target, copy.deepcopy(entry))
+        elif operation in ("move", "swap"):
+            entries.insert(target, entries.pop(index))
+        elif operation == "insert value":
+            entries.insert(target, value)
+        elif not isinstance(entry, dict) or "metadata" not in entry:
             continue
-        elif what == "name":
-            it["metadata"]["name"] = value
-        elif what == "kind":
-            it["resourceKind"] = value
-        elif what == "put":
-            found.insert(to, resource("tenantTable", f"n{one}", accessKeys=[f"m{other}"], priority=other))
-        elif what == "key":
-            found[at] = {"x": it.pop("resourceKind", 0), **it}
+        elif operation == "rename":
+            entry["metadata"]["name"] = value
+        elif operation == "change kind":
+            entry["resourceKind"] = value
+        elif operation == "insert tenant":
+            entries.insert(
+                target, resource("tenantTable", f"n{first}", accessKeys=[f"m{second}"], priority=second)
+            )
+        elif operation == "rename kind field":
+            entries[index] = {"x": entry.pop("resourceKind", 0), **entry}
         else:
-            it["specification"][name] = value
-    return found
+            entry["specification"][field] = value
+    return entries
 
 
-def verdict(body: bytes, held: LoadedConfiguration | None = None) -> int | str:
+def validation_result(body: bytes, current: LoadedConfiguration | None = None) -> int | str:
+    """Return the version of a valid document, or the error text of an invalid one."""
     try:
-        return validate_change(body, held).version if held is not None else validate_configuration(body)
+        return validate_change(body, current).version if current is not None else validate_configuration(body)
     except InvalidConfigurationError as error:
         return str(error)
 
 
 def count_unshared(old: Configuration, new: Configuration) -> int:
-    """Return how many resources are equal in both configurations and not the same objects."""
+    """Return how many resources are equal in both configurations without being the same objects."""
     routes = {route: route for routes in old.routes_by_host.values() for route in routes}
-    now = [route for of in new.routes_by_host.values() for route in of]
-    tables: list[tuple[dict[Any, Any], dict[Any, Any]]] = [(routes, {route: route for route in now})]
+    new_routes = [route for host_routes in new.routes_by_host.values() for route in host_routes]
+    tables: list[tuple[dict[Any, Any], dict[Any, Any]]] = [(routes, {route: route for route in new_routes})]
     tables += [(old.tenants, new.tenants), (old.services, new.services)]
     return sum(
-        before.get(name) == of and before[name] is not of
+        before.get(name) == value and before[name] is not value
         for before, after in tables
-        for name, of in after.items()
+        for name, value in after.items()
     )
 
 
@@ -163,68 +172,72 @@
     st.sampled_from([None, None, None, 1]),
     st.sampled_from(["r8", 8]),
 )
-def test_a_change_has_the_verdict_and_the_tables_of_the_whole_document(
+def test_an_incremental_change_has_the_same_result_as_the_complete_document(
     seed: int,
-    first: list[Any],
-    then: list[Any],
-    noise: list[tuple[int, int, bytes]],
+    first_edits: list[Any],
+    second_edits: list[Any],
+    byte_edits: list[tuple[int, int, bytes]],
     indent: int | None,
-    number: Any,
+    version: Any,
 ) -> None:
-    """Over two changes, as the second builds on tables and blocks that the first has made."""
-    body = document_bytes(resources(seed))
-    held, found = load_configuration(pack(body), None), resources(seed)
-    assert held.block_aligned and held.configuration == parse_configuration(body)
-    for edits in (first, then):
-        found = edited(found, edits)
-        body = document_bytes(found, number if edits is then else "r8", indent)
-        if edits is then:
-            for at, length, other in noise:
-                body = body[:at] + other + body[at + length :]
-        before = copy.deepcopy(held.configuration)
-        right = verdict(body)
-        assert verdict(body, held) == right
-        assert held.configuration == before
-        packed = apply_deltas(held.packed, [make_delta(held.packed, pack(body))], configuration_digest(body))
+    """Make two changes, because the second one starts from tables and blocks that the first one produced."""
+    body = document_bytes(make_resources(seed))
+    current, entries = load_configuration(pack(body), None), make_resources(seed)
+    assert current.block_aligned and current.configuration == parse_configuration(body)
+    for edits in (first_edits, second_edits):
+        entries = apply_edits(entries, edits)
+        body = document_bytes(entries, version if edits is second_edits else "r8", indent)
+        if edits is second_edits:
+            for offset, length, replacement in byte_edits:
+                body = body[:offset] + replacement + body[offset + length :]
+        before = copy.deepcopy(current.configuration)
+        expected = validation_result(body)
+        assert validation_result(body, current) == expected
+        assert current.configuration == before
+        packed = apply_deltas(
+            current.packed, [make_delta(current.packed, pack(body))], configuration_digest(body)
+        )
         assert unpack(packed) == body
-        if not isinstance(right, int):
+        if not isinstance(expected, int):
             return
-        old, held = held, load_configuration(packed, held)
-        assert held.configuration == parse_configuration(body)
+        previous, current = current, load_configuration(packed, current)
+        assert current.configuration == parse_configuration(body)
         if (
-            held.block_aligned
-            and max(old.configuration.limits_entries, held.configuration.limits_entries) < 2
+            current.block_aligned
+            and max(previous.configuration.limits_entries, current.configuration.limits_entries) < 2
         ):
-            assert count_unshared(old.configuration, held.configuration) <= len(edits)
+            assert count_unshared(previous.configuration, current.configuration) <= len(edits)
         assert all(
-            held.configuration.tenants[tenant.name] is tenant
-            for tenant in held.configuration.tenants_by_key.values()
+            current.configuration.tenants[tenant.name] is tenant
+            for tenant in current.configuration.tenants_by_key.values()
         )
 
 
-def test_a_usual_change_is_read_without_the_whole_document(monkeypatch: pytest.MonkeyPatch) -> None:
-    body = document_bytes(resources(3))
-    held = load_configuration(pack(body))
+def test_an_ordinary_change_is_loaded_without_parsing_the_complete_document(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    body = document_bytes(make_resources(3))
+    current = load_configuration(pack(body))
     for edits in (
-        [("put", 5, 7, "", None)],
-        [("drop", 3, 0, "", None)],
-        [("set", 20, 0, "priority", 4), ("put", 9, 50, "", 0)],
+        [("insert tenant", 5, 7, "", None)],
+        [("remove", 3, 0, "", None)],
+        [("set field", 20, 0, "priority", 4), ("insert tenant", 9, 50, "", 0)],
     ):
-        changed = document_bytes(edited(resources(3), edits), "r8")
-        packed = pack(changed, held.packed)
-        assert validate_incrementally(held, packed) == 8
+        changed = document_bytes(apply_edits(make_resources(3), edits), "r8")
+        packed = pack(changed, current.packed)
+        assert validate_incrementally(current, packed) == 8
         with monkeypatch.context() as patch:
             patch.setattr("hazelspring.configuration.incremental.parse_configuration", None)
             patch.setattr("hazelspring.configuration.incremental.build_configuration", None)
-            assert load_configuration(packed, held).configuration == parse_configuration(changed)
+            assert load_configuration(packed, current).configuration == parse_configuration(changed)
 
 
 @pytest.mark.parametrize(
     "head", ['{"resourceList": ["x"], "resourceList": [', '{"a": {"resourceList": [', "[["]
 )
-def test_entries_outside_of_the_resource_list_are_not_taken_for_resources(head: str) -> None:
-    held = load_configuration(pack(document_bytes(resources(0))))
-    middle = ", ".join(json.dumps(each) for each in resources(0))
+def test_entries_outside_the_resource_list_are_not_treated_as_resources(head: str) -> None:
+    current = load_configuration(pack(document_bytes(make_resources(0))))
+    middle = ", ".join(json.dumps(entry) for entry in make_resources(0))
     for tail in (
         "]}",
         ']}, "resourceList": [], "versionNumber": "r8"}',
@@ -232,25 +245,28 @@
         '], "resourceList": [], "versionNumber": "r8"}',
     ):
         body = (head + middle + tail).encode()
-        assert verdict(body, held) == verdict(body)
+        assert validation_result(body, current) == validation_result(body)
 
 
-def test_a_packed_body_is_a_zlib_stream_and_a_change_keeps_its_other_blocks() -> None:
-    found = resources(4)
-    one, two = document_bytes(found), document_bytes(edited(found, [("set", 12, 0, "priority", 5)]), "r8")
-    packed = pack(one)
-    assert unpack(packed) == one and zlib.decompress(packed) == one
+def test_a_packed_body_is_a_zlib_stream_and_a_change_keeps_the_unchanged_blocks() -> None:
+    entries = make_resources(4)
+    old, new = (
+        document_bytes(entries),
+        document_bytes(apply_edits(entries, [("set field", 12, 0, "priority", 5)]), "r8"),
+    )
+    packed = pack(old)
+    assert unpack(packed) == old and zlib.decompress(packed) == old
     blocks = [
-        {block.packed for block in blocks_module.read_blocks(each)} for each in (packed, pack(two, packed))
+        {block.packed for block in blocks_module.read_blocks(body)} for body in (packed, pack(new, packed))
     ]
     assert len(blocks[0]) > 6 and len(blocks[1] - blocks[0]) <= 3
-    old = zlib.compress(one, 6)  # as earlier versions packed it
-    assert apply_deltas(old, [make_delta(old, pack(two))], configuration_digest(two)) == apply_deltas(
-        packed, [make_delta(packed, pack(two))], configuration_digest(two)
-    )
+    without_table = zlib.compress(old, 6)  # the format of earlier versions
+    assert apply_deltas(
+        without_table, [make_delta(without_table, pack(new))], configuration_digest(new)
+    ) == apply_deltas(packed, [make_delta(packed, pack(new))], configuration_digest(new))
 
 
-def test_the_size_of_a_delta_is_that_of_the_change() -> None:
+def test_the_size_of_a_delta_depends_on_the_change_and_not_on_the_body() -> None:
     bodies = [configuration(routes) for routes in (100, 1000)]
     sizes = []
     for body in bodies:
@@ -261,93 +277,102 @@
     assert max(sizes) < 400 and abs(sizes[0] - sizes[1]) < 40
 
 
-def test_a_wrong_delta_is_refused() -> None:
-    one, two = (
-        document_bytes(resources(1)),
-        document_bytes(edited(resources(1), [("put", 5, 7, "", None), ("drop", 9, 0, "", None)]), "r8"),
+def test_a_damaged_or_unsuitable_delta_is_rejected() -> None:
+    old, new = (
+        document_bytes(make_resources(1)),
+        document_bytes(
+            apply_edits(make_resources(1), [("insert tenant", 5, 7, "", None), ("remove", 9, 0, "", None)]),
+            "r8",
+        ),
     )
-    packed = pack(one)
-    right = make_delta(packed, pack(two))
-    assert unpack(apply_deltas(packed, [right], configuration_digest(two))) == two
-    plain, other = zlib.decompress(right), pack(document_bytes(resources(2)))
-    wrong = [b"", b"x", right[:-5], other, make_delta(other, packed)]
+    packed = pack(old)
+    valid = make_delta(packed, pack(new))
+    assert unpack(apply_deltas(packed, [valid], configuration_digest(new))) == new
+    unpacked, other = zlib.decompress(valid), pack(document_bytes(make_resources(2)))
+    invalid = [b"", b"x", valid[:-5], other, make_delta(other, packed)]
     for seed in range(400):
-        draw, bent = random.Random(seed), bytearray(plain)
-        bent[draw.randrange(len(bent))] ^= 1 << draw.randrange(8)
-        wrong.append(zlib.compress(bytes(bent)))
-    wrong.append(
+        rng, damaged = random.Random(seed), bytearray(unpacked)
+        damaged[rng.randrange(len(damaged))] ^= 1 << rng.randrange(8)
+        invalid.append(zlib.compress(bytes(damaged)))
+    invalid.append(
         zlib.compress(
             delta_module.DELTA_HEADER.pack(1 << 30, 1) + delta_module.RUN_HEADER.pack(0, 1 << 30, 0)
         )
     )
-    wrong.append(zlib.compress(bytes(delta_module.MAX_NEW_BYTES + 1)))
-    twice = delta_module.DELTA_HEADER.pack(3 * len(one), 3) + 3 * delta_module.RUN_HEADER.pack(0, len(one), 0)
-    wrong.append(zlib.compress(twice))
+    invalid.append(zlib.compress(bytes(delta_module.MAX_NEW_BYTES + 1)))
+    repeated = delta_module.DELTA_HEADER.pack(3 * len(old), 3) + 3 * delta_module.RUN_HEADER.pack(
+        0, len(old), 0
+    )
+    invalid.append(zlib.compress(repeated))
     raised = 0
-    for delta in wrong:
-        try:  # a bit that says nothing, as the offset of an empty run, may be bent
-            assert unpack(apply_deltas(packed, [delta], configuration_digest(two))) == two
+    for delta in invalid:
+        try:  # some bits may change without an effect, for example in the offset of an empty run
+            assert unpack(apply_deltas(packed, [delta], configuration_digest(new))) == new
         except DeltaError:
             raised += 1
-    assert raised > len(wrong) - 40
-    for delta in wrong[:5] + wrong[-3:]:
+    assert raised > len(invalid) - 40
+    for delta in invalid[:5] + invalid[-3:]:
         with pytest.raises(DeltaError):
-            apply_deltas(packed, [delta], configuration_digest(two))
+            apply_deltas(packed, [delta], configuration_digest(new))
     for base in (b"", b"no body", packed[9:], packed[:99] + packed[100:]):
         with pytest.raises(DeltaError):
-            apply_deltas(base, [right], configuration_digest(two))
-    with pytest.raises(DeltaError, match="too many"):
+            apply_deltas(base, [valid], configuration_digest(new))
+    with pytest.raises(DeltaError, match="too many deltas"):
         apply_deltas(
             packed,
-            [right] * (delta_module.MAX_CHAINED_DELTAS + 1),
-            configuration_digest(two),
+            [valid] * (delta_module.MAX_CHAINED_DELTAS + 1),
+            configuration_digest(new),
         )
 
 
-def conflicting(what: str) -> tuple[list[Any], list[Any]]:
-    """Return valid resources, and the same with one that conflicts with a resource which did not change."""
-    right = resources(0)
-    right.insert(0, resource("serviceTable", "s5"))
-    right[6]["specification"]["weightedSplit"] = [
+def make_conflict(kind: str) -> tuple[list[Any], list[Any]]:
+    """Return valid resources, and the same with a change that conflicts with an unchanged resource."""
+    valid = make_resources(0)
+    valid.insert(0, resource("serviceTable", "s5"))
+    valid[6]["specification"]["weightedSplit"] = [
         {"service": name, "shareWeight": weight} for name, weight in (("s0", 1), ("s5", 0))
     ]
-    wrong = copy.deepcopy(right)
-    route, tenant = wrong[29], wrong[-9]
-    if what == "place":
+    invalid = copy.deepcopy(valid)
+    route, tenant = invalid[29], invalid[-9]
+    if kind == "path prefix":
         route["specification"] |= {
             "hostName": "h0.EXAMPLE",
-            "pathPrefix": right[7]["specification"]["pathPrefix"],
+            "pathPrefix": valid[7]["specification"]["pathPrefix"],
         }
-    elif what == "key":
+    elif kind == "key":
         tenant["specification"]["accessKeys"] = ["k0"]
-    elif what in ("route", "tenant"):
-        (route if what == "route" else tenant)["metadata"]["name"] = f"{what[0]}0"
-    elif what == "service":
+    elif kind in ("route", "tenant"):
+        (route if kind == "route" else tenant)["metadata"]["name"] = f"{kind[0]}0"
+    elif kind == "service":
         route["specification"]["service"] = "s9"
         route["specification"].pop("weightedSplit", None)
-    else:  # a service goes that only routes which stay name, with a weight and without
-        wrong = [each for each in wrong if each["metadata"]["name"] != what]
-    return right, wrong
-
-
-@pytest.mark.parametrize("what", ["place", "key", "route", "tenant", "service", "s5", "s0"])
-def test_a_resource_that_conflicts_with_an_unchanged_one_is_refused(what: str) -> None:
-    right, wrong = conflicting(what)
-    held = load_configuration(pack(document_bytes(right)))
-    assert held.block_aligned and verdict(document_bytes(right, "r8"), held) == 8
-    assert verdict(document_bytes(wrong, "r8"), held) == verdict(document_bytes(wrong, "r8")) != 8
+    else:  # remove a service that only unchanged routes refer to, with a weight or with a weight of 0
+        invalid = [entry for entry in invalid if entry["metadata"]["name"] != kind]
+    return valid, invalid
+
+
+@pytest.mark.parametrize("kind", ["path prefix", "key", "route", "tenant", "service", "s5", "s0"])
+def test_a_resource_that_conflicts_with_an_unchanged_one_is_rejected(kind: str) -> None:
+    valid, invalid = make_conflict(kind)
+    current = load_configuration(pack(document_bytes(valid)))
+    assert current.block_aligned and validation_result(document_bytes(valid, "r8"), current) == 8
+    assert (
+        validation_result(document_bytes(invalid, "r8"), current)
+        == validation_result(document_bytes(invalid, "r8"))
+        != 8
+    )
 
 
-def test_entries_that_begin_otherwise_or_lack_a_comma_are_not_passed_over() -> None:
-    body = document_bytes(resources(0))
-    held = load_configuration(pack(body))
-    first = body.replace(
+def test_entries_with_another_beginning_or_without_a_comma_are_not_ignored() -> None:
+    body = document_bytes(make_resources(0))
+    current = load_configuration(pack(body))
+    changed = body.replace(
         b'List": [', b'List": [{ "resourceKind": "limits", "metadata": {}, "specification": 1}, '
     )
-    assert verdict(first, held) == verdict(first) != 7
+    assert validation_result(changed, current) == validation_result(changed) != 7
     parts = body.split(b', {"resourceKind"')
     for n in range(1, len(parts)):
-        unparted = b', {"resourceKind"'.join(
+        without_comma = b', {"resourceKind"'.join(
             [*parts[: n - 1], parts[n - 1] + b' {"resourceKind"' + parts[n], *parts[n + 1 :]]
         )
-        assert verdict(unparted, held) == verdict(unparted) != 7
+        assert validation_result(without_comma, current) == validation_result(without_comma) != 7
