--- a/tests/disk.py
+++ b/tests/disk.py
@@ -1,4 +1,4 @@
-"""A disk under SQLite that records every write and sync, and what a loss of power may leave of them."""
+"""A disk for SQLite that records writes and syncs, and derives the possible files after a power loss."""
 
 from __future__ import annotations
 
@@ -12,13 +12,12 @@
 
 import apsw
 
-MAX_PENDING_WRITES = (
-    12  # unsynced writes whose every combination of outcomes is tried; of more, the later ones
-)
+# Number of unsynced actions of which each combination may be lost.  Of more, only the last ones may be lost.
+MAX_PENDING_ACTIONS = 12
 
 
 class ActionKind(StrEnum):
-    """What may reach the disk."""
+    """Kinds of actions on the files of a disk."""
 
     WRITE = "write"
     TRUNCATE = "length"
@@ -28,18 +27,18 @@
 
 @dataclass
 class Action:
-    """What reached the disk.
+    """One action on a file of the disk.
 
     Attributes
     ----------
     kind
-        What was done.
+        The kind of the action.
     name
-        The file's name.
+        The name of the file.
     offset
-        In bytes: of a write, where it begins; of a truncation, the new length.
+        In bytes: the position of a write, or the new length after a truncation.
     data
-        The bytes of a write; None of others.
+        The bytes of a write; None for other actions.
     """
 
     kind: ActionKind
@@ -50,35 +49,35 @@
 
 @dataclass
 class Disk:
-    """Records the actions of the databases that are opened on it.
+    """Records the actions on the files of the databases that are opened on it.
 
     Attributes
     ----------
     actions
-        In the order in which they reached the disk.
-    said
-        What was promised to be on disk, each after how many actions.
+        The actions in the order in which they were made.
+    acknowledged
+        The values given to `acknowledge`, each with the number of actions made before.
     """
 
     actions: list[Action] = field(default_factory=list)
-    said: list[tuple[int, Any]] = field(default_factory=list)
+    acknowledged: list[tuple[int, Any]] = field(default_factory=list)
 
-    def promise(self, what: Any) -> None:
-        """Note that something must be on disk from here on."""
-        self.said.append((len(self.actions), what))
+    def acknowledge(self, value: Any) -> None:
+        """Record that the data named by a value must survive any later power loss."""
+        self.acknowledged.append((len(self.actions), value))
 
     def connect(self, path: Path, **_: Any) -> RecordingConnection:
-        """Open a database as `sqlite3.connect` does.  Nothing waits for the real disk."""
+        """Open a database as `sqlite3.connect` does.  No call waits for a sync of the real disk."""
         name = f"disk-{id(self)}"
         if name not in apsw.vfs_names():
             self.vfs = RecordingVfs(name, self)
         return RecordingConnection(str(path), vfs=name)
 
-    def after_loss(self, count: int, rand: random.Random) -> Iterator[dict[str, bytes]]:
-        """Yield what the files may hold when power is lost after so many actions, by name.
+    def states_after_loss(self, count: int, rng: random.Random) -> Iterator[dict[str, bytes]]:
+        """Yield the possible contents of the files, by name, after a power loss after `count` actions.
 
-        What a sync has covered is there.  Of the rest each write is there or missing, in every combination, and each in
-        turn is torn beside a random one.
+        Actions before a sync of their file are never lost.  The others are lost in every combination.  Then
+        each of them in turn is torn, together with a random combination of lost ones.
         """
         done = self.actions[:count]
         pending = self.pending(done)
@@ -86,11 +85,11 @@
             for lost in itertools.combinations(pending, size):
                 yield self.files(done, set(lost), torn=-1)
         for torn in pending:
-            yield self.files(done, {index for index in pending if rand.random() < 0.5}, torn)
+            yield self.files(done, {index for index in pending if rng.random() < 0.5}, torn)
 
     @staticmethod
     def pending(done: list[Action]) -> list[int]:
-        """Return the indexes of the last actions that no sync of their file has covered."""
+        """Return the indexes of the last actions that no sync of their file has followed."""
         last_sync = {
             action.name: index for index, action in enumerate(done) if action.kind == ActionKind.SYNC
         }
@@ -99,11 +98,11 @@
             for index, action in enumerate(done)
             if action.kind != ActionKind.SYNC and index > last_sync.get(action.name, -1)
         ]
-        return unsynced[-MAX_PENDING_WRITES:]
+        return unsynced[-MAX_PENDING_ACTIONS:]
 
     @staticmethod
     def files(done: list[Action], lost: set[int], torn: int) -> dict[str, bytes]:
-        """Return the files after actions without those that are lost; of the torn one, a write, half is there."""
+        """Return the files after all actions that are not lost; only half of a torn write is made."""
         files: dict[str, bytearray] = {}
         for index, action in enumerate(done):
             if action.kind == ActionKind.SYNC or (index in lost and index != torn):
@@ -123,7 +122,7 @@
 
 
 class RecordingConnection(apsw.Connection):
-    """An open database with what `hazelspring.storage.replica_store` asks of one from sqlite3."""
+    """An open database with the interface of sqlite3 that `hazelspring.storage.replica_store` uses."""
 
     def executescript(self, text: str) -> None:
         """Execute statements as `sqlite3.Connection.executescript` does."""
@@ -131,18 +130,18 @@
 
 
 class RecordingVfs(apsw.VFS):
-    """SQLite's access to files, with removals recorded."""
+    """A virtual file system of SQLite that records the removal of files."""
 
     def __init__(self, name: str, disk: Disk) -> None:
         super().__init__(name, "")
         self.disk = disk
 
     def xOpen(self, name: Any, flags: list[int]) -> RecordingFile:
-        """Open a file, for SQLite."""
+        """Open a file for SQLite."""
         return RecordingFile(name, flags, self.disk)
 
     def xDelete(self, name: str, sync: bool) -> None:
-        """Remove a file, for SQLite; with a sync of the directory its name is gone for good."""
+        """Remove a file for SQLite; after a sync of the directory, a power loss cannot bring it back."""
         self.disk.actions.append(Action(ActionKind.REMOVE, Path(name).name))
         if sync:
             self.disk.actions.append(Action(ActionKind.SYNC, Path(name).name))
@@ -150,7 +149,7 @@
 
 
 class RecordingFile(apsw.VFSFile):
-    """One open file, with writes, truncations and syncs recorded."""
+    """An open file that records writes, truncations and syncs."""
 
     def __init__(self, name: Any, flags: list[int], disk: Disk) -> None:
         super().__init__("", name, flags)
@@ -158,15 +157,15 @@
         self.name, self.disk = Path(path).name, disk
 
     def xWrite(self, data: Any, offset: int) -> None:
-        """Write bytes, for SQLite."""
+        """Write bytes for SQLite."""
         self.disk.actions.append(Action(ActionKind.WRITE, self.name, offset, bytes(data)))
         super().xWrite(data, offset)
 
     def xTruncate(self, size: int) -> None:
-        """Set the file's length, for SQLite."""
+        """Set the length of the file for SQLite."""
         self.disk.actions.append(Action(ActionKind.TRUNCATE, self.name, size))
         super().xTruncate(size)
 
     def xSync(self, flags: int) -> None:
-        """Record a sync, for SQLite; the real disk is not waited for."""
+        """Record a sync for SQLite, without a sync of the real disk."""
         self.disk.actions.append(Action(ActionKind.SYNC, self.name))
--- a/tests/test_replica_store.py
+++ b/tests/test_replica_store.py
@@ -1,4 +1,4 @@
-"""The store of a replica: killed writers, damage, foreign files; what cannot be read is never used."""
+"""The replica store after killed writers, damage and a full disk; unreadable content is never used."""
 
 from __future__ import annotations
 
@@ -52,8 +52,8 @@
     assert store.load() == {"word 2": b"two", "vote": b"2"}
 
 
-def test_a_record_with_a_wrong_checksum_empties_the_store(tmp_path: Path) -> None:
-    """What this replica promised is not known any more, so it must not go on as the same disk."""
+def test_a_wrong_checksum_quarantines_the_file_and_no_record_is_loaded(tmp_path: Path) -> None:
+    """It is unknown what the replica has promised, so the other records must not be used either."""
     store = ReplicaStore(str(tmp_path))
     store.save({"word": b"three", "disk": b"7"})
     store.close()
@@ -69,19 +69,21 @@
     assert ReplicaStore(str(tmp_path)).load() == {"disk": b"8"}
 
 
-@pytest.mark.parametrize("damage", ["foreign", "cut", "newer", "flipped"])
+@pytest.mark.parametrize("damage", ["not a database", "truncated", "unknown version", "inverted bytes"])
 def test_a_file_that_cannot_be_read_is_quarantined(tmp_path: Path, damage: str) -> None:
     path = tmp_path / "comb.sqlite"
     store = ReplicaStore(str(tmp_path))
     store.save({f"word {n}": b"1" * 3000 for n in range(20)})
     store.close()
     intact = path.read_bytes()
-    if damage == "foreign":
+    if damage == "not a database":
         path.write_bytes(b"no database at all" * 100)
-    elif damage == "cut":
+    elif damage == "truncated":
         os.truncate(path, len(intact) // 2)
-    elif damage == "flipped":
-        path.write_bytes(bytes(byte ^ 255 if 4096 <= at < 4200 else byte for at, byte in enumerate(intact)))
+    elif damage == "inverted bytes":
+        path.write_bytes(
+            bytes(byte ^ 255 if 4096 <= offset < 4200 else byte for offset, byte in enumerate(intact))
+        )
     else:
         connection = sqlite3.connect(path)
         connection.execute("pragma user_version=99")
--- a/tests/test_replica_store_crash.py
+++ b/tests/test_replica_store_crash.py
@@ -1,6 +1,6 @@
-"""Power is lost at every write and sync of the replica's store.
+"""Power loss at every write and sync of the replica store.
 
-All that the store has acknowledged is there afterwards, and nothing but what was written to it.
+Afterwards the store has all records that it acknowledged, and no others than those that were written to it.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def record_saves(folder: Path, pragma: str = "") -> Disk:
-    """Return a recording disk after all saves, with checkpoints among them; `pragma` is executed first."""
+    """Return a recording disk after all saves, with checkpoints between them; `pragma` is executed first."""
     disk = Disk()
     store = ReplicaStore(str(folder), disk.connect)
     store.load()
@@ -35,13 +35,13 @@
         store.connection.execute(pragma)
     for count, save in enumerate(SAVES, 1):
         store.save(save)
-        disk.promise(count)
+        disk.acknowledge(count)
     store.close()
     return disk
 
 
 def records_after(count: int) -> dict[str, bytes]:
-    """Return the records that so many saves leave."""
+    """Return the records after the first `count` saves."""
     records: dict[str, bytes | None] = {}
     for save in SAVES[:count]:
         records.update(save)
@@ -49,14 +49,14 @@
 
 
 def faults_after_power_loss(disk: Disk, folder: Path, counts: Iterable[int]) -> Iterator[str]:
-    """Yield what a store holds wrongly after a power loss, for losses after so many actions of the disk.
+    """Yield a text for each wrong state of the store after a power loss at one of the given action counts.
 
-    Right is what was acknowledged, or that with the one save which was under way.
+    The correct state is that of the acknowledged saves, or of these and the one save in progress.
     """
     seen, rng = set(), random.Random(1)
     for count in counts:
-        acknowledged = max((saves for at, saves in disk.said if at <= count), default=0)
-        for files in disk.after_loss(count, rng):
+        acknowledged = max((saves for actions, saves in disk.acknowledged if actions <= count), default=0)
+        for files in disk.states_after_loss(count, rng):
             state = (acknowledged, frozenset(files.items()))
             if state in seen:
                 continue
@@ -80,13 +80,13 @@
 
 
 def test_acknowledged_records_survive_a_power_loss_at_every_write(tmp_path: Path) -> None:
-    (tmp_path / "then").mkdir()
+    (tmp_path / "after").mkdir()
     disk = record_saves(tmp_path)
     assert len(disk.actions) > 80
-    assert list(faults_after_power_loss(disk, tmp_path / "then", range(len(disk.actions) + 1))) == []
+    assert list(faults_after_power_loss(disk, tmp_path / "after", range(len(disk.actions) + 1))) == []
 
 
 def test_a_store_that_does_not_sync_is_detected(tmp_path: Path) -> None:
-    (tmp_path / "then").mkdir()
+    (tmp_path / "after").mkdir()
     disk = record_saves(tmp_path, "pragma synchronous=off")
-    assert next(faults_after_power_loss(disk, tmp_path / "then", [len(disk.actions)]))
+    assert next(faults_after_power_loss(disk, tmp_path / "after", [len(disk.actions)]))
