--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -1,7 +1,8 @@
-"""What others see of this software, byte for byte: settings, answers, requests, and files that two versions share.
+"""The external interfaces, compared byte for byte with recordings.
 
-Each group is compared with its record in tests/golden_edges.  A record changes only where the behaviour is meant to
-change: `python -m tests.test_golden_edges` writes all of them anew.
+The groups are settings, responses, requests, and files that two versions share.  Each group is compared with
+its recording in tests/golden_edges.  A recording may change only with an intended change of behaviour;
+`python -m tests.test_golden_edges` writes all of them again.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 from hazelspring.daemon.upstream_servers import UpstreamStream
 from hazelspring.gateway.caller import Client
 from hazelspring.gateway.config import Address
-from hazelspring.gateway.config import parse as parse_front_node
+from hazelspring.gateway.config import parse as parse_gateway_config
 from hazelspring.gateway.generations import Confirm, Generation, Generations, read_kept
 from hazelspring.gateway.handover import Handover
 from hazelspring.gateway.host import Answer
@@ -58,7 +59,7 @@
 
 
 def exchange(connection: Client, request: bytes) -> PausableTransport:
-    """A new connection's transport, once these bytes have come on it."""
+    """Return the transport of a new connection after it has received a request."""
     transport = PausableTransport()
     connection.connection_made(transport)
     feed(cast(Any, connection), request)
@@ -102,8 +103,8 @@
 
 def settings_error(changes: list[list[str]]) -> str:
     text = (FOLDER / "boot.conf").read_text()
-    for piece, other in changes:
-        text = text.replace(piece, other) if piece else text + other
+    for old, new in changes:
+        text = text.replace(old, new) if old else text + new
     with pytest.raises(SettingsError) as caught:
         parse_settings(text)
     return f"{caught.value.code}: {caught.value}"
@@ -111,13 +112,13 @@
 
 def settings() -> Record:
     text = (FOLDER / "boot.conf").read_text()
-    whole = load_settings(str(FOLDER / "boot.conf"))
-    assert whole == parse_settings(text)
+    complete = load_settings(str(FOLDER / "boot.conf"))
+    assert complete == parse_settings(text)
     optional = re.compile(r"timingTerms|thisDoor\.(limits|firstStart|data|loss)|network\.seed|.*requestsPerS")
-    least = parse_settings("\n".join(line for line in text.splitlines() if not optional.match(line)))
+    minimal = parse_settings("\n".join(line for line in text.splitlines() if not optional.match(line)))
     return {
-        "whole": {name: value(whole) for name, value in SETTINGS.items()},
-        "defaults": {name: value(least) for name, value in SETTINGS.items()},
+        "whole": {name: value(complete) for name, value in SETTINGS.items()},
+        "defaults": {name: value(minimal) for name, value in SETTINGS.items()},
         "closedRevocation=false": parse_settings(
             text.replace("Revocation=true", "Revocation=false")
         ).revocation_time,
@@ -125,45 +126,44 @@
     }
 
 
-# by the name in the recorded cases
-FIELDS_OF_OUTCOMES = {"good": "succeeded", "why": "reason", "word": "configuration"}
+# the fields of `ProposalOutcome`, by their names in the recorded cases
+OUTCOME_FIELDS = {"good": "succeeded", "why": "reason", "word": "configuration"}
 
 
 async def answers() -> Record:
     text = (FOLDER / "boot.conf").read_text().replace("dataDirectory=/data/my-edge", "dataDirectory=")
     document = (FOLDER / "document.json").read_text()
-    process: Any = NodeProcess(
-        parse_settings(text)
-    )  # it is never started: what time and peers decide is given
+    # the process is never started: state that depends on time and on peers is set here
+    process: Any = NodeProcess(parse_settings(text))
     process.node, process.is_ready = process.make_node({}, False), lambda: True
     process.lookup = lambda region: ["10.1.0.13:8388", "10.2.0.13:8388"] if region == "zapad" else []
-    orders: list[list[Any]] = []
+    node_calls: list[list[Any]] = []
 
-    def order(kind: str, *about: Any) -> list[Any]:
-        orders.append([kind, *(one for one in about if isinstance(one, str | bool))])
+    def record_node_call(kind: str, *arguments: Any) -> list[Any]:
+        node_calls.append([kind, *(value for value in arguments if isinstance(value, str | bool))])
         return []
 
     methods = {"put_configuration": "put", "read_configuration": "read", "set_evacuation": "evacuate"}
     methods["retire_member"] = "retire"
-    node: Any = SimpleNamespace(**{name: partial(order, kind) for name, kind in methods.items()})
+    node: Any = SimpleNamespace(**{name: partial(record_node_call, kind) for name, kind in methods.items()})
     process.operator_calls = OperatorCalls(lambda: 0.0, lambda: node, lambda: None, lambda actions: None)
 
-    def call(request: str, roles: list[str], end: Record) -> str:
+    def response_to(request: str, roles: list[str], outcome_changes: Record) -> str:
         api = HttpApi(Address("127.0.0.1", 0), process, frozenset(map(ApiRole, roles)))
         body = request.partition("\r\n\r\n")[2].replace("<document>", document)
         request = request.replace("<document>", document).replace("<length>", str(len(body)))
-        ended: Record = {"good": True, "word": pack(document.encode())} | end
-        outcome = {FIELDS_OF_OUTCOMES.get(key, key): value for key, value in ended.items()}
+        recorded: Record = {"good": True, "word": pack(document.encode())} | outcome_changes
+        outcome = {OUTCOME_FIELDS.get(key, key): value for key, value in recorded.items()}
         transport = exchange(ApiConnection(api), request.encode())
         for token in list(process.operator_calls.replies):
             process.operator_calls.on_outcome(ProposalOutcome(token, **outcome))
         api.close()
         return transport.sent.decode()
 
-    found: Record = {}
+    results: Record = {}
     for name, case in CASES["answers"].items():
-        found[name] = call(case["request"], case["roles"], case.get("end", {}))
-    found["orders"] = orders
+        results[name] = response_to(case["request"], case["roles"], case.get("end", {}))
+    results["orders"] = node_calls
     process.is_ready = lambda: False
     process.router.ends["quota"] = process.node.dropped["dance"] = process.supervisor.failures["tick"] = 1
     process.list_reader.read_at = 0.0
@@ -171,22 +171,22 @@
     process.node.registry.tables["shop"] = ServiceTable(3, {"s-1": server})
     varying = re.compile(r'("freshForS": |Content-Length: |(?m:^hazelspring_\S+ ))[^,\r\n]+')
     for name in ("readiness", "status", "metrics"):
-        answer = call(f"GET /-/{name} HTTP/1.1\r\nHost: x\r\n\r\n", [], {})
-        found[f"not ready, {name}"] = varying.sub(r"\1N", answer)
-    return found
+        response = response_to(f"GET /-/{name} HTTP/1.1\r\nHost: x\r\n\r\n", [], {})
+        results[f"not ready, {name}"] = varying.sub(r"\1N", response)
+    return results
 
 
 async def list_requests() -> str:
-    """What the platform is asked for: the list's first page, and the one that its answer names."""
+    """Return the requests for the first page of the instance list and for the page that follows it."""
     client, transport = InstanceListClient(Address("10.200.0.160", 8382), 44.0, 5.0), PausableTransport()
     bodies = [b'{"nextToken":"a b/c&d"}', b"{}"]
 
-    async def one_answer(size: int) -> bytes:
+    async def read_response(size: int) -> bytes:
         body = bodies.pop(0)
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
     writer = SimpleNamespace(write=transport.write, is_closing=lambda: False, transport=transport)
-    client.streams = cast(Any, SimpleNamespace(read=one_answer)), cast(Any, writer)
+    client.streams = cast(Any, SimpleNamespace(read=read_response)), cast(Any, writer)
     await client.read_pages()
     return transport.sent.decode()
 
@@ -195,80 +195,92 @@
     sent: list[str] = []
 
     def request(
-        make: Any, kind: str, timeout: float, payload: Any, caller: Any, upload: Any, id_: bytes
+        make: Any, kind: str, timeout: float, payload: Any, caller: Any, upload: Any, request_id: bytes
     ) -> Any:
         sent.extend(payload(1.5, number).decode() for number in (1, 2))
-        sent.append(f"{kind} {timeout} {id_.decode()}")
+        sent.append(f"{kind} {timeout} {request_id.decode()}")
         return SimpleNamespace(sent=0)
 
-    def ask(name: str) -> list[str]:
-        """What servers are sent, listed and no longer listed, the request's terms, and what its client is."""
+    def exchange_case(name: str) -> list[str]:
+        """Return what is sent to servers, the terms of the request, and the response to the client.
+
+        The first message is for a listed server, and the second for one that is no longer listed.
+        """
         sent.clear()
-        text = re.sub(r"<(\d+)>", lambda size: "y" * int(size[1]), CASES["traffic"][name])
-        answered = exchange(ClientConnection(front), text.encode()).sent.decode()
-        return [one.replace("y" * 1000, "<1000>") for one in (*sent, answered)]
+        text = re.sub(r"<(\d+)>", lambda match: "y" * int(match[1]), CASES["traffic"][name])
+        response = exchange(ClientConnection(listener), text.encode()).sent.decode()
+        return [message.replace("y" * 1000, "<1000>") for message in (*sent, response)]
 
     fleet = SimpleNamespace(servers={1: SimpleNamespace(id="shop-7")})
     host: Any = SimpleNamespace(counts=Counts(), request=request, gateway=SimpleNamespace(fleet=fleet))
     host.whole = host.left = lambda request: None
     fresh = True
-    front = ClientListener(Address("127.0.0.1", 0), host, 999, lambda: fresh)
-    found: Record = {"list": await list_requests(), "no configuration": ask("keyed get")}
-    front.use_configuration(parse_configuration((FOLDER / "document.json").read_bytes()))
-    found |= {name: ask(name) for name in CASES["traffic"]}
+    listener = ClientListener(Address("127.0.0.1", 0), host, 999, lambda: fresh)
+    results: Record = {"list": await list_requests(), "no configuration": exchange_case("keyed get")}
+    listener.use_configuration(parse_configuration((FOLDER / "document.json").read_bytes()))
+    results |= {name: exchange_case(name) for name in CASES["traffic"]}
     fresh = False
-    found |= {f"{name}, not fresh": ask(name) for name in ("no route", "no key", "keyed get")}
-    front.close()
-    return found | heads()
+    results |= {f"{name}, not fresh": exchange_case(name) for name in ("no route", "no key", "keyed get")}
+    listener.close()
+    return results | response_heads()
 
 
-def heads() -> Record:
-    """Answers to clients, on connections that are kept or closed."""
+def response_heads() -> Record:
+    """Return responses to clients on connections that stay open or are closed."""
     served = b"content-type: text/x\r\nx-hazelspring-attempt-id: try-1\r\nx-hazelspring-server-seal: s\r\n"
-    finals: dict[str, Answer] = {
+    responses: dict[str, Answer] = {
         str(status): FinalAnswer(status) for status in (401, 404, 500, 502, 504, 299)
     }
-    finals |= {"200": FinalAnswer(200, b"body", headers=served), "429": FinalAnswer(429, retry_after=1.23456)}
-    finals |= {"503": FinalAnswer(503, retry_after=0.25), "503 soon": FinalAnswer(503, retry_after=1e-9)}
-    finals["400 plain"] = Answer(400, b"malformed request\n")
-    found: Record = {}
+    responses |= {
+        "200": FinalAnswer(200, b"body", headers=served),
+        "429": FinalAnswer(429, retry_after=1.23456),
+    }
+    responses |= {"503": FinalAnswer(503, retry_after=0.25), "503 soon": FinalAnswer(503, retry_after=1e-9)}
+    responses["400 plain"] = Answer(400, b"malformed request\n")
+    results: Record = {}
     for close in (False, True):
-        found |= {f"{name}, closes {close}": encode(one, close).decode() for name, one in finals.items()}
+        results |= {
+            f"{name}, closes {close}": encode(response, close).decode()
+            for name, response in responses.items()
+        }
         for length, chunked in ((70000, False), (None, True), (None, False)):
-            flow = UpstreamStream(length, b"", cast(Any, None), served, 200)
-            found[f"flow {length} {chunked}, closes {close}"] = flow_head(flow, chunked, close).decode()
-    return found
+            stream = UpstreamStream(length, b"", cast(Any, None), served, 200)
+            results[f"flow {length} {chunked}, closes {close}"] = flow_head(stream, chunked, close).decode()
+    return results
 
 
-async def front_node() -> Record:
+async def gateway_process() -> Record:
     text = (FOLDER / "node_config.json").read_text()
     with tempfile.TemporaryDirectory() as folder:
         env = {"TMPDIR": folder, "NODE_MANAGEMENT": "127.0.0.1:9"}
-        config = parse_front_node(text, env)
+        config = parse_gateway_config(text, env)
         generations, path = Generations(config, env, []), Path(folder) / "generations"
         generations.path, generations.basis = path, "0123456789abcdef"
         earlier = Generation(6, "fedcba9876543210", 1700000000.25, "start", zlib.compress(b"{}", 1))
-        shown: Record = {"digest": config.digest, "basis": config.basis}
+        results: Record = {"digest": config.digest, "basis": config.basis}
         for source, confirm in (("put", Confirm(7, 6, 1700000090.5, 30.0)), ("SIGHUP", None)):
             running = Generation(7, config.digest, 1700000060.5, source)
             generations.keep(running, config, [earlier], confirm)
             written = path.read_text()
-            for number, one in enumerate((b"{}", config.text)):  # another zlib may pack them otherwise
-                packed = base64.b64encode(zlib.compress(one, 1)).decode()
+            # another version of zlib may compress these texts differently
+            for number, body in enumerate((b"{}", config.text)):
+                packed = base64.b64encode(zlib.compress(body, 1)).decode()
                 written = written.replace(packed, f"<text {number}>")
-            shown[f"{source}, written"] = written
+            results[f"{source}, written"] = written
         generations.stop()
-        kept = read_kept(FOLDER / "generations")
-        assert kept is not None and kept.confirm_by is not None
-        both = kept.running, *kept.earlier
-        shown["read"] = [[*astuple(one)[:4], zlib.decompress(one.packed).decode()] for one in both]
-        shown["read"] += [kept.basis, astuple(kept.confirm_by), kept.running.facts()]
-        shown["handover"] = handover(Path(folder))
-    return shown
+        stored = read_kept(FOLDER / "generations")
+        assert stored is not None and stored.confirm_by is not None
+        both = stored.running, *stored.earlier
+        results["read"] = [
+            [*astuple(generation)[:4], zlib.decompress(generation.packed).decode()] for generation in both
+        ]
+        results["read"] += [stored.basis, astuple(stored.confirm_by), stored.running.facts()]
+        results["handover"] = handover(Path(folder))
+    return results
 
 
 def handover(folder: Path) -> list[Any]:
-    """Steps of a process beside another, and the names of the files after each."""
+    """Return the steps of a process that runs beside another one, and the file names after each step."""
     steps: list[Any] = []
     shared = folder / "ivymux"
     shared.mkdir()
@@ -280,7 +292,7 @@
 
     def post(event: Detached | Attached | Processes) -> None:
         kind = {Detached: "out", Attached: "back", Processes: "processes"}[type(event)]
-        steps.append([kind, *("now" if one > 1700000000 else one for one in astuple(event))])
+        steps.append([kind, *("now" if value > 1700000000 else value for value in astuple(event))])
 
     def note_files() -> None:
         names = [name if name in before or name[:4] != "node" else "node-N" for name in os.listdir(shared)]
@@ -300,7 +312,7 @@
     return {
         "name": route.name, "hostName": route.host, "pathPrefix": route.path_prefix, "routeKind": route.kind,
         "timeoutMs": route.timeout, "targetAnswerMs": route.latency_target, "priority": route.priority,
-        "weightedSplit": [list(part) for part in route.weighted_services],
+        "weightedSplit": [list(share) for share in route.weighted_services],
         "shareWeight=0": list(route.zero_weight_services),
         "maximumAttempts": route.max_attempts, "openAccess": route.open_access,
         "homeRegions": sorted(route.home_regions),
@@ -313,27 +325,30 @@
     assert validate_configuration(text.encode()) == 12
     tables = parse_configuration(text.encode())
     limits, errors = tables.limits, {}
-    for name, (piece, other) in CASES["invalid"].items():
-        assert piece in text, name
+    for name, (old, new) in CASES["invalid"].items():
+        assert old in text, name
         with pytest.raises(InvalidConfigurationError) as caught:
-            validate_configuration(text.replace(piece, other, 1).encode())
+            validate_configuration(text.replace(old, new, 1).encode())
         errors[name] = f"{caught.value.code}: {caught.value}"
     return {
         "versionNumber": tables.version,
-        "routeTable": {host: [route_fields(one) for one in routes] for host, routes in tables.routes_by_host.items()},
+        "routeTable": {
+            host: [route_fields(route) for route in routes] for host, routes in tables.routes_by_host.items()
+        },
         "serviceTable": {
             name: {
-                "name": one.name, "healthPath": one.health_path, "connectionLimit": one.connection_limit,
-                "coldStartS": one.slow_start_time, "coldPerS": one.slow_start_rate,
+                "name": service.name, "healthPath": service.health_path,
+                "connectionLimit": service.connection_limit,
+                "coldStartS": service.slow_start_time, "coldPerS": service.slow_start_rate,
             }
-            for name, one in tables.services.items()
+            for name, service in tables.services.items()
         },
         "tenantTable": {
             name: {
-                "name": one.name, "requestsPerS": one.rate, "burstSize": one.burst,
-                "priority": one.priority, "homeRegions": sorted(one.home_regions),
+                "name": tenant.name, "requestsPerS": tenant.rate, "burstSize": tenant.burst,
+                "priority": tenant.priority, "homeRegions": sorted(tenant.home_regions),
             }
-            for name, one in tables.tenants.items()
+            for name, tenant in tables.tenants.items()
         },
         "accessKeys": {key: tenant.name for key, tenant in tables.tenants_by_key.items()},
         "limits": {
@@ -347,19 +362,19 @@
 
 GROUPS: dict[str, Callable[[], Any]] = {
     "settings": settings, "answers": lambda: asyncio.run(answers()), "traffic": lambda: asyncio.run(traffic()),
-    "front_door": lambda: asyncio.run(front_node()), "configuration": configuration,
+    "front_door": lambda: asyncio.run(gateway_process()), "configuration": configuration,
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("group", GROUPS)
-def test_what_others_see_is_as_recorded(group: str) -> None:
+def test_external_interface_is_as_recorded(group: str) -> None:
     recorded = json.loads((FOLDER / f"{group}.json").read_text())
-    found = json.loads(json.dumps(GROUPS[group]()))
-    assert found.keys() == recorded.keys()
+    actual = json.loads(json.dumps(GROUPS[group]()))
+    assert actual.keys() == recorded.keys()
     for name, value in recorded.items():
-        assert found[name] == value, name
+        assert actual[name] == value, name
 
 
 if __name__ == "__main__":
-    for group, make in GROUPS.items():
-        (FOLDER / f"{group}.json").write_text(json.dumps(make(), indent=1) + "\n")
+    for group, record in GROUPS.items():
+        (FOLDER / f"{group}.json").write_text(json.dumps(record(), indent=1) + "\n")
