--- a/hazelspring/configuration/blocks.py
+++ b/hazelspring/configuration/blocks.py
@@ -125,7 +125,7 @@
 def _find_block_end(text: bytes, start: int) -> int:
     """Return the end of the block that begins at `start`.
 
-    This is the next boundary or the end of the text.  A block that would be larger than `MAX_BLOCK_BYTES` ends
+    This is the next boundary or the end of the text.  A block that would exceed `MAX_BLOCK_BYTES` ends
     at the last start of a resource within this size, or at this size.
     """
     limit = start + MAX_BLOCK_BYTES
