--- a/hazelspring/node/codec.py
+++ b/hazelspring/node/codec.py
@@ -1,7 +1,7 @@
-"""The wire format of messages: cbor2 maps with short keys, which are known only here and in the codec_ modules.
+"""The wire format of messages: CBOR maps with short keys, which only this module and the codec_ modules use.
 
-Nodes of different versions of the program exchange messages: keys and their order never change, unknown keys are
-ignored, and a message of an unknown kind is decoded as `UnknownMessage`.
+Nodes that run different versions of the program exchange messages.  So keys and their order never change,
+unknown keys are ignored, and a message of an unknown kind is decoded as `UnknownMessage`.
 """
 
 from __future__ import annotations
@@ -48,11 +48,13 @@
 
 
 def decode(data: bytes) -> Message:
-    """Return the message that some bytes encode; raises MalformedMessageError."""
+    """Return the message that `data` encodes; raises MalformedMessageError."""
     try:
         fields = cbor2.loads(data)
-    except Exception as error:  # cbor2 lets through any error that a hostile body raises in it
-        raise MalformedMessageError("", "", f"no message: {type(error).__name__}: {error}") from error
+    except Exception as error:  # a malicious body can make cbor2 raise any kind of error
+        raise MalformedMessageError(
+            "", "", f"cannot decode message: {type(error).__name__}: {error}"
+        ) from error
     return from_fields(fields)
 
 
@@ -64,7 +66,7 @@
 def from_fields(fields: Any) -> Message:
     """Return the message that a map encodes; raises MalformedMessageError."""
     if not isinstance(fields, dict):
-        raise MalformedMessageError("", "", "no message: not a map")
+        raise MalformedMessageError("", "", "cannot decode message: not a map")
     if KIND_KEY not in fields or isinstance(fields[KIND_KEY], list | dict):
         raise MalformedMessageError("", KIND_KEY)
     kind = fields[KIND_KEY]
@@ -73,7 +75,7 @@
 
 
 def kind_of(message: Message) -> str:
-    """Return the kind of a message: its name on the wire."""
+    """Return the kind of a message, which is its name on the wire."""
     return message.kind if isinstance(message, UnknownMessage) else KINDS[type(message)]
 
 
--- a/hazelspring/node/codec_consensus.py
+++ b/hazelspring/node/codec_consensus.py
@@ -56,17 +56,18 @@
 def _delta_path(row: Any) -> DeltaPath:
     """Return the path of deltas that a row encodes.
 
-    A malformed row gives an empty path, which leads to no configuration: the complete one is requested then.
+    For a malformed row, the result is an empty path.  No configuration can be computed from it, so the
+    recipient requests the complete configuration.
     """
     try:
         base, steps = row
         path = DeltaPath(base, tuple(DeltaStep(digest, delta) for digest, delta in steps))
     except (TypeError, ValueError):
         return DeltaPath(NO_CONFIGURATION, ())
-    sound = isinstance(base, bytes) and all(
+    is_valid = isinstance(base, bytes) and all(
         isinstance(step.digest, bytes) and isinstance(step.delta, bytes) for step in path.steps
     )
-    return path if sound else DeltaPath(NO_CONFIGURATION, ())
+    return path if is_valid else DeltaPath(NO_CONFIGURATION, ())
 
 
 def _held(fields: Fields) -> HeldConfiguration:
@@ -203,14 +204,14 @@
     if len(row) != 6 or row[0] not in ("put", "evacuate"):
         raise MalformedMessageError(fields[KIND_KEY], "o")
     change = ForwardedChange(*row)
-    sound = (
+    is_valid = (
         isinstance(change.configuration_version, int)
         and isinstance(change.configuration_digest, bytes)
         and isinstance(change.configuration, bytes | None)
         and isinstance(change.zone, str)
         and isinstance(change.evacuate, bool)
     )
-    if not sound:
+    if not is_valid:
         raise MalformedMessageError(fields[KIND_KEY], "o")
     return change
 
--- a/hazelspring/node/codec_fields.py
+++ b/hazelspring/node/codec_fields.py
@@ -1,6 +1,6 @@
 """Checked access to the fields of a received message.
 
-All functions raise MalformedMessageError where a required field is missing, or a field is of a wrong type.
+All functions raise MalformedMessageError if a required field is missing or a field has the wrong type.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from hazelspring.errors import HazelspringError
 from hazelspring.membership.node_info import NodeInfo
 
-Fields = dict[str, Any]  # a message as its map on the wire
+Fields = dict[str, Any]  # the map that encodes a message on the wire
 T = TypeVar("T")
 KIND_KEY = "k"
 
@@ -20,7 +20,7 @@
 class MalformedMessageError(HazelspringError):
     """A message cannot be decoded.
 
-    `kind` and `field` are the names on the wire, empty where they are not known.
+    `kind` and `field` are the names on the wire; a name that is not known is empty.
     """
 
     code = "malformed_message"
@@ -30,34 +30,34 @@
         self.kind, self.field = kind, field
 
 
-def required(fields: Fields, key: str, kind: type[T]) -> T:
-    """Return the value of a required field, which must be of a type."""
+def required(fields: Fields, key: str, expected_type: type[T]) -> T:
+    """Return the value of a required field, which must have the expected type."""
     value = fields.get(key)
-    if not isinstance(value, kind):
+    if not isinstance(value, expected_type):
         raise MalformedMessageError(fields[KIND_KEY], key)
     return value
 
 
-def optional(fields: Fields, key: str, kind: type[T]) -> T | None:
-    """Return the value of an optional field, None where it is absent."""
-    return required(fields, key, kind) if key in fields else None
+def optional(fields: Fields, key: str, expected_type: type[T]) -> T | None:
+    """Return the value of an optional field, or None if it is absent."""
+    return required(fields, key, expected_type) if key in fields else None
 
 
-def list_of(fields: Fields, key: str, kind: type[T]) -> list[T]:
-    """Return the value of a required field, which must be a list of values of one type."""
+def list_of(fields: Fields, key: str, expected_type: type[T]) -> list[T]:
+    """Return the value of a required field, which must be a list of values of the expected type."""
     values: list[T] = required(fields, key, list)
-    if not all(isinstance(value, kind) for value in values):
+    if not all(isinstance(value, expected_type) for value in values):
         raise MalformedMessageError(fields[KIND_KEY], key)
     return values
 
 
 def ballot_field(fields: Fields, key: str = "b") -> Ballot:
-    """Return the ballot in a field."""
+    """Return the ballot that a required field encodes."""
     return parse_ballot(fields, key, required(fields, key, list))
 
 
 def parse_ballot(fields: Fields, key: str, row: Any) -> Ballot:
-    """Return the ballot that a row in a field encodes."""
+    """Return the ballot that a row encodes; `key` is the field that contains the row."""
     try:
         count, incarnation, ip = ballot = decode_ballot(row)
     except (TypeError, ValueError) as error:
@@ -68,7 +68,7 @@
 
 
 def control_state_field(fields: Fields, key: str, row: Any) -> ControlState:
-    """Return the control state that a row in a field encodes."""
+    """Return the control state that a row encodes; `key` is the field that contains the row."""
     try:
         state = decode_state(row)
     except (TypeError, ValueError) as error:
@@ -79,7 +79,7 @@
 
 
 def accepted_state_field(fields: Fields) -> AcceptedState | None:
-    """Return the state that the sender accepted last, with its ballot; None where it accepted none."""
+    """Return the state that the sender accepted last, with its ballot; None if it has accepted none."""
     row = fields.get("a")
     if "a" not in fields or not (row is None or (isinstance(row, list) and len(row) == 2)):
         raise MalformedMessageError(fields[KIND_KEY], "a")
@@ -89,7 +89,7 @@
 
 
 def voter_field(fields: Fields) -> Voter:
-    """Return the voter: the number of its disk, and whether it may take part in the bootstrap."""
+    """Return the voter in a message: its disk ID, and whether it may take part in the bootstrap."""
     row = required(fields, "u", list)
     if len(row) != 2 or not (isinstance(row[0], int) and isinstance(row[1], bool)):
         raise MalformedMessageError(fields[KIND_KEY], "u")
@@ -97,15 +97,15 @@
 
 
 def node_info_field(fields: Fields, key: str, row: Any) -> NodeInfo:
-    """Return the node that a row in a field encodes."""
+    """Return the node that a row encodes; `key` is the field that contains the row."""
     if not (isinstance(row, list) and len(row) == 5):
         raise MalformedMessageError(fields[KIND_KEY], key)
-    about = NodeInfo(*row)
-    if not (isinstance(about.ip, str) and isinstance(about.incarnation, int)):
+    info = NodeInfo(*row)
+    if not (isinstance(info.ip, str) and isinstance(info.incarnation, int)):
         raise MalformedMessageError(fields[KIND_KEY], key)
-    return about
+    return info
 
 
 def sender_field(fields: Fields) -> NodeInfo | None:
-    """Return the sender that a message names; None where it names none."""
+    """Return the sender that a message names; None if it does not name one."""
     return node_info_field(fields, "a", fields["a"]) if "a" in fields else None
--- a/hazelspring/node/codec_node.py
+++ b/hazelspring/node/codec_node.py
@@ -1,4 +1,4 @@
-"""The wire format of heartbeats and of messages on tables, singleton roles, load reports and quotas."""
+"""The wire format of heartbeats and of messages about tables, singleton roles, load reports and quotas."""
 
 from __future__ import annotations
 
@@ -87,7 +87,10 @@
 
 
 def _decode_node_state(fields: Fields) -> tuple[NodeState | None, int]:
-    """Return a node's state and its checksum, which also covers keys that are unknown here; None and 0 without one."""
+    """Return the sender's state and its checksum, or None and 0 if the message contains no state.
+
+    The checksum also covers keys that this version of the program ignores.
+    """
     if "z" not in fields:
         return None, 0
     row = required(fields, "z", dict)
@@ -103,13 +106,13 @@
         checksum = _checksum(row)
     except (TypeError, ValueError, LookupError, AttributeError) as error:
         raise MalformedMessageError(fields[KIND_KEY], "z") from error
-    sound = (
+    is_valid = (
         isinstance(state.table_versions, dict)
         and isinstance(state.max_node_count, int)
         and all(isinstance(version, int) for version in state.control_versions)
         and isinstance(state.role_holders, dict | None)
     )
-    if not sound:
+    if not is_valid:
         raise MalformedMessageError(fields[KIND_KEY], "z")
     return state, checksum
 
@@ -181,7 +184,7 @@
 
 
 def encode_roles(message: RolesDeclined) -> Fields:
-    """Return the map that encodes a `RolesDeclined`."""
+    """Return the map that encodes a `RolesDeclined` or a `RolesReleased`."""
     return {
         "k": "free" if isinstance(message, RolesReleased) else "decline",
         "a": message.member.encode(),
@@ -266,5 +269,5 @@
 
 
 def node_state_checksum(state: NodeState) -> int:
-    """Return the checksum of a node's state, by which other nodes name the state that they know."""
+    """Return the checksum by which the heartbeats of other nodes identify the state that they know."""
     return _checksum(_encode_node_state(state))
--- a/tests/test_golden_control.py
+++ b/tests/test_golden_control.py
@@ -1,4 +1,4 @@
-"""Bytes on the wire and on disk stay those that were recorded (tests/golden)."""
+"""Bytes on the wire and on disk are still equal to the recorded ones in tests/golden."""
 
 from __future__ import annotations
 
@@ -43,12 +43,16 @@
     recorded = read("messages.json")
     assert messages.keys() == recorded.keys()
     assert {key for key, body in messages.items() if body != recorded[key]} == set()
-    assert sums == read("sums.json")  # all messages and all saved records of each play, in their order
+    assert sums == read("sums.json")  # of all messages and all saved records of each simulated run, in order
 
 
 @pytest.mark.parametrize("file", ["messages.json", "messages-before-53.json"])
 def test_each_kind_was_recorded_under_its_variant_and_decodes_to_the_same_bytes(file: str) -> None:
-    """Also those of the program before the roster came from any member that answers: it sent other variants."""
+    """messages-before-53.json was recorded with an earlier version of the program, which sent other
+    variants.
+
+    In that version, a node did not yet take the roster from any member that answers.
+    """
     recorded = {key: bytes.fromhex(body) for key, body in read(file).items()}
     assert {key.split("/")[0] for key in recorded} == KINDS
     for key, body in recorded.items():
@@ -56,7 +60,7 @@
         assert recording.wire_bytes(recording.from_wire(body)) == body
 
 
-def test_a_settled_member_takes_every_recorded_message_and_answers_as_recorded() -> None:
+def test_a_settled_member_answers_every_recorded_message_as_recorded() -> None:
     answers = recording.answers_to(read("messages.json"))
     recorded = read("answers.json")
     assert answers.keys() == read("messages.json").keys()
@@ -67,9 +71,9 @@
     assert recording.record_disk() == read("records.json")
 
 
-def test_recorded_records_load_as_the_register_that_wrote_them() -> None:
+def test_recorded_records_load_as_the_acceptor_that_wrote_them() -> None:
     recorded, disk = read("records.json"), dict[str, bytes]()
-    for step, register in recording.register_steps():
+    for step, acceptor in recording.register_steps():
         for name, body in recorded[step].items():
             if body is None:
                 del disk[name]
@@ -77,8 +81,8 @@
                 disk[name] = bytes.fromhex(body)
         loaded = load_acceptor(disk, 1, True)
         assert (loaded.disk_id, loaded.may_bootstrap) == (4242, False)
-        assert (loaded.promised, loaded.accepted) == (register.promised, register.accepted), step
-        assert (loaded.decided, loaded.configurations) == (register.decided, register.configurations), step
+        assert (loaded.promised, loaded.accepted) == (acceptor.promised, acceptor.accepted), step
+        assert (loaded.decided, loaded.configurations) == (acceptor.decided, acceptor.configurations), step
         assert loaded.take_dirty_records() == {}
     assert loaded.promised == (5, 100201, "d2")
     assert loaded.accepted == loaded.decided == ((5, 100201, "d2"), SECOND)
@@ -90,13 +94,13 @@
 def test_the_recorded_disk_of_a_settled_member_loads() -> None:
     disk = {name: bytes.fromhex(body) for name, body in read("records.json")["settled member"].items()}
     assert set(disk) == {"disk", "vote", "decided", "mark doors"} and disk["mark doors"] == b"5"
-    register = load_acceptor(disk, 1, False)
-    assert [register.disk_id, register.may_bootstrap] == cbor2.loads(
+    acceptor = load_acceptor(disk, 1, False)
+    assert [acceptor.disk_id, acceptor.may_bootstrap] == cbor2.loads(
         disk["disk"]
-    ) and register.disk_id > 1_000_000
-    assert register.state is not None and register.version >= 0
-    assert [member.ip for member in register.state.members] == ["d1", "d2", "d3"]
-    assert register.promised > NO_BALLOT and register.accepted == register.decided
+    ) and acceptor.disk_id > 1_000_000
+    assert acceptor.state is not None and acceptor.version >= 0
+    assert [member.ip for member in acceptor.state.members] == ["d1", "d2", "d3"]
+    assert acceptor.promised > NO_BALLOT and acceptor.accepted == acceptor.decided
 
 
 def test_a_recorded_store_of_format_2_is_read_by_the_store_and_offline(tmp_path: Path) -> None:
@@ -115,18 +119,18 @@
     assert item_checksum("config", 7, b"", b"packed").hex() == "f05507a319805110ef7a13e1e663287d"
 
 
-def test_a_saved_store_has_the_recorded_tables_format_and_sums(tmp_path: Path) -> None:
+def test_a_saved_store_has_the_recorded_tables_format_and_checksums(tmp_path: Path) -> None:
     store = ReplicaStore(str(tmp_path))
     store.save(STORE_RECORDS | {"gone": b"1"})
     store.save({"gone": None})
     store.close()
     tables = []
     for path in (tmp_path / "comb.sqlite", FOLDER / "store-format-2.sqlite"):
-        base = sqlite3.connect(f"file:{path}?mode=ro&immutable=1", uri=True)
-        (schema,) = base.execute("select sql from sqlite_master where sql is not null").fetchall()
-        rows = base.execute("select name, body, sum from record order by name").fetchall()
-        tables.append((schema, base.execute("pragma user_version").fetchone(), rows))
-        base.close()
+        connection = sqlite3.connect(f"file:{path}?mode=ro&immutable=1", uri=True)
+        (schema,) = connection.execute("select sql from sqlite_master where sql is not null").fetchall()
+        rows = connection.execute("select name, body, sum from record order by name").fetchall()
+        tables.append((schema, connection.execute("pragma user_version").fetchone(), rows))
+        connection.close()
     assert tables[0] == tables[1]
     assert tables[0][:2] == ((SCHEMA,), (2,))
     assert {name: body for name, body, _ in rows} == STORE_RECORDS
@@ -142,7 +146,7 @@
     assert configuration_digest(body).hex() == recorded[f"{name} digest"]
 
 
-def test_the_recorded_difference_leads_from_one_recorded_configuration_to_the_other() -> None:
+def test_the_recorded_difference_turns_one_recorded_configuration_into_the_other() -> None:
     recorded = read("configurations.json")
     old, new, delta = (bytes.fromhex(recorded[name]) for name in ("old", "new", "difference"))
     assert (
@@ -153,12 +157,15 @@
 
 
 def test_packed_configurations_and_differences_are_produced_byte_for_byte() -> None:
-    """These bytes are zlib's output too: with another version of zlib they may differ where the code has not changed.
-    The two tests above hold whatever version it is."""
+    """These bytes are output of zlib, so another version of zlib may change them without a change of the
+    code.
+
+    The two tests above pass with any version of zlib.
+    """
     assert recording.record_configurations() == read("configurations.json")
 
 
-def test_a_configuration_of_several_blocks_is_packed_and_followed_exactly() -> None:
+def test_a_configuration_of_several_blocks_is_packed_and_updated_by_a_delta_exactly() -> None:
     large, changed = recording.large_configurations()
     packed = pack(large)
     assert len(read_blocks(packed)) > 3 and unpack(packed) == large
