--- a/hazelspring/node/heartbeats.py
+++ b/hazelspring/node/heartbeats.py
@@ -1,7 +1,7 @@
-"""Heartbeats and heartbeat replies: liveness of the nodes, the state each one reports, grants of leases of roles.
+"""Heartbeats and their replies, which carry liveness, the state of each node, and leases on singleton roles.
 
-A heartbeat names the checksum of the recipient's state that its sender knows; a reply carries the state itself only
-where that checksum differs.
+A heartbeat contains the checksum of the recipient's state that its sender knows.  The reply contains the
+state itself only if that checksum differs from the current one.
 """
 
 from __future__ import annotations
@@ -21,41 +21,43 @@
 from hazelspring.registry.list_freshness import AGE_UNIT, ListFreshness
 from hazelspring.registry.tables import ServerRegistry
 
-# Seconds between heartbeats inside a region, and between core nodes, as heartbeats renew the leases of their roles.
+# Seconds between heartbeats inside a region, and between core nodes, which renew leases on roles with them.
 NEAR_INTERVAL = 0.4
-# Seconds between heartbeats to another region, where bytes are expensive, while enough near core nodes answer.
+# Seconds between heartbeats to another region, where bytes are expensive, while enough near core nodes
+# answer.
 FAR_INTERVAL = 2.0
 # Seconds after its start for which an incarnation puts its own `NodeInfo` into each heartbeat reply.
 INTRODUCTION_TIME = 3.0
-# Seconds after its start in which a core node may not have had a heartbeat of every node: one, and a round trip.
+# Seconds after its start in which a core node may not yet have received a heartbeat from every node: the
+# longest interval between heartbeats, and a round trip.
 ROSTER_SETTLING_TIME = FAR_INTERVAL + 0.5
-# Distance between the first heartbeat numbers of two incarnations: more heartbeats than one sends in a month.
+# Distance between the first heartbeat numbers of two incarnations: more than a node sends in a month.
 NUMBERS_PER_INCARNATION = 1 << 24
-# Heartbeats for which a reply is still accepted: those of about the last half minute.
+# Number of heartbeats for which a reply is still accepted: those of about the last half minute.
 MAX_REMEMBERED_HEARTBEATS = 512
 
 
 def incarnation_hash(incarnation: int) -> int:
     """Return the CRC-32 of an incarnation, modulo 1,000,000.
 
-    Two incarnations rarely have the same hash, so it sets the numbers of their heartbeats apart.
+    Two incarnations rarely have the same hash, so their heartbeats rarely have the same numbers.
     """
     return zlib.crc32(incarnation.to_bytes(16, "big")) % 1_000_000
 
 
 @dataclass(slots=True, frozen=True)
 class SentHeartbeat:
-    """What is remembered of a heartbeat until its reply comes."""
+    """The data about a heartbeat that is kept until its reply arrives."""
 
     sent_at: float  # seconds of the steady clock
-    known_state_checksum: int  # of the recipient's state, as the heartbeat named it
-    asks_roster: bool = False
+    known_state_checksum: int  # of the recipient's state, as sent in the heartbeat
+    requests_roster: bool = False
 
 
 class Heartbeats:
-    """Makes the heartbeats of one node, replies to those of other nodes, and records what their replies report.
+    """Makes one node's heartbeats, records the replies to them, and replies to heartbeats of other nodes.
 
-    `began` is the time of this node's start, in seconds of its steady clock, as all times here.
+    `started_at` is the time of this node's start.  All times are in seconds of its steady clock.
     """
 
     def __init__(
@@ -63,31 +65,32 @@
         peers: PeerTable,
         control: ControlReplica,
         roles: SingletonRoles,
-        news: ServerRegistry,
+        registry: ServerRegistry,
         freshness: ListFreshness,
-        began: float,
+        started_at: float,
     ) -> None:
         self.peers, self.control, self.roles, self.registry, self.started_at = (
             peers,
             control,
             roles,
-            news,
-            began,
+            registry,
+            started_at,
         )
         self.freshness = freshness
-        # Each incarnation numbers its heartbeats from a start of its own, so a reply to a heartbeat of an earlier
-        # incarnation is recognized by its number, also after a reboot that restarted the steady clock.
+        # Each incarnation numbers its heartbeats from a different start.  So a reply to a heartbeat of an
+        # earlier incarnation is recognized by its number, even after a reboot that restarted the steady
+        # clock.
         self.last_number = incarnation_hash(peers.me.incarnation) * NUMBERS_PER_INCARNATION
         self.sent: dict[int, SentHeartbeat] = {}  # the latest heartbeats, by number
-        # The state that was reported last, and its checksum.
+        # The state for which the checksum was last computed, and that checksum.
         self.cached_state_checksum: tuple[NodeState | None, int] = (None, 0)
         # When the latest heartbeat was sent to each address that has never answered.
-        self.first_sent: dict[str, float] = {}
+        self.last_sent_to_unknown: dict[str, float] = {}
 
     def own_state(self, now: float) -> NodeState:
         """Return the state that this node reports in heartbeat replies, which seldom changes.
 
-        Only a member reports holders of roles, unresponsive members and declined roles.
+        Only a member of the core reports holders of roles, unresponsive members and declined roles.
         """
         table_versions, max_node_count = self.registry.versions(), self.peers.max_node_count
         versions = self.control.control_versions()
@@ -102,8 +105,8 @@
             tuple(self.roles.declined_roles(now)),
         )
 
-    def remember(self, heartbeat: SentHeartbeat) -> int:
-        """Remember a heartbeat that is sent now, and return its number."""
+    def record_sent(self, heartbeat: SentHeartbeat) -> int:
+        """Store a heartbeat that is being sent, so that its reply is accepted, and return its number."""
         self.last_number += 1
         self.sent[self.last_number] = heartbeat
         if len(self.sent) > MAX_REMEMBERED_HEARTBEATS:
@@ -111,82 +114,85 @@
         return self.last_number
 
     def request_sent_at(self, number: int) -> float | None:
-        """Return when the heartbeat of a number was sent.
+        """Return when the heartbeat with a number was sent, in seconds.
 
-        None where another incarnation sent it, or where it is too old to be remembered.
+        Return None if another incarnation sent it, or if it is too old and no longer stored.
         """
         sent = self.sent.get(number)
         return sent.sent_at if sent is not None else None
 
     def own_checksum(self, state: NodeState) -> int:
-        """Return the checksum of this node's own state, computed again only where the state has changed."""
+        """Return the checksum of this node's own state, computed again only if the state has changed."""
         if state != self.cached_state_checksum[0]:
             self.cached_state_checksum = state, node_state_checksum(state)
         return self.cached_state_checksum[1]
 
     def last_sent_at(self, ip: str) -> float:
-        """Return when a heartbeat was last sent to an address, in seconds; -1e9 where none was."""
+        """Return when a heartbeat was last sent to an address, in seconds; -1e9 if none was."""
         peer = self.peers.peers.get(ip)
-        return peer.heartbeat_sent_at if peer is not None else self.first_sent.get(ip, -1e9)
+        return peer.heartbeat_sent_at if peer is not None else self.last_sent_to_unknown.get(ip, -1e9)
 
     def is_responsive(self, now: float, ip: str) -> bool:
         """Return whether a core node answers this node's heartbeats.
 
-        A node without a disk may send heartbeats to another region only each `FAR_INTERVAL`, so the answer of a core
-        node there may be older by that much.
+        A node without a disk may send heartbeats to another region only once per `FAR_INTERVAL`, so the
+        latest answer of a core node there may be older by that much.
         """
-        seldom = (
+        extra_age = (
             0.0
             if self.peers.core_nodes[ip].region == self.peers.me.region or self.peers.me.disk_id
             else FAR_INTERVAL
         )
-        return self.peers.is_alive(now - seldom, ip)
+        return self.peers.is_alive(now - extra_age, ip)
 
-    def is_due(self, now: float, ip: str, enough: bool) -> bool:
+    def is_due(self, now: float, ip: str, enough_near: bool) -> bool:
         """Return whether the next heartbeat to a core node is due.
 
-        `enough` says that the answers of near core nodes suffice; else far ones get heartbeats as often as near ones.
+        `enough_near` is True if enough near core nodes answer; otherwise far core nodes get heartbeats as
+        often as near ones.
         """
-        about, me = self.peers.core_nodes[ip], self.peers.me
-        near = about.region == me.region or me.disk_id or not enough
+        info, me = self.peers.core_nodes[ip], self.peers.me
+        near = info.region == me.region or me.disk_id or not enough_near
         return now - self.last_sent_at(ip) >= (NEAR_INTERVAL if near else FAR_INTERVAL) - 0.01
 
     def make_heartbeat(self, now: float, ip: str, ready: bool, requested_roles: list[int]) -> Heartbeat:
-        """Return a heartbeat to another node, and record that it is sent now.
+        """Return a heartbeat to another node, and record that it is being sent.
 
-        Roles are requested only by a member of the core, or by a node with a disk before the core is agreed on.
+        Only a member of the core, or a node with a disk before the core is agreed on, requests roles.
         """
         peer, me = self.peers.peers.get(ip), self.peers.me
         if peer is not None:
             peer.heartbeat_sent_at = now
         else:
-            self.first_sent[ip] = now
+            self.last_sent_to_unknown[ip] = now
         known = peer.state_checksum if peer is not None else 0
-        takes_roles = self.control.is_member() or (not self.peers.core_agreed and bool(me.disk_id))
-        wants_roster = not takes_roles and self.is_roster_source(now, ip)
+        may_request_roles = self.control.is_member() or (not self.peers.core_agreed and bool(me.disk_id))
+        requests_roster = not may_request_roles and self.is_roster_source(now, ip)
         return Heartbeat(
             me.incarnation,
-            self.remember(SentHeartbeat(now, known, wants_roster)),
+            self.record_sent(SentHeartbeat(now, known, requests_roster)),
             ready,
             self.peers.core_checksum(),
             known,
             sender=me if peer is None or not peer.knows_me else None,
-            requested_roles=requested_roles if takes_roles else None,
-            grants_nothing=takes_roles and now < self.roles.granter.silent_until,
-            roster_checksum=self.peers.roster_checksum if wants_roster else None,
+            requested_roles=requested_roles if may_request_roles else None,
+            grants_nothing=may_request_roles and now < self.roles.granter.silent_until,
+            roster_checksum=self.peers.roster_checksum if requests_roster else None,
         )
 
     def is_roster_source(self, now: float, ip: str) -> bool:
-        """Return whether this node takes the roster from another one.
+        """Return whether this node requests the roster from another node.
 
         It does so from one core node only, or from any node while it knows no core node.
         """
         return ip == self.roster_source(now) or not self.peers.core_nodes
 
     def roster_source(self, now: float) -> str | None:
-        """Return the nearest core node that answers; None where there is no other core node.
+        """Return the core node to request the roster from; None if there is no other core node.
 
-        One that has answered for a while goes first: after a restart it lacks the nodes that send it heartbeats seldom.
+        It is the nearest core node that answers.  Core nodes that have answered for a while are preferred,
+        as one that has just restarted may not yet have received heartbeats from the nodes that send them
+        seldom.
         """
         others = self.peers.other_core_nodes()
         responsive = [ip for ip in others if self.is_responsive(now, ip)]
@@ -196,37 +202,38 @@
         return next(iter(settled or responsive or others), None)
 
     def sender_of(self, source: str, message: Heartbeat | HeartbeatReply) -> NodeInfo | None:
-        """Return the sender of a heartbeat or a reply, as named in it or as known by its address and incarnation.
+        """Return the sender of a heartbeat or a reply, as named in it or found by address and incarnation.
 
-        None where the message does not name its sender and no known node has that address and incarnation.
+        Return None if the message does not name its sender and no known node has that address and
+        incarnation.
         """
         if message.sender is not None:
             return message.sender
-        for about in self.peers.known_infos(source):
-            if about.incarnation == message.incarnation:
-                return about
+        for info in self.peers.known_infos(source):
+            if info.incarnation == message.incarnation:
+                return info
         return None
 
-    def make_reply(self, now: float, about: NodeInfo | None, message: Heartbeat) -> HeartbeatReply:
+    def make_reply(self, now: float, info: NodeInfo | None, message: Heartbeat) -> HeartbeatReply:
         """Return the reply to a heartbeat.
 
-        Where its sender is not known (`about` is None), the reply only asks for the sender's identity.
+        If its sender is not known (`info` is None), the reply only requests the sender's identity.
         """
         me = self.peers.me
         introduces = message.sender is not None or now - self.started_at < INTRODUCTION_TIME
         sender = me if introduces else None
-        if about is None:
+        if info is None:
             return HeartbeatReply(me.incarnation, message.number, sender, asks_identity=True)
         relied_on, granted = None, None
         if self.control.is_member():
             if message.grants_nothing:
-                relied_on = self.roles.disclaim_previous(now, about.identity())
-            granted = self.grant_roles(now, about, message)
+                relied_on = self.roles.disclaim_previous(now, info.identity())
+            granted = self.grant_roles(now, info, message)
         list_age = self.freshness.encode_age(now)
-        state = self.own_state(now)  # after the grants, as it reports them
+        state = self.own_state(now)  # computed after the grants, which it includes
         checksum = self.own_checksum(state)
         is_core_known = message.core_checksum == self.peers.core_checksum()
-        rows, change = self.roster_news(message)
+        rows, change = self.roster_update_for(message)
         return HeartbeatReply(
             me.incarnation,
             message.number,
@@ -241,81 +248,84 @@
             roster_rows=rows,
         )
 
-    def grant_roles(self, now: float, about: NodeInfo, message: Heartbeat) -> list[int]:
-        """Grant leases of the roles that a heartbeat requests, and return the granted ones.
+    def grant_roles(self, now: float, info: NodeInfo, message: Heartbeat) -> list[int]:
+        """Grant leases on the roles that a heartbeat requests, and return the granted ones.
 
-        Grants of roles that its sender no longer requests are withdrawn first, as the sender relies on them no more.
+        Grants of roles that its sender no longer requests are withdrawn first, as the sender no longer
+        relies on them.
         """
-        who, requested = about.identity(), message.requested_roles or []
+        identity, requested = info.identity(), message.requested_roles or []
         granter = self.roles.granter
-        granter.withdraw_unrequested(who, requested, message.number)
+        granter.withdraw_unrequested(identity, requested, message.number)
         if not self.may_grant_leases(message.core_checksum):
             return []
-        return [role for role in requested if granter.request(now, str(role), who, message.number)]
+        return [role for role in requested if granter.request(now, str(role), identity, message.number)]
 
-    def roster_news(self, message: Heartbeat) -> tuple[list[list[Any]] | None, RosterChange | None]:
-        """Return the roster's rows, or their change since the checksum that a heartbeat names.
+    def roster_update_for(self, message: Heartbeat) -> tuple[list[list[Any]] | None, RosterChange | None]:
+        """Return the roster's rows, or their change since the roster whose checksum a heartbeat contains.
 
-        At most one of the two is not None.  Both are None where the heartbeat does not ask for the roster, where its
-        sender has the same one, or where a core is agreed on and this node is no member of it.
+        At most one of the two is not None.  Both are None if the heartbeat does not request the roster, if
+        its sender has the same roster, or if a core is agreed on and this node is not a member of it.
         """
         known = message.roster_checksum
-        may_tell = self.control.is_member() or not self.peers.core_agreed
-        if known is None or not may_tell or known == self.peers.roster_checksum:
+        may_send_roster = self.control.is_member() or not self.peers.core_agreed
+        if known is None or not may_send_roster or known == self.peers.roster_checksum:
             return None, None
         change = self.peers.roster_table.changes_since(known)
         return (None, change) if change is not None else (self.peers.roster_rows, None)
 
-    def may_grant_leases(self, core_sum: int) -> bool:
-        """Return whether this member may grant a lease to a node that names a core by its checksum.
+    def may_grant_leases(self, core_checksum: int) -> bool:
+        """Return whether this member may grant a lease to a node that reports `core_checksum` for its core.
 
-        It may only where that is the core known here, and not while a change of members is accepted but not decided:
-        majorities of two cores with one other core between them need not intersect.  Nor may it once a higher lineage
-        is known, which supersedes this core.
+        It may do so only if that is the core that this member knows.  It may not while a change of members
+        is accepted but not decided, as majorities of two cores with one other core between them need not
+        intersect.  Nor may it once it knows a higher lineage, which supersedes this core.
         """
         pending, state = self.control.acceptor.pending, self.control.state
-        moving = pending is not None and state is not None and pending.members != state.members
+        is_changing = pending is not None and state is not None and pending.members != state.members
         return (
-            core_sum == self.peers.core_checksum()
-            and not moving
+            core_checksum == self.peers.core_checksum()
+            and not is_changing
             and not self.control.acceptor.is_superseded()
         )
 
-    def on_reply(self, now: float, about: NodeInfo, message: HeartbeatReply, asked_at: float) -> Peer:
-        """Record what a reply reports of its sender, and return that peer.
+    def on_reply(self, now: float, info: NodeInfo, message: HeartbeatReply, sent_at: float) -> Peer:
+        """Record what a reply reports about its sender, and return that peer.
 
-        `asked_at` is when the heartbeat was sent, in seconds.
+        `sent_at` is when the heartbeat was sent, in seconds.
         """
-        peer = self.peers.peer(about)
+        peer = self.peers.peer(info)
         peer.on_heard(now)
         peer.knows_me = not message.asks_identity
-        if not peer.knows_me or asked_at < peer.latest_request_at:
-            # It reported nothing of its sender, or the reply to a later heartbeat came before it.
+        if not peer.knows_me or sent_at < peer.latest_request_at:
+            # The reply reports nothing about its sender, or the reply to a later heartbeat arrived before
+            # this one.
             return peer
         sent = self.sent[message.number]
         if message.state is None and sent.known_state_checksum != peer.state_checksum:
-            # The reply means "no change" to the state known when the heartbeat was sent; another reply has reported
-            # a different state since, so this one says nothing about the state known now.
+            # The reply means "no change" since the state that was known when the heartbeat was sent.
+            # Another reply has reported a different state since then, so this reply does not confirm the
+            # state that is known now.
             return peer
-        peer.latest_request_at = asked_at
+        peer.latest_request_at = sent_at
         peer.relied_on_roles = message.relied_on_roles
         if message.state is not None:
             self.apply_state(peer, message.state, message.state_checksum)
         if message.list_age is not None:
-            peer.list_read_at = asked_at - message.list_age * AGE_UNIT
+            peer.list_read_at = sent_at - message.list_age * AGE_UNIT
         if peer.control_versions is not None:
-            self.control.observe_version(about.ip, peer.control_versions[0])
+            self.control.observe_version(info.ip, peer.control_versions[0])
             if max(peer.control_versions) <= self.control.acceptor.version:
-                peer.caught_up_at = asked_at
+                peer.caught_up_at = sent_at
         for role in message.granted_roles or ():
-            self.roles.on_granted(role, about.ip, asked_at, about.incarnation)
+            self.roles.on_granted(role, info.ip, sent_at, info.incarnation)
         self.apply_roster(message)
-        if sent.asks_roster and self.peers.holds_membership(about.ip):
-            self.peers.roster_confirmed_at = max(self.peers.roster_confirmed_at, asked_at)
+        if sent.requests_roster and self.peers.holds_membership(info.ip):
+            self.peers.roster_confirmed_at = max(self.peers.roster_confirmed_at, sent_at)
         return peer
 
     def apply_roster(self, message: HeartbeatReply) -> None:
-        """Take the roster, or its change, that a reply holds; it holds neither where both nodes have the same one."""
+        """Apply the roster, or its change, from a reply; it has neither if both nodes have the same one."""
         if message.roster_rows is not None and message.roster_rows != self.peers.roster_rows:
             self.peers.replace_roster(message.roster_rows)
         if message.roster_change is not None:
--- a/hazelspring/node/invariants.py
+++ b/hazelspring/node/invariants.py
@@ -1,13 +1,17 @@
-"""What must hold at a node that is in touch with the core; violations are counted by name, once each time one begins.
+"""Invariants of a node that is in touch with the core.
 
-- `list_read`: a holder of the list reader's lease has read the platform's list of late, or has handed the lease on.
-- `list_known`: all that the platform's list showed `drain_cutoff` before is known here.
-- `roster_known`: the roster is that of a member of the core of late, so that no machine is named to clients that has
-  been off for `in_touch` and `NAMED_AFTER_IN_TOUCH`.
+A violation is counted by the name of the invariant, once each time it begins.
 
-A node is in touch once the same members of the core, more than half of it, have answered it for `in_touch` seconds,
-each in one incarnation and from the disk that is the member.  A member that stays away is no excuse.  Where the
-platform answers nobody, `list_known` is violated too, as requests then go by a list that is too old.
+- `list_read`: if this node holds the list reader's lease, it has recently read the platform's list or passed
+  the lease on.
+- `list_known`: this node knows all that the platform's list contained `drain_cutoff` ago.
+- `roster_known`: this node has recently had the same roster as a member of the core.  So clients get no
+  address of a machine that has been off for longer than `in_touch` and `STALE_ADDRESS_GRACE` together.
+
+A node is in touch once the same members of the core, more than half of it, have answered it for `in_touch`
+seconds, each in one incarnation and from the disk that is the member.  The invariants must hold even if the
+other members do not answer.  If the platform answers no node, `list_known` is violated too, as requests are
+then routed by a list that is too old.
 """
 
 from __future__ import annotations
@@ -29,11 +33,11 @@
 
 NEVER = -math.inf
 
-# Seconds more that a holder may take to hand the list reader's lease on: two heartbeats and a round trip.
+# Seconds more that a holder may take to pass the list reader's lease on: two heartbeats and a round trip.
 HANDOVER_TIME = 1.0
-# Seconds beyond `in_touch` after which no machine that is off may be named to clients.
-NAMED_AFTER_IN_TOUCH = 3.0
-# Seconds that a roster may be old whatever the settings: two heartbeats and a round trip.
+# Seconds beyond `in_touch` for which a machine that is off may still be named to clients.
+STALE_ADDRESS_GRACE = 3.0
+# Seconds that a roster may be old under any settings: two heartbeats and a round trip.
 MIN_ROSTER_AGE = 1.0
 
 
@@ -54,8 +58,12 @@
 
     @property
     def roster_age(self) -> float:
-        """How old a node's roster may be: what a machine's silence leaves of the time for which it may be named."""
-        return max(MIN_ROSTER_AGE, self.in_touch + NAMED_AFTER_IN_TOUCH - FAR_ROSTER_TIMEOUT)
+        """Maximum age of a node's roster, in seconds.
+
+        It is the time for which a machine that is off may be named to clients, minus the time until the core
+        removes the machine from the roster.
+        """
+        return max(MIN_ROSTER_AGE, self.in_touch + STALE_ADDRESS_GRACE - FAR_ROSTER_TIMEOUT)
 
 
 class Invariants:
@@ -64,11 +72,11 @@
     Attributes
     ----------
     violations
-        How often each invariant has ceased to hold, by name.
+        Number of violations of each invariant that have begun, by name.
     violated
-        Names of the invariants that do not hold now.
+        Names of the invariants that are currently violated.
     core_unchanged_since
-        Since when the same members answer, more than half of the core.
+        Time since which the same members, more than half of the core, have answered this node.
     responsive
         Address and incarnation of each member that answered at the last check.
     """
@@ -83,7 +91,7 @@
         list_reader_role: ListReaderRole,
         freshness: ListFreshness,
     ) -> None:
-        """`now`: seconds of the node's clock."""
+        """`now` is in seconds of the node's steady clock."""
         self.bounds = bounds
         self.peers = peers
         self.heartbeats = heartbeats
@@ -96,7 +104,10 @@
         self.responsive: tuple[tuple[str, int], ...] = ()
 
     def check(self, now: float) -> list[InvariantViolated]:
-        """Return what has ceased to hold since the last check; it is made as often as heartbeats tell anything new."""
+        """Return the violations that have begun since the last check.
+
+        Checks are made at the interval of heartbeats, as more frequent ones would find nothing new.
+        """
         if now - self.checked_at < NEAR_INTERVAL:
             return []
         self.checked_at = now
@@ -114,41 +125,41 @@
         return [InvariantViolated(name) for name in new]
 
     def in_touch(self, now: float) -> bool:
-        """Return whether the core has answered long enough for this node to be bound by its invariants."""
+        """Return whether the core has answered for long enough that this node's invariants must hold."""
         return now - self.core_unchanged_since >= self.bounds.in_touch
 
     def _check_core(self, now: float) -> None:
-        """Start the time in touch anew where other members answer than before, too few, or those of an old core."""
+        """Restart the time in touch if different or too few members answer, or if the core is superseded."""
         core = self.peers.core_nodes
         responsive = tuple(
             (ip, self._incarnation(ip))
             for ip in core
             if self.heartbeats.is_responsive(now, ip) and self.peers.holds_membership(ip)
         )
-        superseded = self.heartbeats.control.acceptor.is_superseded()  # by a core that was recovered by hand
-        settled = self.peers.core_agreed and not superseded and len(responsive) > len(core) // 2
-        if not settled or responsive != self.responsive:
+        superseded = self.heartbeats.control.acceptor.is_superseded()  # by a manually recovered core
+        has_majority = self.peers.core_agreed and not superseded and len(responsive) > len(core) // 2
+        if not has_majority or responsive != self.responsive:
             self.core_unchanged_since = now
         self.responsive = responsive
 
     def _incarnation(self, ip: str) -> int:
-        """Return the incarnation of a member, as heard from itself or else as it is listed."""
+        """Return the incarnation of a member, as it reported itself or else as listed in the core."""
         peer = self.peers.peers.get(ip)
         return peer.info.incarnation if peer is not None else self.peers.core_nodes[ip].incarnation
 
     def _list_is_read(self, now: float) -> bool:
-        """Return whether the list was read in time, or no other node would take the lease on."""
+        """Return whether the list was read in time, or no other node is willing to take the lease."""
         role = self.list_reader_role
         if role.time_without_read(now) <= role.timing.overdue + HANDOVER_TIME:
             return True
         return not role.roles.others_willing(now, LIST_READER)
 
     def _list_is_known(self, now: float) -> bool:
-        """Return whether the list is known here as of late enough, where the core has told of it for long enough."""
+        """Return whether this node knows a list that is recent enough; always True while not in touch."""
         if not self.in_touch(now):
             return True
         return self.freshness.age(now) <= self.bounds.drain_cutoff
 
     def _roster_is_known(self, now: float) -> bool:
-        """Return whether the roster is as new as it must be, where the core has told of it for long enough."""
+        """Return whether this node's roster is recent enough; always True while not in touch."""
         return not self.in_touch(now) or now - self.peers.roster_confirmed_at <= self.bounds.roster_age
--- a/hazelspring/node/quota_calls.py
+++ b/hazelspring/node/quota_calls.py
@@ -1,4 +1,4 @@
-"""Calls to tenants' counters: this node's calls to the holder of a counter, and those of other nodes to this one."""
+"""Calls to tenants' quota counters: those that this node makes, and those that it serves."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from hazelspring.quota.counter import QuotaCounter
 from hazelspring.quota.credits import CounterUnavailable, CreditsGranted
 
-# Shards of tenants, each one singleton role; fixed, as two nodes that differ in it would both own a tenant's counter.
+# Number of shards of tenants, each of which is one singleton role.  It is fixed, as two nodes with different
+# numbers would both hold the counter of one tenant.
 TENANT_SHARDS = 8
 
 
 class QuotaCalls:
     """Serves the counters that this node holds, and calls those that other nodes hold.
 
-    `limit` returns a tenant's limit for one window, as the configuration in force has it.
+    `limit` returns a tenant's limit for one window, according to the configuration in force.
     """
 
     def __init__(
@@ -35,9 +36,10 @@
         self.counter, self.tenant_limit = counter, limit
 
     def lease(self, now: float, tenant: str, number: int, units: float) -> list[Action]:
-        """Call a tenant's counter for units of its quota; units below 0 are given back.
+        """Request units of a tenant's quota from its counter; a negative number of units returns them.
 
-        The call is sent to the holder of the counter's role; where that is not another node, it is served here.
+        The request is sent to the holder of the counter's role.  If no other node holds it, this node serves
+        the request.
         """
         holder = self.roles.holder(now, self.counter_role(tenant))
         if holder is not None and holder != self.me.ip:
@@ -50,21 +52,21 @@
 
     @staticmethod
     def counter_role(tenant: str) -> int:
-        """Return the singleton role to which a tenant's counter belongs."""
+        """Return the number of the singleton role whose holder has a tenant's counter."""
         return 1 + shard(tenant, TENANT_SHARDS)
 
     def grant(
         self, now: float, tenant: str, caller: NodeIdentity, number: int, units: float
     ) -> CreditsGranted | None:
-        """Grant units by a counter of this node; None where this node has no lease of the counter's role."""
-        until = self.roles.held_until(self.counter_role(tenant))
-        if until <= now:
+        """Grant units from a counter of this node; None if this node has no lease on the counter's role."""
+        lease_end = self.roles.held_until(self.counter_role(tenant))
+        if lease_end <= now:
             return None
-        found = self.counter.grant(now, until, tenant, units, self.tenant_limit(tenant), caller, number)
-        return CreditsGranted(tenant, number, *found)
+        grant = self.counter.grant(now, lease_end, tenant, units, self.tenant_limit(tenant), caller, number)
+        return CreditsGranted(tenant, number, *grant)
 
     def on_request(self, now: float, source: str, message: CreditRequest) -> list[Action]:
-        """Grant credits to another node, or reply that this node does not hold the counter."""
+        """Grant credits to another node, or notify it that this node does not hold the counter."""
         caller = NodeIdentity(source, message.incarnation)
         granted = self.grant(now, message.tenant, caller, message.number, message.units)
         if granted is None:
--- a/hazelspring/node/sent_request.py
+++ b/hazelspring/node/sent_request.py
@@ -1,23 +1,23 @@
-"""The last request for something, so that it is repeated in time and sent to each node in turn."""
+"""The record of the latest request for an item, from which the time and the recipient of a retry follow."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-# Seconds until a request without an answer is repeated, to another node.
+# Seconds after which a request without an answer is sent again, to another node.
 REQUEST_INTERVAL = 0.3
 
 
 @dataclass(slots=True, frozen=True)
 class SentRequest:
-    """When something was requested last, and how many requests were sent for it."""
+    """When an item was last requested, and how many requests were sent for it."""
 
     sent_at: float = -math.inf  # seconds of the steady clock
     count: int = 0
 
     def is_due(self, now: float) -> bool:
-        """Return whether the next request is due."""
+        """Return whether the request may be sent again; `now` is in seconds of the steady clock."""
         return now - self.sent_at >= REQUEST_INTERVAL
 
 
