--- a/hazelspring/node/load_reporter.py
+++ b/hazelspring/node/load_reporter.py
@@ -1,6 +1,6 @@
-"""Load reports: which nodes get this node's counts of requests in flight, of which servers, and how often.
+"""Load reports, which contain a node's counts of requests in flight by server.
 
-A byte budget a second bounds them.
+This module chooses the recipients, the servers in each report and the frequency within a byte budget.
 """
 
 from __future__ import annotations
@@ -13,89 +13,93 @@
 from hazelspring.node.actions import Action, Send
 from hazelspring.node.messages import LoadReport
 
-# Least seconds between two rounds of reports in the zone: a node's tick, the length of which varies a little.
+# Least seconds between two rounds of reports in the zone: a node's tick, whose length varies a little.
 MIN_ZONE_INTERVAL = 0.04
-# Least seconds between two rounds of reports to the region's other zones: a part of a request's time.
+# Least seconds between two rounds of reports to the region's other zones: less than a request takes.
 MIN_REGION_INTERVAL = 0.2
 # Seconds after which an unchanged report is sent again: twice before it expires at the recipient.
 UNCHANGED_INTERVAL = 0.4
-# Seconds that a round in the zone may take; in a longer one, nodes herd by outdated reports (docs/system.md).
+# Seconds that a round in the zone may take.  If it takes longer, reports are outdated and nodes send their
+# requests to the same servers at the same time (docs/system.md).
 MAX_ROUND_TIME = UNCHANGED_INTERVAL
-# Seconds for which a report counts at its recipient, as in hazelspring.routing.endpoints.
+# Seconds after which a report expires at its recipient, as in hazelspring.routing.load_reports.
 REPORT_LIFETIME = 1.0
-# Servers in a report, the busiest ones, so that it fits a datagram.
+# Maximum number of servers in a report, so that it fits into a datagram; the busiest servers are reported.
 MAX_SERVERS_PER_REPORT = 64
-# Bytes a second of a node's whole control traffic, both ways (docs/CAPACITY.md).
+# Maximum bytes a second of all control traffic of a node, in both directions (docs/CAPACITY.md).
 CONTROL_BANDWIDTH = 21_000.0
-# Bytes a second that control traffic takes at rest.
+# Bytes a second of control traffic of an idle node.
 IDLE_BANDWIDTH = 1_500.0
-# The part of a node's own link that its byte budget may take at most.
-MAX_LINK_PART = 0.05
-# The part of the byte budget that load reports keep, whatever other messages take.
-MIN_BUDGET_PART = 0.25
-# Bytes one way of a call to a tenant's counter and of its answer: the mean of both.
+# Maximum fraction of the bandwidth of a node's network link that its byte budget may take.
+MAX_LINK_FRACTION = 0.05
+# Fraction of the byte budget that is reserved for load reports, however many bytes other messages take.
+MIN_BUDGET_FRACTION = 0.25
+# Bytes of a call to a tenant's counter, and of the answer to it: the mean of both.
 LEASE_CALL_BYTES = 48
-# Bytes of a report without servers, and of each server in it.
+# Bytes of a report without servers, and of each server in a report.
 MESSAGE_BYTES, SERVER_BYTES = 12, 6
-# Servers for which the order of recipients is cached.
+# Maximum number of servers for which the order of recipients is cached.
 MAX_CACHED_RECIPIENTS = 4096
 
 InFlightByTag = dict[int, int]  # requests in flight, by the server's tag
 NO_REPORT: tuple[float, InFlightByTag] = (-1e9, {})
 
 
-def report_budget(link: float) -> float:
-    """Return the byte budget of a node's load reports and of its calls to counters, in bytes a second sent.
+def report_budget(link_bandwidth: float) -> float:
+    """Return the budget of a node's load reports and of its calls to counters, in bytes sent a second.
 
-    It is half of what control traffic may take and rest leaves, as the other half is for receiving; `link` is the
-    bandwidth of the node's own link in bytes a second.
+    It is half of the control bandwidth that an idle node leaves unused, as the other half is for received
+    messages, and at most `MAX_LINK_FRACTION` of `link_bandwidth`, the bandwidth of the node's network link
+    in bytes a second.
     """
-    return min((CONTROL_BANDWIDTH - IDLE_BANDWIDTH) / 2, MAX_LINK_PART * link)
+    return min((CONTROL_BANDWIDTH - IDLE_BANDWIDTH) / 2, MAX_LINK_FRACTION * link_bandwidth)
 
 
-def recipient_count(names: int, nodes: int, room: float) -> int:
-    """Return to how many of the zone's other nodes each server is reported, so that a round takes at most `room` bytes.
+def recipient_count(server_count: int, node_count: int, byte_limit: float) -> int:
+    """Return to how many of the zone's other nodes each server is reported.
 
-    `names` is the number of servers, `nodes` that of the other nodes.  The count is all nodes where that fits, fewer
-    where it does not, and at least one.
+    `server_count` is the number of servers, `node_count` that of the zone's other nodes.  The result is
+    `node_count` if a round then takes at most `byte_limit` bytes, otherwise as many as fit into that limit,
+    but at least one.
     """
-    if not names or not nodes:
-        return nodes
-    # Either each node gets one message with many servers, or each server goes in a message of its own.
-    bytes_if_to_all = (room - nodes * MESSAGE_BYTES) / (names * SERVER_BYTES)
-    bytes_if_to_few = room / (names * (MESSAGE_BYTES + SERVER_BYTES))
-    return max(1, min(nodes, int(max(bytes_if_to_all, bytes_if_to_few))))
+    if not server_count or not node_count:
+        return node_count
+    # Either each node gets one message with many servers, or each server is sent in a separate message.
+    count_if_grouped = (byte_limit - node_count * MESSAGE_BYTES) / (server_count * SERVER_BYTES)
+    count_if_separate = byte_limit / (server_count * (MESSAGE_BYTES + SERVER_BYTES))
+    return max(1, min(node_count, int(max(count_if_grouped, count_if_separate))))
 
 
 class LoadReporter:
     """Sends one node's load reports within its byte budget.
 
-    Each server is reported to the first nodes of the zone by rendezvous hashing: to all where the budget allows it.
-    All nodes choose the same recipients for a server, so these know of all requests in flight there, however few
-    recipients there are.  `allowed` is the byte budget in bytes a second; calls to counters have priority in it.
+    Each server is reported to the first nodes of the zone in the order of rendezvous hashing, and to all of
+    them if the budget allows it.  All nodes choose the same recipients for a server, so each recipient knows
+    of all requests in flight at that server, however few recipients there are.  `byte_budget` is the budget
+    in bytes a second, in which calls to counters have priority.
     """
 
-    def __init__(self, peers: PeerTable, allowed: float) -> None:
-        self.peers, self.byte_budget = peers, allowed
-        # Bytes of other messages in the budget since the last refill, and their recent mean in bytes a second.
-        self.spent_elsewhere, self.spending_elsewhere_rate = 0.0, 0.0
-        # When each node got its last report, and what it said.
+    def __init__(self, peers: PeerTable, byte_budget: float) -> None:
+        self.peers, self.byte_budget = peers, byte_budget
+        # Bytes of other messages since the last refill, and their recent mean in bytes a second.
+        self.other_bytes, self.other_byte_rate = 0.0, 0.0
+        # When the last report was sent to each node, and its contents.
         self.last_reports: dict[str, tuple[float, InFlightByTag]] = {}
-        # The roster that the two lists of recipients were computed from.
+        # The roster from which the two lists of recipients were computed.
         self.roster_rows: list[list[Any]] = []
         # The other nodes of the zone.
         self.zone_nodes: list[str] = []
-        # The nodes of the region's other zones to which this node reports the sums of its zone.
+        # The nodes of the region's other zones to which this node reports the totals of its zone.
         self.region_nodes: list[str] = []
         # The zone's other nodes, in the order in which they become recipients of a server's reports.
         self.recipients_by_tag: dict[int, list[str]] = {}
-        # Bytes that may be sent now (below 0: the last round overdrew the budget), and when they were refilled.
-        self.bytes_available, self.refilled_at = allowed * MAX_ROUND_TIME, -1e9
+        # Bytes that may be sent now (below 0: the last round exceeded the budget), and when they were added.
+        self.bytes_available, self.refilled_at = byte_budget * MAX_ROUND_TIME, -1e9
         self.zone_reported_at = self.region_reported_at = -1e9
         self.zone_interval = 0.0  # seconds between the last two rounds in the zone
 
     def update_recipients(self) -> None:
-        """Compute this node's recipients again where the roster was replaced."""
+        """Compute this node's recipients again if the roster was replaced."""
         if self.roster_rows is self.peers.roster_rows:
             return
         self.roster_rows, me, before = self.peers.roster_rows, self.peers.me, self.zone_nodes
@@ -112,13 +116,13 @@
             self.recipients_by_tag.clear()
 
     def report(
-        self, now: float, in_flight: InFlightByTag, heard: Mapping[str, tuple[float, InFlightByTag]]
+        self, now: float, in_flight: InFlightByTag, received: Mapping[str, tuple[float, InFlightByTag]]
     ) -> list[Action]:
         """Return the load reports that are due.
 
-        The zone's nodes get this node's requests in flight.  Each node of the region's other zones gets the sums of
-        this zone from one node of it; this node sends them to those that are its part.  A round is sent once the budget
-        has made up for the rounds before it.
+        This node's requests in flight are reported to the other nodes of its zone.  The totals of the zone
+        are reported to each node of the region's other zones by one node of this zone, so this node sends
+        them to its share of those nodes.  A round is sent only once the budget covers the previous rounds.
 
         Parameters
         ----------
@@ -126,8 +130,8 @@
             Seconds of the steady clock.
         in_flight
             This node's requests in flight.
-        heard
-            By node, when its last report came and what it said.
+        received
+            By node, when its last report arrived and the contents of that report.
         """
         self.update_recipients()
         self.refill(now)
@@ -136,114 +140,119 @@
             (self.zone_reported_at, MIN_ZONE_INTERVAL, True),
             (self.region_reported_at, max(MIN_REGION_INTERVAL, self.zone_interval), False),
         ]
-        for at, least, zone in sorted(rounds):  # the round that has waited longer goes first
-            if self.bytes_available < 0 or now - at < least:
+        for sent_at, min_interval, is_zone_round in sorted(rounds):  # the longest-waiting round goes first
+            if self.bytes_available < 0 or now - sent_at < min_interval:
                 continue
-            if zone:
-                self.zone_interval, self.zone_reported_at = min(REPORT_LIFETIME, now - at), now
+            if is_zone_round:
+                self.zone_interval, self.zone_reported_at = min(REPORT_LIFETIME, now - sent_at), now
                 actions += self.report_to_zone(now, busiest(in_flight, MAX_SERVERS_PER_REPORT))
-            elif self.region_nodes and (told := self.report_to_region(now, in_flight, heard)):
-                # A round that sent nothing does not count, so the next change is reported at once.
+            elif self.region_nodes and (reports := self.report_to_region(now, in_flight, received)):
+                # A round without a report does not count, so that the next change is reported immediately.
                 self.region_reported_at = now
-                actions += told
+                actions += reports
         return actions
 
     def record_other_bytes(self, size: float) -> None:
-        """Record bytes of other messages that the budget covers, too."""
-        self.spent_elsewhere += size
+        """Record `size` bytes of other messages that also count against the budget."""
+        self.other_bytes += size
 
     def refill(self, now: float) -> None:
-        """Add the bytes that the budget gained since the last refill, less those of other messages.
+        """Add the bytes that the budget has gained since the last refill, minus those of other messages.
 
-        Load reports gain at least `MIN_BUDGET_PART` of the budget.  At most one round's bytes are saved up.
+        Load reports gain at least `MIN_BUDGET_FRACTION` of it.  At most the bytes of one round accumulate.
         """
-        gone = now - self.refilled_at
-        if gone > 0:
+        elapsed = now - self.refilled_at
+        if elapsed > 0:
             gained = max(
-                MIN_BUDGET_PART * self.byte_budget * gone, self.byte_budget * gone - self.spent_elsewhere
+                MIN_BUDGET_FRACTION * self.byte_budget * elapsed,
+                self.byte_budget * elapsed - self.other_bytes,
             )
-            self.spending_elsewhere_rate += (
-                self.spent_elsewhere / gone - self.spending_elsewhere_rate
-            ) * min(1.0, gone / REPORT_LIFETIME)
-            self.spent_elsewhere, self.refilled_at = 0.0, now
+            self.other_byte_rate += (self.other_bytes / elapsed - self.other_byte_rate) * min(
+                1.0, elapsed / REPORT_LIFETIME
+            )
+            self.other_bytes, self.refilled_at = 0.0, now
             self.bytes_available = min(self.byte_rate() * MAX_ROUND_TIME, self.bytes_available + gained)
 
     def byte_rate(self) -> float:
-        """Return the bytes a second left for load reports, by the recent rate of other messages."""
-        return max(MIN_BUDGET_PART * self.byte_budget, self.byte_budget - self.spending_elsewhere_rate)
+        """Return the bytes a second that are left for load reports at the recent rate of other messages."""
+        return max(MIN_BUDGET_FRACTION * self.byte_budget, self.byte_budget - self.other_byte_rate)
 
     def report_to_zone(self, now: float, in_flight: InFlightByTag) -> list[Action]:
-        """Return a round of reports to the zone.
+        """Return a round of reports to the zone's other nodes.
 
-        All nodes get the same message where each server is reported to all; else each gets its own.
+        All of them get the same message if each server is reported to all; otherwise the messages differ.
         """
         count = recipient_count(len(in_flight), len(self.zone_nodes), self.byte_rate() * MAX_ROUND_TIME)
         if count == len(self.zone_nodes):
             message = LoadReport(in_flight)
             return [action for ip in self.zone_nodes for action in self.send(now, ip, message)]
         rows: dict[str, InFlightByTag] = {ip: {} for ip in self.zone_nodes}
-        for name, out in in_flight.items():
-            for ip in self.recipients_of(name)[:count]:
-                rows[ip][name] = out
+        for tag, request_count in in_flight.items():
+            for ip in self.recipients_of(tag)[:count]:
+                rows[ip][tag] = request_count
         return [action for ip, row in rows.items() for action in self.send(now, ip, LoadReport(row))]
 
-    def recipients_of(self, name: int) -> list[str]:
+    def recipients_of(self, tag: int) -> list[str]:
         """Return the zone's other nodes in the order in which they become recipients of a server's reports.
 
-        The order is by rendezvous hashing, so it is the same at all nodes.
+        The order comes from rendezvous hashing, so it is the same at all nodes.  `tag` is the server's tag.
         """
-        found = self.recipients_by_tag.get(name)
-        if found is None:
+        recipients = self.recipients_by_tag.get(tag)
+        if recipients is None:
             if len(self.recipients_by_tag) >= MAX_CACHED_RECIPIENTS:
                 self.recipients_by_tag.clear()
-            thing = str(name)
-            found = self.recipients_by_tag[name] = sorted(
-                self.zone_nodes, key=lambda ip: weight(thing, ip), reverse=True
+            key = str(tag)
+            recipients = self.recipients_by_tag[tag] = sorted(
+                self.zone_nodes, key=lambda ip: weight(key, ip), reverse=True
             )
-        return found
+        return recipients
 
     def report_to_region(
-        self, now: float, in_flight: InFlightByTag, heard: Mapping[str, tuple[float, InFlightByTag]]
+        self, now: float, in_flight: InFlightByTag, received: Mapping[str, tuple[float, InFlightByTag]]
     ) -> list[Action]:
-        """Return a round of reports on the zone to nodes of the region's other zones.
+        """Return a round of reports with this zone's totals to nodes of the region's other zones.
 
-        It includes as many servers, the busiest, as fit into half of the bytes of a round in the zone.
+        A report contains the busiest servers, as many as fit if the round takes half of the bytes of a round
+        in the zone.
         """
-        room = self.byte_rate() * MAX_ROUND_TIME / 2 / len(self.region_nodes) - MESSAGE_BYTES
-        total = busiest(
-            self.zone_totals(in_flight, heard), max(1, min(MAX_SERVERS_PER_REPORT, int(room / SERVER_BYTES)))
+        byte_limit = self.byte_rate() * MAX_ROUND_TIME / 2 / len(self.region_nodes) - MESSAGE_BYTES
+        totals = busiest(
+            self.zone_totals(in_flight, received),
+            max(1, min(MAX_SERVERS_PER_REPORT, int(byte_limit / SERVER_BYTES))),
         )
-        message = LoadReport(total)
+        message = LoadReport(totals)
         return [action for ip in self.region_nodes for action in self.send(now, ip, message)]
 
     def zone_totals(
-        self, in_flight: InFlightByTag, heard: Mapping[str, tuple[float, InFlightByTag]]
+        self, in_flight: InFlightByTag, received: Mapping[str, tuple[float, InFlightByTag]]
     ) -> InFlightByTag:
-        """Return the requests in flight of all the zone's nodes, as far as they were reported to this one."""
-        total = dict(in_flight)
+        """Return the requests in flight of all nodes of the zone, as far as reported to this node."""
+        totals = dict(in_flight)
         for ip in self.zone_nodes:
-            for name, out in heard[ip][1].items() if ip in heard else ():
-                total[name] = total.get(name, 0) + out
-        return total
+            for tag, request_count in received[ip][1].items() if ip in received else ():
+                totals[tag] = totals.get(tag, 0) + request_count
+        return totals
 
     def send(self, now: float, ip: str, message: LoadReport) -> list[Action]:
-        """Return a report to one node, or none where it has nothing new to say.
+        """Return a report to one node, or an empty list if the report need not be sent.
 
-        An unchanged report is sent again after `UNCHANGED_INTERVAL`; one without any request in flight is sent once.
+        An unchanged report is sent again after `UNCHANGED_INTERVAL`; an empty one is sent only once.
         """
-        at, told = self.last_reports.get(ip, NO_REPORT)
+        sent_at, last_in_flight = self.last_reports.get(ip, NO_REPORT)
         in_flight = message.in_flight_by_tag
-        if not (in_flight or told) or (in_flight == told and now - at < UNCHANGED_INTERVAL):
+        if not (in_flight or last_in_flight) or (
+            in_flight == last_in_flight and now - sent_at < UNCHANGED_INTERVAL
+        ):
             return []
         self.last_reports[ip] = (now, in_flight)
         self.bytes_available -= MESSAGE_BYTES + SERVER_BYTES * len(in_flight)
         return [Send(ip, message)]
 
 
-def busiest(in_flight: InFlightByTag, most: int) -> InFlightByTag:
-    """Return at most `most` servers, those with the most requests in flight."""
+def busiest(in_flight: InFlightByTag, max_servers: int) -> InFlightByTag:
+    """Return the servers with the most requests in flight, at most `max_servers` of them."""
     return (
         in_flight
-        if len(in_flight) <= most
-        else dict(sorted(in_flight.items(), key=lambda item: -item[1])[:most])
+        if len(in_flight) <= max_servers
+        else dict(sorted(in_flight.items(), key=lambda item: -item[1])[:max_servers])
     )
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Where requests are, as doors tell each other: who tells whom, how often, and what each then knows."""
+"""Load reports and table updates: who sends them to whom, how often, and what each node then knows."""
 
 from __future__ import annotations
 
@@ -14,136 +14,145 @@
 from hazelspring.registry.tables import ServerEntry
 from hazelspring.routing.endpoint_set import EndpointSet
 
-ABOUTS = [NodeInfo(f"d{n}", f"z{n % 3}", "south" if n % 3 == 2 else "north", False, n) for n in range(12)]
+NODES = [NodeInfo(f"d{n}", f"z{n % 3}", "south" if n % 3 == 2 else "north", False, n) for n in range(12)]
 
 
-class Machines:
-    """Doors in three zones, two of them of one region; what one tells arrives at once, unless it is lost."""
+class SimulatedNodes:
+    """Nodes in three zones, two of which are in one region; each message arrives immediately."""
 
     def __init__(self) -> None:
-        self.roster = [[*about.encode(), True] for about in ABOUTS]
-        self.nodes = {about.ip: Disseminator(PeerTable(about, 0.0)) for about in ABOUTS}
-        self.fleets = {a.ip: EndpointSet(a.zone, a.region, {}, random.Random(1)) for a in ABOUTS}
-        self.outs: dict[str, InFlightByTag] = {about.ip: {} for about in ABOUTS}
-        self.told: list[tuple[str, str]] = []
-        self.name_machines(self.roster)
-
-    def name_machines(self, roster: list[list[object]]) -> None:
+        self.roster = [[*info.encode(), True] for info in NODES]
+        self.nodes = {info.ip: Disseminator(PeerTable(info, 0.0)) for info in NODES}
+        self.endpoint_sets = {
+            info.ip: EndpointSet(info.zone, info.region, {}, random.Random(1)) for info in NODES
+        }
+        self.in_flight: dict[str, InFlightByTag] = {info.ip: {} for info in NODES}
+        self.sent_reports: list[tuple[str, str]] = []
+        self.replace_rosters(self.roster)
+
+    def replace_rosters(self, roster: list[list[object]]) -> None:
         for node in self.nodes.values():
             node.peers.replace_roster(roster)
 
     def tick(self, now: float) -> None:
         for ip, node in self.nodes.items():
-            self.arrive(now, ip, node.report_load(now, self.outs[ip], self.fleets[ip].load_reports))
+            self.deliver(
+                now, ip, node.report_load(now, self.in_flight[ip], self.endpoint_sets[ip].load_reports)
+            )
 
-    def arrive(self, now: float, source: str, actions: list[Action]) -> None:
+    def deliver(self, now: float, source: str, actions: list[Action]) -> None:
         for action in actions:
             assert isinstance(action, Send) and isinstance(action.message, LoadReport)
-            self.told.append((source, action.to))
-            self.fleets[action.to].on_load_report(now, source, action.message.in_flight_by_tag)
+            self.sent_reports.append((source, action.to))
+            self.endpoint_sets[action.to].on_load_report(now, source, action.message.in_flight_by_tag)
 
-    def out(self, zones: set[str], but: str) -> InFlightByTag:
+    def total_in_flight(self, zones: set[str], excluded: str) -> InFlightByTag:
         total: InFlightByTag = {}
-        for about in ABOUTS:
-            for name, out in self.outs[about.ip].items():
-                if about.zone in zones and about.ip != but:
-                    total[name] = total.get(name, 0) + out
+        for info in NODES:
+            for tag, count in self.in_flight[info.ip].items():
+                if info.zone in zones and info.ip != excluded:
+                    total[tag] = total.get(tag, 0) + count
         return total
 
 
-def test_every_node_knows_the_requests_of_its_region_and_hears_of_each_other_zone_from_one_node() -> None:
-    machines, chance = Machines(), random.Random(2)
+def test_every_node_knows_the_requests_of_its_region_and_gets_those_of_another_zone_from_one_node() -> None:
+    simulation, rng = SimulatedNodes(), random.Random(2)
     for n in range(40):
-        machines.outs = {a.ip: {chance.randrange(5): chance.randrange(1, 4)} for a in ABOUTS}
-        for step in range(12):  # over the time between two tellings in a region, twice
-            machines.tick(n + step / 20)
-        for about in ABOUTS:
-            zones = {"z2"} if about.zone == "z2" else {"z0", "z1"}
-            assert machines.fleets[about.ip].in_flight_elsewhere == machines.out(zones, about.ip)
-    tellers = {(to, machines.nodes[source].peers.me.zone): source for source, to in machines.told}
-    assert set(machines.told) == {(source, to) for (to, _), source in tellers.items()} | {
-        (a.ip, b.ip) for a in ABOUTS for b in ABOUTS if a.zone == b.zone and a != b
+        simulation.in_flight = {info.ip: {rng.randrange(5): rng.randrange(1, 4)} for info in NODES}
+        for step in range(12):  # more than twice the interval between rounds to the region
+            simulation.tick(n + step / 20)
+        for info in NODES:
+            zones = {"z2"} if info.zone == "z2" else {"z0", "z1"}
+            assert simulation.endpoint_sets[info.ip].in_flight_elsewhere == simulation.total_in_flight(
+                zones, info.ip
+            )
+    reporters = {
+        (to, simulation.nodes[source].peers.me.zone): source for source, to in simulation.sent_reports
+    }
+    assert set(simulation.sent_reports) == {(source, to) for (to, _), source in reporters.items()} | {
+        (a.ip, b.ip) for a in NODES for b in NODES if a.zone == b.zone and a != b
     }
 
 
-def test_another_node_tells_for_one_that_has_left_the_roster() -> None:
-    machines = Machines()
-    machines.outs = {about.ip: {1: 1} for about in ABOUTS}
-    machines.tick(1.0)
-    gone = next(source for source, to in machines.told if to == "d0" and source in {"d1", "d4", "d7", "d10"})
-    del machines.nodes[gone]
-    machines.outs[gone] = {}
-    machines.name_machines([row for row in machines.roster if row[0] != gone])
-    machines.told.clear()
+def test_another_node_takes_over_the_reports_of_a_node_that_has_left_the_roster() -> None:
+    simulation = SimulatedNodes()
+    simulation.in_flight = {info.ip: {1: 1} for info in NODES}
+    simulation.tick(1.0)
+    removed = next(
+        source for source, to in simulation.sent_reports if to == "d0" and source in {"d1", "d4", "d7", "d10"}
+    )
+    del simulation.nodes[removed]
+    simulation.in_flight[removed] = {}
+    simulation.replace_rosters([row for row in simulation.roster if row[0] != removed])
+    simulation.sent_reports.clear()
     for step in range(1, 60):
-        machines.tick(1.0 + step / 20)
-        machines.fleets["d0"].expire_load_reports(1.0 + step / 20)
-    assert machines.fleets["d0"].in_flight_elsewhere == {
-        1: 6
-    }  # three others of its zone, three of the other one
-    assert len({source for source, to in machines.told if to == "d0"} - {"d3", "d6", "d9"}) == 1
-
-
-def test_who_has_nothing_out_says_so_once_and_what_is_told_fits_a_datagram() -> None:
-    machines = Machines()
-    machines.nodes["d0"].load_reporter.byte_budget = 1e6  # bytes are no matter here
-    machines.outs["d0"] = {n: 1 + (n < 10) for n in range(3 * MAX_SERVERS_PER_REPORT)}
-    machines.tick(1.0)
-    heard = machines.fleets["d3"].in_flight_elsewhere
-    assert len(heard) == MAX_SERVERS_PER_REPORT and set(range(10)) <= heard.keys()
-    machines.outs["d0"] = {}
+        simulation.tick(1.0 + step / 20)
+        simulation.endpoint_sets["d0"].expire_load_reports(1.0 + step / 20)
+    # One request from each of three other nodes of its zone, and of three nodes of the other zone.
+    assert simulation.endpoint_sets["d0"].in_flight_elsewhere == {1: 6}
+    assert len({source for source, to in simulation.sent_reports if to == "d0"} - {"d3", "d6", "d9"}) == 1
+
+
+def test_a_node_without_requests_in_flight_reports_so_once_and_a_report_fits_into_a_datagram() -> None:
+    simulation = SimulatedNodes()
+    simulation.nodes["d0"].load_reporter.byte_budget = 1e6  # large enough not to limit the reports
+    simulation.in_flight["d0"] = {n: 1 + (n < 10) for n in range(3 * MAX_SERVERS_PER_REPORT)}
+    simulation.tick(1.0)
+    reported = simulation.endpoint_sets["d3"].in_flight_elsewhere
+    assert len(reported) == MAX_SERVERS_PER_REPORT and set(range(10)) <= reported.keys()
+    simulation.in_flight["d0"] = {}
     for step in range(1, 20):
-        machines.tick(1.0 + step / 20)
-    assert not machines.fleets["d3"].in_flight_elsewhere
-    machines.told.clear()
+        simulation.tick(1.0 + step / 20)
+    assert not simulation.endpoint_sets["d3"].in_flight_elsewhere
+    simulation.sent_reports.clear()
     for step in range(20, 60):
-        machines.tick(1.0 + step / 20)
-    assert not machines.told
+        simulation.tick(1.0 + step / 20)
+    assert not simulation.sent_reports
 
 
-def listing(chance: random.Random, old: dict[str, ServerEntry]) -> dict[str, ServerEntry]:
-    """The next list of a service: some are gone, some have come, some are in another state or cold again."""
-    new = {name: server for name, server in old.items() if chance.random() < 0.95}
-    for name in chance.sample(sorted(new), min(2, len(new))):
-        new[name] = replace(new[name], accepting=chance.random() < 0.5, cold_until=chance.choice([0.0, 9.0]))
-    for _ in range(chance.randrange(3)):
-        name = f"i-{chance.randrange(10**6)}"
+def next_listing(rng: random.Random, old: dict[str, ServerEntry]) -> dict[str, ServerEntry]:
+    """Return a service's next list: some servers are removed, added, in another state, or cold again."""
+    new = {name: server for name, server in old.items() if rng.random() < 0.95}
+    for name in rng.sample(sorted(new), min(2, len(new))):
+        new[name] = replace(new[name], accepting=rng.random() < 0.5, cold_until=rng.choice([0.0, 9.0]))
+    for _ in range(rng.randrange(3)):
+        name = f"i-{rng.randrange(10**6)}"
         new[name] = ServerEntry(name, f"{name}:1", "z1", True, 2, "v1")
     return new
 
 
-def test_changes_of_a_table_bring_every_node_what_the_list_says_whatever_is_lost() -> None:
-    chance, reader = random.Random(5), Disseminator(PeerTable(replace(ABOUTS[0], disk_id=True), 0.0))
-    machines = [Disseminator(PeerTable(about, 0.0)) for about in ABOUTS[1:4]]
-    for machine in machines:
-        machine.peers.observe(0.0, reader.peers.me)
+def test_table_changes_bring_every_node_up_to_date_with_the_list_whichever_messages_are_lost() -> None:
+    rng, reader = random.Random(5), Disseminator(PeerTable(replace(NODES[0], disk_id=True), 0.0))
+    nodes = [Disseminator(PeerTable(info, 0.0)) for info in NODES[1:4]]
+    for node in nodes:
+        node.peers.observe(0.0, reader.peers.me)
     found = {f"i-{n}": ServerEntry(f"i-{n}", f"s{n}:1", "z0", True, 2, "v1") for n in range(40)}
-    sizes, wants = [], 0
+    change_sizes, table_requests = [], 0
     for step in range(300):
-        found = listing(chance, found)
+        found = next_listing(rng, found)
         reader.publish_list(1.0, 1000 + step, {"shop": found})
-        told = reader.registry.encode_change(1.0, "shop")
-        sizes.append(len(told[2]))
-        for n, machine in enumerate(machines):
-            if chance.random() < 0.1:
-                continue  # lost on its way
-            for action in machine.apply_update(1.0, TableUpdate(told)):
+        change = reader.registry.encode_change(1.0, "shop")
+        change_sizes.append(len(change[2]))
+        for n, node in enumerate(nodes):
+            if rng.random() < 0.1:
+                continue  # the message is lost
+            for action in node.apply_update(1.0, TableUpdate(change)):
                 if isinstance(action, Send) and isinstance(action.message, TableRequest):
-                    wants += 1
-                    assert action.to == "d0" and machine.apply_update(
+                    table_requests += 1
+                    assert action.to == "d0" and node.apply_update(
                         1.0, TableUpdate(reader.registry.encode(1.0, "shop"))
                     )
-            assert machine.registry.tables["shop"].servers == reader.registry.tables["shop"].servers, (
+            assert node.registry.tables["shop"].servers == reader.registry.tables["shop"].servers, (
                 step,
                 n,
             )
         for name, server in reader.registry.tables["shop"].servers.items():
-            assert found[name].same(server)  # less time to go until it is warm is no news
+            assert found[name].same(server)  # a shorter remaining warm-up time is not a change
         assert reader.registry.tables["shop"].servers.keys() == found.keys()
-    assert 50 < wants < 150 and max(sizes[1:]) < 10
+    assert 50 < table_requests < 150 and max(change_sizes[1:]) < 10
 
 
-def test_a_change_counts_on_no_table_but_the_one_that_it_was_made_from() -> None:
+def test_a_change_applies_only_to_the_table_that_it_was_computed_from() -> None:
     one, other = (
         ServerEntry("i-1", "s:1", "z0", True, 2, "v1"),
         ServerEntry("i-2", "s:2", "z0", True, 2, "v1"),
@@ -152,65 +161,61 @@
         ServerEntry("i-3", "s:3", "z0", True, 2, "v1"),
         ServerEntry("i-4", "s:4", "z0", True, 2, "v1"),
     )
-    reader, machine = (
-        Disseminator(PeerTable(replace(ABOUTS[0], disk_id=True), 0.0)),
-        Disseminator(PeerTable(ABOUTS[1], 0.0)),
+    reader, node = (
+        Disseminator(PeerTable(replace(NODES[0], disk_id=True), 0.0)),
+        Disseminator(PeerTable(NODES[1], 0.0)),
     )
-    machine.peers.observe(0.0, reader.peers.me)
-    machine.publish_list(
-        1.0, 1000, {"shop": {"i-1": one, "i-3": third, "i-4": fourth}}
-    )  # another list, one version
+    node.peers.observe(0.0, reader.peers.me)
+    # Both lists get the same version.
+    node.publish_list(1.0, 1000, {"shop": {"i-1": one, "i-3": third, "i-4": fourth}})
     reader.publish_list(1.0, 1000, {"shop": {"i-1": one, "i-2": other, "i-3": third}})
     reader.publish_list(
         1.0, 1500, {"shop": {"i-1": replace(one, accepting=False), "i-2": other, "i-3": third}}
     )
     change = reader.registry.encode_change(1.0, "shop")
     assert len(change) == 6 and len(change[2]) == 1
-    asked = machine.apply_update(1.0, TableUpdate(change))
-    assert asked == [Send("d0", TableRequest("shop"))]
-    assert machine.registry.tables["shop"].servers.keys() == {"i-1", "i-3", "i-4"}
+    actions = node.apply_update(1.0, TableUpdate(change))
+    assert actions == [Send("d0", TableRequest("shop"))]
+    assert node.registry.tables["shop"].servers.keys() == {"i-1", "i-3", "i-4"}
     assert (
-        machine.apply_update(1.0, TableUpdate(reader.registry.encode(1.0, "shop")))
-        and machine.apply_update(1.0, TableUpdate(change)) == []
+        node.apply_update(1.0, TableUpdate(reader.registry.encode(1.0, "shop")))
+        and node.apply_update(1.0, TableUpdate(change)) == []
     )
-    assert machine.registry.tables["shop"].servers == reader.registry.tables["shop"].servers
+    assert node.registry.tables["shop"].servers == reader.registry.tables["shop"].servers
 
 
-def test_two_readers_that_go_on_from_one_version_make_no_common_one_and_the_newer_list_wins() -> None:
-    """The time of day stands behind the version, and what the first reader told last has not reached the second one."""
+def test_two_readers_that_continue_from_one_version_create_different_ones_and_the_newer_list_wins() -> None:
+    """The wall clock is behind the version, and the second reader lacks the first reader's last update."""
     one, other = (
         ServerEntry("i-1", "s:1", "z0", True, 2, "v1"),
         ServerEntry("i-2", "s:2", "z0", True, 2, "v1"),
     )
-    first, second, machine = (
-        Disseminator(PeerTable(replace(about, disk_id=True), 0.0)) for about in ABOUTS[:3]
-    )
+    first, second, third = (Disseminator(PeerTable(replace(info, disk_id=True), 0.0)) for info in NODES[:3])
     first.publish_list(1.0, 9000, {"shop": {"i-1": one, "i-2": other}})
-    for node in (second, machine):
+    for node in (second, third):
         node.apply_update(1.0, TableUpdate(first.registry.encode(1.0, "shop")))
     first.publish_list(2.0, 1000, {"shop": {"i-1": one, "i-2": replace(other, accepting=False)}})
-    machine.apply_update(2.0, TableUpdate(first.registry.encode(2.0, "shop")))
+    third.apply_update(2.0, TableUpdate(first.registry.encode(2.0, "shop")))
     newest = {"i-1": replace(one, accepting=False), "i-2": replace(other, accepting=False)}
-    for step in range(
-        2
-    ):  # it may take the other's table first, and sees at its next look that the list is another
+    # The second reader may first take the first reader's table.  Its next read shows that the list differs.
+    for step in range(2):
         second.publish_list(3.0 + step, 1100, {"shop": dict(newest)})
-        for source, to in ((second, machine), (machine, second)):
+        for source, to in ((second, third), (third, second)):
             if to.registry.outdated(source.registry.versions()):
                 to.apply_update(3.0 + step, TableUpdate(source.registry.encode(3.0 + step, "shop")))
-    for node in (second, machine):
+    for node in (second, third):
         assert not any(server.accepting for server in node.registry.tables["shop"].servers.values())
 
 
-def test_two_readers_of_one_millisecond_make_no_common_version_and_all_come_to_the_newer_list() -> None:
+def test_two_readers_in_one_millisecond_create_different_versions_and_all_nodes_get_the_newer_list() -> None:
     one = ServerEntry("i-1", "s:1", "z0", True, 2, "v1")
-    nodes = [Disseminator(PeerTable(replace(about, disk_id=True), 0.0)) for about in ABOUTS[:3]]
-    first, second, machine = nodes
+    nodes = [Disseminator(PeerTable(replace(info, disk_id=True), 0.0)) for info in NODES[:3]]
+    first, second, third = nodes
     first.publish_list(1.0, 5000, {"shop": {"i-1": one}})
     second.publish_list(1.0, 5000, {"shop": {"i-1": replace(one, accepting=False)}})
     for source in (first, second):
-        machine.apply_update(1.0, TableUpdate(source.registry.encode(1.0, "shop")))
-    for step in range(2):  # the newest list is read again, by whoever reads it from then on
+        third.apply_update(1.0, TableUpdate(source.registry.encode(1.0, "shop")))
+    for step in range(2):  # the second reader, which has the role from now on, reads the newest list again
         second.publish_list(2.0 + step, 5500 + 500 * step, {"shop": {"i-1": replace(one, accepting=False)}})
         for source in nodes:
             for to in nodes:
--- a/tests/test_teller.py
+++ b/tests/test_teller.py
@@ -1,4 +1,4 @@
-"""How much doors tell each other of their requests, how often and whom, as a zone grows: on simulated time."""
+"""The size, frequency and recipients of load reports as a zone grows, on simulated time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     MAX_ROUND_TIME,
     MAX_SERVERS_PER_REPORT,
     MESSAGE_BYTES,
-    MIN_BUDGET_PART,
+    MIN_BUDGET_FRACTION,
     REPORT_LIFETIME,
     SERVER_BYTES,
     InFlightByTag,
@@ -34,142 +34,166 @@
 from hazelspring.routing.load_reports import LOAD_REPORT_LIFETIME
 
 TICK = 0.05
-CALLS = 142  # a second of a door to counters at the peak,
-AT_SERVERS = 36  # and requests that a door has out at the peak
+COUNTER_CALLS = 142  # calls a second of a node to counters at the peak
+BUSY_SERVERS = 36  # servers at which a node has a request in flight at the peak
 SERVERS = [server_tag(f"i-{n:05d}") for n in range(180)]
-ALLOWED = report_budget(250_000.0)  # of a link of 2 Mbit/s, the narrowest that a door has
+BYTE_BUDGET = report_budget(250_000.0)  # for a link of 2 Mbit/s, the lowest bandwidth of any node
 
 
 class Region:
-    """Two zones of so many doors each; what one tells arrives at once.  Bytes are those of encoded messages."""
+    """Two zones of `zone_size` nodes each, of which the first `simulated` run; None: all.
 
-    def __init__(self, machines: int, awake: int | None = None) -> None:
-        self.abouts = [
-            NodeInfo(f"10.0.{n >> 8}.{n & 255}", f"z{n % 2}", "r", 0, 1) for n in range(2 * machines)
+    Messages arrive immediately.  Bytes are those of encoded messages.
+    """
+
+    def __init__(self, zone_size: int, simulated: int | None = None) -> None:
+        self.nodes = [
+            NodeInfo(f"10.0.{n >> 8}.{n & 255}", f"z{n % 2}", "r", 0, 1) for n in range(2 * zone_size)
         ]
-        self.roster = [[*about.encode(), True] for about in self.abouts]
-        here = self.abouts[:awake]  # those that are played
-        self.tellers = {about.ip: LoadReporter(PeerTable(about, 0.0), ALLOWED) for about in here}
-        self.fleets = {about.ip: EndpointSet(about.zone, "r", {}, random.Random(1)) for about in here}
-        self.outs: dict[str, InFlightByTag] = {about.ip: {} for about in here}
-        self.out, self.came = dict.fromkeys(self.tellers, 0), dict.fromkeys(self.tellers, 0)
-        self.rounds: dict[str, list[float]] = {ip: [] for ip in self.tellers}  # when each came in its zone
+        self.roster = [[*info.encode(), True] for info in self.nodes]
+        running = self.nodes[:simulated]
+        self.reporters = {info.ip: LoadReporter(PeerTable(info, 0.0), BYTE_BUDGET) for info in running}
+        self.endpoint_sets = {info.ip: EndpointSet(info.zone, "r", {}, random.Random(1)) for info in running}
+        self.in_flight: dict[str, InFlightByTag] = {info.ip: {} for info in running}
+        self.sent_bytes, self.received_bytes = (
+            dict.fromkeys(self.reporters, 0),
+            dict.fromkeys(self.reporters, 0),
+        )
+        # The times at which each node sent a round in its zone.
+        self.round_times: dict[str, list[float]] = {ip: [] for ip in self.reporters}
         self.now = 10.0
-        self.name_machines(self.roster)
+        self.replace_rosters(self.roster)
 
-    def name_machines(self, roster: list[list[object]]) -> None:
-        for teller in self.tellers.values():
-            teller.peers.replace_roster(roster)
+    def replace_rosters(self, roster: list[list[object]]) -> None:
+        for reporter in self.reporters.values():
+            reporter.peers.replace_roster(roster)
 
-    def run(self, seconds: float, chance: random.Random | None = None) -> None:
-        """Time passes; with `chance` it is the peak: all requests are at other servers with each tick."""
+    def run(self, seconds: float, rng: random.Random | None = None) -> None:
+        """Advance the time; with `rng`, at peak load: the servers with requests change with each tick."""
         for _ in range(round(seconds / TICK)):
             self.now += TICK
-            for ip, teller in self.tellers.items():
-                if chance is not None:
-                    self.outs[ip] = dict.fromkeys(chance.sample(SERVERS, AT_SERVERS), 1)
-                    teller.record_other_bytes(CALLS * LEASE_CALL_BYTES * TICK)
-                self.fleets[ip].expire_load_reports(self.now)
-                self.arrive(ip, teller.report(self.now, self.outs[ip], self.fleets[ip].load_reports))
-                if teller.zone_reported_at == self.now:
-                    self.rounds[ip].append(self.now)
-
-    def arrive(self, source: str, actions: list[Action]) -> None:
+            for ip, reporter in self.reporters.items():
+                if rng is not None:
+                    self.in_flight[ip] = dict.fromkeys(rng.sample(SERVERS, BUSY_SERVERS), 1)
+                    reporter.record_other_bytes(COUNTER_CALLS * LEASE_CALL_BYTES * TICK)
+                self.endpoint_sets[ip].expire_load_reports(self.now)
+                self.deliver(
+                    ip, reporter.report(self.now, self.in_flight[ip], self.endpoint_sets[ip].load_reports)
+                )
+                if reporter.zone_reported_at == self.now:
+                    self.round_times[ip].append(self.now)
+
+    def deliver(self, source: str, actions: list[Action]) -> None:
         for action in actions:
             assert isinstance(action, Send) and isinstance(action.message, LoadReport)
             size = len(codec.encode(action.message))
-            self.out[source] += size
-            if action.to in self.tellers:
-                self.came[action.to] += size
-                self.fleets[action.to].on_load_report(self.now, source, action.message.in_flight_by_tag)
+            self.sent_bytes[source] += size
+            if action.to in self.reporters:
+                self.received_bytes[action.to] += size
+                self.endpoint_sets[action.to].on_load_report(
+                    self.now, source, action.message.in_flight_by_tag
+                )
 
-    def beside(self, ip: str) -> list[str]:
-        zone = self.tellers[ip].peers.me.zone
-        return [a.ip for a in self.abouts if a.zone == zone and a.ip != ip and a.ip in self.tellers]
+    def zone_neighbors(self, ip: str) -> list[str]:
+        zone = self.reporters[ip].peers.me.zone
+        return [
+            node.ip
+            for node in self.nodes
+            if node.zone == zone and node.ip != ip and node.ip in self.reporters
+        ]
 
 
-@pytest.mark.parametrize(("machines", "awake"), [(1, None), (3, None), (9, None), (30, None), (133, 4)])
-def test_what_a_node_tells_at_the_peak_is_bounded_however_many_there_are(
-    machines: int, awake: int | None
+@pytest.mark.parametrize(("zone_size", "simulated"), [(1, None), (3, None), (9, None), (30, None), (133, 4)])
+def test_the_bytes_of_reports_at_peak_load_are_bounded_however_large_the_zone_is(
+    zone_size: int, simulated: int | None
 ) -> None:
-    """The doors of a zone where a fleet over 34 zones has 30, 100, 300, 1,000 and 4,500."""
-    region, chance = Region(machines, awake), random.Random(machines)
-    region.run(3 * REPORT_LIFETIME, chance)
-    region.out, region.came = dict.fromkeys(region.out, 0), dict.fromkeys(region.came, 0)
-    region.rounds = {ip: [] for ip in region.rounds}
-    region.run(4.0, chance)
-    left = 4.0 * (CONTROL_BANDWIDTH - IDLE_BANDWIDTH - 2 * CALLS * LEASE_CALL_BYTES) / 2
-    assert max(region.out.values()) <= left * 1.15  # a round may begin just before the four seconds
-    assert max(region.came.values()) <= left * 2  # servers are spread by chance over those who hear
-    assert sum(region.out.values()) > 0
-    gaps = [b - a for times in region.rounds.values() for a, b in itertools.pairwise(times)]
-    assert max(gaps) <= 2 * MAX_ROUND_TIME + 2 * TICK < REPORT_LIFETIME  # each word counts until the next
-
-
-def test_no_more_are_told_than_fit_and_one_at_least_and_their_number_follows_smoothly() -> None:
-    room = MIN_BUDGET_PART * ALLOWED * MAX_ROUND_TIME  # where calls to counters take the rest
-    for names in (1, 2, 5, 14, AT_SERVERS, MAX_SERVERS_PER_REPORT):
-        counts = [recipient_count(names, machines, room) for machines in range(1, 400)]
-        for machines, count in enumerate(counts, 1):
-            cost = min(machines, names * count) * MESSAGE_BYTES + names * count * SERVER_BYTES
-            assert 1 <= count <= machines and (cost <= room or count == 1)
+    """The sizes of a zone if 34 zones have 30, 100, 300, 1,000 and 4,500 nodes together."""
+    region, rng = Region(zone_size, simulated), random.Random(zone_size)
+    region.run(3 * REPORT_LIFETIME, rng)
+    region.sent_bytes, region.received_bytes = (
+        dict.fromkeys(region.sent_bytes, 0),
+        dict.fromkeys(region.received_bytes, 0),
+    )
+    region.round_times = {ip: [] for ip in region.round_times}
+    region.run(4.0, rng)
+    budget = 4.0 * (CONTROL_BANDWIDTH - IDLE_BANDWIDTH - 2 * COUNTER_CALLS * LEASE_CALL_BYTES) / 2
+    assert max(region.sent_bytes.values()) <= budget * 1.15  # a round may begin just before the four seconds
+    assert max(region.received_bytes.values()) <= budget * 2  # servers are spread randomly over recipients
+    assert sum(region.sent_bytes.values()) > 0
+    gaps = [b - a for times in region.round_times.values() for a, b in itertools.pairwise(times)]
+    # No report expires before the next one arrives.
+    assert max(gaps) <= 2 * MAX_ROUND_TIME + 2 * TICK < REPORT_LIFETIME
+
+
+def test_the_number_of_recipients_fits_the_budget_is_at_least_one_and_changes_smoothly() -> None:
+    # Calls to counters take the rest of the budget.
+    byte_limit = MIN_BUDGET_FRACTION * BYTE_BUDGET * MAX_ROUND_TIME
+    for servers in (1, 2, 5, 14, BUSY_SERVERS, MAX_SERVERS_PER_REPORT):
+        counts = [recipient_count(servers, nodes, byte_limit) for nodes in range(1, 400)]
+        for nodes, count in enumerate(counts, 1):
+            size = min(nodes, servers * count) * MESSAGE_BYTES + servers * count * SERVER_BYTES
+            assert 1 <= count <= nodes and (size <= byte_limit or count == 1)
         steps = [abs(b - a) for a, b in itertools.pairwise(counts)]
-        assert max(steps) <= 1 + MESSAGE_BYTES / (names * SERVER_BYTES)
+        assert max(steps) <= 1 + MESSAGE_BYTES / (servers * SERVER_BYTES)
         assert (
-            names * (MESSAGE_BYTES + SERVER_BYTES) / (MIN_BUDGET_PART * ALLOWED) < REPORT_LIFETIME
-        )  # where one is told, the next round comes in time
-    assert recipient_count(0, 9, room) == 9 and recipient_count(9, 0, room) == 0
-    assert [recipient_count(6, machines, room) for machines in range(1, 21)] == list(
-        range(1, 21)
-    )  # of today's sizes: all
+            servers * (MESSAGE_BYTES + SERVER_BYTES) / (MIN_BUDGET_FRACTION * BYTE_BUDGET) < REPORT_LIFETIME
+        )  # with one recipient a server, the next round is sent before a report expires
+    assert recipient_count(0, 9, byte_limit) == 9 and recipient_count(9, 0, byte_limit) == 0
+    # In zones of the present sizes, each server is reported to all nodes.
+    assert [recipient_count(6, nodes, byte_limit) for nodes in range(1, 21)] == list(range(1, 21))
 
 
-def test_few_nodes_tell_each_other_with_each_tick() -> None:
-    region, chance = Region(3), random.Random(4)
+def test_nodes_of_a_small_zone_report_to_each_other_with_each_tick() -> None:
+    region, rng = Region(3), random.Random(4)
     for _ in range(40):
-        for ip in region.outs:
-            region.outs[ip] = dict.fromkeys(chance.sample(SERVERS, 3), 1)
+        for ip in region.in_flight:
+            region.in_flight[ip] = dict.fromkeys(rng.sample(SERVERS, 3), 1)
         region.run(TICK)
-        for ip in region.outs:
-            told = region.fleets[ip].load_reports
-            assert all(told[other][1] == region.outs[other] for other in region.beside(ip))
+        for ip in region.in_flight:
+            received = region.endpoint_sets[ip].load_reports
+            assert all(received[other][1] == region.in_flight[other] for other in region.zone_neighbors(ip))
 
 
-def test_whoever_hears_of_a_server_first_knows_of_all_requests_there_and_the_next_takes_over() -> None:
-    region, chance = Region(40), random.Random(5)
-    for ip in region.outs:
-        region.outs[ip] = dict.fromkeys(chance.sample(SERVERS, AT_SERVERS), 1)
+def test_the_first_recipient_of_a_server_knows_of_all_requests_there_and_the_next_one_takes_over() -> None:
+    region, rng = Region(40), random.Random(5)
+    for ip in region.in_flight:
+        region.in_flight[ip] = dict.fromkeys(rng.sample(SERVERS, BUSY_SERVERS), 1)
     region.run(3 * REPORT_LIFETIME)
 
     def check() -> None:
-        for name in SERVERS:
+        for tag in SERVERS:
             for zone in ("z0", "z1"):
-                machines = [a.ip for a in region.abouts if a.zone == zone and a.ip in region.tellers]
-                first = owner(str(name), machines)
+                nodes = [
+                    node.ip for node in region.nodes if node.zone == zone and node.ip in region.reporters
+                ]
+                first = owner(str(tag), nodes)
                 assert first is not None
-                others = sum(name in region.outs[ip] for ip in machines if ip != first)
-                fleet = region.fleets[first]
+                others = sum(tag in region.in_flight[ip] for ip in nodes if ip != first)
+                endpoint_set = region.endpoint_sets[first]
                 assert (
-                    sum(name in fleet.load_reports[ip][1] for ip in machines if ip in fleet.load_reports)
+                    sum(
+                        tag in endpoint_set.load_reports[ip][1]
+                        for ip in nodes
+                        if ip in endpoint_set.load_reports
+                    )
                     == others
                 )
 
     check()
-    for gone in [a.ip for a in region.abouts[:6]]:
-        del region.tellers[gone], region.outs[gone], region.fleets[gone]
-    region.run(LOAD_REPORT_LIFETIME + 2 * TICK)  # the words of those who were lost count no more,
-    for fleet in region.fleets.values():
-        assert not fleet.load_reports.keys() & {a.ip for a in region.abouts[:6]}
-    region.name_machines(region.roster[6:])
-    region.run(
-        MAX_ROUND_TIME + REPORT_LIFETIME
-    )  # and once they have left the roster others hear what they heard
+    for removed in [node.ip for node in region.nodes[:6]]:
+        del region.reporters[removed], region.in_flight[removed], region.endpoint_sets[removed]
+    region.run(LOAD_REPORT_LIFETIME + 2 * TICK)  # the reports of the removed nodes expire
+    for endpoint_set in region.endpoint_sets.values():
+        assert not endpoint_set.load_reports.keys() & {node.ip for node in region.nodes[:6]}
+    region.replace_rosters(region.roster[6:])
+    # Once the removed nodes have left the roster, other nodes get the reports that were sent to them.
+    region.run(MAX_ROUND_TIME + REPORT_LIFETIME)
     check()
 
 
-def test_the_budget_is_a_part_of_what_a_node_may_use_and_of_its_link() -> None:
+def test_the_budget_is_limited_by_the_control_bandwidth_of_a_node_and_by_its_link() -> None:
     assert (
-        report_budget(250_000.0) == ALLOWED == (CONTROL_BANDWIDTH - IDLE_BANDWIDTH) / 2
+        report_budget(250_000.0) == BYTE_BUDGET == (CONTROL_BANDWIDTH - IDLE_BANDWIDTH) / 2
         and report_budget(20_000.0) == 1000.0
     )
     assert (
