--- a/tests/scenarios/configuration.feature
+++ b/tests/scenarios/configuration.feature
@@ -55,13 +55,13 @@
     Then node 2 is a member of the core
     And a read at node 2 returns configuration 5
 
-  Scenario: Two bodies under one number are sent to two nodes of the core
+  Scenario: Two configurations with the same number are sent to two core nodes
     Given 4 core nodes and 3 others
     And configuration 5 has reached every node
     When two operators send configuration 6 to nodes 1 and 4 at once
     And 3 seconds pass
-    Then one of the two is acknowledged and the other refused because number 6 is in use
-    And every node holds the same configuration 6
+    Then one of the two is acknowledged and the other rejected because number 6 is in use
+    And every node has the same configuration 6
     And the one that was acknowledged is acknowledged again at every node
 
   Scenario: An outdated configuration is acknowledged and has no effect
@@ -75,13 +75,13 @@
   Scenario: A change on one disk only is resolved once the links are restored
     Given 4 core nodes and 3 others
     And configuration 5 has reached every node
-    When the core is cut into 1 and 2, 3, 4
+    When the core is split between node 1 and nodes 2, 3, 4
     And the operator sends configuration 6 to node 1
     And 3.5 seconds pass
     Then configuration 6 is not acknowledged
     When the links are restored
     And 2 seconds pass
-    Then all core nodes hold the same
+    Then all core nodes have the same configuration
 
   Scenario: A full disk does not count towards a majority
     Given 4 core nodes and 3 others
@@ -106,6 +106,6 @@
     And 1.5 seconds pass
     Then no zone is evacuated at any node
 
-  Scenario: Nothing is read before a configuration was sent
+  Scenario: A read returns nothing before a configuration was sent
     Given 4 core nodes and 1 others
     Then a read at node 5 returns nothing
--- a/tests/scenarios/membership.feature
+++ b/tests/scenarios/membership.feature
@@ -14,14 +14,14 @@
     Then every node uses configuration 6
     And node 6 accepts requests with keys
 
-  Scenario: A node whose incoming links alone are cut accepts none either
+  Scenario: A node with only its incoming links cut accepts no requests with keys either
     Given 4 core nodes and 4 others
     And configuration 5 has reached every node
     When node 6 receives nothing from the core
     And 4.6 seconds pass
     Then node 6 accepts no requests with keys
 
-  Scenario: A configuration is settled after seed nodes were lost
+  Scenario: A configuration is acknowledged after seed nodes have failed
     Given 5 core nodes and 4 others
     And configuration 5 has reached every node
     When node 1 is killed
@@ -65,7 +65,7 @@
     And 1.2 seconds pass
     Then the list reader role has a holder
 
-  Scenario: All processes are killed and restart one after the other, and no role waits for a lease's duration
+  Scenario: All processes are killed and restart in turn, and every role has a holder before a lease expires
     Given 4 core nodes and 3 others
     And configuration 5 has reached every node
     When every node loses power, and none loses its disk
@@ -73,14 +73,14 @@
     And 1.2 seconds pass
     Then every role has a holder
 
-  Scenario: A lease does not depend on what a killed node had granted
+  Scenario: A new lease does not depend on leases that a killed node had granted
     Given 3 core nodes and 0 others
     And configuration 5 has reached every node
     When the nodes without the list reader role are killed and restarted while its holder is cut off from one
     And 3 seconds pass
     Then the list reader role has a holder
 
-  Scenario: The holder of the list reader role is cut off and stops before another begins
+  Scenario: The holder of the list reader role is cut off and stops reading before another node begins
     Given 4 core nodes and 3 others
     And configuration 5 has reached every node
     When the holder of the list reader role is cut off from the core
@@ -95,12 +95,12 @@
     And 2.5 seconds pass
     Then every node knows that the server drains
 
-  Scenario: No node uses a counter's holder that the core has lost
+  Scenario: No node uses a counter's holder that is cut off from the core
     Given 4 core nodes and 3 others
     And configuration 5 has reached every node
-    When the holder of a tenant's counter is cut off from the core nodes alone
+    When the holder of a tenant's counter is cut off from the other core nodes only
     And 5 seconds pass
-    Then every node gets a lease from that tenant's counter, whenever it asks
+    Then every node gets credits from that tenant's counter at each request
 
   Scenario: A spare node with a disk joins, catches up and votes
     Given 4 core nodes and 3 others
@@ -117,7 +117,7 @@
     Then configuration 6 is acknowledged
     And every node uses configuration 6
 
-  Scenario: Clients get nodes outside their zone, and outside their region only where it has too few
+  Scenario: Clients get nodes outside their zone, and outside their region only if it has too few nodes
     Given 4 core nodes and 7 others
     And configuration 5 has reached every node
     Then node 9 sends clients of the east to nodes of 2 zones
