--- a/hazelspring/gateway/counter.py
+++ b/hazelspring/gateway/counter.py
@@ -1,4 +1,4 @@
-"""The counter: TALLY calls on a few pipelined RESP2 connections."""
+"""Client of the shared counter: sends TALLY calls over a few pipelined RESP2 connections."""
 
 from __future__ import annotations
 
@@ -19,96 +19,104 @@
 from hazelspring.gateway.metrics import Counts
 from hazelspring.gateway.periodic import Periodic
 
-LINES = 4  # connections; the counter holds 32 of a front door
-MOST_PENDING = 1000  # calls on one connection that wait for their answers
-PING_AFTER = 2.0  # seconds without a call after which a PING keeps the connection from standing idle
-DEAD_AFTER = 2.0  # seconds with calls out and no byte back: the machine behind it has vanished
-SILENT_AFTER = 4.0  # the same in time-outs, once calls run into theirs: the counter's line is shorter
-RETRY_FIRST, RETRY_MOST = 0.05, 1.0  # bounds of the seconds between attempts to connect
-CONNECT_TIMEOUT = 1.0
-MOST_ANSWER = 256  # bytes of an answer that has not come whole
+LINES = 4  # connections to the counter, which allows 32 from one gateway
+MAX_PENDING = 1000  # calls on one connection without a reply yet
+PING_AFTER = 2.0  # seconds without a call after which a PING keeps the connection from being idle
+DEAD_AFTER = 2.0  # seconds with calls pending and no byte received: the remote machine has vanished
+# The same limit as a multiple of the call time-out, checked when a call times out.  The counter refuses
+# calls before its queue could delay replies this long, so such a connection is dead rather than slow.
+SILENT_TIMEOUTS = 4.0
+FIRST_RETRY_DELAY, MAX_RETRY_DELAY = 0.05, 1.0  # bounds of the seconds between connection attempts
+CONNECT_TIMEOUT = 1.0  # seconds
+MAX_PARTIAL_REPLY = 256  # bytes received of a reply that is still incomplete
 DECIMAL = re.compile(rb"[+-]?(\d+(\.\d*)?|\.\d+)([eE][+-]?\d{1,2})?")
 
 log = logging.getLogger(__name__)
 
 
-def total(reply: object) -> float:
-    """The total in an answer: a decimal number."""
+def parse_total(reply: object) -> float:
+    """Return the decimal number in a reply; raise ProtocolError if the reply is not a finite one."""
     text = reply if isinstance(reply, bytes) else str(reply).encode()
     if DECIMAL.fullmatch(text.strip()) is None or math.isinf(number := float(text)):
-        raise hiredis.ProtocolError(f"not a total: {reply!r:.40}")
+        raise hiredis.ProtocolError(f"reply is not a decimal number: {reply!r:.40}")
     return number
 
 
 class Call:
+    """One TALLY or PING that was submitted and whose reply or time-out is pending."""
+
     __slots__ = ("began", "count", "settled")
 
     def __init__(self, count: Count | None, began: float) -> None:
         self.count = count  # None for a PING
-        self.began = began
-        self.settled = count is None  # the module has had its answer
+        self.began = began  # monotonic time at which it was submitted
+        self.settled = count is None  # whether its outcome has been reported; a PING has none
 
 
-class Line(asyncio.Protocol):
-    """One connection, with the calls written to it in the order in which their answers come."""
+class Connection(asyncio.Protocol):
+    """One connection to the counter.  Replies come in the order in which the calls were written."""
 
     def __init__(self, owner: Counter) -> None:
         self.owner = owner
         self.transport: asyncio.Transport | None = None
-        self.calls: deque[Call] = deque()  # written
-        self.held: deque[Call] = deque()  # to be written once the connection is up
+        self.sent: deque[Call] = deque()  # calls written to the connection, without a reply yet
+        self.queued: deque[Call] = deque()  # calls to write once the connection is established
         self.connecting = False
-        self.moving = False  # leaves its address once the calls that are out there are settled
-        self.unsent = False  # whether written bytes still wait in this process
-        self.heard = 0.0
-        self.partial = 0  # bytes heard since the last answer was whole
-        self.wait = RETRY_FIRST
+        self.moving = False  # whether to close once all sent calls are settled, to change the address
+        self.unsent = False  # whether written bytes are still in this process's buffer
+        self.received_at = 0.0  # monotonic time of the last byte, or of the first call sent after a pause
+        self.partial_bytes = 0  # bytes received since the last complete reply
+        self.retry_delay = FIRST_RETRY_DELAY  # upper bound of the seconds before the next attempt
         self.reader: Any = None
 
     # --- calls -------------------------------------------------------------------------------------
 
-    def call(self, count: Count, now: float) -> None:
+    def submit(self, count: Count, now: float) -> None:
+        """Write the call, queue it while connecting, or settle it at once if neither is possible."""
         call = Call(count, now)
-        if len(self.calls) + len(self.held) >= MOST_PENDING:
+        if len(self.sent) + len(self.queued) >= MAX_PENDING:
             self.owner.settle(call, Outcome.FULL)
         elif self.transport is not None and not self.moving and not self.transport.is_closing():
             self.write(call)
         elif self.connecting or self.transport is not None:
-            self.held.append(call)
-        else:  # refused a moment ago; the next attempt is due shortly
+            self.queued.append(call)
+        else:  # connecting has just failed; the next attempt follows shortly
             self.owner.settle(call, Outcome.CONNECT_FAILED)
             return
         if not call.settled:
             self.owner.expiring.append((call, self))
 
     def write(self, call: Call) -> None:
+        """Write a call to the established connection."""
         assert self.transport is not None
-        if not self.calls:
-            self.heard = time.monotonic()
-        self.calls.append(call)
+        if not self.sent:
+            self.received_at = time.monotonic()
+        self.sent.append(call)
         count = call.count
         if count is None:
             self.transport.write(b"*1\r\n$4\r\nPING\r\n")
             return
-        life = max(1, min(60_000, round(count.expires * 1000)))
-        command = ("TALLY", str(count.name), f"{count.amount:.6f}", str(life))
-        self.transport.write(hiredis.pack_command(command))  # type: ignore[arg-type]  # any length is taken
+        lifetime_ms = max(1, min(60_000, round(count.expires * 1000)))
+        command = ("TALLY", str(count.name), f"{count.amount:.6f}", str(lifetime_ms))
+        self.transport.write(hiredis.pack_command(command))  # type: ignore[arg-type]  # any length works
 
     def expire(self, call: Call) -> None:
-        if call in self.held:
-            self.held.remove(call)  # never written, so it can never be added
+        """Settle a call that has timed out, and abort the connection if it has been silent for too long."""
+        if call in self.queued:
+            self.queued.remove(call)  # never written, so the counter cannot add it
             self.owner.settle(call, Outcome.CONNECT_FAILED)
         else:
-            # It keeps its place in `calls`: its late answer must not be taken for the next call's.
-            silent = time.monotonic() - self.heard > SILENT_AFTER * self.owner.timeout
+            # The call stays in `sent`, so that its late reply is not matched to the next call.
+            silent = time.monotonic() - self.received_at > SILENT_TIMEOUTS * self.owner.timeout
             if silent and self.transport is not None:
                 self.transport.abort()
             self.owner.settle(call, Outcome.TIMEOUT)
-            self.leave()
+            self.close_if_settled()
 
     # --- connection --------------------------------------------------------------------------------
 
     def connect(self) -> None:
+        """Start a connection attempt unless one is running, a connection exists or the client is closed."""
         if not self.connecting and self.transport is None and not self.owner.closed:
             self.connecting = True
             task = self.owner.loop.create_task(self.try_connect())
@@ -116,6 +124,7 @@
             task.add_done_callback(self.owner.tasks.discard)
 
     async def try_connect(self) -> None:
+        """Connect once; on failure settle the queued calls and schedule the next attempt with backoff."""
         address, self.moving = self.owner.address, False
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
@@ -124,93 +133,106 @@
             if not isinstance(error, OSError | TimeoutError):
                 self.owner.counts.failed("connect to the counter", error)
             self.connecting = False
-            self.fail_held()
-            self.owner.loop.call_later(jittered(self.wait), self.connect)
-            self.wait = min(RETRY_MOST, 2 * self.wait)
+            self.fail_queued()
+            self.owner.loop.call_later(jittered(self.retry_delay), self.connect)
+            self.retry_delay = min(MAX_RETRY_DELAY, 2 * self.retry_delay)
         finally:
-            self.owner.tried()
+            self.owner.first_attempt_ended()
 
     def move(self) -> None:
-        """Go over to the owner's address.  New calls wait for the old ones: answers keep their order."""
-        self.moving, self.wait = True, RETRY_FIRST
-        self.leave()
+        """Reconnect to the owner's new address once all sent calls are settled.
+
+        New calls are queued until then, so that the replies for one name keep their order.
+        """
+        self.moving, self.retry_delay = True, FIRST_RETRY_DELAY
+        self.close_if_settled()
         self.connect()
 
-    def leave(self) -> None:
-        if self.moving and self.transport is not None and all(call.settled for call in self.calls):
+    def close_if_settled(self) -> None:
+        """Close the connection if it is moving and none of its sent calls is pending."""
+        if self.moving and self.transport is not None and all(call.settled for call in self.sent):
             self.transport.abort()
 
-    def fail_held(self) -> None:
-        held, self.held = self.held, deque()
-        for call in held:
+    def fail_queued(self) -> None:
+        """Settle all queued calls as CONNECT_FAILED."""
+        queued, self.queued = self.queued, deque()
+        for call in queued:
             self.owner.settle(call, Outcome.CONNECT_FAILED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
+        """Write the queued calls, or close again if the address has changed meanwhile."""
+        transport = cast(asyncio.Transport, transport)  # uvloop transports are not subclasses of it
         transport.set_write_buffer_limits(high=0)
         self.transport, self.connecting, self.unsent = transport, False, False
-        self.reader, self.partial = hiredis.Reader(), 0
-        self.heard = time.monotonic()
+        self.reader, self.partial_bytes = hiredis.Reader(), 0
+        self.received_at = time.monotonic()
         self.owner.counts.counter_opened += 1
         if self.moving:
-            self.leave()
+            self.close_if_settled()
             return
-        held, self.held = self.held, deque()
-        for call in held:
+        queued, self.queued = self.queued, deque()
+        for call in queued:
             self.write(call)
 
     def pause_writing(self) -> None:
+        """Note that written bytes remain in the transport's buffer."""
         self.unsent = True
 
     def resume_writing(self) -> None:
+        """Note that the transport's buffer is empty."""
         self.unsent = False
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Settle the sent calls and reconnect."""
         self.transport = None
-        calls, self.calls = self.calls, deque()
-        for call in calls:
-            # Which of several calls the unsent bytes belong to is not known; only one alone is certain.
-            alone = self.unsent and len(calls) == 1
-            self.owner.settle(call, Outcome.CONNECT_FAILED if alone else Outcome.TIMEOUT)
+        sent, self.sent = self.sent, deque()
+        for call in sent:
+            # Which of several calls the unsent bytes belong to is unknown; with one call it is certain.
+            never_sent = self.unsent and len(sent) == 1
+            self.owner.settle(call, Outcome.CONNECT_FAILED if never_sent else Outcome.TIMEOUT)
         self.connect()
 
     def data_received(self, data: bytes) -> None:
-        self.heard, self.wait = time.monotonic(), RETRY_FIRST
-        self.partial += len(data)
+        """Match complete replies to the sent calls; abort the connection on a protocol error."""
+        self.received_at, self.retry_delay = time.monotonic(), FIRST_RETRY_DELAY
+        self.partial_bytes += len(data)
         try:
             self.reader.feed(data)
             while (reply := self.reader.gets()) is not False:
-                self.partial = 0
-                if not self.calls:
-                    raise hiredis.ProtocolError("an answer that no call waits for")
-                self.answer(self.calls[0], reply)
-                self.calls.popleft()
-                self.leave()
-            if self.partial > MOST_ANSWER:
-                raise hiredis.ProtocolError("an answer without an end")
-        # Framing is lost, or the amount was added and no total came: nothing more is to be had here.
-        except (hiredis.ProtocolError, TypeError) as error:  # the latter of maps that are none in Python
+                self.partial_bytes = 0
+                if not self.sent:
+                    raise hiredis.ProtocolError("reply without a pending call")
+                self.handle_reply(self.sent[0], reply)
+                self.sent.popleft()
+                self.close_if_settled()
+            if self.partial_bytes > MAX_PARTIAL_REPLY:
+                raise hiredis.ProtocolError(f"incomplete reply is longer than {MAX_PARTIAL_REPLY} bytes")
+        # Either the framing is lost, or the amount was added but its total cannot be read.  In both cases
+        # later replies on this connection cannot be used.
+        except (hiredis.ProtocolError, TypeError) as error:  # TypeError: a RESP map with an unhashable key
             log.warning("counter: %s", error)
             if self.transport is not None:
                 self.transport.abort()
 
-    def answer(self, call: Call, reply: Any) -> None:
+    def handle_reply(self, call: Call, reply: Any) -> None:
+        """Settle a call by its reply; raise ProtocolError if the reply has no total."""
         if isinstance(reply, hiredis.ReplyError) and str(reply).startswith(("BUSY", "ERR")):
             self.owner.settle(call, Outcome.FULL)  # nothing was added
         elif call.count is not None:
-            self.owner.settle(call, Outcome.OK, total(reply))
+            self.owner.settle(call, Outcome.OK, parse_total(reply))
 
-    def look(self, now: float) -> None:
+    def check_liveness(self, now: float) -> None:
+        """Abort a connection that does not answer, and send a PING on an idle one."""
         if self.transport is None:
             return
-        if self.calls and now - self.heard > DEAD_AFTER:
+        if self.sent and now - self.received_at > DEAD_AFTER:
             self.transport.abort()
-        elif not self.calls and now - self.heard > PING_AFTER:
+        elif not self.sent and now - self.received_at > PING_AFTER:
             self.write(Call(None, now))
 
 
 class Counter:
-    """Calls by name: those of one name share a connection, so their answers come in their order."""
+    """Client of the counter.  Calls for one name share a connection, so their replies keep their order."""
 
     def __init__(
         self, address: Address, timeout: float, done: Callable[[Counted], None], counts: Counts
@@ -218,66 +240,74 @@
         self.address, self.timeout, self.done, self.counts = address, timeout, done, counts
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.expiring: deque[tuple[Call, Line]] = deque()  # all wait equally long: oldest first
+        self.expiring: deque[tuple[Call, Connection]] = deque()  # oldest first, all with one time-out
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
-        self.ready = self.loop.create_future()  # done once a first connection is up or was refused
-        self.lines = [Line(self) for _ in range(LINES)]
-        for line in self.lines:
-            line.connect()
-        self.watch = Periodic(self.loop, PING_AFTER / 2, self.look, self.look_failed)
-
-    def tried(self) -> None:
+        self.ready = self.loop.create_future()  # done once a first connection attempt has ended
+        self.connections = [Connection(self) for _ in range(LINES)]
+        for connection in self.connections:
+            connection.connect()
+        self.liveness_check = Periodic(self.loop, PING_AFTER / 2, self.check_liveness, self.check_failed)
+
+    def first_attempt_ended(self) -> None:
+        """Complete `ready` after the first connection attempt, whether or not it succeeded."""
         if not self.ready.done():
             self.ready.set_result(None)
 
     def add(self, count: Count) -> None:
-        self.lines[count.name % LINES].call(count, time.monotonic())
+        """Submit a call; its outcome is passed to `done`, at the latest after the time-out."""
+        self.connections[count.name % LINES].submit(count, time.monotonic())
         if self.timer is None and self.expiring:
             self.timer = self.loop.call_later(self.timeout, self.expire)
 
     def expire(self) -> None:
+        """Expire the calls that have timed out, and set the timer for the next one."""
         now = time.monotonic()
         while self.expiring:
-            call, line = self.expiring[0]
+            call, connection = self.expiring[0]
             if not call.settled:
                 if (left := call.began + self.timeout - now) > 0:
                     self.timer = self.loop.call_later(left, self.expire)
                     return
                 try:
-                    line.expire(call)
-                except Exception as error:  # the calls behind it expire all the same
+                    connection.expire(call)
+                except Exception as error:  # the calls after it must still expire
                     self.counts.failed("expiry of a counter call", error)
             self.expiring.popleft()
         self.timer = None
 
     def move(self, address: Address) -> None:
+        """Use the counter at another address; calls sent to the old one are settled first."""
         self.address = address
-        for line in self.lines:
-            line.move()
+        for connection in self.connections:
+            connection.move()
 
     def settle(self, call: Call, outcome: Outcome, total: float = 0.0) -> None:
+        """Count and report the outcome of a call, unless that has been done already."""
         if not call.settled and call.count is not None:
             call.settled = True
             self.counts.counter_calls[outcome.name.lower()] += 1
             self.done(Counted(call.count.name, outcome, total, time.monotonic() - call.began))
 
-    def look(self) -> None:
+    def check_liveness(self) -> None:
+        """Check every connection."""
         now = time.monotonic()
-        for line in self.lines:
-            line.look(now)
+        for connection in self.connections:
+            connection.check_liveness(now)
 
-    def look_failed(self, error: Exception) -> None:
+    def check_failed(self, error: Exception) -> None:
+        """Count and log an unexpected error of the liveness check."""
         self.counts.failed("watch of the counter", error)
 
     def close(self) -> None:
+        """Fail the queued calls and abort all connections; nothing reconnects afterwards."""
         self.closed = True
-        self.watch.cancel()
+        self.liveness_check.cancel()
         if self.timer:
             self.timer.cancel()
         for task in self.tasks:
             task.cancel()
-        for line in self.lines:
-            line.fail_held()
-            if line.transport is not None:
-                line.transport.abort()
+        for connection in self.connections:
+            connection.fail_queued()
+            if connection.transport is not None:
+                connection.transport.abort()
--- a/hazelspring/gateway/discovery.py
+++ b/hazelspring/gateway/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the watch on the list of backends, and their names as the module's ids."""
+"""Client of the discovery service: watches the list of backends and maps their names to numeric ids."""
 
 from __future__ import annotations
 
@@ -18,30 +18,36 @@
 from hazelspring.gateway.config import Address, parse_address, plain
 from hazelspring.gateway.metrics import Counts
 
-MOST_LINE = 4 << 20  # bytes of one line; a longer one ends the watch
-MOST_SEEN = 4096  # names remembered, the longest unheard first to go
-SILENT_AFTER = 4.5  # seconds: an empty line comes every 2 s; after 6 s all counts as told, heard or not
-RETRY_FIRST, RETRY_MOST = 0.1, 0.5  # bounds of the seconds between attempts to watch, for each sharer
-LASTED = 2.0  # seconds after which a watch that was answered with lists counts as well
-RETRIERS = (
-    2  # front doors that may each retry so often when discovery refuses; more of them share these calls
-)
-LEAST_WAIT = 0.01  # seconds: a refusal comes at once, and trying again at once would be a loop
-CONNECT_TIMEOUT = 1.0
-MALFORMED = (ArithmeticError, AttributeError, LookupError, TypeError, ValueError)  # of JSON in any form
+MAX_LINE = 4 << 20  # bytes in one line; a longer line ends the watch
+MAX_SEEN = 4096  # names remembered; beyond this the name received longest ago is dropped
+# Seconds without data after which a watch is abandoned.  Discovery sends an empty line every 2 s, and
+# assumes after 6 s that every gateway knows of a change, whether or not the gateway received it.
+SILENCE_TIMEOUT = 4.5
+# Bounds of the seconds between watch attempts, for each gateway that shares discovery.
+FIRST_RETRY_DELAY, MAX_RETRY_DELAY = 0.1, 0.5
+HEALTHY_AFTER = 2.0  # seconds after which a watch that was answered with status 200 resets the backoff
+# Gateways that may each retry at this rate when discovery refuses; more of them share the total rate.
+RETRIERS = 2
+MIN_DELAY = 0.01  # seconds; a refusal comes at once, and retrying at once would be a busy loop
+CONNECT_TIMEOUT = 1.0  # seconds
+# Errors raised while reading JSON of an unexpected form.
+MALFORMED = (ArithmeticError, AttributeError, LookupError, TypeError, ValueError)
 STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
 
 log = logging.getLogger(__name__)
-Heard = Callable[[Members, dict[int, Address]], None]
+MembersHandler = Callable[[Members, dict[int, Address]], None]
 
 
 def jittered(bound: float) -> float:
-    """A wait before the next try: front doors that lost a peer together must not come back in step."""
-    return random.uniform(LEAST_WAIT, bound)
+    """Return a random number of seconds between `MIN_DELAY` and `bound`.
+
+    Gateways that lost the same peer at the same time must not retry at the same time.
+    """
+    return random.uniform(MIN_DELAY, bound)
 
 
 def backend_id(name: str) -> int:
-    """The module's id of a backend, derived from the name alone so that every front door has the same."""
+    """Return the id of a backend, derived from its name alone so that all gateways use the same id."""
     prefix, _, digits = name.partition("-")
     if prefix == "s" and len(digits) == 8 and all(c in "0123456789abcdef" for c in digits):
         return int(digits, 16)
@@ -49,27 +55,32 @@
 
 
 class Names:
-    """Turns discovery's lines into the module's lists."""
+    """Converts lines from discovery into the lists that the admission module takes."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
-        self.name(zones, kinds)
-        self.entries: dict[int, Entry] = {}  # as last heard, for changes that leave out the rest
-        self.hosts: dict[int, str] = {}  # two names with one id would be taken for one backend
-        self.seen: dict[str, int] = {}  # every name heard lately, listed or not: operators may name it
+        self.set_zones_and_kinds(zones, kinds)
+        self.entries: dict[int, Entry] = {}  # last known entries, for changes that omit fields
+        self.hosts: dict[int, str] = {}  # names by id, to reject a second name with the same id
+        self.seen: dict[str, int] = {}  # ids by name, of recent backends too: operators may name those
 
-    def name(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
+    def set_zones_and_kinds(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
+        """Number the zones and kinds by their positions in the settings."""
         self.zones = {name: number for number, name in enumerate(zones)}
         self.kinds = {name: number for number, name in enumerate(kinds)}
 
-    def entry(self, raw: Any, known: dict[int, Entry]) -> tuple[Entry, Address | None]:
-        """One backend.  One that drains or is gone must stop, whatever else its entry lacks."""
+    def parse_entry(self, raw: Any, known: dict[int, Entry]) -> tuple[Entry, Address | None]:
+        """Return one backend's entry, and its address if the item is complete.
+
+        A backend that drains or is gone must get no more requests even if its item is incomplete: then the
+        other fields are taken from the known entry.  Raises one of `MALFORMED` if the item is unusable.
+        """
         name, state = str(raw["host"]), STATES[raw["health"]]
         number = backend_id(name)
         if self.hosts.setdefault(number, name) != name:
-            raise ValueError(f"{name} has the id of {self.hosts[number]}")
+            raise ValueError(f"{name} has the same id as {self.hosts[number]}")
         self.seen.pop(name, None)
         self.seen[name] = number
-        if len(self.seen) > MOST_SEEN:
+        if len(self.seen) > MAX_SEEN:
             del self.seen[next(iter(self.seen))]
         address = None
         try:
@@ -92,8 +103,11 @@
             del self.hosts[number], self.entries[number]
         return entry, address
 
-    def members(self, raw: Any, cached: bool = False) -> tuple[Members, dict[int, Address]]:
-        """One line as a list or a change; entries that make no sense are logged and left out."""
+    def parse_members(self, raw: Any, cached: bool = False) -> tuple[Members, dict[int, Address]]:
+        """Parse one line as a full list or a change; malformed entries are logged and left out.
+
+        Raises one of `MALFORMED` if the line is no list of hosts.
+        """
         if not isinstance(raw, dict) or not isinstance(raw.get("hosts"), list):
             raise ValueError("not a list of hosts")
         listing = Listing.CACHED if cached else Listing.FULL if raw.get("whole") else Listing.DELTA
@@ -103,7 +117,7 @@
         entries, addresses = [], {}
         for item in raw["hosts"]:
             try:
-                entry, address = self.entry(item, known)
+                entry, address = self.parse_entry(item, known)
             except MALFORMED as error:
                 log.warning("discovery: entry skipped: %s: %s", type(error).__name__, error)
                 continue
@@ -114,142 +128,158 @@
 
 
 class Watch(asyncio.Protocol):
-    """One watch: a chunked answer with one JSON object a line."""
+    """The connection of one watch: a chunked HTTP response with one JSON object per line."""
 
     def __init__(self, owner: Discovery) -> None:
         self.owner = owner
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.rest = b""
-        self.lost: asyncio.Future[None] = owner.loop.create_future()
-        self.status = 0  # of the answer, once it has one
+        self.partial_line = b""  # bytes received after the last line break
+        self.closed: asyncio.Future[None] = owner.loop.create_future()
+        self.status = 0  # HTTP status of the response; 0 before it arrives
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
+        """Send the watch request, starting after the last known version."""
+        transport = cast(asyncio.Transport, transport)  # uvloop transports are not subclasses of it
         self.transport = transport
         target = f"/api/targets?watch=1&from={self.owner.seq}"
         transport.write(f"GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        self.owner.heard_at = time.monotonic()
+        """Feed the HTTP parser; abort the connection if the response is not valid HTTP."""
+        self.owner.received_at = time.monotonic()
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserError as error:  # framing is lost
-            self.end(str(error))
+        except httptools.HttpParserError as error:  # the framing is lost
+            self.abort(str(error))
 
     def on_headers_complete(self) -> None:
+        """Record the status, and abort the connection unless it is 200."""
         self.status = self.parser.get_status_code()
         if self.status != 200:
-            self.end(f"answered {self.status}")
+            self.abort(f"response status {self.status}")
 
     def on_body(self, body: bytes) -> None:
-        *lines, self.rest = (self.rest + body).split(b"\n")
-        if len(self.rest) > MOST_LINE:
-            self.rest = b""
-            self.end("a line without an end")
+        """Pass on each complete line; abort the connection if a line exceeds `MAX_LINE`."""
+        *lines, self.partial_line = (self.partial_line + body).split(b"\n")
+        if len(self.partial_line) > MAX_LINE:
+            self.partial_line = b""
+            self.abort(f"incomplete line is longer than {MAX_LINE} bytes")
         for line in lines:
             if line.strip():
-                self.owner.take(line)
+                self.owner.handle_line(line)
 
     def on_message_complete(self) -> None:
+        """Close the connection after the end of the response."""
         if self.transport is not None:
             self.transport.close()
 
-    def end(self, why: str) -> None:
-        log.warning("discovery: watch ended: %s", why)
+    def abort(self, reason: str) -> None:
+        """Log the reason and abort the connection."""
+        log.warning("discovery: watch ended: %s", reason)
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        if not self.lost.done():
-            self.lost.set_result(None)
+        """Complete `closed`."""
+        if not self.closed.done():
+            self.closed.set_result(None)
 
 
 class Discovery:
-    """Keeps a watch open and tells of every list and change."""
+    """Keeps a watch open and passes every list and change to `on_members`."""
 
     def __init__(
         self,
         address: Address,
         names: Names,
         seq: int,
-        heard: Heard,
+        on_members: MembersHandler,
         askers: int = 1,
         ask_within: float = 0.0,
         counts: Counts | None = None,
     ) -> None:
-        self.address, self.names, self.seq, self.heard = address, names, seq, heard
+        self.address, self.names, self.seq, self.on_members = address, names, seq, on_members
         self.counts = counts or Counts()
-        self.share(askers, ask_within)
+        self.set_askers(askers, ask_within)
         self.loop = asyncio.get_running_loop()
-        self.heard_at = 0.0
+        self.received_at = 0.0
         self.task = self.loop.create_task(self.run())
 
-    def share(self, askers: int, ask_within: float) -> None:
-        """So many front doors ask one discovery.  One that has not for `ask_within` seconds, or four times as
-        long after a refusal, counts as told all the same: no wait may come near that.
+    def set_askers(self, askers: int, ask_within: float) -> None:
+        """Set how many gateways share one discovery, and within how many seconds each has to call it.
+
+        Discovery assumes that a gateway knows of all changes once it has not called for `ask_within`
+        seconds, or four times as long after a refusal.  Every delay must therefore stay well below that.
         """
         self.askers, self.ask_within = askers, ask_within
 
     async def run(self, moved: bool = False) -> None:
-        """Watch for good.  Each call may be the whole list, and discovery serves those of all front doors in
-        turn: doors that start, or lose their watch, do so together, and spread their calls.
+        """Watch discovery until cancelled, with backoff between attempts.
+
+        Each call may transfer the full list, and discovery serves the calls of all gateways one after
+        another.  Gateways start or lose their watches at the same time, so they spread their calls.
         """
-        bound = RETRY_FIRST
-        if self.names.entries and not moved and self.askers > 1:  # there is a list to serve from meanwhile
+        bound = FIRST_RETRY_DELAY
+        if self.names.entries and not moved and self.askers > 1:  # a known list serves until then
             await asyncio.sleep(jittered(min(bound * self.askers, self.ask_within / 2)))
         while True:
             began, status = time.monotonic(), 0
             try:
                 status = await self.watch()
-            except Exception as error:  # it is watched again, whatever has ended a watch
+            except Exception as error:  # any error ends only this watch, not the retries
                 if not isinstance(error, OSError | TimeoutError):
                     self.counts.failed("watch of discovery", error)
             self.counts.watches[status] += 1
-            # A refusal is no watch that was well, however long it was in coming: the calls are too many.
-            well = status == 200 and time.monotonic() - began > LASTED
-            bound = RETRY_FIRST if well else min(RETRY_MOST, 2 * bound)
-            # An agent that cannot be reached is this machine's own, and its calls cost nobody anything.
+            # A refusal means too many calls, so it does not reset the backoff, however late it comes.
+            healthy = status == 200 and time.monotonic() - began > HEALTHY_AFTER
+            bound = FIRST_RETRY_DELAY if healthy else min(MAX_RETRY_DELAY, 2 * bound)
+            # The agent runs on this machine: while it is unreachable, calls cost other gateways nothing.
             shared = (
                 min(bound * self.askers, self.ask_within * (0.5 if status == 200 else 2)) if status else 0
             )
             await asyncio.sleep(jittered(max(bound, shared)))
 
     async def watch(self) -> int:
-        """Watch until that ends.  The status of the answer; 0 without one."""
+        """Run one watch until it ends; return the HTTP status of the response, or 0 without a response."""
         async with asyncio.timeout(CONNECT_TIMEOUT):
             _, watch = await self.loop.create_connection(
                 lambda: Watch(self), self.address.host, self.address.port
             )
-        self.heard_at = time.monotonic()
+        self.received_at = time.monotonic()
         try:
-            # A vanished peer says nothing, not even that it is gone: silence ends the watch too.
-            while not watch.lost.done() and (left := self.heard_at + SILENT_AFTER - time.monotonic()) > 0:
-                await asyncio.wait([watch.lost], timeout=left)
+            # A peer that vanished does not close the connection, so silence ends the watch too.
+            while (
+                not watch.closed.done()
+                and (left := self.received_at + SILENCE_TIMEOUT - time.monotonic()) > 0
+            ):
+                await asyncio.wait([watch.closed], timeout=left)
             return watch.status
         finally:
             if watch.transport is not None:
                 watch.transport.abort()
 
-    def take(self, line: bytes) -> None:
+    def handle_line(self, line: bytes) -> None:
+        """Pass on the list or change in a line; count and skip malformed lines and known changes."""
         try:
-            members, addresses = self.names.members(json.loads(line))
+            members, addresses = self.names.parse_members(json.loads(line))
         except (*MALFORMED, RecursionError) as error:
             log.warning("discovery: line skipped: %s: %s", type(error).__name__, error)
             self.counts.lists["skipped"] += 1
             return
         if members.listing is Listing.DELTA and members.version <= self.seq:
             self.counts.lists["known"] += 1
-            return  # a change that is known already
+            return  # an already known change
         self.counts.lists[members.listing.name.lower()] += 1
         self.seq = members.version
-        self.heard(members, addresses)
+        self.on_members(members, addresses)
 
     def move(self, address: Address) -> None:
-        """Watch another agent from now on, after the last change that was heard."""
+        """Watch another agent from now on, starting after the last change that was received."""
         self.address = address
         self.task.cancel()
         self.task = self.loop.create_task(self.run(moved=True))
 
     def close(self) -> None:
+        """Stop watching."""
         self.task.cancel()
--- a/hazelspring/gateway/frontdoor.py
+++ b/hazelspring/gateway/frontdoor.py
@@ -1,4 +1,4 @@
-"""The parts of one front door: wired together, started, changed as one, drained."""
+"""One gateway process: builds its parts, starts them, reconfigures them together and drains them."""
 
 from __future__ import annotations
 
@@ -17,28 +17,31 @@
 from hazelspring.gateway.handover import Handover
 from hazelspring.gateway.host import Host
 from hazelspring.gateway.management import MOST_CALLERS, Management
-from hazelspring.gateway.metrics import Counts, Metrics, descriptors
+from hazelspring.gateway.metrics import Counts, Metrics, open_descriptors
 from hazelspring.gateway.server import Server
 from hazelspring.gateway.upstream import Upstream
 
-COUNTER_WAIT = 0.3  # seconds that the start waits for the counter's connections
-LINGER = 0.6  # seconds after SIGTERM in which new connections go on coming
-LAST_CALL = 1.0  # seconds before the end of an upgrade's drain in which idle connections are closed
-CLIENTS_PART = 0.6  # of the others: a third of all may be clients with requests, and anyone may connect
-OTHER_SOCKETS = SURPLUS + MOST_CALLERS + 40  # kept for operators, discovery, the counter, the loop, the log
+COUNTER_START_TIMEOUT = 0.3  # seconds for which the start waits for a connection to the counter
+ACCEPT_AFTER_SIGTERM = 0.6  # seconds after SIGTERM for which new connections are still accepted
+IDLE_CLOSE_MARGIN = 1.0  # seconds before the end of an upgrade's drain at which idle connections are closed
+# Share of the remaining descriptors that clients get.  A third of all descriptors may be used by clients
+# with requests, and more clients may connect without sending any.
+CLIENT_SHARE = 0.6
+# Descriptors reserved for operators, discovery, the counter, the event loop and the log.
+OTHER_SOCKETS = SURPLUS + MOST_CALLERS + 40
 
 log = logging.getLogger(__name__)
 
 
 class FrontDoor:
-    """The parts of one front door, wired together."""
+    """The parts of one gateway process and how they are connected."""
 
     def __init__(self, config: Config, kept: Kept | None = None, counts: Counts | None = None) -> None:
         settings = config.settings
         self.began = time.monotonic()
         counts = self.counts = counts or Counts()
         self.metrics = Metrics(counts)
-        self.most_clients, self.most_upstream = self.shares(config)
+        self.most_clients, self.most_upstream = self.descriptor_shares(config)
         upstream = Upstream(
             settings.limits.connect_timeout,
             config.conn_idle,
@@ -53,16 +56,18 @@
         seq = 0
         if config.known:
             try:
-                members, addresses = names.members(config.known, cached=True)
+                members, addresses = names.parse_members(config.known, cached=True)
             except (KeyError, TypeError, ValueError) as error:
                 raise ConfigError(f"known: {type(error).__name__}: {error}") from None
             seq = members.version
             host.members(members, addresses)
-        self.discovery = Discovery(config.discovery, names, seq, host.members, *self.asking(settings), counts)
+        self.discovery = Discovery(
+            config.discovery, names, seq, host.members, *self.discovery_sharing(settings), counts
+        )
         self.server = Server(config, host, self.most_clients)
-        self.inherits = config.passed is not None
-        self.handover = Handover(config.shared, host.post, self.share_sockets)
-        self.drain_time = self.drain_time_of(config)
+        self.inherited_socket = config.passed is not None
+        self.handover = Handover(config.shared, host.post, self.limit_descriptors)
+        self.drain_time = self.drain_time_for(config)
         parts = (
             self.prepare_names, self.prepare_upstream, self.prepare_server, self.prepare_host,
             self.prepare_discovery, self.prepare_counter, self.prepare_limits, self.prepare_management,
@@ -70,33 +75,42 @@
         self.generations = Generations(config, os.environ, parts)
         if (path := state_path(config)) is not None:
             self.generations.share(path, kept)
-        self.management = self.manage(config)
-        self.gauges()
+        self.management = self.make_management(config)
+        self.register_gauges()
 
     @staticmethod
-    def shares(config: Config) -> tuple[int, int]:
-        """The descriptors for clients and for alert servers."""
-        most = config.sockets - OTHER_SOCKETS
-        return int(CLIENTS_PART * most), most - int(CLIENTS_PART * most)
+    def descriptor_shares(config: Config) -> tuple[int, int]:
+        """Return the numbers of descriptors for clients and for alert servers."""
+        available = config.sockets - OTHER_SOCKETS
+        return int(CLIENT_SHARE * available), available - int(CLIENT_SHARE * available)
 
     @staticmethod
-    def drain_time_of(config: Config) -> float:
-        """SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more after SIGTERM."""
+    def drain_time_for(config: Config) -> float:
+        """Return the seconds that a drain may take.
+
+        SIGKILL follows SIGTERM no sooner than the longest deadline, capped at 3 s, plus 0.7 s.
+        """
         return min(3.0, max((c.deadline for c in config.settings.classes), default=3.0)) + 0.4
 
     @staticmethod
-    def asking(settings: Settings) -> tuple[int, float]:
-        """How many front doors ask one discovery, and how soon each has to; one where it tells unasked."""
+    def discovery_sharing(settings: Settings) -> tuple[int, float]:
+        """Return how many gateways share one discovery, and within how many seconds each has to call it.
+
+        The number is 1 where discovery pushes its changes.
+        """
         return (1 if settings.membership_push else settings.peers), settings.rules.ask_within
 
     def ready(self) -> bool:
-        """Whether this process can serve: it listens, has a list, and the counter was tried."""
+        """Return whether this process can serve: it listens, has a list and has tried the counter."""
         counter = self.host.counter
         return self.server.ready() and (counter is None or counter.ready.done())
 
-    def gauges(self) -> None:
+    def register_gauges(self) -> None:
+        """Register the gauges whose values are read from the parts at each scrape."""
         host, gauge = self.host, self.metrics.gauge
-        gauge("descriptors", "Descriptors by their owner, and all of them.", "owner", self.owners)
+        gauge(
+            "descriptors", "Descriptors by their owner, and all of them.", "owner", self.descriptors_by_owner
+        )
         gauge(
             "descriptors_most",
             "The most there may be.",
@@ -120,63 +134,74 @@
             lambda: {"": self.generations.longest},
         )
 
-    def owners(self) -> dict[str, float]:
+    def descriptors_by_owner(self) -> dict[str, float]:
+        """Return the open descriptors of each owner, and those of the whole process as `all`."""
         counter = self.host.counter
         return {
             "clients": len(self.server.clients),
             "alert_servers": self.host.upstream.open,
-            "counter": sum(line.transport is not None for line in counter.lines) if counter else 0,
+            "counter": sum(link.transport is not None for link in counter.connections) if counter else 0,
             "management": len(self.management.callers) if self.management is not None else 0,
-            "all": descriptors(),
+            "all": open_descriptors(),
         }
 
     async def start(self) -> None:
+        """Listen for operators and clients, and register with the other processes of this gateway."""
         if self.management is not None:
             self.management.bind()
             self.management.open()
             self.metrics.start()
         if self.host.counter is not None:
-            await asyncio.wait([self.host.counter.ready], timeout=COUNTER_WAIT)
+            await asyncio.wait([self.host.counter.ready], timeout=COUNTER_START_TIMEOUT)
         await self.server.start()
         self.handover.join()
 
-    def share_sockets(self, processes: int) -> None:
-        """The limit on descriptors holds for all processes of this front door together."""
+    def limit_descriptors(self, processes: int) -> None:
+        """Divide the limit on descriptors, which holds for all processes of this gateway together."""
         self.server.limit(self.most_clients // processes)
         self.host.upstream.limit(self.most_upstream // processes)
 
     def reload(self) -> None:
-        """The platform has replaced the configuration.  All of it holds from now on, or nothing does."""
+        """Apply the configuration that the platform has replaced, either completely or not at all."""
         self.generations.reload()
 
-    # --- the steps of a change: nothing is changed before all are prepared --------------------------
+    # --- steps of a configuration change: nothing is changed before all steps are prepared ----------
 
     def prepare_names(self, before: Config, after: Config) -> Step:
-        return Step(lambda: self.names.name(after.settings.zones, after.kinds))
+        """Number the new zones and kinds at commit."""
+        return Step(lambda: self.names.set_zones_and_kinds(after.settings.zones, after.kinds))
 
     def prepare_upstream(self, before: Config, after: Config) -> Step:
+        """Apply the new limits to connections to alert servers at commit."""
         limits, columns = after.settings.limits, after.settings.report_columns
         return Step(lambda: self.host.upstream.retune(limits.connect_timeout, after.conn_idle, columns))
 
     def prepare_server(self, before: Config, after: Config) -> Step:
+        """Apply the new classes, tariffs and drain time at commit."""
+
         def commit() -> None:
-            self.drain_time = self.drain_time_of(after)
+            self.drain_time = self.drain_time_for(after)
             self.server.retune(after.settings)
 
         return Step(commit)
 
     def prepare_host(self, before: Config, after: Config) -> Step:
+        """Apply the new settings to the admission module at commit."""
         return Step(lambda: self.host.retune(after.settings))
 
     def prepare_discovery(self, before: Config, after: Config) -> Step:
+        """Apply the new call rate at commit, and watch another agent if its address has changed."""
+
         def commit() -> None:
-            self.discovery.share(*self.asking(after.settings))
+            self.discovery.set_askers(*self.discovery_sharing(after.settings))
             if after.discovery != self.discovery.address:
                 self.discovery.move(after.discovery)
 
         return Step(commit)
 
     def prepare_counter(self, before: Config, after: Config) -> Step:
+        """Open, move, retune or close the client of the counter at commit."""
+
         def commit() -> None:
             host, settings = self.host, after.settings
             if not settings.has_counter or after.counter is None:
@@ -193,33 +218,36 @@
         return Step(commit)
 
     def prepare_limits(self, before: Config, after: Config) -> Step:
+        """Apply the new limits on descriptors at commit."""
+
         def commit() -> None:
-            self.most_clients, self.most_upstream = self.shares(after)
-            self.share_sockets(self.handover.processes)
+            self.most_clients, self.most_upstream = self.descriptor_shares(after)
+            self.limit_descriptors(self.handover.processes)
 
         return Step(commit)
 
     def prepare_management(self, before: Config, after: Config) -> Step:
-        """The new address listens before the old one closes; one that cannot be listened on is refused."""
+        """Bind the new address, so that a failure refuses the change; close the old one at commit."""
         if after.management == before.management:
             return Step(lambda: None)
-        made = self.manage(after)
-        if made is not None:
-            made.bind()
+        new = self.make_management(after)
+        if new is not None:
+            new.bind()
 
         def commit() -> None:
-            old, self.management = self.management, made
-            if made is not None:
-                made.open()
+            old, self.management = self.management, new
+            if new is not None:
+                new.open()
                 self.metrics.start()
             else:
                 self.metrics.stop()
             if old is not None:
                 old.leave()
 
-        return Step(commit, made.close if made is not None else lambda: None)
+        return Step(commit, new.close if new is not None else lambda: None)
 
-    def manage(self, config: Config) -> Management | None:
+    def make_management(self, config: Config) -> Management | None:
+        """Return the unbound server for operators' calls, or None if none is configured."""
         if config.management is None:
             return None
         return Management(
@@ -227,19 +255,21 @@
         )
 
     async def drain(self) -> None:
-        """Finish what is held, in time for all of it.  Where no sibling accepts on the same socket, clients
-        still come for a while; where one does, they may use their connections until shortly before the end.
+        """Finish the open requests within the drain time, answer those that remain, and close.
+
+        Without another process on the same socket, new connections are accepted for a while.  With one, no
+        new ones are accepted, and clients may use theirs until shortly before the end.
         """
         began = time.monotonic()
         self.generations.stop()
         self.handover.look()
-        upgraded = self.inherits and self.handover.processes > 1
+        upgraded = self.inherited_socket and self.handover.processes > 1
         if not upgraded:
-            await asyncio.sleep(LINGER)
+            await asyncio.sleep(ACCEPT_AFTER_SIGTERM)
         self.server.stop_listening()
         if upgraded:
-            last_call = began + max(self.drain_time / 2, self.drain_time - LAST_CALL)
-            while self.server.in_use() and time.monotonic() < last_call:
+            close_idle_at = began + max(self.drain_time / 2, self.drain_time - IDLE_CLOSE_MARGIN)
+            while self.server.in_use() and time.monotonic() < close_idle_at:
                 await asyncio.sleep(0.01)
         self.server.close_idle()
         while self.host.waiting and time.monotonic() - began < self.drain_time:
@@ -250,10 +280,11 @@
         await self.close()
 
     async def close(self) -> None:
+        """Stop all parts and close their sockets, without finishing open requests."""
         self.generations.stop()
         self.metrics.stop()
         self.server.close()
-        await asyncio.sleep(0.05)  # the last answers leave
+        await asyncio.sleep(0.05)  # time for the last answers to be sent
         if self.management is not None:
             self.management.close()
         self.handover.close()
--- a/hazelspring/gateway/metrics.py
+++ b/hazelspring/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""What is measured: plain counts that the parts add to, and their text for Prometheus."""
+"""Metrics: counts that the parts of the gateway increment, and their Prometheus text format."""
 
 from __future__ import annotations
 
@@ -15,53 +15,55 @@
     from prometheus_client.metrics_core import Metric
     from prometheus_client.registry import CollectorRegistry
 
-SAMPLE = 0.5  # seconds between samples of the loop's lag
-LAGS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
-MOST_CLASSES = 64  # names of classes: more than this come under `other`
+SAMPLE_INTERVAL = 0.5  # seconds between samples of the event loop's lag
+# Upper bounds of the histogram of the event loop's lag, in seconds.
+LAG_BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
+MAX_CLASS_LABELS = 64  # distinct class labels; further classes are counted as `other`
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
-Tally = defaultdict[str, int]
+CountsByName = defaultdict[str, int]
 
 log = logging.getLogger(__name__)
 
 
 class Counts:
-    """Each is added to where it happens; nothing else is done there."""
+    """Counts since the process started.  The code that sees an event only increments its count."""
 
     def __init__(self) -> None:
         self.requests: defaultdict[tuple[str, str], int] = defaultdict(int)  # by class and outcome
         self.classes: set[str] = set()
-        self.rejected: defaultdict[int, int] = defaultdict(int)  # what was no proper request, by status
+        self.rejected: defaultdict[int, int] = defaultdict(int)  # invalid requests, by status
         self.clients_opened = self.clients_refused = 0
-        self.attempts: Tally = defaultdict(int)
-        self.probes: Tally = defaultdict(int)
-        self.counter_calls: Tally = defaultdict(int)
+        self.attempts: CountsByName = defaultdict(int)  # by outcome
+        self.probes: CountsByName = defaultdict(int)  # by outcome
+        self.counter_calls: CountsByName = defaultdict(int)  # by outcome
         self.counter_opened = 0
         self.opened = self.reused = self.stale = 0  # connections to alert servers
-        self.closed: Tally = defaultdict(int)  # and why
-        self.broken: Tally = defaultdict(int)  # answers that were none
-        self.lists: Tally = defaultdict(int)
-        self.watches: defaultdict[int, int] = defaultdict(int)  # that ended, by their answer's status
+        self.closed: CountsByName = defaultdict(int)  # closed connections to alert servers, by reason
+        self.broken: CountsByName = defaultdict(int)  # invalid answers of alert servers, by reason
+        self.lists: CountsByName = defaultdict(int)  # lists and changes from discovery, by kind
+        # ended watches, by HTTP status; 0 without a response
+        self.watches: defaultdict[int, int] = defaultdict(int)
         self.log_dropped = 0
-        # activities that an error nobody foresaw has cut short, by name
-        self.failures: Counter[str] = Counter()
-        self.lags = [0] * (len(LAGS) + 1)
-        self.lag_sum = self.lag_most = 0.0
+        self.failures: Counter[str] = Counter()  # activities ended by an unexpected error, by name
+        self.lags = [0] * (len(LAG_BUCKETS) + 1)
+        self.lag_sum = self.lag_max = 0.0
 
     def label(self, name: str) -> str:
-        """A class's name as label: their number is bounded, whatever reloads bring."""
+        """Return a class's label: its name, or `other` once reloads have brought too many names."""
         if name not in self.classes:
-            if len(self.classes) >= MOST_CLASSES:
+            if len(self.classes) >= MAX_CLASS_LABELS:
                 return "other"
             self.classes.add(name)
         return name
 
     def failed(self, name: str, error: BaseException) -> None:
-        """An activity ended by an error that nobody foresaw; it goes on with its next turn."""
+        """Count and log an unexpected error that ended one run of an activity; it will run again."""
         self.failures[name] += 1
         log.error("%s failed", name, exc_info=error)
 
     def answered(self) -> int:
+        """Return the number of requests with a final answer."""
         return sum(self.requests.values())
 
 
@@ -69,7 +71,7 @@
 
 
 class Metrics:
-    """The registry, built when it is first asked for, and the samples, taken once `start` was called."""
+    """Builds the Prometheus registry at the first scrape, and samples the event loop's lag once started."""
 
     def __init__(self, counts: Counts) -> None:
         self.counts = counts
@@ -77,36 +79,43 @@
         self.gauges: list[tuple[str, str, str, Gauge]] = []  # name, help, label, values
         self.registry: CollectorRegistry | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.due = 0.0
+        self.due = 0.0  # monotonic time at which the next sample is due
 
     def gauge(self, name: str, text: str, label: str, values: Gauge) -> None:
+        """Register a gauge whose values are computed at each scrape; an empty `label` means no label."""
         self.gauges.append((name, text, label, values))
 
     def start(self) -> None:
+        """Start sampling the event loop's lag, unless it is being sampled already."""
         if self.timer is None:
-            self.sample_later()
+            self.schedule_sample()
 
     def stop(self) -> None:
+        """Stop sampling."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    def sample_later(self) -> None:
-        self.due = time.monotonic() + SAMPLE
-        self.timer = self.loop.call_later(SAMPLE, self.sample)
+    def schedule_sample(self) -> None:
+        """Set the timer for the next sample."""
+        self.due = time.monotonic() + SAMPLE_INTERVAL
+        self.timer = self.loop.call_later(SAMPLE_INTERVAL, self.sample)
 
     def sample(self) -> None:
-        """How late the loop runs what is due."""
+        """Record by how many seconds the event loop ran this timer late."""
         lag, counts = max(0.0, time.monotonic() - self.due), self.counts
-        counts.lags[bisect.bisect_left(LAGS, lag)] += 1
+        counts.lags[bisect.bisect_left(LAG_BUCKETS, lag)] += 1
         counts.lag_sum += lag
-        counts.lag_most = max(counts.lag_most, lag)
-        self.sample_later()
+        counts.lag_max = max(counts.lag_max, lag)
+        self.schedule_sample()
 
     async def text(self) -> bytes:
-        """All of it in Prometheus' text format.  The library is loaded on a thread, as that takes long."""
+        """Return all metrics in the Prometheus text format.
+
+        The library is loaded on a thread at the first call, as loading it would block the event loop.
+        """
         if self.registry is None:
-            await self.loop.run_in_executor(None, load)
+            await self.loop.run_in_executor(None, load_library)
         if self.registry is None:
             self.registry = self.build()
         from prometheus_client.exposition import generate_latest
@@ -114,6 +123,7 @@
         return generate_latest(self.registry)
 
     def build(self) -> CollectorRegistry:
+        """Return a registry with these metrics and those of the process."""
         from prometheus_client.process_collector import ProcessCollector
         from prometheus_client.registry import CollectorRegistry
 
@@ -123,6 +133,7 @@
         return registry
 
     def collect(self) -> Iterator[Metric]:
+        """Yield the current metrics; called by the registry at each scrape."""
         from prometheus_client.metrics_core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -163,36 +174,40 @@
                 family.add_metric([key] if label else [], value)
             yield family
         seen, buckets = 0, []
-        for bound, number in zip((*map(str, LAGS), "+Inf"), c.lags, strict=True):
+        for bound, number in zip((*map(str, LAG_BUCKETS), "+Inf"), c.lags, strict=True):
             seen += number
             buckets.append((bound, seen))
         lag = HistogramMetricFamily("ivymux_loop_lag_seconds", "How late the loop runs what is due.")
         lag.add_metric([], buckets, c.lag_sum)
         yield lag
-        yield GaugeMetricFamily("ivymux_loop_lag_most_seconds", "The longest of these.", value=c.lag_most)
+        yield GaugeMetricFamily("ivymux_loop_lag_most_seconds", "The longest of these.", value=c.lag_max)
 
     def summary(self, began: float) -> str:
-        """What a request has cost so far."""
+        """Return a log text with the resources used per answered request; `began` is a monotonic time."""
         c = self.counts
         answered = c.answered()
-        each, memory = max(1, answered), resident()
+        divisor, memory = max(1, answered), resident_bytes()
         calls, probes = sum(c.counter_calls.values()), sum(c.probes.values())
         return (
             f"{answered} requests in {time.monotonic() - began:.0f} s; for each CPU"
-            f" {1e6 * time.process_time() / each:.0f} us, handshakes {c.opened / each:.3f}, counter calls"
-            f" {calls / each:.3f}, probes {probes / each:.3f}, memory {memory / each:.0f} bytes, descriptors"
-            f" {descriptors() / each:.4f}; in all {memory >> 10} kB, {descriptors()} descriptors"
+            f" {1e6 * time.process_time() / divisor:.0f} us, handshakes {c.opened / divisor:.3f}, counter"
+            f" calls {calls / divisor:.3f}, probes {probes / divisor:.3f}, memory"
+            f" {memory / divisor:.0f} bytes, descriptors {open_descriptors() / divisor:.4f}; in all"
+            f" {memory >> 10} kB, {open_descriptors()} descriptors"
         )
 
 
-def load() -> None:
+def load_library() -> None:
+    """Import the Prometheus library, so that later imports take no time."""
     import prometheus_client.exposition  # noqa: F401  # 2 MB and 80 ms that only a scrape needs
 
 
-def resident() -> int:
+def resident_bytes() -> int:
+    """Return the resident memory of this process."""
     with open("/proc/self/statm", encoding="ascii") as source:
         return int(source.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def descriptors() -> int:
-    return len(os.listdir("/proc/self/fd")) - 1  # the look itself takes one
+def open_descriptors() -> int:
+    """Return the number of open file descriptors of this process."""
+    return len(os.listdir("/proc/self/fd")) - 1  # listing the folder opens one itself
--- a/tests/test_frontdoor.py
+++ b/tests/test_frontdoor.py
@@ -1,4 +1,4 @@
-"""The front door over loopback sockets, with fakes of everything around it."""
+"""The gateway over loopback sockets, with fakes of everything that it connects to."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class Script:
-    """Stands in for the module: `react` gives the actions for each event."""
+    """Replaces the admission module: `react` returns the actions for each event."""
 
     def __init__(self, react: Callable[[Any], list[i.Action]]) -> None:
         self.react = react
@@ -73,19 +73,19 @@
     *dials: str, react: Callable[[Any], list[i.Action]] | None = None, counter: str = "", **changes: str
 ) -> AsyncIterator[tuple[FrontDoor, Script]]:
     known = [host_line(f"s-{n:08x}", dial) for n, dial in enumerate(dials, 1)]
-    door = FrontDoor(config(known, counter, **changes))
+    gateway = FrontDoor(config(known, counter, **changes))
     script = Script(react or (lambda event: []))
     if react is not None:
-        door.host.gateway = script  # type: ignore[assignment]
-    await door.start()
+        gateway.host.gateway = script  # type: ignore[assignment]
+    await gateway.start()
     try:
-        yield door, script
+        yield gateway, script
     finally:
-        await door.close()
+        await gateway.close()
 
 
 def send_on(event: Any) -> list[i.Action]:
-    """Sends each request to the first backend and fails it when that did not serve."""
+    """Send each request to the first backend, and fail it if that did not serve it."""
     if isinstance(event, i.Request):
         return [i.Send(event.request, FIRST, 0.0)]
     if isinstance(event, i.Finished) and event.outcome is not Outcome.OK:
@@ -98,8 +98,8 @@
         backend = Backend(lambda message: http_answer(body=b"got " + message.body))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial) as (door, _),
-            Client(door.server) as client,
+            front_door(dial) as (gateway, _),
+            Client(gateway.server) as client,
         ):
             ready = await client.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert ready.status == 200
@@ -110,22 +110,25 @@
             assert seen.headers["request-id"] == "9b1f03aa5c7e2d41"
             assert seen.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
             assert seen.body == b"a recording"
-            # It tells how long the front door will wait, which is less than the client will.
+            # The gateway passes on how long it will wait, which is less than the client's time-out.
             assert 3000 < int(seen.headers["request-timeout"].removesuffix("m")) < 4000
 
     run(test())
 
 
-def test_the_module_hears_the_terms_of_a_request() -> None:
+def test_the_admission_module_receives_the_terms_of_a_request() -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             return [i.Refuse(event.request, 0.25)] if isinstance(event, i.Request) else []
 
-        async with front_door("127.0.0.1:1", react=react) as (door, script), Client(door.server) as client:
+        async with (
+            front_door("127.0.0.1:1", react=react) as (gateway, script),
+            Client(gateway.server) as client,
+        ):
             answer = await client.ask(
                 2, 900, X_Tier="plan-1", X_Call_Terms="units=2,spread=2,first=1", Client_Retry="1"
             )
-            # What the module has given up on is answered at once, with the time to come back.
+            # A refused request is answered at once, with the time after which to retry.
             assert (answer.status, answer.headers["retry-after"]) == (503, "0.250")
             (event,) = script.of(i.Request)
             assert (event.cls, event.plan, event.customer) == (2, 1, 5)
@@ -144,22 +147,22 @@
         (0, "Request-Timeout", "4", 400),
         (0, "X-Call-Terms", "units=none,spread=1,first=0", 400),
         (0, "X-Call-Terms", "units=nan,spread=1,first=0", 400),
-        (1, "Idempotency-Key", "", 400),  # keyed, but with no key to drop a repeat by
+        (1, "Idempotency-Key", "", 400),  # keyed, but without the key by which repeats are recognised
         (2, "Idempotency-Key", "5c0f", 400),
         (0, "X-Pad", "x" * MOST_HEAD, 400),
         (2, "Content-Length", str(MOST_BODY + 1), 413),
         (2, "Content-Length", "x", 400),
     ],
 )
-def test_bad_input_reaches_neither_the_module_nor_a_backend(
+def test_invalid_requests_reach_neither_the_admission_module_nor_a_backend(
     cls: int, header: str, value: str, status: int
 ) -> None:
     async def test() -> None:
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            front_door(dial, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             bad = client.request(cls, 4000, b"", **{header: value})
             assert (await client.send(bad)).status == status
@@ -168,9 +171,12 @@
     run(test())
 
 
-def test_bytes_that_are_no_request_are_answered_and_end_the_connection() -> None:
+def test_bytes_that_are_not_http_get_an_error_answer_and_close_the_connection() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
+        async with (
+            front_door("127.0.0.1:1", react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
+        ):
             assert (await client.send(b"\x00\x01 nonsense\r\n\r\n")).status == 400
             assert await client.reader.read() == b""
             assert not script.events
@@ -179,9 +185,12 @@
 
 
 @pytest.mark.parametrize("target", [b"http://[::", b"/\xff?customer=0000000000000005", b"*"])
-def test_a_malformed_target_is_the_clients_fault(target: bytes, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_malformed_target_gets_a_client_error(target: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
+        async with (
+            front_door("127.0.0.1:1", react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
+        ):
             answer = await client.send(b"GET " + target + b" HTTP/1.1\r\nHost: x\r\n\r\n")
             assert answer.status in (400, 404) and not script.events
 
@@ -189,9 +198,12 @@
     assert not caplog.records  # nothing is logged per request
 
 
-def test_a_trailer_does_not_stand_in_for_a_header() -> None:
+def test_a_trailer_does_not_replace_a_missing_header() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
+        async with (
+            front_door("127.0.0.1:1", react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
+        ):
             head = client.request(2, Request_Id="", Content_Length="", Transfer_Encoding="chunked")
             answer = await client.send(head + b"3\r\nabc\r\n0\r\nRequest-Id: 9b1f\r\n\r\n")
             assert answer.status == 400 and not script.events
@@ -204,8 +216,8 @@
         backend = Backend(lambda message: http_answer(body=b"x" * SMALL))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            front_door(dial, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             client.writer.write(b"".join(client.request() for _ in range(100)))
             answers = [await read_message(client.reader) for _ in range(100)]
@@ -220,18 +232,21 @@
 @pytest.mark.parametrize(
     "part", [b"", b"GET /class-0?customer=", b"POST /class-2 HTTP/1.1\r\nContent-Length: 9\r\n\r\n"]
 )
-def test_a_peer_that_sends_no_whole_request_is_ended_in_time(part: bytes) -> None:
-    """Within 3 s of connecting it is owed an error or a close, however late its first byte came."""
+def test_a_client_that_sends_no_complete_request_is_disconnected_in_time(part: bytes) -> None:
+    """Within 3 s of connecting it must get an error or a close, however late its first byte came."""
 
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            await until(lambda: door.server.clients)
-            (served,) = door.server.clients
+        async with (
+            front_door("127.0.0.1:1", react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
+        ):
+            await until(lambda: gateway.server.clients)
+            (connection,) = gateway.server.clients
             client.writer.write(part)
-            await until(lambda: served.arriving or not part)
-            served.look(served.opened + HEAD_TIMEOUT - 0.1)
-            assert served.transport is not None and not served.transport.is_closing()
-            served.look(served.opened + HEAD_TIMEOUT + 0.1)
+            await until(lambda: connection.arriving or not part)
+            connection.look(connection.opened + HEAD_TIMEOUT - 0.1)
+            assert connection.transport is not None and not connection.transport.is_closing()
+            connection.look(connection.opened + HEAD_TIMEOUT + 0.1)
             assert (await client.reader.read()).startswith(b"HTTP/1.1 408" if part else b"")
             assert not script.events
 
@@ -239,25 +254,31 @@
     run(test())
 
 
-def test_an_idle_connection_that_has_asked_is_kept() -> None:
+def test_an_idle_connection_is_kept_after_its_first_request() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, _), Client(door.server) as client:
+        async with (
+            front_door("127.0.0.1:1", react=send_on) as (gateway, _),
+            Client(gateway.server) as client,
+        ):
             assert (await client.ask(2)).status == 502
-            (served,) = door.server.clients
-            served.look(served.since + HEAD_TIMEOUT + SWEEP)
+            (connection,) = gateway.server.clients
+            connection.look(connection.since + HEAD_TIMEOUT + SWEEP)
             assert (await client.ask(2)).status == 502
 
     run(test())
 
 
-def test_what_stands_behind_the_last_answer_of_a_connection_is_not_taken(
+def test_requests_after_the_last_answer_of_a_connection_are_ignored(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            await until(lambda: door.server.clients)
-            (served,) = door.server.clients
-            served.surplus = True  # one connection too many: an answer, and the end of this one
+        async with (
+            front_door("127.0.0.1:1", react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
+        ):
+            await until(lambda: gateway.server.clients)
+            (connection,) = gateway.server.clients
+            connection.surplus = True  # a connection beyond the limit gets one answer and is closed
             client.writer.write(b"".join(client.request() for _ in range(5)))
             assert (await read_message(client.reader)).status == 503
             assert await client.reader.read() == b"" and not script.events
@@ -266,66 +287,66 @@
     assert not caplog.records
 
 
-def test_a_client_that_does_not_read_its_answers_is_not_read_either() -> None:
+def test_reading_from_a_client_that_does_not_read_its_answers_is_paused() -> None:
     async def test() -> None:
         backend = Backend(lambda message: http_answer(body=b"x" * SMALL))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            front_door(dial, react=send_on) as (gateway, _),
+            Client(gateway.server) as client,
         ):
-            (served,) = door.server.clients
-            transport = served.transport
+            (connection,) = gateway.server.clients
+            transport = connection.transport
             assert transport is not None
-            asked = 0
+            requests = 0
             while transport.is_reading():  # until the sockets' buffers are full of answers
-                asked += 1
+                requests += 1
                 seen = len(backend.seen)
                 client.writer.write(client.request())
-                await until(lambda seen=seen: len(backend.seen) > seen and not served.pending)  # type: ignore[misc]
+                await until(lambda seen=seen: len(backend.seen) > seen and not connection.pending)  # type: ignore[misc]
             client.writer.write(client.request())
-            for _ in range(asked + 1):  # once it reads, all of it comes
+            for _ in range(requests + 1):  # all answers arrive once it reads
                 answer = await read_message(client.reader)
                 assert (answer.status, len(answer.body)) == (200, SMALL)
 
     run(test())
 
 
-def test_a_client_that_never_reads_does_not_keep_its_connection() -> None:
+def test_a_client_that_never_reads_is_disconnected() -> None:
     async def test() -> None:
         backend = Backend(lambda message: http_answer(body=b"x" * SMALL))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            front_door(dial, react=send_on) as (gateway, _),
+            Client(gateway.server) as client,
         ):
-            (served,) = door.server.clients
-            transport = served.transport
+            (connection,) = gateway.server.clients
+            transport = connection.transport
             assert transport is not None
             while transport.is_reading():
                 seen = len(backend.seen)
                 client.writer.write(client.request())
-                await until(lambda seen=seen: len(backend.seen) > seen and not served.pending)  # type: ignore[misc]
-            served.look(time.monotonic() + IDLE_TIMEOUT / 2)
+                await until(lambda seen=seen: len(backend.seen) > seen and not connection.pending)  # type: ignore[misc]
+            connection.look(time.monotonic() + IDLE_TIMEOUT / 2)
             assert not transport.is_closing()
-            served.look(time.monotonic() + IDLE_TIMEOUT + 1)
-            await until(lambda: not door.server.clients)
+            connection.look(time.monotonic() + IDLE_TIMEOUT + 1)
+            await until(lambda: not gateway.server.clients)
 
     run(test())
 
 
 def test_pipelined_requests_are_answered_in_their_order() -> None:
     async def test() -> None:
-        held: list[i.Request] = []
+        requests: list[i.Request] = []
 
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
-                held.append(event)
-                if len(held) == 2:  # the second is answered first
-                    return [i.Refuse(held[1].request, 0.0), i.Fail(held[0].request)]
+                requests.append(event)
+                if len(requests) == 2:  # the second is answered first
+                    return [i.Refuse(requests[1].request, 0.0), i.Fail(requests[0].request)]
             return []
 
-        async with front_door("127.0.0.1:1", react=react) as (door, _), Client(door.server) as client:
+        async with front_door("127.0.0.1:1", react=react) as (gateway, _), Client(gateway.server) as client:
             first = await client.send(client.request() + client.request())
             assert MOST_PIPELINED >= 2
             assert [first.status, int((await client.reader.readline()).split()[1])] == [502, 503]
@@ -333,29 +354,29 @@
     run(test())
 
 
-def test_a_client_that_goes_away_is_told_to_the_module_and_its_attempt_runs_on() -> None:
+def test_a_clients_disconnect_is_reported_to_the_admission_module_and_its_attempt_continues() -> None:
     async def test() -> None:
         backend = Backend(lambda message: None)
-        async with listening(backend.handle) as dial, front_door(dial, react=send_on) as (door, script):
-            async with Client(door.server) as client:
+        async with listening(backend.handle) as dial, front_door(dial, react=send_on) as (gateway, script):
+            async with Client(gateway.server) as client:
                 client.writer.write(client.request())
                 await until(lambda: backend.seen)
             await until(lambda: script.of(i.Left))
-            assert backend.open == 1 and not script.outcomes() and door.host.table
+            assert backend.open == 1 and not script.outcomes() and gateway.host.table
 
     run(test())
 
 
-def test_outcomes_tell_what_never_ran() -> None:
+def test_outcomes_distinguish_requests_that_never_ran() -> None:
     replies: list[tuple[bytes, Outcome]] = [
         (http_answer(500), Outcome.ERROR),
         (http_answer(503, Not_Started="1"), Outcome.FULL),
         (http_answer(504, Not_Started="1"), Outcome.FULL),
         (http_answer(503), Outcome.ERROR),  # no proof that it never ran
-        (b"", Outcome.RESET),  # closed after the whole request was written
+        (b"", Outcome.RESET),  # closed after the complete request was written
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhalf", Outcome.RESET),
-        (b"what?\r\n\r\n", Outcome.RESET),  # framing is lost, and it may have run
-        (b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppp\r\n" * 2000, Outcome.RESET),  # a head without an end
+        (b"what?\r\n\r\n", Outcome.RESET),  # the framing is lost, and the request may have run
+        (b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppp\r\n" * 2000, Outcome.RESET),  # headers too long
     ]
 
     async def test() -> None:
@@ -363,20 +384,20 @@
             backend = Backend(lambda message, reply=reply: reply)  # type: ignore[misc]
             async with (
                 listening(backend.handle) as dial,
-                front_door(dial, react=send_on) as (door, script),
-                Client(door.server) as client,
+                front_door(dial, react=send_on) as (gateway, script),
+                Client(gateway.server) as client,
             ):
                 assert (await client.ask(2)).status == 502
-                # One attempt each: nothing is sent again silently.
+                # One attempt each: the gateway does not retry by itself.
                 assert (script.outcomes(), len(backend.seen)) == ([expected], 1)
 
     run(test())
 
 
 @pytest.mark.parametrize("surplus", [http_answer(body=b"stray"), b"HTTP/1.1 200 OK\r\nContent-", b"what?"])
-def test_bytes_behind_an_answer_are_not_taken_for_the_next_requests(surplus: bytes) -> None:
-    """One read may hold more than the answer; neither a request that waits for the connection nor the next
-    one on it is served any of that.
+def test_surplus_bytes_after_an_answer_are_not_used_as_the_next_answer(surplus: bytes) -> None:
+    """One read may contain more than the answer.  The surplus must be passed neither to a request that waits
+    for the connection nor to the next request on it.
     """
 
     async def test() -> None:
@@ -384,16 +405,16 @@
 
         def one_at_a_time(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request) and event.request == 2:
-                return []  # sent on once the first is served, so at the earliest moment
+                return []  # sent once the first has been answered, so as early as possible
             if isinstance(event, i.Finished) and event.request == 1:
                 return [i.Send(2, FIRST, 0.0)]
             return send_on(event)
 
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=one_at_a_time) as (door, script),
-            Client(door.server) as one,
-            Client(door.server) as two,
+            front_door(dial, react=one_at_a_time) as (gateway, script),
+            Client(gateway.server) as one,
+            Client(gateway.server) as two,
         ):
             first, second = await asyncio.gather(one.ask(Request_Id="first"), two.ask(Request_Id="second"))
             third = await one.ask(Request_Id="third")
@@ -404,21 +425,21 @@
 
 
 @pytest.mark.parametrize("unsent", [True, False])
-def test_a_request_that_was_not_written_whole_never_ran(unsent: bool) -> None:
-    """The transport tells by pausing its protocol that bytes are left; 64 KiB always fit on loopback, so
-    the test stands in for it.
+def test_a_request_that_was_not_written_completely_never_ran(unsent: bool) -> None:
+    """The transport pauses its protocol while it has unsent bytes.  On loopback 64 KiB always fit, so the
+    test calls the protocol in its place.
     """
 
     async def test() -> None:
         backend = Backend(lambda message: None)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            front_door(dial, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             waiting = asyncio.create_task(client.ask(2))
             await until(lambda: backend.seen)
-            (link,) = door.host.upstream.pools[FIRST].links
+            (link,) = gateway.host.upstream.pools[FIRST].links
             if unsent:
                 link.pause_writing()
             link.abort()
@@ -428,20 +449,20 @@
     run(test())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_a_request_whose_connection_is_refused_never_ran() -> None:
     async def test() -> None:
         async with listening(Backend().handle) as dial:
             pass
-        async with front_door(dial, react=send_on) as (door, script), Client(door.server) as client:
+        async with front_door(dial, react=send_on) as (gateway, script), Client(gateway.server) as client:
             assert (await client.ask(2)).status == 502
             assert script.outcomes() == [Outcome.CONNECT_FAILED]
 
     run(test())
 
 
-def test_a_connection_that_never_comes_up_ends_with_the_connect_timeout() -> None:
+def test_a_connection_that_is_never_established_fails_after_the_connect_timeout() -> None:
     async def test() -> None:
-        # A listener that accepts nothing, its backlog full: further connections hang.
+        # A listener that accepts nothing and whose backlog is full: further connections hang.
         with contextlib.ExitStack() as stack:
             silent = stack.enter_context(socket.socket())
             silent.bind(("127.0.0.1", 0))
@@ -452,7 +473,10 @@
                 with contextlib.suppress(BlockingIOError):
                     filler.connect(silent.getsockname())
             dial = f"127.0.0.1:{silent.getsockname()[1]}"
-            async with front_door(dial, react=send_on) as (door, script), Client(door.server) as client:
+            async with (
+                front_door(dial, react=send_on) as (gateway, script),
+                Client(gateway.server) as client,
+            ):
                 began = time.monotonic()
                 assert (await client.ask(2)).status == 502
                 assert script.outcomes() == [Outcome.CONNECT_FAILED]
@@ -461,13 +485,13 @@
     run(test())
 
 
-def test_a_stale_pooled_connection_ends_as_reset_and_is_not_sent_again() -> None:
+def test_a_request_on_a_stale_pooled_connection_ends_as_reset_and_is_not_sent_again() -> None:
     async def test() -> None:
         backend = Backend(lambda message: http_answer(body=b"x") if len(backend.seen) < 2 else b"")
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            front_door(dial, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             assert (await client.ask(2)).status == 200
             assert (await client.ask(2)).status == 502
@@ -483,8 +507,8 @@
         backend = Backend(lambda message: answers[len(backend.seen) - 1])
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            front_door(dial, react=send_on) as (gateway, _),
+            Client(gateway.server) as client,
         ):
             for opened in (1, 1, 2):
                 assert (await client.ask()).status == 200
@@ -497,18 +521,18 @@
 def test_idle_connections_are_retired_before_the_backend_closes_them(
     monkeypatch: pytest.MonkeyPatch, drawn: float
 ) -> None:
-    """A connection is left alone up to its own age and retired past it, at each end of the ages' spread."""
+    """Each connection is kept up to its own maximum age and retired after it, at both ends of the range."""
 
     async def test() -> None:
         monkeypatch.setattr("hazelspring.gateway.link.random.random", lambda: drawn)
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            front_door(dial, react=send_on) as (gateway, _),
+            Client(gateway.server) as client,
         ):
             assert (await client.ask()).status == 200
-            upstream = door.host.upstream
+            upstream = gateway.host.upstream
             pool = upstream.pools[FIRST]
             (link,) = pool.idle
             age = link.age_part * upstream.keep_idle
@@ -530,13 +554,13 @@
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            front_door(dial, react=send_on) as (gateway, _),
+            Client(gateway.server) as client,
         ):
             assert (await client.ask()).status == 200
-            (address,) = [pool.address for pool in door.host.upstream.pools.values()]
+            (address,) = [pool.address for pool in gateway.host.upstream.pools.values()]
             entry = i.Entry(FIRST, 0, time.time(), i.State.READY, 0, 0, 1.0)
-            door.host.members(i.Members(i.Listing.DELTA, 42, (entry,)), {FIRST: address})
+            gateway.host.members(i.Members(i.Listing.DELTA, 42, (entry,)), {FIRST: address})
             await until(lambda: backend.open == 0)
             assert (await client.ask()).status == 200
             assert backend.opened == 2
@@ -544,14 +568,14 @@
     run(test())
 
 
-def test_load_reports_come_in_the_order_of_the_settings() -> None:
+def test_load_reports_have_the_order_of_the_settings() -> None:
     async def test() -> None:
         loads = ["TEXT queue=2, latency_ms=180.5, util=0.61", "TEXT queue=2", "TEXT queue=x, util=1", ""]
         backend = Backend(lambda message: http_answer(Server_Load=loads[len(backend.seen) - 1]))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            front_door(dial, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             for _ in loads:
                 assert (await client.ask()).status == 200
@@ -561,7 +585,7 @@
     run(test())
 
 
-def test_a_probe_brings_the_load_report() -> None:
+def test_a_probe_returns_the_load_report() -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             return [i.Probe(FIRST), i.Refuse(event.request, 0.0)] if isinstance(event, i.Request) else []
@@ -569,8 +593,8 @@
         backend = Backend(lambda message: http_answer(body=b"TEXT latency_ms=9, util=0.5, queue=1"))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react) as (door, script),
-            Client(door.server) as client,
+            front_door(dial, react=react) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             assert (await client.ask()).status == 503
             await until(lambda: script.of(i.Probed))
@@ -582,42 +606,42 @@
 
 
 @pytest.mark.parametrize("how", ["cancel", "time-out"])
-def test_a_given_up_attempt_has_ended_before_the_next_is_sent(how: str) -> None:
-    """Two attempts must never be out at once: the first one's connection ends, then the module goes on."""
+def test_an_abandoned_attempt_has_ended_before_the_next_is_sent(how: str) -> None:
+    """Two attempts must never run at once: the first one's connection closes before the next is sent."""
 
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
                 return [i.Send(event.request, FIRST, 0.1 if how == "time-out" else 0.0), i.SetTimer(0.0, 1)]
             if isinstance(event, i.Fired) and how == "cancel":
-                # Not before the backend has the request whole, or it would never have been out.
+                # Not before the backend has the complete request: cancelled earlier, it would not be sent.
                 return [i.Cancel(1, 0)] if silent.seen else [i.SetTimer(0.0, 1)]
             if isinstance(event, i.Finished) and event.attempt == 0:
                 return [i.Send(event.request, 2, 0.0)]
             return []
 
         silent = Backend(lambda message: None)
-        open_then: list[int] = []
+        open_at_second_attempt: list[int] = []
 
         def serve(message: Message) -> bytes:
-            open_then.append(silent.open)
+            open_at_second_attempt.append(silent.open)
             return http_answer(body=b"second")
 
         async with (
             listening(silent.handle) as first,
             listening(Backend(serve).handle) as second,
-            front_door(first, second, react=react, caps__second_copies="false") as (door, script),
-            Client(door.server) as client,
+            front_door(first, second, react=react, caps__second_copies="false") as (gateway, script),
+            Client(gateway.server) as client,
         ):
             answer = await client.ask()
-            assert (answer.status, answer.body, open_then) == (200, b"second", [0])
+            assert (answer.status, answer.body, open_at_second_attempt) == (200, b"second", [0])
             expected = Outcome.CANCELLED if how == "cancel" else Outcome.TIMEOUT
             assert script.outcomes() == [expected, Outcome.OK]
 
     run(test())
 
 
-def test_a_second_copy_is_not_sent_where_the_settings_forbid_it() -> None:
+def test_a_second_copy_is_not_sent_if_the_settings_forbid_it() -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
@@ -627,8 +651,8 @@
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react, caps__second_copies="false") as (door, script),
-            Client(door.server) as client,
+            front_door(dial, react=react, caps__second_copies="false") as (gateway, script),
+            Client(gateway.server) as client,
         ):
             assert (await client.ask()).status == 200
             assert script.outcomes() == [Outcome.MOOT, Outcome.OK] and len(backend.seen) == 1
@@ -636,7 +660,7 @@
     run(test())
 
 
-def test_a_request_is_answered_in_time_whatever_the_module_does() -> None:
+def test_a_request_is_answered_in_time_without_an_answer_of_the_admission_module() -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             return [i.Send(event.request, FIRST, 0.0)] if isinstance(event, i.Request) else []
@@ -644,45 +668,47 @@
         backend = Backend(lambda message: None)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react) as (door, script),
-            Client(door.server) as client,
+            front_door(dial, react=react) as (gateway, script),
+            Client(gateway.server) as client,
         ):
             began = time.monotonic()
             assert (await client.ask(2, 300)).status == 504
-            assert time.monotonic() - began < 0.35  # its deadline, and the 50 ms that the rule allows beyond
-            # The attempt was given up before the deadline, and nothing is left behind.
+            assert time.monotonic() - began < 0.35  # its deadline plus the 50 ms that the rule allows
+            # The attempt was abandoned before the deadline, and no state is left.
             assert script.outcomes() == [Outcome.TIMEOUT] and len(script.of(i.Left)) == 1
-            assert not door.host.table and door.host.waiting == 0
+            assert not gateway.host.table and gateway.host.waiting == 0
 
     run(test())
 
 
-def test_an_error_in_the_module_loses_no_request(caplog: pytest.LogCaptureFixture) -> None:
+def test_every_request_is_answered_after_an_error_in_the_admission_module(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request) and event.cls == 0:
-                raise RuntimeError("a bug")
+                raise RuntimeError("first error")
             if isinstance(event, i.Finished) and event.outcome is not Outcome.OK:
-                raise RuntimeError("another")
+                raise RuntimeError("second error")
             return send_on(event)
 
         backend = Backend(lambda message: http_answer(500 if len(backend.seen) == 1 else 200))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react) as (door, _),
-            Client(door.server) as client,
+            front_door(dial, react=react) as (gateway, _),
+            Client(gateway.server) as client,
         ):
-            assert (await client.ask(0)).status == 503  # it never ran, so this is true
+            assert (await client.ask(0)).status == 503  # it never ran, as 503 states
             assert (await client.ask(2)).status == 502  # it may have run
             assert (await client.ask(2)).status == 200
-            assert not door.host.table
+            assert not gateway.host.table
 
     run(test())
     assert "the module failed on Request" in caplog.text and "the module failed on Finished" in caplog.text
 
 
 def test_timers_never_fire_early() -> None:
-    """The module forgets a timer that fires early, and would then stand still until its next event."""
+    """The admission module drops a timer that fires early, and then does nothing until the next event."""
 
     async def test() -> None:
         due: dict[int, float] = {}
@@ -690,13 +716,13 @@
 
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
-                due.update({n: door.host.now + n * 0.0017 for n in range(40)})
+                due.update({n: gateway.host.now + n * 0.0017 for n in range(40)})
                 return [i.SetTimer(at, n) for n, at in due.items()]
             if isinstance(event, i.Fired):
-                fired.append((event.token, door.host.now))
+                fired.append((event.token, gateway.host.now))
             return []
 
-        async with front_door("127.0.0.1:1", react=react) as (door, _), Client(door.server) as client:
+        async with front_door("127.0.0.1:1", react=react) as (gateway, _), Client(gateway.server) as client:
             client.writer.write(client.request())
             await until(lambda: len(fired) == 40)
             assert all(at >= due[n] for n, at in fired)
@@ -705,65 +731,67 @@
 
 
 @pytest.mark.parametrize("sockets", [256, 384, 1024])
-def test_clients_may_hold_a_third_of_the_descriptors(sockets: int) -> None:
+def test_clients_may_use_a_third_of_the_descriptors(sockets: int) -> None:
     async def test() -> None:
-        door = FrontDoor(
+        gateway = FrontDoor(
             dataclasses.replace(config([host_line("s-00000001", "127.0.0.1:1")]), sockets=sockets)
         )
-        most = door.server.most_clients
-        assert most >= sockets / 3 and most + door.host.upstream.most_open + OTHER_SOCKETS <= sockets
-        await door.close()
+        most = gateway.server.most_clients
+        assert most >= sockets / 3 and most + gateway.host.upstream.most_open + OTHER_SOCKETS <= sockets
+        await gateway.close()
 
     run(test())
 
 
-def test_a_connection_that_never_asked_gives_way_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_without_a_request_is_closed_first_when_there_are_too_many(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
-        monkeypatch.setattr(caller, "CROWDED", 2.0)  # else none would be kept
-        async with front_door("127.0.0.1:1", react=send_on) as (door, _):
-            door.server.most_clients = 2
-            async with Client(door.server) as asked, Client(door.server) as silent:
-                assert (await asked.ask(2)).status == 502
-                await until(lambda: len(door.server.clients) == 2)
-                for served in door.server.clients:
-                    served.since -= 1.0 if served.proven else 0.0
-                async with Client(door.server) as third:
+        monkeypatch.setattr(caller, "CROWDED", 2.0)  # otherwise no connection would be kept
+        async with front_door("127.0.0.1:1", react=send_on) as (gateway, _):
+            gateway.server.most_clients = 2
+            async with Client(gateway.server) as active, Client(gateway.server) as silent:
+                assert (await active.ask(2)).status == 502
+                await until(lambda: len(gateway.server.clients) == 2)
+                for connection in gateway.server.clients:
+                    connection.since -= 1.0 if connection.proven else 0.0
+                async with Client(gateway.server) as third:
                     assert (await third.ask(2)).status == 502
                     assert await silent.reader.read() == b""
-                    assert (await asked.ask(2)).status == 502
+                    assert (await active.ask(2)).status == 502
 
     run(test())
 
 
-def test_a_full_table_refuses_the_new_connection_and_none_that_was_there() -> None:
+def test_at_the_limit_a_new_connection_is_refused_and_the_existing_ones_are_kept() -> None:
     async def test() -> None:
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as one,
-            Client(door.server) as two,
+            front_door(dial, react=send_on) as (gateway, _),
+            Client(gateway.server) as one,
+            Client(gateway.server) as two,
         ):
-            await until(lambda: len(door.server.clients) == 2)
-            door.server.most_clients = 1
-            for served in door.server.clients:
-                served.arriving = True  # none gives way
-            async with Client(door.server) as three:
+            await until(lambda: len(gateway.server.clients) == 2)
+            gateway.server.most_clients = 1
+            for connection in gateway.server.clients:
+                connection.arriving = True  # so that none of them may be closed
+            async with Client(gateway.server) as three:
                 assert (await three.ask()).status == 503
                 assert [(await c.ask()).status for c in (one, two)] == [200, 200]
 
     run(test())
 
 
-def test_descriptors_are_bounded_and_surplus_clients_are_refused() -> None:
+def test_clients_beyond_the_limit_on_descriptors_are_refused() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=lambda event: []) as (door, script):
-            door.server.most_clients = 2
-            async with Client(door.server) as one, Client(door.server) as two:
+        async with front_door("127.0.0.1:1", react=lambda event: []) as (gateway, script):
+            gateway.server.most_clients = 2
+            async with Client(gateway.server) as one, Client(gateway.server) as two:
                 for busy in (one, two):
                     busy.writer.write(busy.request())
                 await until(lambda: len(script.of(i.Request)) == 2)
-                async with Client(door.server) as three:
+                async with Client(gateway.server) as three:
                     answer = await three.ask()
                 assert (answer.status, "retry-after" in answer.headers) == (503, True)
                 assert len(script.of(i.Request)) == 2
@@ -771,7 +799,7 @@
     run(test())
 
 
-def test_backend_connections_are_bounded_and_idle_ones_make_room() -> None:
+def test_backend_connections_are_bounded_and_idle_ones_are_closed_for_new_ones() -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
@@ -782,22 +810,22 @@
         async with (
             listening(one.handle) as first,
             listening(two.handle) as second,
-            front_door(first, second, second, react=react) as (door, script),
-            Client(door.server) as client,
-            Client(door.server) as other,
+            front_door(first, second, second, react=react) as (gateway, script),
+            Client(gateway.server) as client,
+            Client(gateway.server) as other,
         ):
-            door.host.upstream.most_open = 1
+            gateway.host.upstream.most_open = 1
             assert (await client.ask(0)).status == 200
-            client.writer.write(client.request(1))  # the idle connection to the first makes room
+            client.writer.write(client.request(1))  # closes the idle connection to the first backend
             await until(lambda: two.seen)
             await until(lambda: one.open == 0)
-            assert (await other.ask(2)).status == 502  # no room left: it never ran
+            assert (await other.ask(2)).status == 502  # at the limit: it never ran
             assert script.outcomes() == [Outcome.OK, Outcome.FULL]
 
     run(test())
 
 
-def test_after_sigterm_it_serves_on_and_finishes_what_it_holds() -> None:
+def test_after_sigterm_new_requests_are_served_and_open_ones_are_finished() -> None:
     async def test() -> None:
         go = asyncio.Event()
 
@@ -817,15 +845,15 @@
         async with (
             listening(backend.handle) as first,
             listening(slow) as second,
-            front_door(first, second, react=react) as (door, script),
-            Client(door.server) as held,
-            Client(door.server) as client,
+            front_door(first, second, react=react) as (gateway, script),
+            Client(gateway.server) as waiting_client,
+            Client(gateway.server) as client,
         ):
-            waiting = asyncio.create_task(held.ask(2))
+            waiting = asyncio.create_task(waiting_client.ask(2))
             await until(lambda: script.of(i.Request))
-            drained = asyncio.create_task(door.drain())
+            drained = asyncio.create_task(gateway.drain())
             await asyncio.sleep(0)
-            async with Client(door.server) as late:  # connections go on coming for a while
+            async with Client(gateway.server) as late:  # new connections are accepted for a while
                 assert (await late.ask()).status == 200
             assert (await client.ask()).status == 200
             assert await client.reader.read() == b""  # closed between requests
@@ -837,74 +865,74 @@
     run(test())
 
 
-def test_what_cannot_finish_before_sigkill_gets_a_truthful_answer() -> None:
+def test_a_request_that_cannot_finish_before_sigkill_is_answered_with_504() -> None:
     async def test() -> None:
         backend = Backend(lambda message: None)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=lambda e: send_on(e) if isinstance(e, i.Request) else []) as (door, _),
-            Client(door.server) as client,
+            front_door(dial, react=lambda e: send_on(e) if isinstance(e, i.Request) else []) as (gateway, _),
+            Client(gateway.server) as client,
         ):
             waiting = asyncio.create_task(client.ask(2, 60_000))
             await until(lambda: backend.seen)
-            door.drain_time = 0.7
-            await door.drain()
+            gateway.drain_time = 0.7
+            await gateway.drain()
             assert (await waiting).status == 504
 
     run(test())
 
 
-def test_front_doors_name_a_lease_alike() -> None:
-    """Lease windows follow from Unix time: with a clock of its own a front door would lease other names."""
+def test_gateways_use_the_same_name_for_a_lease() -> None:
+    """Lease windows are derived from Unix time; a gateway with another clock would lease other names."""
 
     async def test() -> None:
         tally, backend = Tally(), Backend()
         async with (
             listening(tally.handle) as counter,
             listening(backend.handle) as dial,
-            front_door(dial, counter=counter) as (door, _),
+            front_door(dial, counter=counter) as (gateway, _),
             front_door(dial, counter=counter) as (other, _),
-            Client(door.server) as client,
+            Client(gateway.server) as client,
             Client(other.server) as second,
         ):
-            # Just after an edge of this customer's windows of 2 s, so that none falls between the two.
+            # Shortly after the start of one of this customer's windows of 2 s, so that both are in it.
             edge = mix(5) / 2**64 * 2.0
             await until(lambda: (time.time() + edge) % 2.0 < 1.0)
             assert (await client.ask()).status == 200
             assert (await second.ask()).status == 200
-            assert abs(door.host.now - time.time()) < 5
+            assert abs(gateway.host.now - time.time()) < 5
             names = [name for _, name, *_ in tally.calls]
             assert len(names) == 2 and names[0] == names[1]
 
     run(test())
 
 
-def test_answered_connections_are_not_kept_while_there_are_many() -> None:
-    """Clients hold a bounded number in all: where each keeps its own, idle ones would shut the others out."""
+def test_connections_are_closed_after_an_answer_while_there_are_many() -> None:
+    """The number of client connections is bounded: idle ones that are kept would exclude other clients."""
 
     async def test() -> None:
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as one,
-            Client(door.server) as two,
+            front_door(dial, react=send_on) as (gateway, _),
+            Client(gateway.server) as one,
+            Client(gateway.server) as two,
         ):
-            door.server.most_clients = 4
+            gateway.server.most_clients = 4
             assert "connection" not in (await one.ask()).headers
-            async with Client(door.server) as three:
+            async with Client(gateway.server) as three:
                 answer = await three.ask()
                 assert (answer.status, answer.headers["connection"]) == (200, "close")
                 assert await three.reader.read() == b""
-            await until(lambda: len(door.server.clients) == 2)
+            await until(lambda: len(gateway.server.clients) == 2)
             assert "connection" not in (await two.ask()).headers
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("seconds", "said"), [(0.0, None), (1e-5, "0.001"), (0.0004, "0.001"), (0.25, "0.250")]
+    ("seconds", "header"), [(0.0, None), (1e-5, "0.001"), (0.0004, "0.001"), (0.25, "0.250")]
 )
-def test_an_advice_is_never_rounded_to_none(seconds: float, said: str | None) -> None:
+def test_a_retry_after_value_is_never_rounded_to_zero(seconds: float, header: str | None) -> None:
     head = encode(Answer(503, retry_after=seconds), False).decode()
-    assert (f"Retry-After: {said}\r\n" in head) if said else ("Retry-After" not in head)
+    assert (f"Retry-After: {header}\r\n" in head) if header else ("Retry-After" not in head)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""The program itself: a start, readiness and SIGTERM."""
+"""The gateway as a process: start, readiness, SIGHUP and SIGTERM."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @contextlib.asynccontextmanager
 async def started(path: Path, **changes: str) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program with this configuration, once it is ready."""
+    """The gateway process with this configuration, once it is ready."""
     port = free_port()
     env = dict(os.environ) | {"NODE_CONFIG": str(path), "NODE_LISTEN": f"127.0.0.1:{port}"} | changes
     process = await asyncio.create_subprocess_exec(
@@ -50,7 +50,7 @@
             await process.wait()
 
 
-def test_it_starts_becomes_ready_and_ends_on_sigterm(tmp_path: Path) -> None:
+def test_the_process_starts_becomes_ready_and_exits_on_sigterm(tmp_path: Path) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         async with listening(Backend().handle) as dial, listening(Agent().handle) as agent:
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("broken", [False, True])
-def test_sighup_moves_to_the_addresses_in_the_file_and_ends_nothing(tmp_path: Path, broken: bool) -> None:
+def test_sighup_applies_new_addresses_and_keeps_the_process_running(tmp_path: Path, broken: bool) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         old, new, tally = Agent(), Agent(), Tally()
@@ -78,7 +78,7 @@
             path.write_text(config_text(known, counter, before))
             async with started(path, NODE_DISCOVERY=before) as process:
                 await until(lambda: old.targets)
-                if broken:  # a file that cannot be read changes nothing
+                if broken:  # a malformed file changes nothing
                     path.write_text("{")
                     process.send_signal(signal.SIGHUP)
                     assert process.stderr is not None and b"reload" in await process.stderr.readline()
