--- a/hazelspring/gateway/__main__.py
+++ b/hazelspring/gateway/__main__.py
@@ -89,7 +89,7 @@
         print(one_line(problem))
     for key in found.unknown:
         print(f"{one_line(key)}: unknown, skipped")
-    print(f"{path}: {'would be applied' if found.config is not None else 'would not be applied'}")
+    print(f"{path}: {'would be taken' if found.config is not None else 'would not be taken'}")
     return 0 if found.config is not None else 2
 
 
--- a/hazelspring/gateway/config.py
+++ b/hazelspring/gateway/config.py
@@ -163,9 +163,7 @@
     def walk(self, value: object, path: str) -> Iterator[str]:
         """Yield the problems of a part of the document; `path` is empty or ends with a dot."""
         if isinstance(value, dict):
-            yield from (
-                f"{path}{name}: occurs more than once" for at, name in self.repeated_keys if at is value
-            )
+            yield from (f"{path}{name}: stands twice" for at, name in self.repeated_keys if at is value)
             for name, inner in value.items():
                 yield from self.walk(inner, f"{path}{name}.")
         elif isinstance(value, list):
@@ -210,7 +208,7 @@
     kinds = own.listed("host_types")
     sockets = top.count("limits.sockets")
     if not any(problem.startswith("limits.sockets:") for problem in top.problems) and sockets < 64:
-        top.wrong("limits.sockets", "too few for the gateway to run")
+        top.wrong("limits.sockets", "too few to serve with")
     name = env.get("NODE_NAME") or top.text("name")
     seed, passed = top.text("seed"), env.get("NODE_PASSED_SOCKET") or ""
     try:
@@ -225,7 +223,7 @@
     if before is not None:
         management = before.management if named == before.file_management else named
     if settings.has_counter and raw.get("counter") is None:
-        top.problems.append("counter: the settings enable the quota counter, but its address is missing")
+        top.problems.append("counter: the settings name a counter, but no address is given")
     if passed and not passed.isdecimal():
         top.problems.append(f"$NODE_PASSED_SOCKET: not a descriptor: {passed}")
     known = raw.get("known") or {}
@@ -234,11 +232,9 @@
     elif known and not (is_number(known.get("seq")) and math.isfinite(known["seq"])):
         top.problems.append(f"known.seq: not a number: {known.get('seq')}")
     names = [c.name for c in settings.classes]
-    own.problems += [
-        f"classes: more than one has the name {n}" for n in sorted(set(names)) if names.count(n) > 1
-    ]
+    own.problems += [f"classes: two have one name: {n}" for n in sorted(set(names)) if names.count(n) > 1]
     for path in sorted(missing_keys(before.raw, nested) if before is not None and not rollback else ()):
-        problems.append(f"{path}: missing or not a number, unlike in the running configuration")
+        problems.append(f"{path}: missing or no number, and was there before")
     problems += top.problems
     problems += [f"settings.{problem}" for problem in own.problems]
     top.read |= {*ADDRESSES, "limits.cores", "limits.memory_mb"}
@@ -388,7 +384,7 @@
                 return text
     except OSError as error:
         raise ConfigError(f"cannot read the configuration: {error}") from None
-    raise ConfigError(f"cannot read the configuration: it changed during each of {MAX_READ_ATTEMPTS} reads")
+    raise ConfigError("cannot read the configuration: it is replaced again and again")
 
 
 def file_identity(found: os.stat_result) -> tuple[int, int, int, int]:
--- a/hazelspring/gateway/generations.py
+++ b/hazelspring/gateway/generations.py
@@ -145,7 +145,7 @@
                     step.discard()
             if not isinstance(error, OSError | ConfigError):
                 log.exception("a component failed to prepare a change of the configuration")
-            raise RefusedError(422, one_line(f"configuration not applied: {error}")) from None
+            raise RefusedError(422, one_line(f"nothing taken: {error}")) from None
         self.config, self.running, self.earlier = config, applied, earlier
         for step in steps:
             try:
@@ -182,7 +182,7 @@
         except (ConfigError, RefusedError) as error:
             log.warning(
                 "reload: configuration not applied: %s",
-                str(error).removeprefix("configuration not applied: "),
+                str(error).removeprefix("nothing taken: "),
             )
             return
         names = ", ".join(c.name for c in config.settings.classes)
@@ -220,9 +220,9 @@
         self.check_if_match(if_match)
         self.check_no_confirm_pending()
         if before is not self.config:
-            raise RefusedError(409, f"generation {self.running.number} was applied meanwhile")
+            raise RefusedError(409, f"generation {self.running.number} was taken meanwhile")
         if found.config is None:
-            raise RefusedError(422, f"configuration not applied: {ConfigError(*found.problems)}")
+            raise RefusedError(422, f"nothing taken: {ConfigError(*found.problems)}")
         if changed := [
             k
             for k, a, b in zip(
@@ -230,16 +230,14 @@
             )
             if a != b
         ]:
-            raise RefusedError(
-                422, f"configuration not applied: {', '.join(changed)} can change only with a restart"
-            )
+            raise RefusedError(422, f"nothing taken: {', '.join(changed)} can change with a restart only")
         return self.apply(found.config, "put", confirm)
 
     async def diff(self, text: bytes) -> list[str]:
         """Return the lines of `config_diff` for a text.  Raises RefusedError if it would not be applied."""
         before, found = await self.check_text(text)
         if found.config is None:
-            raise RefusedError(422, f"would not be applied: {ConfigError(*found.problems)}")
+            raise RefusedError(422, f"would not be taken: {ConfigError(*found.problems)}")
         return await self.loop.run_in_executor(self.executor, config_diff, before, found.config)
 
     def check_if_match(self, if_match: int | None) -> None:
@@ -275,7 +273,7 @@
         text = zlib.decompress(kept.packed)
         found = check(text, self.env, self.config, rollback=True)
         if found.config is None:
-            raise RefusedError(422, f"configuration not applied: {ConfigError(*found.problems)}")
+            raise RefusedError(422, f"nothing taken: {ConfigError(*found.problems)}")
         if kept.addresses is None:
             return found.config
         discovery, management = kept.addresses
@@ -287,7 +285,7 @@
         if self.closed:
             raise RefusedError(503, "this process is about to end")
         if self.confirm_by is None:
-            raise RefusedError(409, "no generation is awaiting confirmation")
+            raise RefusedError(409, "nothing is to be confirmed")
         try:
             self.keep(self.running, self.config, self.earlier, None)
         except OSError as error:
--- a/hazelspring/gateway/management.py
+++ b/hazelspring/gateway/management.py
@@ -99,7 +99,7 @@
         self.timer = self.management.loop.call_later(
             CALL_TIMEOUT,
             self.answer,
-            text_reply(408, f"the call did not arrive completely within {CALL_TIMEOUT} s"),
+            text_reply(408, "the call did not come whole"),
         )
         self.management.add(self)
 
@@ -121,7 +121,7 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.answer(text_reply(400, "malformed call"))
         if self.size > self.max_size:
-            self.answer(text_reply(413, "the call is too large"))
+            self.answer(text_reply(413, "too large for a call"))
 
     def on_url(self, url: bytes) -> None:
         """Append to the URL, of which the parser may pass several pieces."""
@@ -150,7 +150,7 @@
             self.buffered += len(body)
             self.management.buffered += len(body)
             if self.management.buffered > MAX_BUFFERED_BYTES:
-                self.answer(text_reply(503, "too many configurations are being received"))
+                self.answer(text_reply(503, "too many configurations are on their way"))
 
     def release(self) -> None:
         """Free the body."""
@@ -180,7 +180,7 @@
             self.answer(text_reply(error.status, str(error)))
         except Exception:
             log.exception("management: a call failed")
-            self.answer(text_reply(500, "internal error"))
+            self.answer(text_reply(500, "failed here"))
 
     def answer(self, reply: Reply) -> None:
         """Send the reply and close the connection, unless the call was answered before."""
@@ -263,7 +263,7 @@
         if allowed is None:
             return text_reply(404, "no such call")
         if call.method not in allowed:
-            return text_reply(405, f"this call requires the method {b' or '.join(allowed).decode()}")
+            return text_reply(405, f"this call is a {b' or '.join(allowed).decode()}")
         if call.path == READY:
             return text_reply(200, "ready") if self.ready() else text_reply(503, "not ready")
         if call.path in (DETACH, ATTACH):
@@ -282,13 +282,13 @@
             (self.handover.detach if call.path == DETACH else self.handover.attach)(backend)
         except OSError as error:
             log.warning("management: cannot write to the shared folder: %s", error)
-            return text_reply(500, "could not be written to the shared folder")
+            return text_reply(500, "could not be put on file")
         return text_reply(200, "detached" if call.path == DETACH else "attached")
 
     async def scrape(self) -> Reply:
         """Return the metrics.  Raises RefusedError while another scrape is served."""
         if self.scrape_running:
-            raise RefusedError(503, "another scrape is in progress")
+            raise RefusedError(503, "another scrape is under way")
         self.scrape_running = True
         try:
             return Reply(200, await self.metrics.text(), CONTENT_TYPE)
@@ -310,12 +310,12 @@
         if_match = parse_if_match(call.if_match)
         if call.path == CONFIGURATION:
             applied = await generations.put(call.body, if_match, parse_confirm_timeout(call.query))
-            return text_reply(200, f"generation {applied.number} applied", applied)
+            return text_reply(200, f"generation {applied.number} taken", applied)
         if call.path == CONFIRM:
             confirmed = generations.confirm(if_match)
             return text_reply(200, f"generation {confirmed.number} confirmed", confirmed)
         applied = generations.rollback(parse_generation(call.body.strip().decode("latin-1")), if_match)
-        return text_reply(200, f"generation {applied.number} applied: {applied.source}", applied)
+        return text_reply(200, f"generation {applied.number} taken: {applied.source}", applied)
 
     def close(self) -> None:
         """Stop listening and abort all connections."""
@@ -333,7 +333,7 @@
     Raises RefusedError.
     """
     if text and not NUMBER.fullmatch(text):
-        raise RefusedError(400, "the body is not the number of a generation")
+        raise RefusedError(400, "not the number of a generation")
     return int(text) if text else None
 
 
@@ -346,7 +346,7 @@
         return None
     found = text.removeprefix("W/").strip('"')
     if not NUMBER.fullmatch(found):
-        raise RefusedError(412, "If-Match is not the number of a generation")
+        raise RefusedError(412, "If-Match names no generation")
     return int(found)
 
 
@@ -363,5 +363,5 @@
     except ValueError:
         found = math.nan
     if name != "confirm" or not 0 < found <= MAX_CONFIRM_TIMEOUT:
-        raise RefusedError(400, f"the query is not confirm=SECONDS with at most {MAX_CONFIRM_TIMEOUT:.0f} s")
+        raise RefusedError(400, "not confirm=SECONDS")
     return found
