--- a/hazelspring/daemon/client_listener.py
+++ b/hazelspring/daemon/client_listener.py
@@ -1,4 +1,4 @@
-"""The address for clients: route, tenant and time limit of each request, and the answers to clients."""
+"""Serves HTTP clients: finds the route, tenant and time limit of each request, and sends the answers."""
 
 from __future__ import annotations
 
@@ -39,22 +39,22 @@
 from hazelspring.routing.events import AbandonAttempt, LeaseCredits, RejectOverQuota, RequestArrived
 from hazelspring.routing.request_router import RequestRouter
 
-NOT_READY_RETRY_AFTER = 0.25  # seconds after which to come again where no configuration is known yet
+NOT_READY_RETRY_AFTER = 0.25  # seconds; sent with a 503, such as while no configuration is known
 BEARER_PREFIX = b"bearer "
 MAX_ATTEMPT_ID_BYTES = 256
-MAX_REMAINING_DIGITS = 9  # of the remaining time, in milliseconds
-UNKNOWN_INSTANCE = b"-"  # stands for the id of a server that is no longer listed
+MAX_REMAINING_DIGITS = 9  # digits of the remaining time, which is in milliseconds
+UNKNOWN_INSTANCE = b"-"  # sent as the id of a server that is no longer listed
 
 
 @dataclass(slots=True)
 class FinalAnswer(Answer):
-    """A whole answer; `headers` are those of the server that gave it, each with its line end."""
+    """A complete answer; `headers` are the forwarded headers of the server's answer, each ending in CRLF."""
 
     headers: bytes = b""
 
 
 def encode(answer: Answer, close: bool) -> bytes:
-    """Return a whole answer as it is sent; `close`: the connection ends after it."""
+    """Return the bytes of a complete answer; `close`: the connection is closed after it."""
     head = status_line(answer.status) + b"Content-Length: %d\r\n" % len(answer.body)
     if isinstance(answer, FinalAnswer):
         head += answer.headers
@@ -66,7 +66,7 @@
 
 
 def flow_head(flow: Flow, chunked: bool, close: bool) -> bytes:
-    """Return the head of an answer whose body follows in pieces; `close`: the connection ends after it."""
+    """Return the head of an answer whose body is streamed; `close`: the connection is closed after it."""
     stream = cast(UpstreamStream, flow)
     head = status_line(stream.status) + stream.headers
     if flow.length is not None:
@@ -77,7 +77,7 @@
 
 
 class RouterHost(Host[RequestRouter]):
-    """Carries out the actions of the request router, and hands it the events of clients and servers."""
+    """Executes the actions of the request router, and passes it the events of clients and servers."""
 
     held_by = (RequestArrived, Finished)
 
@@ -92,12 +92,12 @@
         self.lease = lease
 
     def clock(self) -> float:
-        """Return the time in seconds, and keep it as the time of what is handled now."""
+        """Return the monotonic time in seconds, and store it as the time of the event being handled."""
         self.now = time.monotonic()
         return self.now
 
     def carry_out(self, action: Any) -> None:
-        """Carry out one action of the router."""
+        """Execute one action of the router."""
         match action:
             case LeaseCredits():
                 self.lease(action.call)
@@ -113,7 +113,10 @@
                 super().carry_out(action)
 
     def fail(self, number: int) -> None:
-        """Answer a request that failed: with its server's answer, else with a 502, which leaves open whether it ran."""
+        """Answer a failed request with its server's answer, or else with a 502.
+
+        A 502 leaves open whether the request ran.
+        """
         request = self.table.get(number)
         reply = request.last if request is not None else None
         if isinstance(reply, UpstreamReply):
@@ -128,7 +131,7 @@
         done: Callable[[Result], None],
         begun: Callable[[Flow], Sink | None],
     ) -> Attempt:
-        """Return a new attempt of a request; a server's own answer of a failure is kept for the client."""
+        """Return a new attempt of a request; an error answer from the server is stored for the client."""
 
         def on_result(result: Result) -> None:
             if isinstance(result, UpstreamReply) and result.outcome is Outcome.ERROR:
@@ -138,9 +141,9 @@
         return UpstreamAttempt(request.mark, payload, on_result, begun, request.upload)
 
     def answer_all(self) -> None:
-        """Answer every open request, as the process ends.
+        """Answer every open request when the process ends.
 
-        A request that went to no server gets a 503, which says that it has not run.
+        A request that was not sent to any server gets a 503, which states that it has not run.
         """
         for request in list(self.table.values()):
             if not request.settled and not request.sent:
@@ -156,7 +159,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestTerms:
-    """What decides how a request is served; `timeout` in seconds."""
+    """The properties of a request that determine how it is served; `timeout` is in seconds."""
 
     route: Route
     tenant: Tenant | None
@@ -189,7 +192,7 @@
         unknown = is_unknown(configuration, route, tenant)
         if (
             unknown and not listener.is_confirmed()
-        ):  # the route or the key may be newer than what is known here
+        ):  # the route or the key may be newer than this node's configuration
             refuse(exchange)
             return
         if route is None:
@@ -208,9 +211,9 @@
         return path.decode("latin-1")
 
     def reject(self, error: BadRequest) -> None:
-        """Answer a request whose body broke off.
+        """Answer a request whose body is incomplete or malformed.
 
-        Once a part of it went to a server, no status is used that says that the request has not run.
+        After a part of it was sent to a server, a status that states that it has not run becomes 502.
         """
         request = self.exchange.request if self.exchange is not None else None
         if error.status in NOT_EXECUTED_STATUSES and request is not None and request.sent:
@@ -218,7 +221,7 @@
         super().reject(error)
 
     def submit(self, exchange: Exchange, listener: ClientListener, terms: RequestTerms) -> None:
-        """Hand a request to the router; refuse it where the bodies that are held take too much memory."""
+        """Pass a request to the router; refuse it if the buffered bodies would exceed `MOST_HELD` bytes."""
         method, body, upload = self.parser.get_method(), b"".join(self.body), exchange.upload
         if listener.held + len(body) > MOST_HELD:
             refuse(exchange)
@@ -244,18 +247,21 @@
 
 
 def refuse(exchange: Exchange) -> None:
-    """Answer that a request has not run and may be sent again soon."""
+    """Answer with a 503, which states that the request has not run and may be sent again soon."""
     exchange.reply(FinalAnswer(503, retry_after=NOT_READY_RETRY_AFTER))
 
 
 def find_route(configuration: Configuration, host: bytes, path: str) -> Route | None:
-    """Return the route of a Host header and a path; a route of the name with its port is preferred."""
+    """Return the route for a Host header and a path; a route that names the port is preferred."""
     name = host.decode("latin-1").lower()
     return configuration.find_route(name, path) or configuration.find_route(name.rpartition(":")[0], path)
 
 
 def find_tenant(configuration: Configuration, route: Route | None, authorization: bytes) -> Tenant | None:
-    """Return the tenant of an Authorization header; None where the route asks for none, or no key is known."""
+    """Return the tenant whose key is in an Authorization header.
+
+    The result is None if the route has open access, or if the key is missing or unknown.
+    """
     if route is None or route.open_access:
         return None
     if authorization[: len(BEARER_PREFIX)].lower() != BEARER_PREFIX:
@@ -264,14 +270,14 @@
 
 
 def is_unknown(configuration: Configuration, route: Route | None, tenant: Tenant | None) -> bool:
-    """Return whether the configuration lacks a request's route, or the tenant that the route asks for."""
+    """Return whether the configuration lacks a request's route, or the tenant that the route requires."""
     if route is None:
         return True
     return tenant is None and not route.open_access and bool(configuration.tenants)
 
 
 def attempt_id(headers: dict[bytes, bytes]) -> bytes:
-    """Return the id that the request's answer must bear; raises BadRequest where there is none or it is too long."""
+    """Return the request's attempt id; raises BadRequest if it is missing or too long."""
     found = headers.get(ATTEMPT_ID_HEADER, b"")
     if not found or len(found) > MAX_ATTEMPT_ID_BYTES:
         raise BadRequest("no X-Hazelspring-Attempt-Id")
@@ -279,9 +285,10 @@
 
 
 def time_limit(headers: dict[bytes, bytes], timeout: float) -> float:
-    """Return the seconds for a request: the route's `timeout`, or less where the client has less left.
+    """Return the time limit of a request in seconds.
 
-    Raises BadRequest where the client's remaining time is malformed.
+    It is the route's `timeout`, or the client's remaining time where that is shorter.  Raises BadRequest
+    where the remaining time is malformed.
     """
     remaining = headers.get(REMAINING_TIME_HEADER)
     if remaining is None:
@@ -292,7 +299,7 @@
 
 
 class ClientListener(Listener):
-    """The node's listening address for clients."""
+    """Listens for clients, and holds the configuration by which their requests are served."""
 
     encode = staticmethod(encode)
     flow_head = staticmethod(flow_head)
@@ -302,14 +309,14 @@
     def __init__(
         self, listen: Address, host: RouterHost, max_clients: int, is_confirmed: Callable[[], bool]
     ) -> None:
-        """`is_confirmed` returns whether the configuration here is known to be the newest."""
+        """`is_confirmed` returns whether this node's configuration is known to be the newest."""
         super().__init__(listen, None, host, max_clients)
         self.make = ClientConnection
         self.configuration: Configuration | None = None
         self.is_confirmed = is_confirmed
 
     def use_configuration(self, configuration: Configuration) -> None:
-        """Serve requests by a configuration from now on."""
+        """Use a configuration and its limits for requests from now on."""
         self.configuration = configuration
         limits = configuration.limits
         self.most_head, self.most_body = limits.max_head_bytes, limits.max_body_bytes
--- a/hazelspring/daemon/request_head.py
+++ b/hazelspring/daemon/request_head.py
@@ -1,4 +1,4 @@
-"""The head of a client's request as it goes to a server, and the names of the headers that matter on the way."""
+"""Builds the head of a request forwarded to a server, and names the headers that the node handles."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 HOST_HEADER = b"host"
 SINGLE_HEADERS = frozenset(
     (ATTEMPT_ID_HEADER, REMAINING_TIME_HEADER, HOST_HEADER, AUTHORIZATION_HEADER, b"content-length")
-)  # headers that decide what becomes of a request: they must not be repeated
+)  # headers that determine how a request is handled: none may occur twice
 REPLACED_HEADERS = HOP_BY_HOP | {
     REMAINING_TIME_HEADER,
     TENANT_HEADER,
@@ -28,7 +28,7 @@
 
 
 def connection_headers(headers: Headers) -> set[bytes]:
-    """Return the lower-case names of the headers that concern the client's connection alone."""
+    """Return the lower-case names of the headers listed in Connection, which must not be forwarded."""
     names = set[bytes]()
     for name, value in headers:
         if name == CONNECTION_HEADER:
@@ -37,7 +37,7 @@
 
 
 def forwarded_head(method: bytes, target: bytes, headers: Headers, tenant: str | None) -> bytes:
-    """Return the request line and the headers that are forwarded, with the tenant's name where there is one."""
+    """Return the request line and the forwarded headers, with the tenant's name if there is one."""
     excluded = connection_headers(headers)
     head = b"%s %s HTTP/1.1\r\n" % (method, target)
     head += join_headers(
@@ -49,19 +49,25 @@
 
 
 def join_headers(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """Return headers as they are sent, each with its line end."""
+    """Return headers in the format in which they are sent, each ending in CRLF."""
     return b"".join(b"%s: %s\r\n" % pair for pair in headers)
 
 
 def body_framing(method: bytes, body: bytes) -> bytes:
-    """Return the header that frames a body that is held whole; nothing for an empty one that needs none."""
+    """Return the Content-Length header of a fully buffered body.
+
+    The result is empty where the body is empty and the method needs no such header.
+    """
     if body or method not in METHODS_WITHOUT_BODY:
         return b"Content-Length: %d\r\n" % len(body)
     return b""
 
 
 def attempt_payload(head: bytes, body: bytes, instance: bytes, remaining: float) -> bytes:
-    """Return the whole request of one attempt: `remaining` in seconds, `instance` the id of the server meant."""
+    """Return the request as sent in one attempt.
+
+    `remaining` is the time left in seconds, `instance` the id of the intended server.
+    """
     return b"%bX-Hazelspring-Expected-Instance: %b\r\nX-Hazelspring-Remaining-Milliseconds: %d\r\n\r\n%b" % (
         head,
         instance,
--- a/hazelspring/daemon/upstream_servers.py
+++ b/hazelspring/daemon/upstream_servers.py
@@ -1,7 +1,8 @@
 """Connections to servers.
 
-An answer is matched to its attempt by the attempt's id; a success must also bear the server's seal and its whole
-length.  Anything else is no answer: what came of it never reaches a client as if it were whole.
+An answer is matched to its attempt by the attempt's id; a success must also contain the server's seal and
+have its full length.  Anything else does not count as an answer, and its data is never passed to a client as
+a complete one.
 """
 
 from __future__ import annotations
@@ -29,18 +30,18 @@
 )  # headers of an answer that are forwarded to its client
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # sent to clients only for requests that have not run
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d{1,6})")  # in a Keep-Alive header, in seconds
-MISDIRECTED = 421  # another server has the address; where it says which one, the request did not run
+MISDIRECTED = 421  # another server has the address; if it names its instance, the request has not run
 
 
 class MissingSealError(HazelspringError, ValueError):
-    """A server's success does not bear its seal; the connection ends as for a malformed answer."""
+    """A server's success lacks the seal; the connection is closed as for a malformed answer."""
 
     code = "missing_seal"
 
 
 @dataclass(slots=True)
 class UpstreamReply(Result):
-    """A server's whole answer; `headers` are those that are forwarded."""
+    """A server's complete answer; `headers` are those that are forwarded to the client."""
 
     status: int = 0
     headers: bytes = b""
@@ -48,14 +49,14 @@
 
 @dataclass(slots=True)
 class UpstreamStream(Flow):
-    """A large answer whose body is still to come; `headers` are those that are forwarded."""
+    """A large answer whose body is still to come; `headers` are those that are forwarded to the client."""
 
     headers: bytes = b""
     status: int = 200
 
 
 class UpstreamAttempt(Attempt):
-    """A request on its way to a server, with the id that its answer must bear."""
+    """An attempt to have a server execute a request, with the id that the answer must contain."""
 
     __slots__ = ("id",)
 
@@ -72,31 +73,31 @@
         "foreign",
         "forwarded_headers",
         "id",
-        "instance_named",
-        "out_of_step",
+        "named_instance",
+        "received_foreign",
         "seal",
     )
 
     def __init__(self, pool: Pool) -> None:
         super().__init__(pool)
-        self.foreign = False  # the answer that is read now belongs to another request
-        self.out_of_step = False  # a foreign answer has come: the connection is not used again
+        self.foreign = False  # the answer being read belongs to another request
+        self.received_foreign = False  # such an answer was received, so the connection is not reused
 
     def carry(self, attempt: Attempt) -> None:
-        """Send an attempt; count it where its server was known to leave."""
-        cast(UpstreamServers, self.pool.owner).count_late(self.pool.name)
+        """Send an attempt, and count it if its server is already known to be leaving."""
+        cast(UpstreamServers, self.pool.owner).count_late_request(self.pool.name)
         super().carry(attempt)
 
     def clear(self) -> None:
-        """Forget the answer that was read, before the next one."""
+        """Reset the state of the answer that was read, before the next one is read."""
         super().clear()
-        self.instance_named = False  # the server named its own instance
-        self.body_truncated = False  # the body of a failure is longer than the part that is held
+        self.named_instance = False  # the server named its own instance
+        self.body_truncated = False  # the body of a failure is longer than the part that is buffered
         self.forwarded_headers = b""
         self.id, self.seal = b"", b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header of an answer; trailers are ignored."""
+        """Process one header of an answer; trailers are ignored."""
         if self.headed_at:
             return
         super().on_header(name, value)
@@ -108,7 +109,7 @@
         elif name == NOT_EXECUTED_HEADER:
             self.not_started = True
         elif name == ANSWERING_INSTANCE_HEADER:
-            self.instance_named = bool(value.strip(b" \t"))
+            self.named_instance = bool(value.strip(b" \t"))
         elif name == b"keep-alive" and (match := KEEP_ALIVE_TIMEOUT.search(value)) is not None:
             keep_idle = cast(UpstreamServers, self.pool.owner).keep_idle
             self.age_part = min(self.age_part, IDLE_PART * int(match[1]) / keep_idle)
@@ -121,10 +122,10 @@
             self.seal = value
 
     def on_headers_complete(self) -> None:
-        """Decide whose answer this is; raises MissingSealError for a success that has no seal.
+        """Determine whose answer this is; raises MissingSealError for a success without a seal.
 
-        An answer that bears another id, or a success that bears none, is late: it answers a request that was given up.
-        A success without a seal may be of something else than the server meant, so it is treated as broken.
+        An answer with another id, or a success without an id, is late: its request no longer waits for it.
+        A success without a seal may not come from the intended server, so it is treated as malformed.
         """
         super().on_headers_complete()
         attempt = self.attempt
@@ -132,28 +133,28 @@
             return
         status = self.parser.get_status_code()
         if status >= 200 and self.id != attempt.id and (self.id or status < 300):
-            self.foreign = True  # it is read to its end, and dropped
+            self.foreign = True  # it is read to its end and discarded
         elif self.serves(status) and not self.seal:
-            raise MissingSealError("a success without its seal")
+            raise MissingSealError("success without X-Hazelspring-Server-Seal")
 
     def serves(self, status: int) -> bool:
         """Return whether a status is a success."""
         return 200 <= status < 300
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body, unless the answer is another request's."""
+        """Add a part of the body, unless the answer belongs to another request."""
         if not self.foreign:
             self.body_truncated = self.body_truncated or len(self.body) + len(body) > SMALL
             super().on_body(body)
 
     def flow(self) -> Flow:
-        """Return the answer that is too large to hold, as it begins."""
+        """Return an answer that is too large to buffer, and whose body is still arriving."""
         return UpstreamStream(
             self.length, self.content_type, self, self.forwarded_headers, self.parser.get_status_code()
         )
 
     def on_message_complete(self) -> None:
-        """Take an answer that is whole as its attempt's result."""
+        """Store a complete answer as its attempt's result."""
         if self.foreign:
             self._drop_foreign_answer()
             return
@@ -162,8 +163,9 @@
         result = self.result
         if result is None or result is previous or self.attempt is None:
             return
-        # An answer without an id is matched only by being its connection's only one: a late copy would pass for it.
-        self.keep = self.keep and not self.out_of_step and bool(self.id)
+        # An answer without an id is matched only because it is the sole answer on its connection.  A late
+        # copy of it would be taken for the next request's answer, so the connection is not reused.
+        self.keep = self.keep and not self.received_foreign and bool(self.id)
         status = self.parser.get_status_code()
         outcome = self._outcome(status)
         if outcome is Outcome.ERROR and self.body_truncated:
@@ -174,23 +176,29 @@
             )
 
     def _drop_foreign_answer(self) -> None:
-        """Drop a late answer; the next one may be the attempt's.  Without framing its end is not known."""
+        """Discard a late answer, as the attempt's own may follow it.
+
+        Without framing the end of the late answer is unknown, so the connection is ended.
+        """
         if not self.framed:
             self.spoilt("foreign")
             return
         self.clear()
-        self.foreign, self.out_of_step = False, True
+        self.foreign, self.received_foreign = False, True
 
     def _outcome(self, status: int) -> Outcome:
-        """Return what a whole answer says of the request: only the server itself can say that it has not run."""
+        """Return the outcome of a complete answer.
+
+        Only the server itself can state that the request has not run, and it does so by headers.
+        """
         if self.serves(status):
             return Outcome.OK
-        if self.not_started or (self.instance_named and status == MISDIRECTED):
+        if self.not_started or (self.named_instance and status == MISDIRECTED):
             return Outcome.FULL
         return Outcome.ERROR
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the attempt: once a part of it was sent, its server may have carried it out."""
+        """End the attempt; one sent in part never ends as CANCELLED, as its server may have executed it."""
         attempt = self.attempt
         if attempt is not None and attempt.verdict in (None, Outcome.CANCELLED) and self.sending():
             attempt.verdict = Outcome.RESET
@@ -198,46 +206,46 @@
 
 
 class UpstreamServers(Upstream):
-    """The connections to all listed servers, by the numbers that the router gives them."""
+    """The connections to all listed servers, keyed by the numbers that the router assigns to servers."""
 
     link = UpstreamConnection
 
     def __init__(self, connect_timeout: float, idle: float, most_open: int, counts: Counts) -> None:
         super().__init__(connect_timeout, idle, (), most_open, counts)
-        # when servers that leave were known to, by number, in monotonic seconds
+        # by server number: when this node learned that the server leaves, in monotonic seconds
         self.left_at: dict[int, float] = {}
-        self.late_requests = 0  # requests sent to servers that were known to leave
-        self.latest_request = 0.0  # seconds from that knowledge to such a request, at most
+        self.late_requests = 0  # requests sent to servers that were known to be leaving
+        self.latest_request = 0.0  # most seconds from learning that a server leaves to such a request
 
     def leave(self, number: int) -> None:
-        """Send nothing more to a server that is known to leave; what was sent there goes on."""
+        """Send no further requests to a server that is leaving; requests already sent there continue."""
         self.left_at.setdefault(number, time.monotonic())
-        self._end_waiting(number)
+        self._cancel_waiting(number)
 
     def accept(self, number: int) -> None:
-        """Note that a server takes requests, also where it was known to leave before."""
+        """Record that a server accepts requests, even if it was known to be leaving before."""
         self.left_at.pop(number, None)
 
     def remove(self, backend: int) -> None:
-        """End the connections to a server that is gone, but for those that are in use."""
+        """Close the connections to a server that is no longer listed, except those in use."""
         self.left_at.pop(backend, None)
-        self._end_waiting(backend)
+        self._cancel_waiting(backend)
         super().remove(backend)
 
-    def _end_waiting(self, number: int) -> None:
-        """End the attempts that still wait for a connection to a server, as not run."""
+    def _cancel_waiting(self, number: int) -> None:
+        """Cancel the attempts that still wait for a connection to a server; they have not run."""
         pool = self.pools.get(number)
         for attempt in list(pool.waiting) if pool is not None else ():
             attempt.give_up(Outcome.CANCELLED)
 
-    def count_late(self, number: int) -> None:
-        """Count a request that is sent to a server now, where that was known to leave."""
+    def count_late_request(self, number: int) -> None:
+        """Count a request that is sent now, if its server is known to be leaving."""
         if (left_at := self.left_at.get(number)) is not None:
             self.late_requests += 1
             self.latest_request = max(self.latest_request, time.monotonic() - left_at)
 
     def report(self, text: bytes) -> tuple[float, ...]:
-        """Return running, waiting and slots of a Server-Load header; nothing where it is malformed."""
+        """Return the running, waiting and slot counts of a Server-Load header; () if it is malformed."""
         parts = text.split(b",")
         if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
             return ()
@@ -245,13 +253,14 @@
 
 
 def status_line(status: int) -> bytes:
-    """Return the first line of an answer, with its line end."""
+    """Return the status line of an answer, ending in CRLF."""
     return b"HTTP/1.1 %d %b\r\n" % (status, REASONS.get(status, "Answer").encode())
 
 
 def client_status(reply: UpstreamReply) -> int:
     """Return the status for the client.
 
-    A status that says that the request has not run becomes 502, as the server did not say so in the way agreed on.
+    A status that means that the request has not run becomes 502, because the server did not state this by
+    the headers that the protocol requires.
     """
     return 502 if reply.status in NOT_EXECUTED_STATUSES else reply.status
