--- a/hazelspring/daemon/disk_worker.py
+++ b/hazelspring/daemon/disk_worker.py
@@ -14,7 +14,7 @@
 class DiskWorker:
     """Loads and saves records one after another.
 
-    Each returns its result as a value, whatever error ended it, as the node waits for every one of them.
+    Each load or save returns a result whatever error occurs, because the node waits for all of them to end.
     """
 
     def __init__(self, folder: str, supervisor: Supervisor) -> None:
@@ -24,13 +24,16 @@
         self.thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
 
     async def load(self) -> dict[str, bytes] | None:
-        """Return the records on disk; None where they could not be read, which is not the same as an empty disk."""
+        """Return the records on disk; None where they could not be read.
+
+        An empty result means an empty disk, which is not the same as None.
+        """
         try:
             records = await self.loop.run_in_executor(self.thread, self.store.load)
         except StoreError as error:
             log.write("control", "cannot read the disk, continues without it", error=error)
             return None
-        except Exception as error:  # the caller tries again
+        except Exception as error:  # the caller retries
             self.supervisor.failed("read the disk", error)
             return None
         while self.store.quarantined:
@@ -38,22 +41,22 @@
         return records
 
     async def save(self, records: Mapping[str, bytes | None]) -> bool:
-        """Put records on disk, all or none, and remove those that are None; return whether that succeeded."""
+        """Save all records or none, remove those whose value is None; return whether that succeeded."""
         try:
             await self.loop.run_in_executor(self.thread, self.store.save, records)
         except StoreError as error:
             log.write("control", "could not save", records=",".join(records), error=error)
-        except Exception as error:  # the node waits for every save to end
+        except Exception as error:  # the node waits for every save to end, so no error may escape
             self.supervisor.failed("save", error)
         else:
             return True
         return False
 
     def discard(self, reason: str) -> None:
-        """Put aside what is on disk, as it makes no sense."""
+        """Move the records on disk to another file, because their content is invalid."""
         log.write("control", "put aside what could not be read", what=reason)
         self.store.discard(reason)
 
     def close(self) -> None:
-        """Begin no further load or save; do not wait for one that is under way."""
+        """Start no further load or save; do not wait for one that is in progress."""
         self.thread.shutdown(wait=False, cancel_futures=True)
--- a/hazelspring/daemon/node_shares.py
+++ b/hazelspring/daemon/node_shares.py
@@ -1,4 +1,4 @@
-"""A node's own part of limits that all nodes share."""
+"""The share that one node has in the limits that apply to all nodes together."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from hazelspring.gateway.pool import PER_BACKEND
 from hazelspring.routing.shared_limits import SharedLimits
 
-MIN_CONNECTIONS = 4  # to one server, however many nodes share it
+MIN_CONNECTIONS = 4  # connections to one server, regardless of the number of nodes
 
 
 def connections_per_server(configuration: Configuration | None, node_count: int) -> int:
-    """Return how many connections to one server a node may open: its even part of what the server takes."""
+    """Return how many connections a node may open to one server: an equal share of the server's limit."""
     services = configuration.services.values() if configuration is not None else ()
     limits = [service.connection_limit for service in services if service.connection_limit]
     per_node = min(limits, default=PER_BACKEND) // max(1, node_count)
@@ -20,7 +20,7 @@
 def tenant_window_limit(
     configuration: Configuration | None, tenant: str, limits: SharedLimits, node_count: int
 ) -> float:
-    """Return the units that a tenant may use in one window of its quota; 0: none are limited or known."""
+    """Return the units that a tenant may use in one quota window; 0 if it is unknown or has no quota."""
     found = configuration.tenants.get(tenant) if configuration is not None else None
     if found is None or found.rate <= 0:
         return 0.0
--- a/hazelspring/daemon/supervisor.py
+++ b/hazelspring/daemon/supervisor.py
@@ -1,4 +1,7 @@
-"""Supervision of tasks and calls: an unforeseen error ends only what it arose in; it is counted and logged."""
+"""Supervision of tasks and calls.
+
+An unexpected error ends only the task or the call in which it arose; it is counted and logged.
+"""
 
 from __future__ import annotations
 
@@ -25,17 +28,17 @@
         """Run a coroutine as a task of its own."""
         task = self.loop.create_task(work, name=name)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_ended)
 
     def guard(self, name: str, call: Callable[[], object]) -> None:
-        """Make a call whose error must not end its caller."""
+        """Make a call; an error is counted and logged, and is not raised to the caller."""
         try:
             call()
         except Exception as error:
             self.failed(name, error)
 
     def failed(self, name: str, error: BaseException) -> None:
-        """Count and log an unforeseen error."""
+        """Count and log an unexpected error."""
         self.failures[name] += 1
         log.write_failure("daemon", "failed", error, what=name)
 
@@ -44,14 +47,14 @@
         for task in self.tasks:
             task.cancel()
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
-        """Forget a task that has ended, and count its error."""
+    def _task_ended(self, task: asyncio.Task[Any]) -> None:
+        """Remove a task that has ended, and count its error."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.failed(task.get_name(), error)
 
     def _callback_failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Handle an error of the event loop: in a callback, or of a task that nobody awaited."""
+        """Handle an error of the event loop: in a callback, or of a task that was never awaited."""
         error = context.get("exception")
         if isinstance(error, BaseException):
             self.failed(CALLBACK, error)
--- a/hazelspring/daemon/table_log.py
+++ b/hazelspring/daemon/table_log.py
@@ -1,4 +1,4 @@
-"""Logs which tables of servers a node uses, and which servers leave by them."""
+"""Logs which tables of servers a node uses, and which servers are leaving according to them."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 def log_leaving(now: float, leaving: Iterable[Endpoint], list_age: float) -> None:
-    """Log servers that leave, when the last request was sent to any of them, and how old the list was till now.
+    """Log servers that are leaving, when the last request was sent to any of them, and the list's age.
 
     Parameters
     ----------
     now
-        Seconds of the steady clock.
+        Monotonic time in seconds.
     leaving
         The servers that were accepting until now.
     list_age
-        Seconds for which the list may have changed unknown to this node, before this table came.
+        Seconds before this table arrived in which the list may have changed unnoticed by this node.
     """
     servers = sorted(leaving, key=lambda server: -server.sent_at)
     if not servers:
--- a/hazelspring/daemon/unserved_log.py
+++ b/hazelspring/daemon/unserved_log.py
@@ -1,4 +1,4 @@
-"""Logs requests that were not served, at most one line in a while."""
+"""Logs requests that were not served, at most one line per `UNSERVED_LOG_INTERVAL`."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     """Logs the growth of the router's counts of requests that were not served, by reason."""
 
     def __init__(self) -> None:
-        self.logged: Counter[str] = Counter()  # the counts up to the last line
-        self.logged_at = 0.0  # seconds
+        self.logged: Counter[str] = Counter()  # the counts as of the last line
+        self.logged_at = 0.0  # when the counts were last compared, in seconds
 
     def write(self, now: float, counts: Counter[str]) -> None:
-        """Log what the counts have gained since the last line, unless that is too recent."""
+        """Log the increase of the counts since the last line, unless that is too recent."""
         if now - self.logged_at < UNSERVED_LOG_INTERVAL:
             return
         new = counts - self.logged
