--- a/hazelspring/daemon/instance_list_client.py
+++ b/hazelspring/daemon/instance_list_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's instance list: reads all pages over one kept connection, within a time limit."""
+"""Client of the platform's instance list: reads all pages over one open connection, within a time limit."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 from hazelspring.errors import HazelspringError
 from hazelspring.gateway.config import Address
 
-PAUSE_PART = 0.25  # of the time for a read: the longest pause between two tries of a page, whatever the rate
-MAX_PAGES = 64  # of one list
+# The longest pause between two attempts of a page, at any rate, as a part of the time-out of a read.
+PAUSE_PART = 0.25
+MAX_PAGES = 64  # pages of one list
 MAX_PAGE_BYTES = 4 << 20
-READ_SIZE = 1 << 16  # bytes read at once
+READ_SIZE = 1 << 16  # bytes per read from the connection
 FIRST_PATH = "/instances"
 HTTP_OK = 200
 HTTP_TOO_MANY_REQUESTS = 429
@@ -48,7 +49,7 @@
         self.data += data
 
     def on_message_complete(self) -> None:
-        """Note that the response is whole."""
+        """Record that the response is complete."""
         self.complete = True
 
 
@@ -60,7 +61,7 @@
     while not body.complete:
         data = await reader.read(READ_SIZE)
         if not data or len(body.data) > MAX_PAGE_BYTES:
-            raise InstanceListError(f"GET {path}: the answer broke off")
+            raise InstanceListError(f"GET {path}: the response was cut short or is too large")
         try:
             parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -71,19 +72,19 @@
 
 
 def next_token(path: str, page: bytes) -> object:
-    """Return what names the page after this one, something false after the last; raises InstanceListError."""
+    """Return the token of the next page, a false value after the last; raises InstanceListError."""
     try:
         return json.loads(page).get("nextToken")
     except (ValueError, AttributeError):
-        raise InstanceListError(f"GET {path}: not JSON") from None
+        raise InstanceListError(f"GET {path}: the page is not a JSON object") from None
 
 
 class InstanceListClient:
-    """Reads the list over one connection that is kept between reads.
+    """Reads the list over one connection that stays open between reads.
 
-    The platform accepts `rate` calls a second from all nodes together: a page refused for that (429) is asked for
-    again after the time that one call takes of the rate, doubled with each refusal.  A read of all pages has `timeout`
-    seconds.
+    The platform accepts `rate` calls a second from all nodes together.  A page refused with status 429 is
+    requested again after 1 / `rate` seconds, doubled with each further refusal.  A read of all pages must
+    finish within `timeout` seconds.
     """
 
     def __init__(
@@ -103,14 +104,14 @@
         """Return every page of the list.  Raises InstanceListError."""
         try:
             async with asyncio.timeout(self.timeout):
-                return await self._walk()
+                return await self._read_all_pages()
         except Exception as error:
-            self.close()  # whatever a transport or parser raised, the read has failed and its connection goes
+            self.close()  # the read has failed, whatever the transport or the parser raised
             text = str(error) or type(error).__name__
-            raise InstanceListError(f"list of servers, {self.address.host}: {text}") from error
+            raise InstanceListError(f"instance list of {self.address.host}: {text}") from error
 
-    async def _walk(self) -> list[bytes]:
-        """Return the pages from the first to the one that names no next."""
+    async def _read_all_pages(self) -> list[bytes]:
+        """Return all pages, from the first to the one without a next token."""
         pages: list[bytes] = []
         path, waited, refusals = FIRST_PATH, 0.0, 0
         while len(pages) < MAX_PAGES:
@@ -129,19 +130,20 @@
             if not token:
                 return pages
             path = f"{FIRST_PATH}?pageToken={quote(str(token))}"
-        raise InstanceListError("more pages than there can be")
+        raise InstanceListError(f"the list has more than {MAX_PAGES} pages")
 
     def _backoff(self, refusals: int) -> float:
-        """Return the seconds until a page is asked for again.
+        """Return the seconds until a refused page is requested again.
 
-        They are jittered, so that nodes refused together do not return together.
+        They are jittered, so that nodes refused at the same time do not all retry at the same time.
         """
         return min(PAUSE_PART * self.timeout, (1 << refusals) / self.rate) * (0.5 + random.random())
 
     async def _page(self, path: str) -> bytes:
         """Return one page.
 
-        It is asked for on a new connection where the kept one brought no answer, as it may have closed meanwhile.
+        It is requested again on a new connection where the open one gave no response, because the platform
+        may have closed that one since the last read.
         """
         if self.streams is not None and not self.streams[1].is_closing():
             try:
@@ -155,7 +157,7 @@
         return await http_get(*self.streams, self.address.host, path)
 
     def close(self) -> None:
-        """Close the kept connection, if there is one."""
+        """Close the connection, if one is open."""
         streams, self.streams = self.streams, None
         if streams is not None:
             streams[1].transport.abort()
--- a/hazelspring/daemon/list_reader.py
+++ b/hazelspring/daemon/list_reader.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of servers for a node, counts the reads, and logs who reads and what fails."""
+"""Reads the platform's list of servers for a node, counts the reads, and logs failures and role changes."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class ListReader:
-    """Reads the list when the node asks; a read asked for while another runs replaces it."""
+    """Reads the list when the node requests it; a new read replaces one that is in progress."""
 
     def __init__(self, address: Address, rate: float, timeout: float) -> None:
         """`timeout`: seconds for one read."""
         self.loop = asyncio.get_running_loop()
         self.timeout = timeout
         self.client = InstanceListClient(address, rate, timeout)
-        self.reading: InstanceListClient | None = None  # the client whose read is under way
+        self.reading: InstanceListClient | None = None  # the client whose read is in progress
         self.reads = 0
         self.failures = 0
-        self.read_at: float | None = None  # of the last read that succeeded, in the loop's seconds
-        self.is_reader = False  # as it was last logged
-        self.malformed: tuple[str, ...] = ()  # ids of entries that the last read passed over
+        self.read_at: float | None = None  # when the last successful read ended, in the loop's seconds
+        self.is_reader = False  # the role as it was last logged
+        self.malformed: tuple[str, ...] = ()  # ids of malformed entries that the last read skipped
 
     def reconfigure(self, address: Address, rate: float) -> None:
         """Use another address or rate from the next read on."""
@@ -36,18 +36,18 @@
             self.replace_client(address, rate)
 
     def replace_client(self, address: Address, rate: float) -> None:
-        """Read over a new connection from now on; a read under way on the old one fails."""
+        """Read over a new connection from now on; a read in progress on the old one fails."""
         self.client.close()
         self.client = InstanceListClient(address, rate, self.timeout)
 
     async def read(self) -> ServersByService | None:
-        """Return the servers of each service; None where the list could not be read, for whatever reason."""
+        """Return the servers of each service; None where the list could not be read, for any reason."""
         if self.reading is self.client:
             self.replace_client(self.client.address, self.client.rate)
         client = self.reading = self.client
         try:
             listed = parse_instance_list(await client.read_pages(), self.loop.time())
-        except Exception as error:  # the node waits for every read to end
+        except Exception as error:  # the node waits for every read to end, so no error may escape
             self.failures += 1
             self._log_failure(error)
             return None
@@ -61,7 +61,7 @@
 
     @staticmethod
     def _log_failure(error: Exception) -> None:
-        """Log why a read failed; where nobody foresaw the error, also where it arose."""
+        """Log why a read failed; for an unexpected error, also the calls in which it arose."""
         sentence = "could not read the list"
         if isinstance(error, InstanceListError | ValueError):
             log.write("registry", sentence, error=error)
@@ -76,7 +76,7 @@
         self.malformed = malformed
 
     def log_role(self, is_reader: bool) -> None:
-        """Log when this node becomes the one that reads the list, and when it ceases to be."""
+        """Log when this node becomes the reader of the list, and when it ceases to be the reader."""
         if is_reader != self.is_reader:
             self.is_reader = is_reader
             log.write(
--- a/hazelspring/daemon/message_transport.py
+++ b/hazelspring/daemon/message_transport.py
@@ -1,4 +1,7 @@
-"""Messages between nodes, as cbor2: small ones in datagrams, each larger one over a short TCP connection of its own."""
+"""Messages between nodes, encoded with cbor2.
+
+Small messages are sent as datagrams, each larger one over a short TCP connection of its own.
+"""
 
 from __future__ import annotations
 
@@ -29,8 +32,8 @@
 class DatagramReceiver(asyncio.DatagramProtocol):
     """Passes datagrams, and the loss of their socket, to a `MessageTransport`."""
 
-    def __init__(self, mesh: MessageTransport) -> None:
-        self.transport_owner = mesh
+    def __init__(self, owner: MessageTransport) -> None:
+        self.transport_owner = owner
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Pass a datagram to the transport."""
@@ -38,7 +41,7 @@
 
     def error_received(self, error: Exception) -> None:
         """Ignore an error of the socket."""
-        pass  # a port without a listener; a node that is away is known by its missing heartbeat replies
+        pass  # a port without a listener; an unreachable node is detected by missing heartbeat replies
 
     def connection_lost(self, error: Exception | None) -> None:
         """Notify the transport that its socket is closed."""
@@ -104,8 +107,9 @@
     def send(self, to: str, message: Message) -> None:
         """Send a message to an address, as a datagram or, where it is too large, over TCP.
 
-        A message sent to many nodes one after another is encoded once, so it must not be changed in between.  Errors
-        of the socket are ignored; a large message is dropped and logged while `MAX_DELIVERIES` are in progress.
+        A message sent to many nodes one after another is encoded once, so it must not be changed in between.
+        Errors of the socket are ignored; a large message is dropped and logged while `MAX_DELIVERIES` are in
+        progress.
         """
         if message is not self.last_message:
             self.last_message, self.last_message_bytes = message, codec.encode(message)
@@ -131,7 +135,7 @@
                     await reader.read(1)  # the recipient closes the connection once it has read the message
                 finally:
                     writer.transport.abort()
-        except Exception as error:  # a write to a connection that was reset raises no type of its own
+        except Exception as error:  # writing to a connection that was reset raises no specific type
             log.write("transport", "a message did not arrive", peer=to, error=type(error).__name__)
         finally:
             self.deliveries_in_flight -= 1
