--- a/hazelspring/daemon/client_listener.py
+++ b/hazelspring/daemon/client_listener.py
@@ -211,7 +211,7 @@
         return path.decode("latin-1")
 
     def reject(self, error: BadRequest) -> None:
-        """Answer a request whose body is incomplete or malformed.
+        """Answer a request that is rejected, such as one whose body is incomplete.
 
         After a part of it was sent to a server, a status that states that it has not run becomes 502.
         """
@@ -277,7 +277,7 @@
 
 
 def attempt_id(headers: dict[bytes, bytes]) -> bytes:
-    """Return the request's attempt id; raises BadRequest if it is missing or too long."""
+    """Return the id that the answer must contain; raises BadRequest if it is missing or too long."""
     found = headers.get(ATTEMPT_ID_HEADER, b"")
     if not found or len(found) > MAX_ATTEMPT_ID_BYTES:
         raise BadRequest("no X-Hazelspring-Attempt-Id")
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unforeseen_errors.py
@@ -1,4 +1,4 @@
-"""Errors of types that nobody foresaw: none of them ends for good what is to be done again and again (incident 42)."""
+"""An error of an unexpected type must not end periodic or repeated work for good (incident 42)."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 ZONES, KINDS = ("a", "b"), ("big",)
 
 
-class Unforeseen(Exception):
-    """Of no type that any of the code names."""
+class UnexpectedError(Exception):
+    """An error of a type that no code handles by name."""
 
 
 def fail(*_: Any, **__: Any) -> Any:
-    raise Unforeseen
+    raise UnexpectedError
 
 
 def test_a_periodic_call_is_made_again_after_an_error_and_not_once_it_is_cancelled() -> None:
@@ -51,7 +51,7 @@
             calls.append(len(calls))
             if len(calls) == 3:
                 periodic.cancel()
-            raise Unforeseen
+            raise UnexpectedError
 
         periodic = Periodic(loop, lambda: 0.001, call, errors.append)
         await until(lambda: len(calls) == 3)
@@ -67,7 +67,7 @@
 
         def interval() -> float:
             if len(calls) == 2:
-                raise Unforeseen
+                raise UnexpectedError
             return 0.001
 
         periodic = Periodic(
@@ -80,79 +80,81 @@
     run(test())
 
 
-def test_a_client_that_cannot_be_looked_at_keeps_no_other_from_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_whose_check_fails_does_not_prevent_the_checks_of_others(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     class Api:
         counts = Counts()
 
-    class Seen:
-        looks = 0
+    class CheckedClient:
+        checks = 0
 
         def look(self, now: float) -> None:
-            self.looks += 1
+            self.checks += 1
 
-    class Bad:
+    class FailingClient:
         look = fail
 
     async def test() -> None:
         monkeypatch.setattr("hazelspring.gateway.caller.SWEEP", 0.001)
         listener = Listener(parse_address("127.0.0.1:1"), None, cast(Any, Api()), 10)
-        good = [Seen() for _ in range(4)]
-        listener.clients = cast("set[Client]", {*good, Bad()})
-        await until(lambda: all(one.looks > 2 for one in good))
+        good = [CheckedClient() for _ in range(4)]
+        listener.clients = cast("set[Client]", {*good, FailingClient()})
+        await until(lambda: all(one.checks > 2 for one in good))
         assert Api.counts.failures["sweep of clients"] > 1
         listener.sweeper.cancel()
 
     run(test())
 
 
-def test_a_connection_that_fails_in_a_new_way_takes_no_place_for_good(
+def test_a_connection_that_fails_with_an_unexpected_error_is_no_longer_counted_as_open(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         counts, results = Counts(), list[Result]()
         async with listening(Backend().handle) as dial:
-            made = Upstream(0.5, 30.0, (), 100, counts)
-            made.place(1, parse_address(dial), 0.0)
+            upstream = Upstream(0.5, 30.0, (), 100, counts)
+            upstream.place(1, parse_address(dial), 0.0)
             with monkeypatch.context() as patch:
-                patch.setattr(made.loop, "create_connection", fail)
-                made.start(1, 5.0, Attempt(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", results.append))
+                patch.setattr(upstream.loop, "create_connection", fail)
+                upstream.start(1, 5.0, Attempt(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", results.append))
                 await until(lambda: results)
             assert results[0].outcome is Outcome.CONNECT_FAILED
-            assert made.open == made.pools[1].connecting == 0
+            assert upstream.open == upstream.pools[1].connecting == 0
             assert counts.failures["connect to a server"] == 1
-            made.start(1, 5.0, Attempt(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", results.append))
+            upstream.start(1, 5.0, Attempt(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", results.append))
             await until(lambda: len(results) == 2)
             assert results[1].outcome is Outcome.OK
-            made.close()
+            upstream.close()
 
     run(test())
 
 
-def test_the_counter_is_connected_to_again_after_an_error_of_a_new_kind(
+def test_the_counter_is_reconnected_after_an_unexpected_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        counts, heard = Counts(), list[Any]()
+        counts, outcomes = Counts(), list[Any]()
         async with listening(Tally().handle) as dial:
             with monkeypatch.context() as patch:
                 patch.setattr(asyncio.get_running_loop(), "create_connection", fail)
-                counter = Counter(parse_address(dial), 5.0, heard.append, counts)
+                counter = Counter(parse_address(dial), 5.0, outcomes.append, counts)
                 await until(lambda: counts.failures["connect to the counter"] >= LINES)
             await until(lambda: counts.counter_opened == LINES)
             counter.add(Count(8, 1.0, 4.0))
-            await until(lambda: heard)
-            assert heard[0].outcome is Outcome.OK
+            await until(lambda: outcomes)
+            assert outcomes[0].outcome is Outcome.OK
             counter.close()
 
     run(test())
 
 
-def test_discovery_is_watched_again_after_an_error_of_a_new_kind(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_discovery_is_watched_again_after_an_unexpected_error(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        asked = list[bytes]()
+        requests = list[bytes]()
 
         async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(await reader.readuntil(b"\r\n\r\n"))
+            requests.append(await reader.readuntil(b"\r\n\r\n"))
             await reader.read()
 
         async with listening(agent) as dial:
@@ -160,27 +162,27 @@
                 patch.setattr(asyncio.get_running_loop(), "create_connection", fail)
                 discovery = Discovery(parse_address(dial), Names(ZONES, KINDS), 0, lambda *_: None)
                 await until(lambda: discovery.counts.failures["watch of discovery"])
-            await until(lambda: asked)
+            await until(lambda: requests)
             discovery.close()
 
     run(test())
 
 
-def with_node(folder: Path, play: Callable[[NodeProcess], Awaitable[None]]) -> None:
-    """Run a scenario at a node that is alone, on loopback, with a disk and a stand-in platform."""
+def with_node(folder: Path, scenario: Callable[[NodeProcess], Awaitable[None]]) -> None:
+    """Run a scenario on a single node on loopback, with a disk and a stand-in platform."""
 
     async def test() -> None:
         fleet = LocalFleet(folder, core=1, others=0, servers=1, nth=9)
-        stands = StandIns(fleet.platform, fleet.servers)
-        await stands.start()
+        stand_ins = StandIns(fleet.platform, fleet.servers)
+        await stand_ins.start()
         node = NodeProcess(load_settings(str(fleet.write_settings(0, first=True))))
         await node.start()
         try:
             await until(node.node.core_agreed)
-            await play(node)
+            await scenario(node)
         finally:
             await node.close()
-            stands.close()
+            stand_ins.close()
 
     run(test())
 
@@ -193,7 +195,7 @@
 def test_a_node_continues_to_tick_whatever_fails_in_a_tick(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         def failed_again(what: str, before: int) -> bool:
             return node.supervisor.failures[what] > before + 1
 
@@ -210,141 +212,139 @@
         await until(lambda: node.node_ticked_at > ticked)
         assert f'what="tick"}} {node.supervisor.failures["tick"]}' in node.metrics().decode()
 
-    with_node(tmp_path, play)
+    with_node(tmp_path, scenario)
 
 
 def test_actions_are_executed_whatever_fails_before_them(tmp_path: Path) -> None:
-    async def play(node: NodeProcess) -> None:
-        ends = list[bool]()
-        node.operator_calls.replies[77] = lambda settled: ends.append(settled.succeeded)
+    async def scenario(node: NodeProcess) -> None:
+        successes = list[bool]()
+        node.operator_calls.replies[77] = lambda settled: successes.append(settled.succeeded)
         node.execute_all([TableChanged("unknown"), ProposalOutcome(77, True, "")])
-        assert ends == [True] and node.supervisor.failures["TableChanged"] == 1
+        assert successes == [True] and node.supervisor.failures["TableChanged"] == 1
 
-    with_node(tmp_path, play)
+    with_node(tmp_path, scenario)
 
 
-def test_a_save_that_fails_in_a_new_way_is_made_again(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    async def play(node: NodeProcess) -> None:
-        ends = list[bool]()
+def test_a_save_is_retried_after_unexpected_errors(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(node: NodeProcess) -> None:
+        successes = list[bool]()
         with monkeypatch.context() as patch:
             patch.setattr(store_of(node), "save", fail)
             node.operator_calls.put_configuration(
-                configuration(3), lambda settled: ends.append(settled.succeeded)
+                configuration(3), lambda settled: successes.append(settled.succeeded)
             )
             await until(lambda: node.supervisor.failures["save"] > 1)
-            assert not ends
-        await until(lambda: ends)
-        assert ends == [True] and node.configuration is not None and node.configuration.version == 3
+            assert not successes
+        await until(lambda: successes)
+        assert successes == [True] and node.configuration is not None and node.configuration.version == 3
 
-    with_node(tmp_path, play)
+    with_node(tmp_path, scenario)
 
 
-def test_an_order_that_cannot_be_begun_is_not_waited_for(
+def test_an_operator_call_that_cannot_be_started_is_not_waited_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         with monkeypatch.context() as patch:
             patch.setattr(node.node, "put_configuration", fail)
-            with pytest.raises(Unforeseen):
+            with pytest.raises(UnexpectedError):
                 node.operator_calls.put_configuration(configuration(3), lambda settled: None)
         assert not node.operator_calls.replies
 
-    with_node(tmp_path, play)
+    with_node(tmp_path, scenario)
 
 
-def test_a_disk_that_cannot_be_read_in_a_new_way_is_read_again(
+def test_the_disk_is_read_again_after_an_unexpected_error(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         with monkeypatch.context() as patch:
             patch.setattr(store_of(node), "load", fail)
             assert await node.read_disk() is None
         assert await node.read_disk()
 
-    with_node(tmp_path, play)
+    with_node(tmp_path, scenario)
 
 
-def test_a_socket_for_datagrams_that_the_loop_closes_is_opened_anew(
+def test_a_datagram_socket_that_the_event_loop_closes_is_reopened(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(node: NodeProcess) -> None:
-        heard = list[Any]()
-        node.transport.on_message = lambda source, message: heard.append(message)
+    async def scenario(node: NodeProcess) -> None:
+        received = list[Any]()
+        node.transport.on_message = lambda source, message: received.append(message)
         first = node.transport.transport
         assert first is not None
         with monkeypatch.context() as patch:
             patch.setattr(node.transport, "open_socket", busy)
             first.abort()
-            await until(lambda: node.transport.transport is None and tries)
+            await until(lambda: node.transport.transport is None and attempts)
         await until(lambda: node.transport.transport is not None)
         assert node.transport.transport is not first
         node.transport.send(node.settings.ip, LoadReport({}))
-        await until(lambda: heard)
+        await until(lambda: received)
 
-    tries = list[int]()
+    attempts = list[int]()
 
     async def busy() -> None:
-        tries.append(1)
+        attempts.append(1)
         raise OSError("the port is taken")
 
-    with_node(tmp_path, play)
+    with_node(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("where", ["taken", "read"])
-def test_a_change_of_the_settings_that_could_not_be_taken_is_taken_later(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, where: str
+@pytest.mark.parametrize("failing_step", ["apply", "read"])
+def test_a_settings_change_that_could_not_be_applied_is_applied_later(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, failing_step: str
 ) -> None:
-    path, taken = tmp_path / "settings", list[Settings]()
+    path, applied = tmp_path / "settings", list[Settings]()
     path.write_text("")
-    watched = SettingsWatcher(str(path), taken.append)
+    watcher = SettingsWatcher(str(path), applied.append)
     path.write_text(
         LocalFleet(tmp_path, core=1, others=0, servers=1, nth=8).write_settings(0, first=True).read_text()
     )
     with monkeypatch.context() as patch:
-        if where == "taken":
-            patch.setattr(watched, "apply", fail)
-            with pytest.raises(Unforeseen):
-                watched.check()
+        if failing_step == "apply":
+            patch.setattr(watcher, "apply", fail)
+            with pytest.raises(UnexpectedError):
+                watcher.check()
         else:
             patch.setattr(Path, "read_text", out_of_descriptors)
-            watched.check()
-    assert not taken
-    watched.check()
-    watched.check()
-    assert len(taken) == 1
+            watcher.check()
+    assert not applied
+    watcher.check()
+    watcher.check()
+    assert len(applied) == 1
 
 
 def out_of_descriptors(*_: object) -> str:
     raise OSError(errno.EMFILE, "too many open files")
 
 
-def test_settings_that_are_no_text_are_refused_once(tmp_path: Path) -> None:
+def test_settings_that_are_not_text_are_rejected_once(tmp_path: Path) -> None:
     path = tmp_path / "settings"
     path.write_text("")
-    watched = SettingsWatcher(str(path), fail)
+    watcher = SettingsWatcher(str(path), fail)
     path.write_bytes(b"thisDoor.nodeName=\xff\n")
-    watched.check()
-    assert watched.last_seen == watched.stamp()
+    watcher.check()
+    assert watcher.last_seen == watcher.stamp()
 
 
-def test_a_node_that_cannot_give_up_its_roles_still_answers_what_it_holds(
+def test_a_node_that_cannot_release_its_roles_still_stops_its_client_listener(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         monkeypatch.setattr("hazelspring.daemon.shutdown.LINGER_TIME", 0.01)
         monkeypatch.setattr(node.node, "drain", fail)
         await node.drain()
         assert node.client_listener.stopping and node.supervisor.failures["give duties up"] == 1
 
-    with_node(tmp_path, play)
+    with_node(tmp_path, scenario)
 
 
-def test_a_socket_for_datagrams_is_opened_anew_after_an_error_of_a_new_kind(
+def test_a_datagram_socket_is_reopened_after_an_unexpected_error(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         assert node.transport.transport is not None
         with monkeypatch.context() as patch:
             patch.setattr(node.transport, "open_socket", fail)
@@ -352,12 +352,12 @@
             await until(lambda: node.supervisor.failures["open a socket"])
         await until(lambda: node.transport.transport is not None)
 
-    with_node(tmp_path, play)
+    with_node(tmp_path, scenario)
 
 
 def test_an_error_in_a_callback_of_the_loop_is_counted(tmp_path: Path) -> None:
-    async def play(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         node.loop.call_soon(fail)
         await until(lambda: node.supervisor.failures["callback"])
 
-    with_node(tmp_path, play)
+    with_node(tmp_path, scenario)
--- a/tests/test_upstream_servers.py
+++ b/tests/test_upstream_servers.py
@@ -1,4 +1,4 @@
-"""A server's answers on one connection, byte by byte: whose they are, when they are whole, what they promise."""
+"""Which attempt a server's answer belongs to, whether it is complete, and what it proves."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Wire(asyncio.Transport):
-    """A transport that notes what is done to it."""
+    """A transport that records what is written, and whether it was closed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -58,8 +58,8 @@
         self.closed = True
 
 
-class Taken:
-    """Takes an answer that is passed on as it comes."""
+class RecordingSink:
+    """Records an answer that is streamed to it."""
 
     def __init__(self) -> None:
         self.flow: Flow | None = None
@@ -77,10 +77,17 @@
     return (head + ("X-Hazelspring-Server-Seal: s\r\n" if seal else "") + "\r\n").encode() + body
 
 
-def play(
-    *pieces: bytes, ends: bool = False, unsent: bool = False, why: Outcome | None = None, sink: Any = None
+def run_attempt(
+    *pieces: bytes,
+    connection_ends: bool = False,
+    writing_paused: bool = False,
+    end_reason: Outcome | None = None,
+    sink: Any = None,
 ) -> tuple[list[Result], Wire]:
-    """What becomes of one try whose connection brings these pieces; it is given up where there is a `why`."""
+    """Return the results and the transport of one attempt whose connection receives these pieces.
+
+    With an `end_reason` the attempt is ended after that.
+    """
 
     def begun(flow: Flow) -> Any:
         sink.flow = flow
@@ -89,20 +96,20 @@
     async def run() -> tuple[list[Result], Wire]:
         servers = UpstreamServers(0.3, 9.0, 100, Counts())
         servers.place(1, Address("127.0.0.1", 9), 0.0)
-        line, wire, results = UpstreamConnection(servers.pools[1]), Wire(), list[Result]()
-        line.connection_made(wire)
+        connection, wire, results = UpstreamConnection(servers.pools[1]), Wire(), list[Result]()
+        connection.connection_made(wire)
         attempt = UpstreamAttempt(b"me", b"GET / HTTP/1.1\r\n\r\n", results.append, begun if sink else None)
-        line.carry(attempt)
-        if unsent:
-            line.pause_writing()
+        connection.carry(attempt)
+        if writing_paused:
+            connection.pause_writing()
         for piece in pieces:
             if not wire.closed:
                 READ[: len(piece)] = piece
-                line.buffer_updated(len(piece))
-        if why is not None:
-            attempt.give_up(why)
-        if ends or wire.closed:
-            line.connection_lost(None)
+                connection.buffer_updated(len(piece))
+        if end_reason is not None:
+            attempt.give_up(end_reason)
+        if connection_ends or wire.closed:
+            connection.connection_lost(None)
         await asyncio.sleep(0)
         servers.close()
         return results, wire
@@ -110,8 +117,8 @@
     return asyncio.run(run())
 
 
-def test_its_own_answer_is_passed_on_unchanged_and_the_connection_kept() -> None:
-    (reply,), wire = play(answer(200)[:30], answer(200)[30:])
+def test_an_answer_with_the_attempts_id_is_forwarded_unchanged_and_its_connection_stays_open() -> None:
+    (reply,), wire = run_attempt(answer(200)[:30], answer(200)[30:])
     assert isinstance(reply, UpstreamReply) and (reply.outcome, reply.status, reply.body) == (
         Outcome.OK,
         200,
@@ -120,16 +127,16 @@
     assert b"x-hazelspring-server-seal: s" in reply.headers and not wire.closed
 
 
-def test_a_late_answer_to_another_belongs_to_nobody_and_the_next_one_counts() -> None:
+def test_a_late_answer_with_another_id_is_discarded_and_the_next_one_is_used() -> None:
     late = answer(200, "another", body=b"wrong")
     for pieces in (
         (late, answer(200)),
         (late + answer(200),),
         (late[:50], late[50:] + answer(200)[:9], answer(200)[9:]),
     ):
-        (reply,), wire = play(*pieces)
+        (reply,), wire = run_attempt(*pieces)
         assert isinstance(reply, UpstreamReply) and reply.body == b"body"
-        assert wire.closed  # out of step once: not used again
+        assert wire.closed  # not reused after a foreign answer
 
 
 @pytest.mark.parametrize(
@@ -142,77 +149,79 @@
         (answer(200, "another").replace(b"Content-Length: 4\r\n", b""),),
         (),
     ],
-    ids=["cut short", "no seal", "garbage", "another's alone", "another's without an end", "silence"],
+    ids=["cut short", "no seal", "garbage", "only another id", "another id without framing", "no data"],
 )
-def test_what_is_not_whole_or_not_ours_is_no_answer(pieces: tuple[bytes, ...]) -> None:
-    (result,), _ = play(*pieces, ends=True)
+def test_an_incomplete_or_foreign_answer_ends_the_attempt_with_a_reset(pieces: tuple[bytes, ...]) -> None:
+    (result,), _ = run_attempt(*pieces, connection_ends=True)
     assert result.outcome is Outcome.RESET and not isinstance(result, UpstreamReply)
 
 
-def test_an_answer_too_many_ends_the_connection_and_spoils_nothing() -> None:
-    (reply,), wire = play(answer(200) + answer(200, body=b"more"))
+def test_a_surplus_answer_ends_the_connection_and_leaves_the_first_one_intact() -> None:
+    (reply,), wire = run_attempt(answer(200) + answer(200, body=b"more"))
     assert isinstance(reply, UpstreamReply) and reply.body == b"body" and wire.closed
 
 
-def test_only_the_server_itself_promises_that_nothing_ran() -> None:
+def test_only_a_servers_header_states_that_its_request_has_not_run() -> None:
     for status in (408, 421, 429, 503):
-        (reply,), _ = play(answer(status, seal=False))
+        (reply,), _ = run_attempt(answer(status, seal=False))
         assert (
             isinstance(reply, UpstreamReply)
             and reply.outcome is Outcome.ERROR
             and client_status(reply) == 502
         )
-        (reply,), _ = play(answer(status, seal=False, more="X-Hazelspring-Not-Executed: 1\r\n"))
+        (reply,), _ = run_attempt(answer(status, seal=False, more="X-Hazelspring-Not-Executed: 1\r\n"))
         assert reply.outcome is Outcome.FULL
-    (reply,), _ = play(answer(500))
+    (reply,), _ = run_attempt(answer(500))
     assert isinstance(reply, UpstreamReply) and reply.outcome is Outcome.ERROR and client_status(reply) == 500
 
 
-def test_a_part_that_went_out_may_have_run() -> None:
-    (result,), _ = play(ends=True, unsent=True)
+def test_a_request_that_was_sent_in_part_may_have_run() -> None:
+    (result,), _ = run_attempt(connection_ends=True, writing_paused=True)
     assert result.outcome is Outcome.RESET and not result.outcome.never_ran
 
 
 def pieces(data: bytes) -> list[bytes]:
-    """As one read brings them at most."""
+    """Split data into pieces as large as one read returns at most."""
     return [data[n : n + SMALL] for n in range(0, len(data), SMALL)]
 
 
 @pytest.mark.parametrize("status", [200, 201])
-def test_nothing_behind_a_large_answer_goes_to_its_client(status: int) -> None:
-    body, taken = b"y" * (SMALL + 5000), Taken()
+def test_data_after_a_large_answer_is_not_forwarded_to_its_client(status: int) -> None:
+    body, sink = b"y" * (SMALL + 5000), RecordingSink()
     whole = answer(status, body=body)
-    (result,), wire = play(*pieces(whole + answer(200, body=b"more")), sink=taken)
+    (result,), wire = run_attempt(*pieces(whole + answer(200, body=b"more")), sink=sink)
     assert result.outcome is Outcome.OK and wire.closed
-    assert (taken.data == body, taken.whole) == (True, True)
-    assert taken.flow is not None and flow_head(taken.flow, False, False).startswith(b"HTTP/1.1 %d" % status)
+    assert (sink.data == body, sink.whole) == (True, True)
+    assert sink.flow is not None and flow_head(sink.flow, False, False).startswith(b"HTTP/1.1 %d" % status)
 
 
-def test_a_failure_too_large_to_hold_is_not_passed_on_as_if_it_were_whole() -> None:
-    (result,), _ = play(*pieces(answer(500, body=b"y" * (SMALL + 1))))
+def test_a_failure_too_large_to_buffer_is_not_forwarded_as_complete() -> None:
+    (result,), _ = run_attempt(*pieces(answer(500, body=b"y" * (SMALL + 1))))
     assert result.outcome is Outcome.ERROR and not isinstance(result, UpstreamReply)
 
 
 @pytest.mark.parametrize("status", [503, 421, 400])
-def test_a_refusal_without_an_id_is_the_last_on_its_connection(status: int) -> None:
-    """Come again late it would prove of the next request, too, that it never ran."""
+def test_a_connection_is_closed_after_a_refusal_without_an_id(status: int) -> None:
+    """A late copy of it would also state of the next request that it has not run."""
     refusal = f"HTTP/1.1 {status} X\r\nContent-Length: 0\r\n"
     not_executed = f"X-Hazelspring-{'Answering-Instance: i-9' if status == 421 else 'Not-Executed: 1'}\r\n"
-    (result,), wire = play((refusal + not_executed + "\r\n").encode())
+    (result,), wire = run_attempt((refusal + not_executed + "\r\n").encode())
     assert result.outcome is Outcome.FULL and wire.closed
-    (result,), wire = play((refusal + not_executed + "X-Hazelspring-Attempt-Id: me\r\n\r\n").encode())
+    (result,), wire = run_attempt((refusal + not_executed + "X-Hazelspring-Attempt-Id: me\r\n\r\n").encode())
     assert result.outcome is Outcome.FULL and not wire.closed
 
 
-@pytest.mark.parametrize("why", [Outcome.CANCELLED, Outcome.TIMEOUT])
-def test_a_part_that_went_out_may_have_run_whyever_it_was_given_up(why: Outcome) -> None:
-    (result,), wire = play(unsent=True, why=why)
+@pytest.mark.parametrize("end_reason", [Outcome.CANCELLED, Outcome.TIMEOUT])
+def test_a_request_that_was_sent_in_part_may_have_run_for_whatever_reason_its_attempt_ends(
+    end_reason: Outcome,
+) -> None:
+    (result,), wire = run_attempt(writing_paused=True, end_reason=end_reason)
     assert wire.closed and not result.outcome.never_ran
 
 
-@pytest.mark.parametrize(("tries", "status"), [(0, 408), (1, 502)])
-def test_a_body_that_never_came_whole_is_no_promise_once_a_part_was_passed_on(
-    tries: int, status: int
+@pytest.mark.parametrize(("attempts_sent", "status"), [(0, 408), (1, 502)])
+def test_an_incomplete_body_is_answered_with_502_once_a_part_was_sent_to_a_server(
+    attempts_sent: int, status: int
 ) -> None:
     host = SimpleNamespace(left=lambda request: None, counts=Counts())
     loop = SimpleNamespace(call_later=lambda *_: None)
@@ -220,24 +229,27 @@
     connection, wire = ClientConnection(cast(Any, listener)), Wire()
     connection.transport = wire
     exchange = connection.exchange = Exchange(connection, keep_alive=True)
-    exchange.request = cast(Any, SimpleNamespace(sent=tries))
+    exchange.request = cast(Any, SimpleNamespace(sent=attempts_sent))
     connection.pending.append(exchange)
-    connection.reject(BadRequest("the request did not come whole", 408))
+    connection.reject(BadRequest("the request body is incomplete", 408))
     assert wire.sent.startswith(b"HTTP/1.1 %d " % status) and wire.closed
 
 
 @pytest.mark.parametrize(("path", "key", "status"), [("/new/a", "key", 404), ("/old/a", "new", 401)])
-def test_what_a_node_does_not_know_is_denied_only_while_it_hears_the_core(
+def test_an_unknown_route_or_key_is_denied_only_while_the_configuration_is_confirmed(
     path: str, key: str, status: int
 ) -> None:
     spec = {"hostName": "h", "pathPrefix": "/old/", "routeKind": "read_only", "service": "s"}
     entries = [("routeTable", "r", spec), ("tenantTable", "t", {"accessKeys": ["key"]})]
     rows = [{"resourceKind": k, "metadata": {"name": n}, "specification": s} for k, n, s in entries]
-    text = f"GET {path} HTTP/1.1\r\nHost: h\r\nX-Hazelspring-Attempt-Id: a\r\nAuthorization: Bearer {key}\r\n\r\n"
+    text = (
+        f"GET {path} HTTP/1.1\r\nHost: h\r\nX-Hazelspring-Attempt-Id: a\r\n"
+        f"Authorization: Bearer {key}\r\n\r\n"
+    )
 
-    async def ask(fresh: bool) -> bytes:
+    async def respond(confirmed: bool) -> bytes:
         host = SimpleNamespace(left=lambda request: None, counts=Counts())
-        listener = ClientListener(Address("127.0.0.1", 0), cast(Any, host), 9, lambda: fresh)
+        listener = ClientListener(Address("127.0.0.1", 0), cast(Any, host), 9, lambda: confirmed)
         listener.use_configuration(
             parse_configuration(json.dumps({"versionNumber": "r1", "resourceList": rows}).encode())
         )
@@ -246,28 +258,28 @@
         connection.parser.feed_data(text.encode())
         return bytes(wire.sent)
 
-    assert asyncio.run(ask(True)).startswith(b"HTTP/1.1 %d " % status)
-    unsure = asyncio.run(ask(False))
-    assert unsure.startswith(b"HTTP/1.1 503 ") and b"Retry-After" in unsure
+    assert asyncio.run(respond(True)).startswith(b"HTTP/1.1 %d " % status)
+    unconfirmed = asyncio.run(respond(False))
+    assert unconfirmed.startswith(b"HTTP/1.1 503 ") and b"Retry-After" in unconfirmed
 
 
-def test_a_connection_stands_idle_no_longer_than_its_server_says() -> None:
+def test_a_connection_is_idle_no_longer_than_its_server_allows() -> None:
     async def run() -> None:
         servers = UpstreamServers(0.3, 9.0, 100, Counts())
-        line = UpstreamConnection(cast(Any, SimpleNamespace(owner=servers)))
-        before = line.age_part
-        line.on_header(b"Keep-Alive", b"max=5, timeout=2")
-        assert line.age_part * servers.keep_idle <= 1.0 < before * servers.keep_idle
-        line.on_header(b"Keep-Alive", b"timeout=60")
-        line.on_header(b"Keep-Alive", b"timeout=soon")
-        assert line.age_part * servers.keep_idle <= 1.0
+        connection = UpstreamConnection(cast(Any, SimpleNamespace(owner=servers)))
+        before = connection.age_part
+        connection.on_header(b"Keep-Alive", b"max=5, timeout=2")
+        assert connection.age_part * servers.keep_idle <= 1.0 < before * servers.keep_idle
+        connection.on_header(b"Keep-Alive", b"timeout=60")
+        connection.on_header(b"Keep-Alive", b"timeout=soon")
+        assert connection.age_part * servers.keep_idle <= 1.0
         servers.close()
 
     asyncio.run(run())
 
 
-def test_a_request_whose_decision_fails_is_answered_at_once_and_promised_truly() -> None:
-    class Broken:
+def test_a_request_whose_routing_raises_an_error_is_answered_with_503_at_once() -> None:
+    class FailingRouter:
         settings, actions = RouterSettings(i.Limits(2, True, True, False, True, 1.0, 0.3)), list[Any]()
 
         def handle(self, now: float, event: object) -> list[Any]:
@@ -275,28 +287,28 @@
 
     answers: list[Answer] = []
 
-    class Waits:
+    class RecordingCaller:
         def reply(self, answer: Answer) -> None:
             answers.append(answer)
 
     async def run() -> None:
         counts = Counts()
         servers = UpstreamServers(0.3, 9.0, 100, counts)
-        host = RouterHost(cast(RequestRouter, Broken()), servers, counts, lambda call: None)
+        host = RouterHost(cast(RequestRouter, FailingRouter()), servers, counts, lambda call: None)
 
         def make(request: int) -> Any:
             return RequestArrived(request, cast(Route, None), None, 9.0)
 
-        host.request(make, "read_only", 9.0, lambda left, backend: b"", cast(Any, Waits()))
+        host.request(make, "read_only", 9.0, lambda left, backend: b"", cast(Any, RecordingCaller()))
         assert [answer.status for answer in answers] == [503] and not host.table
         servers.close()
 
     asyncio.run(run())
 
 
-def test_when_the_process_ends_only_what_no_server_was_offered_is_promised() -> None:
-    class Sends:
-        """Offers its second request to a server."""
+def test_when_the_process_ends_only_requests_sent_to_no_server_get_a_503() -> None:
+    class SendingRouter:
+        """Sends its second request to a server."""
 
         settings, actions = RouterSettings(i.Limits(2, True, True, False, True, 1.0, 0.3)), list[Any]()
 
@@ -309,30 +321,30 @@
         counts = Counts()
         servers = UpstreamServers(0.3, 9.0, 100, counts)
         servers.place(1, Address("127.0.0.1", 9), 0.0)
-        line = UpstreamConnection(servers.pools[1])
-        line.connection_made(Wire())
-        servers.pools[1].put(line)
-        host = RouterHost(cast(RequestRouter, Sends()), servers, counts, lambda call: None)
+        connection = UpstreamConnection(servers.pools[1])
+        connection.connection_made(Wire())
+        servers.pools[1].put(connection)
+        host = RouterHost(cast(RequestRouter, SendingRouter()), servers, counts, lambda call: None)
 
         def make(request: int) -> Any:
             return RequestArrived(request, cast(Route, None), None, 9.0)
 
-        for name in ("held", "offered"):
+        for name in ("queued", "sent"):
             caller = SimpleNamespace(reply=lambda final, name=name: answers.update({name: final.status}))
             host.request(make, "mutating", 9.0, lambda left, backend: b"x", cast(Any, caller))
         host.answer_all()
-        assert host.waiting == 0 and line.why == "given_up"
+        assert host.waiting == 0 and connection.why == "given_up"
         servers.close()
 
     asyncio.run(run())
-    assert answers == {"held": 503, "offered": 504}
+    assert answers == {"queued": 503, "sent": 504}
 
 
 @pytest.mark.parametrize("end", [UpstreamServers.leave, UpstreamServers.remove])
 def test_a_request_that_waits_for_a_connection_is_not_sent_to_a_server_that_leaves_meanwhile(
     end: Callable[[UpstreamServers, int], None],
 ) -> None:
-    """It never ran there, so it may go elsewhere at once; what was sent before goes on to its end."""
+    """It never ran there, so it may be sent elsewhere at once; a request sent earlier continues."""
 
     async def test() -> None:
         backend = Backend(answer=lambda _message: None)
