--- a/hazelspring/lab/cli.py
+++ b/hazelspring/lab/cli.py
@@ -1,4 +1,4 @@
-"""The `hazelspring` command: what a person calls, shown on a terminal or as plain lines."""
+"""The `hazelspring` command: plays days of the lab and prints the results, live on a terminal."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 from hazelspring.lab.day import Day, DayError, load_day, shipped
 from hazelspring.lab.plan import Play
 
-KEPT_BREACHES = 20  # of each rule that are printed
-PLAIN_EVERY = 5.0  # seconds between lines where there is no terminal
+MAX_PRINTED_BREACHES = 20  # of each rule
+PLAIN_INTERVAL_S = 5.0  # seconds between progress lines when the output is not a terminal
 ROOT = Path(__file__).parent.parent.parent
 
 
-class Halted(Exception):
-    """The stage could not play: why."""
+class PlayError(Exception):
+    """The stage process could not play the day, or ended early; the message gives the reason."""
 
 
 class Stage:
-    """The stage's process, as the command sees it.  Its folder lives until `close`."""
+    """The command's connection to the stage process.  The folder of the play exists until `close`."""
 
     def __init__(self, day: Day, seed: int, door: tuple[str, ...] = (), root: str = "") -> None:
-        told = Play(day.model_dump_json(by_alias=True), seed, secrets.token_hex(16), "", door=door, root=root)
+        play = Play(day.model_dump_json(by_alias=True), seed, secrets.token_hex(16), "", door=door, root=root)
         self.process = subprocess.Popen(
             [sys.executable, "-m", "hazelspring.lab.stage"], stdin=subprocess.PIPE, stdout=subprocess.PIPE,
             cwd=ROOT, start_new_session=True,
@@ -45,42 +45,45 @@
         assert self.process.stdin is not None and self.process.stdout is not None
         self.stdin: IO[bytes] = self.process.stdin
         self.stdout: IO[bytes] = self.process.stdout
-        self.stdin.write(msgspec.json.encode(told) + b"\n")
+        self.stdin.write(msgspec.json.encode(play) + b"\n")
         self.stdin.flush()
 
     def lines(self) -> Iterator[dict[str, Any]]:
-        """What it tells, until it is done.  Raises Halted."""
+        """Yield the events that the stage process prints, up to and including `done`.
+
+        Raises PlayError when the stage process reports a failure or ends before `done`.
+        """
         for line in self.stdout:
-            said = msgspec.json.decode(line)
-            if "failed" in said:
-                raise Halted(said["failed"])
-            yield said
-            if "done" in said:
+            event = msgspec.json.decode(line)
+            if "failed" in event:
+                raise PlayError(event["failed"])
+            yield event
+            if "done" in event:
                 return
-        raise Halted("the stage has ended")
+        raise PlayError("the stage process ended before the play was done")
 
     def finish(self) -> None:
-        """No more tries: let what is open end, and then the play."""
+        """Stop sending new attempts; the play ends once the open attempts have ended."""
         with contextlib.suppress(OSError):
             self.stdin.write(b'{"finish":true}\n')
             self.stdin.flush()
 
     def close(self) -> None:
-        """The pipe's end: the stage clears up."""
+        """Close the pipe, at which the stage process cleans up, and wait until that process has ended."""
         with contextlib.suppress(OSError):
             self.stdin.close()
         self.process.wait()
 
 
 class View:
-    """A live table on a terminal, a line now and then elsewhere."""
+    """Shows progress: a live table on a terminal, else a line every `PLAIN_INTERVAL_S` seconds."""
 
-    def __init__(self, day: Day, what: str) -> None:
-        self.day, self.what = day, what
+    def __init__(self, day: Day, title: str) -> None:
+        self.day, self.title = day, title
         self.console = Console(stderr=True)
         self.live = Live(console=self.console, auto_refresh=False) if self.console.is_terminal else None
-        self.said_at = 0.0
-        self.before: dict[str, float] = {}
+        self.printed_at = 0.0
+        self.previous: dict[str, float] = {}
 
     def __enter__(self) -> View:
         if self.live is not None:
@@ -91,58 +94,69 @@
         if self.live is not None:
             self.live.stop()
 
-    def say(self, text: str) -> None:
+    def print_line(self, text: str) -> None:
+        """Print one line on stderr, above the live table where there is one."""
         (self.live.console if self.live is not None else self.console).print(
             text, highlight=False, soft_wrap=True
         )
 
-    def show(self, said: dict[str, Any]) -> None:
-        load = said["stats"].get("load")
+    def show(self, event: dict[str, Any]) -> None:
+        """Show the counts since the last update; does nothing until the load generator has reported."""
+        load = event["stats"].get("load")
         if load is None:
             return
-        counter = said["stats"]["counter"]
-        per = {key: load[key] - self.before.get(key, 0) for key in ("sent", "served", "refused", "failed")}
+        counter = event["stats"]["counter"]
+        per = {key: load[key] - self.previous.get(key, 0) for key in ("sent", "served", "refused", "failed")}
         if self.live is None:
-            if time.monotonic() - self.said_at < PLAIN_EVERY:
+            if time.monotonic() - self.printed_at < PLAIN_INTERVAL_S:
                 return
-            self.said_at, self.before = time.monotonic(), dict(load)
-            self.say(
-                f"{said['at']:6.1f} s  sent {per['sent']}, served {per['served']}, refused {per['refused']}, "
-                f"failed {per['failed']}, open {load['open']}, p50 {load['p50'] * 1e3:.0f} ms, "
-                f"p99 {load['p99'] * 1e3:.0f} ms"
+            self.printed_at, self.previous = time.monotonic(), dict(load)
+            self.print_line(
+                f"{event['at']:6.1f} s  sent {per['sent']}, served {per['served']}, "
+                f"refused {per['refused']}, failed {per['failed']}, open {load['open']}, "
+                f"p50 {load['p50'] * 1e3:.0f} ms, p99 {load['p99'] * 1e3:.0f} ms"
             )
             return
-        self.before = dict(load)
-        table = Table(title=f"{self.what}: {said['at']:.0f} of {self.day.length_s:g} s", expand=False)
-        for column in ("tries/s", "served", "refused", "failed", "open", "p50 ms", "p99 ms", "counter calls"):
+        self.previous = dict(load)
+        table = Table(title=f"{self.title}: {event['at']:.0f} of {self.day.length_s:g} s", expand=False)
+        for column in (
+            "attempts/s",
+            "served",
+            "refused",
+            "failed",
+            "open",
+            "p50 ms",
+            "p99 ms",
+            "counter calls",
+        ):
             table.add_column(column, justify="right")
         table.add_row(
             *(f"{per[key]:.0f}" for key in ("sent", "served", "refused", "failed")),
             f"{load['open']}", f"{load['p50'] * 1e3:.0f}", f"{load['p99'] * 1e3:.0f}", f"{counter['calls']}",
         )  # fmt: skip
-        doors = Table("front door", "clients", "operators", "processes")
-        for door in said["doors"]:
-            doors.add_row(door["name"], door["listen"], door["management"], str(door["processes"]))
+        gateways = Table("gateway", "client address", "operator address", "processes")
+        for door in event["doors"]:
+            gateways.add_row(door["name"], door["listen"], door["management"], str(door["processes"]))
         grid = Table.grid()
         grid.add_row(table)
-        grid.add_row(doors)
+        grid.add_row(gateways)
         self.live.update(grid, refresh=True)
 
 
 def play(
     day: Day,
     seed: int,
-    what: str,
+    title: str,
     door: tuple[str, ...] = (),
     root: str = "",
     quiet: bool = False,
     signals: bool = True,
     report: Path | None = None,
 ) -> tuple[dict[str, Any], dict[str, Any]]:
-    """Play a day; its figures, and the breaches of each rule.  Raises Halted.
+    """Play a day; return its figures and the breaches of each rule.  Raises PlayError.
 
-    `door` and `root`: another front door's command and folder; `signals`: whether SIGINT ends it early, which
-    only a main thread can have.
+    `door` and `root` are the command and the folder of another gateway, used instead of this checkout's.
+    `signals` says whether SIGINT ends the play early; only the main thread can handle signals.
     """
     from hazelspring.lab.figures import figures
     from hazelspring.lab.rules import Seen, judge
@@ -157,36 +171,36 @@
         interrupted = True
         stage.finish()
 
-    before = signal.signal(signal.SIGINT, interrupt) if signals else None
+    previous = signal.signal(signal.SIGINT, interrupt) if signals else None
     try:
-        with View(day, what) as view:
-            for said in stage.lines():
-                if "started" in said and not quiet:
-                    view.say(f"front doors: {', '.join(said['started'].values())}")
-                elif "stats" in said and not quiet:
-                    view.show(said)
-                elif "done" in said:
-                    seen = Seen.load(day, seed, Path(said["done"]))
+        with View(day, title) as view:
+            for event in stage.lines():
+                if "started" in event and not quiet:
+                    view.print_line(f"front doors: {', '.join(event['started'].values())}")
+                elif "stats" in event and not quiet:
+                    view.show(event)
+                elif "done" in event:
+                    seen = Seen.load(day, seed, Path(event["done"]))
                     breaches = judge(seen)
                     found = figures(seen, breaches, revision())
                     if report is not None:
                         from hazelspring.lab.report import (
-                            write as write_report,  # 0.5 s that no other play needs
+                            write as write_report,  # this import takes 0.5 s, needed only for a report
                         )
 
                         click.echo(
-                            f"report: {write_report(report, what, seen, found, breaches, Path(said['done']))}"
+                            f"report: {write_report(report, title, seen, found, breaches, Path(event['done']))}"
                         )
                     return found, breaches
     finally:
         if signals:
-            signal.signal(signal.SIGINT, before)
+            signal.signal(signal.SIGINT, previous)
         stage.close()
-    raise Halted("the stage has ended")
+    raise PlayError("the stage process ended before the play was done")
 
 
 def revision() -> str:
-    """The commit that is played, with a mark where files have changed since."""
+    """Return the commit of this checkout, with a `+` if files differ from it; `unknown` without git."""
     try:
         found = subprocess.run(
             ["git", "describe", "--always", "--dirty=+"], cwd=ROOT, capture_output=True, text=True, check=True
@@ -196,51 +210,55 @@
     return found.stdout.strip()
 
 
-def verdict(found: dict[str, Any], breaches: dict[str, Any]) -> int:
-    """Print what came of a play; the status to end with."""
-    asked, latency = found["requests"], found["latency_ms"]
+def print_result(found: dict[str, Any], breaches: dict[str, Any]) -> int:
+    """Print the figures and the breaches of a play; return the exit status: 0, or 1 if a rule was broken."""
+    requests, latency = found["requests"], found["latency_ms"]
     click.echo(
-        f"{asked['asked']} requests: {asked['served']} served, {asked['refused']} refused, "
-        f"{asked['failed']} failed, {asked['lost']} lost, {asked['twice']} run twice; "
+        f"{requests['asked']} requests: {requests['served']} served, {requests['refused']} refused, "
+        f"{requests['failed']} failed, {requests['lost']} lost, {requests['twice']} run twice; "
         f"worth {found['worth_share']:.3f}, worst 10 s {found['worst_10s_worth_share']:.3f}, "
         f"beyond quotas {found['beyond_quota_share']:.3f}"
     )
     click.echo(
         f"latency p50 {latency['p50']:.0f}, p99 {latency['p99']:.0f}, p999 {latency['p999']:.0f} ms; "
-        f"for each request: handshakes {found['handshakes_per_request']:.3f}, counter calls "
+        f"per request: handshakes {found['handshakes_per_request']:.3f}, counter calls "
         f"{found['counter_calls_per_request']:.3f}, probes {found['probes_per_request']:.3f}, "
-        f"CPU {found['door']['cpu_us_per_request']:.0f} us; a start {found['door']['start_cpu_s']:.2f} s, "
+        f"CPU {found['door']['cpu_us_per_request']:.0f} us; CPU per gateway start "
+        f"{found['door']['start_cpu_s']:.2f} s, "
         f"{found['door']['memory_kb']} kB, {found['door']['descriptors_most']} descriptors"
     )
     broken = {name: breach for name, breach in breaches.items() if breach}
     for name, listed in broken.items():
-        for breach in listed[:KEPT_BREACHES]:
+        for breach in listed[:MAX_PRINTED_BREACHES]:
             click.echo(f"BROKEN {name}: {breach.who} at {breach.at:.3f} s: {breach.how}")
-        if len(listed) > KEPT_BREACHES:
-            click.echo(f"BROKEN {name}: and {len(listed) - KEPT_BREACHES} more")
+        if len(listed) > MAX_PRINTED_BREACHES:
+            click.echo(f"BROKEN {name}: and {len(listed) - MAX_PRINTED_BREACHES} more")
     if not found["valid"]:
         load = found["load"]
         click.echo(
-            f"NOT VALID: {load['late_share']:.1%} of the tries left late, up to {load['most_late_ms']:.0f} ms"
+            f"NOT VALID: the load generator sent {load['late_share']:.1%} of the attempts late, "
+            f"by up to {load['most_late_ms']:.0f} ms"
         )
     click.echo("all rules kept" if not broken else f"rules broken: {', '.join(broken)}")
     return 1 if broken else 0
 
 
-def settle(found: dict[str, Any], breaches: dict[str, Any], path: Path | None) -> int:
+def finish_run(found: dict[str, Any], breaches: dict[str, Any], path: Path | None) -> int:
+    """Write the figures to `path` as JSON, if one is given, and print the result; return the exit status."""
     if path is not None:
         write(path, json.dumps(found, indent=1, sort_keys=True) + "\n")
-    return verdict(found, breaches)
+    return print_result(found, breaches)
 
 
 def write(path: Path, text: str) -> None:
-    """A file whole or not at all."""
+    """Write the text to a temporary file and rename that, so that `path` never holds a part of the text."""
     with tempfile.NamedTemporaryFile("w", dir=path.parent, delete=False) as out:
         out.write(text)
     os.replace(out.name, path)
 
 
-def halted(error: Exception) -> int:
+def print_error(error: Exception) -> int:
+    """Print each problem of the error on stderr; return exit status 2."""
     for problem in getattr(error, "problems", (str(error),)):
         click.echo(f"hazelspring: {problem}", err=True)
     return 2
@@ -248,17 +266,17 @@
 
 @click.group()
 def main() -> None:
-    """hazelspring: a front door for a service sold by plan, and what is needed to try and measure it."""
+    """hazelspring: an admission gateway for a service sold by plan, and the lab that tests it."""
 
 
 @main.group()
 def lab() -> None:
-    """A whole fleet on this machine, on loopback addresses."""
+    """Run a complete fleet on this machine, on loopback addresses."""
 
 
 @lab.command()
 def days() -> None:
-    """The days that come along, a line each."""
+    """List the days that are shipped with the lab, one per line."""
     for name in shipped():
         day = load_day(name)
         click.echo(
@@ -267,23 +285,25 @@
 
 
 @lab.command()
-@click.option("--for", "length", type=click.FloatRange(min=1, max=3600), help="Seconds; else up to an hour.")
-@click.option("--doors", type=click.IntRange(1, 100), help="Front doors; 3 unless given.")
-@click.option("--servers", type=click.IntRange(1, 200), help="Alert servers; 12 unless given.")
+@click.option("--for", "length", type=click.FloatRange(min=1, max=3600), help="Seconds; an hour by default.")
+@click.option("--doors", type=click.IntRange(1, 100), help="Number of gateways; 3 by default.")
+@click.option("--servers", type=click.IntRange(1, 200), help="Number of alert servers; 12 by default.")
 @click.option("--seed", type=int, default=1, show_default=True)
 def up(length: float | None, doors: int | None, servers: int | None, seed: int) -> None:
-    """Start a fleet with steady clients; Ctrl-C drains it and judges the rules."""
+    """Start a fleet with steady load; Ctrl-C drains it and checks the rules."""
     sys.exit(run_day("calm", seed, length or 3600.0, doors, servers, None))
 
 
 @lab.command()
 @click.argument("day")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--for", "length", type=click.FloatRange(min=1, max=3600), help="Seconds, for the day's own.")
+@click.option(
+    "--for", "length", type=click.FloatRange(min=1, max=3600), help="Seconds; the day's own by default."
+)
 @click.option("--doors", type=click.IntRange(1, 100))
 @click.option("--servers", type=click.IntRange(1, 200))
 @click.option("--json", "path", type=click.Path(dir_okay=False, writable=True, path_type=Path))
-@click.option("--report", type=click.Path(file_okay=False, path_type=Path), help="A folder for a page.")
+@click.option("--report", type=click.Path(file_okay=False, path_type=Path), help="A folder for a report.")
 def run(
     day: str,
     seed: int,
@@ -293,19 +313,19 @@
     path: Path | None,
     report: Path | None,
 ) -> None:
-    """Play DAY, a shipped name or a TOML file.
+    """Play DAY, the name of a shipped day or the path of a TOML file.
 
-    Status 0: all rules kept; 1: a rule broken; 2: a bad file or call.
+    Exit status 0: all rules kept; 1: a rule broken; 2: a bad day file or bad arguments.
     """
     sys.exit(run_day(day, seed, length, doors, servers, path, report))
 
 
 @lab.command()
 @click.argument("day")
-@click.option("--a", "a", required=True, help="A revision, as git names it.")
-@click.option("--b", "b", required=True, help="Another.")
+@click.option("--a", "a", required=True, help="A git revision.")
+@click.option("--b", "b", required=True, help="The git revision to compare it with.")
 @click.option("--plays", type=click.IntRange(2, 1000), default=6, show_default=True)
-@click.option("--seed", type=int, default=1, show_default=True, help="The first one.")
+@click.option("--seed", type=int, default=1, show_default=True, help="The first seed.")
 @click.option("--for", "length", type=click.FloatRange(min=1, max=3600))
 @click.option("--doors", type=click.IntRange(1, 100))
 @click.option("--servers", type=click.IntRange(1, 200))
@@ -321,28 +341,28 @@
     servers: int | None,
     path: Path | None,
 ) -> None:
-    """Play DAY with two revisions in turn, on the same seeds, and tell what differs."""
+    """Play DAY with two revisions in turn, on the same seeds, and print the differences of the figures."""
     from hazelspring.lab.compare import CompareError, build, collect, differences
 
     try:
-        chosen = load_day(day, length_s=length, doors=doors, servers=servers)
+        chosen_day = load_day(day, length_s=length, doors=doors, servers=servers)
         sides = build(a), build(b)
 
-        def one(side: int, number: int) -> dict[str, Any]:
+        def play_side(side: int, number: int) -> dict[str, Any]:
             built = sides[side]
-            found, _ = play(chosen, number, day, built.door, str(built.root), quiet=True)
+            found, _ = play(chosen_day, number, day, built.door, str(built.root), quiet=True)
             return found | {"revision": built.commit}
 
-        ours, theirs = collect(plays, seed, one, click.echo)
-    except (DayError, Halted, CompareError) as error:
-        sys.exit(halted(error))
+        ours, theirs = collect(plays, seed, play_side, click.echo)
+    except (DayError, PlayError, CompareError) as error:
+        sys.exit(print_error(error))
     if len(ours) < 2:
-        sys.exit(halted(Halted("fewer than two valid pairs: nothing to compare")))
+        sys.exit(print_error(PlayError("fewer than two valid pairs of plays: nothing to compare")))
     found = differences(ours, theirs)
     click.echo(f"{'figure':28} {'A ' + sides[0].commit:>14} {'B ' + sides[1].commit:>14}  B - A, interval")
     for each in found:
-        said = f"[{each.low:+.4g}, {each.high:+.4g}]" if each.shown else "no difference shown"
-        click.echo(f"{each.key:28} {each.a:14.4f} {each.b:14.4f}  {each.b - each.a:+.4g} {said}")
+        shown = f"[{each.low:+.4g}, {each.high:+.4g}]" if each.significant else "no significant difference"
+        click.echo(f"{each.key:28} {each.a:14.4f} {each.b:14.4f}  {each.b - each.a:+.4g} {shown}")
     if path is not None:
         listed = [msgspec.to_builtins(each) for each in found]
         write(path, json.dumps({"a": ours, "b": theirs, "differences": listed}, indent=1) + "\n")
@@ -357,11 +377,12 @@
     path: Path | None,
     report: Path | None = None,
 ) -> int:
+    """Play one day and print its result; return the exit status, 2 if the day could not be played."""
     try:
         day = load_day(name, length_s=length, doors=doors, servers=servers)
-        return settle(*play(day, seed, name, report=report), path)
-    except (DayError, Halted) as error:
-        return halted(error)
+        return finish_run(*play(day, seed, name, report=report), path)
+    except (DayError, PlayError) as error:
+        return print_error(error)
 
 
 if __name__ == "__main__":
