--- a/hazelspring/lab/cli.py
+++ b/hazelspring/lab/cli.py
@@ -185,11 +185,11 @@
                     found = figures(seen, breaches, revision())
                     if report is not None:
                         from hazelspring.lab.report import (
-                            write as write_report,  # this import takes 0.5 s, needed only for a report
+                            write as write_page,  # this import takes 0.5 s, needed only for a report
                         )
 
                         click.echo(
-                            f"report: {write_report(report, title, seen, found, breaches, Path(event['done']))}"
+                            f"report: {write_page(report, title, seen, found, breaches, Path(event['done']))}"
                         )
                     return found, breaches
     finally:
--- a/hazelspring/lab/day.py
+++ b/hazelspring/lab/day.py
@@ -1,4 +1,4 @@
-"""What a day file says: its sizes, its load, its faults; each wrong key is named with its path and value."""
+"""The schema of a day file: sizes, load and faults.  Errors name each wrong key with its path and value."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
     "discovery_late", "discovery_silent", "discovery_full",
     "burst", "hostile",
 ]  # fmt: skip
-# Whether a kind concerns front doors or alert servers, and whether its size means anything.
-OF_DOORS = {"kill_doors", "term_doors", "reload", "put", "rollback", "upgrade", "upgrade_dies"}
-OF_SERVERS = {"kill_servers", "drain_servers", "cut_servers", "slow_servers", "reset", "delay", "ban"}
-SIZED = {
+# The kinds that target gateways, those that target alert servers, and those that require a size.
+GATEWAY_FAULTS = {"kill_doors", "term_doors", "reload", "put", "rollback", "upgrade", "upgrade_dies"}
+SERVER_FAULTS = {"kill_servers", "drain_servers", "cut_servers", "slow_servers", "reset", "delay", "ban"}
+FAULTS_WITH_SIZE = {
     "slow_servers", "reset", "delay", "counter_slow", "discovery_late", "discovery_full", "burst", "hostile",
 }  # fmt: skip
-PASSED = {"upgrade", "upgrade_dies"}  # the platform holds the clients' listening sockets on such a day
+# On a day with one of these, the platform holds the clients' listening sockets and passes them to gateways.
+SOCKET_PASSING_FAULTS = {"upgrade", "upgrade_dies"}
 
 
 class DayError(Exception):
-    """A day file that cannot be played; every problem, with key path and value."""
+    """A day file cannot be played; `problems` has an entry for each problem, with key path and value."""
 
     def __init__(self, *problems: str) -> None:
         super().__init__("; ".join(problems))
@@ -34,7 +35,10 @@
 
 
 class Fault(BaseModel):
-    """One fault: when, for how long (`for`), on what part, and how much."""
+    """One fault: its time, its duration (`for`), the share of the targets that it affects, and its size.
+
+    Times are in seconds.  What the size means depends on the kind.
+    """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -45,8 +49,9 @@
     size: float = Field(default=0.0, ge=0)
 
     @model_validator(mode="after")
-    def fits(self) -> Fault:
-        if self.kind in SIZED and not self.size:
+    def check_size(self) -> Fault:
+        """Check that the size is in the range that the kind requires."""
+        if self.kind in FAULTS_WITH_SIZE and not self.size:
             raise ValueError(f"{self.kind} needs a size above zero")
         if self.kind in ("reset", "slow_servers") and self.size > 1:
             raise ValueError(f"{self.kind}: the size is a share, at most 1")
@@ -54,17 +59,17 @@
 
 
 class Allow(BaseModel):
-    """What the rules let pass on this day."""
+    """The bounds that the rules apply on this day."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
-    beyond_quota: float = Field(default=0.3, ge=0, le=1)  # share of the units let in
-    log_kb: int = Field(default=512, gt=0)  # of one front door
-    ready_s: float = Field(default=10.0, gt=0)
+    beyond_quota: float = Field(default=0.3, ge=0, le=1)  # share of the admitted units
+    log_kb: int = Field(default=512, gt=0)  # of one gateway
+    ready_s: float = Field(default=10.0, gt=0)  # from the start of a gateway until it is ready
 
 
 class Day(BaseModel):
-    """A day; times in seconds since its start."""
+    """A day to be played.  Times are in seconds since its start."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -73,11 +78,11 @@
     doors: int = Field(default=3, ge=1, le=100)
     servers: int = Field(default=12, ge=1, le=200)
     zones: list[str] = Field(default=["ba-petrzalka"], min_length=1, max_length=8)
-    load: float = Field(default=0.5, gt=0, le=3)  # asked inside quotas, of what the alert servers can do
-    pace: float = Field(default=1.0, gt=0, le=100)  # so many times as many requests, of as much less work
-    notice_s: tuple[float, float] = (2.0, 4.9)  # after which discovery sees that a process has died
-    told_s: tuple[float, float] = (0.2, 0.9)  # after which a front door is told of a change
-    large_share: float = Field(default=0.0, ge=0, le=1)  # of the requests, with large bodies both ways
+    load: float = Field(default=0.5, gt=0, le=3)  # work within quotas / capacity of the servers
+    pace: float = Field(default=1.0, gt=0, le=100)  # multiplies the number of requests, divides their work
+    notice_s: tuple[float, float] = (2.0, 4.9)  # delay until discovery sees that a process has died
+    told_s: tuple[float, float] = (0.2, 0.9)  # delay until discovery reports a change to a gateway
+    large_share: float = Field(default=0.0, ge=0, le=1)  # of the requests; large bodies in both directions
     large_kb: int = Field(default=1024, gt=64, le=32768)
     memory_mb: int = Field(default=128, ge=32)
     sockets: int = Field(default=1024, ge=256)
@@ -85,7 +90,8 @@
     faults: list[Fault] = Field(default=[])
 
     @model_validator(mode="after")
-    def fits(self) -> Day:
+    def check_faults(self) -> Day:
+        """Check that faults start before the day's end, and that a zone is lost only if another remains."""
         for number, fault in enumerate(self.faults):
             if fault.at >= self.length_s:
                 raise ValueError(
@@ -96,18 +102,21 @@
         return self
 
     def passed(self) -> bool:
-        """Whether the platform holds the listening sockets and hands them on."""
-        return any(fault.kind in PASSED for fault in self.faults)
+        """Whether the platform holds the listening sockets and passes them to the gateways."""
+        return any(fault.kind in SOCKET_PASSING_FAULTS for fault in self.faults)
 
 
 def shipped() -> dict[str, Path]:
-    """The days that come along, by name."""
+    """Return the paths of the days that are shipped with the lab, by name."""
     folder = Path(str(resources.files("hazelspring.lab") / "days"))
     return {path.stem: path for path in sorted(folder.glob("*.toml"))}
 
 
 def load_day(name: str, **changes: float | int | None) -> Day:
-    """A shipped day by name, or a day file by path, with sizes changed.  Raises DayError."""
+    """Load a shipped day by name, or a day file by path, and apply the changes that are not None.
+
+    If the length is changed, faults that would start at the new end or later are dropped.  Raises DayError.
+    """
     path = shipped().get(name, Path(name))
     try:
         raw = tomllib.loads(path.read_text())
@@ -117,23 +126,24 @@
         raise DayError(f"{name}: not TOML: {error}") from None
     length = changes.get("length_s")
     if length and isinstance(faults := raw.get("faults"), list):
-        raw["faults"] = [f for f in faults if not (isinstance(f, dict) and later(f.get("at"), length))]
+        raw["faults"] = [f for f in faults if not (isinstance(f, dict) and too_late(f.get("at"), length))]
     raw |= {key: value for key, value in changes.items() if value is not None}
     try:
         return Day.model_validate(raw)
     except ValidationError as error:
-        raise DayError(*(problem(found) for found in error.errors())) from None
+        raise DayError(*(describe_problem(found) for found in error.errors())) from None
 
 
-def later(at: object, length: float) -> bool:
+def too_late(at: object, length: float) -> bool:
+    """Whether a fault at this time would start only at the end of the day, or after it."""
     return isinstance(at, int | float) and at >= length
 
 
-def problem(found: object) -> str:
-    """One of pydantic's errors as a line: key path, what is wrong, value."""
-    assert isinstance(found, dict)
-    path = ".".join(str(part) for part in found["loc"])
-    said = str(found["msg"]).removeprefix("Value error, ")
-    if not path or isinstance(found["input"], dict):
-        return ": ".join(filter(None, (path, said)))
-    return f"{path}: {said}: {repr(found['input'])[:80]}"
+def describe_problem(error: object) -> str:
+    """Format one of pydantic's errors as a line: key path, message, value."""
+    assert isinstance(error, dict)
+    path = ".".join(str(part) for part in error["loc"])
+    message = str(error["msg"]).removeprefix("Value error, ")
+    if not path or isinstance(error["input"], dict):
+        return ": ".join(filter(None, (path, message)))
+    return f"{path}: {message}: {repr(error['input'])[:80]}"
--- a/hazelspring/lab/plan.py
+++ b/hazelspring/lab/plan.py
@@ -1,4 +1,7 @@
-"""A play, laid out before it starts: who is there, where, and what happens when.  Pure but for the secret."""
+"""The plan of a play, computed before it starts: servers, arrivals, faults with their targets, and settings.
+
+All of it follows from the day and the seed, except the secret.
+"""
 
 from __future__ import annotations
 
@@ -8,41 +11,42 @@
 
 import msgspec
 
-from hazelspring.lab.day import OF_DOORS, OF_SERVERS, Day, Fault
+from hazelspring.lab.day import GATEWAY_FAULTS, SERVER_FAULTS, Day, Fault
 from hazelspring.lab.models.alertserver import ServerSpec
 from hazelspring.lab.models.chance import stream, within
 from hazelspring.lab.models.customers import CLASSES, Arrivals, draw, tariffs_of
 
 KINDS = ("full-box", "old-box")
-OLD_SHARE = 0.32
-SPEEDS = ((0.85, 1.1), (0.51, 0.69))
-GRACE = 0.25  # seconds after which nothing new goes to what drains, is gone, or is out by hand
-SLACK = 0.05  # seconds by which every limit is longer on sockets
-MOST_WAIT = 2.0  # seconds of `Retry-After`
-MEMORY = 7.5  # seconds for which a rack drops repeats
-MOST_ATTEMPTS = 5
-WARM_UP = 18.0
-COLD_FROM = 0.16
+OLD_SHARE = 0.32  # of the alert servers, that are of the second, slower kind
+SPEEDS = ((0.85, 1.1), (0.51, 0.69))  # of each kind
+GRACE = 0.25  # seconds after which no new request may go to a server that is draining, gone or detached
+SLACK = 0.05  # seconds that the rules add to every time limit, as the play runs on real sockets
+MOST_WAIT = 2.0  # longest `Retry-After`, seconds
+DEDUP_SPAN = 7.5  # seconds for which a rack drops repeated requests
+MAX_ATTEMPTS = 5
+MAX_WARM_UP = 18.0  # seconds
+MIN_COLD_SHARE = 0.16  # of its capacity, that a server has just after its start
 
 
 class Play(msgspec.Struct, frozen=True):
-    """What every process of a play is told."""
+    """The parameters that every process of a play receives, as JSON on its first line of input."""
 
     day: str  # the day as JSON
     seed: int
-    secret: str  # alert servers sign their answers with it; no front door knows it
+    secret: str  # alert servers sign their responses with it; no gateway knows it
     folder: str
-    hosts: int = 2  # processes of alert servers
-    door: tuple[str, ...] = ()  # how a front door is started; empty: as this checkout's is
-    root: str = ""  # and from which folder
+    hosts: int = 2  # number of processes that run the alert servers
+    door: tuple[str, ...] = ()  # command that starts a gateway; empty: the gateway of this checkout
+    root: str = ""  # folder in which that command is started
 
     def parsed(self) -> Day:
+        """Return the day that `day` holds as JSON."""
         return Day.model_validate_json(self.day)
 
 
 @dataclass(frozen=True, slots=True)
 class Happening:
-    """A fault with its targets: places of front doors or of alert servers."""
+    """A fault with its targets, which are indices of gateways or of alert servers."""
 
     fault: Fault
     number: int
@@ -50,11 +54,12 @@
 
     @property
     def end(self) -> float:
+        """When the fault ends, in seconds since the start of the day."""
         return self.fault.at + self.fault.lasts
 
 
 def servers_of(day: Day, seed: int) -> list[ServerSpec]:
-    """The alert servers of a day."""
+    """Draw the alert servers of a day."""
     random = stream(seed, "servers")
     slots, queue = int(random.integers(2, 7)) * 2, int(random.integers(12, 40)) * 2
     rack_size = int(random.integers(4, 9))
@@ -72,26 +77,27 @@
                 queue=queue,
                 thrash_at=within(random, (3.1, 7.3)),
                 thrash=within(random, (0.032, 0.25)),
-                cold_from=max(COLD_FROM, within(random, (0.16, 0.47))),
-                warm_up=within(random, (5.6, WARM_UP)),
+                cold_from=max(MIN_COLD_SHARE, within(random, (0.16, 0.47))),
+                warm_up=within(random, (5.6, MAX_WARM_UP)),
                 handshake=within(random, (0.0006, 0.0018)) / day.pace,
                 probe=within(random, (0.00012, 0.00059)) / day.pace,
                 refresh=within(random, (0.11, 0.99)),
                 connections=int(within(random, (400, 840))) * 2,
-                memory=MEMORY,
+                memory=DEDUP_SPAN,
             )
         )
     return found
 
 
 def arrivals_of(day: Day, seed: int) -> Arrivals:
-    can = sum(spec.cores * spec.speed for spec in servers_of(day, seed))
+    """Draw the arrivals of a day, for the load that it gives as a share of its alert servers' capacity."""
+    capacity = sum(spec.cores * spec.speed for spec in servers_of(day, seed))
     bursts = [(f.at, f.at + f.lasts, f.size) for f in day.faults if f.kind == "burst"]
-    return draw(seed, day.length_s, day.doors, day.load * can, day.pace, bursts)
+    return draw(seed, day.length_s, day.doors, day.load * capacity, day.pace, bursts)
 
 
 def happenings(day: Day, seed: int) -> list[Happening]:
-    """The day's faults with their targets.  A part that rounds to none is one."""
+    """Draw the targets of the day's faults.  A fault whose part rounds to no target gets one."""
     found = []
     for number, fault in enumerate(day.faults):
         random = stream(seed, f"fault {number}")
@@ -99,38 +105,42 @@
         if fault.kind == "zone":
             zone = int(random.integers(len(day.zones)))
             targets = tuple(n for n in range(day.servers) if n % len(day.zones) == zone)
-        elif fault.kind in OF_DOORS or fault.kind in OF_SERVERS:
-            of = day.doors if fault.kind in OF_DOORS else day.servers
-            count = max(1, round(of * fault.part))
-            targets = tuple(sorted(int(n) for n in random.permutation(of)[:count]))
+        elif fault.kind in GATEWAY_FAULTS or fault.kind in SERVER_FAULTS:
+            total = day.doors if fault.kind in GATEWAY_FAULTS else day.servers
+            count = max(1, round(total * fault.part))
+            targets = tuple(sorted(int(n) for n in random.permutation(total)[:count]))
         found.append(Happening(fault, number, targets))
     return found
 
 
-# --- ids, bodies, answers: what one side makes and the other checks ------------------------------------
+# --- request ids, bodies and responses, which one side creates and the other side checks ----------------
 
 
 def request_id(seed: int, request: int, attempt: int) -> str:
-    """16 hex digits: its place, its number, and a mark that only a client of this play can have made."""
-    mark = zlib.crc32(f"{seed} {request} {attempt}".encode()) & 0xFFFFFF
-    return f"{request:08x}{attempt:02x}{mark:06x}"
+    """Return 16 hex digits: the request's index, the attempt's number, and a checksum over them and the seed.
+
+    The checksum proves that a client of this play created the id.
+    """
+    checksum = zlib.crc32(f"{seed} {request} {attempt}".encode()) & 0xFFFFFF
+    return f"{request:08x}{attempt:02x}{checksum:06x}"
 
 
-def place_of(seed: int, found: str) -> tuple[int, int] | None:
-    """The request and its try that this id names; None if no client made it."""
+def place_of(seed: int, attempt_id: str) -> tuple[int, int] | None:
+    """Return the request and the attempt that the id `attempt_id` names, or None if no client created it."""
     try:
-        request, attempt = int(found[:8], 16), int(found[8:10], 16)
+        request, attempt = int(attempt_id[:8], 16), int(attempt_id[8:10], 16)
     except ValueError:
         return None
-    return (request, attempt) if request_id(seed, request, attempt) == found else None
+    return (request, attempt) if request_id(seed, request, attempt) == attempt_id else None
 
 
 def is_large(day: Day, request: int) -> bool:
+    """Whether this request and its response have large bodies; the same in each play of the day."""
     return (request * 2654435761) % 2**32 < day.large_share * 2**32
 
 
 def body_of(day: Day, seed: int, request: int, keyed: bool) -> bytes:
-    """The body of a request: none where its class is safe to repeat."""
+    """Return the body of a request; it is empty if the request's class is safe to repeat."""
     if not keyed:
         return b""
     size = day.large_kb * 1024 if is_large(day, request) else 100 + request % 300
@@ -138,29 +148,32 @@
     return (unit * (size // len(unit) + 1))[:size]
 
 
-def answer_of(day: Day, secret: str, server: str, found: str, request: int) -> bytes:
-    """The body that this alert server gives for this request, which nobody else can make."""
-    sign = hashlib.blake2b(f"{secret} {server} {found}".encode(), digest_size=16).hexdigest()
-    head = f"{server} {found} {sign}\n".encode()
-    return head * (day.large_kb * 1024 // len(head)) if is_large(day, request) else head
+def answer_of(day: Day, secret: str, server: str, attempt_id: str, request: int) -> bytes:
+    """Return the response body of this alert server for the request id `attempt_id`.
+
+    It is signed with the play's secret, so that nothing but the play's alert servers can create it.
+    """
+    signature = hashlib.blake2b(f"{secret} {server} {attempt_id}".encode(), digest_size=16).hexdigest()
+    line = f"{server} {attempt_id} {signature}\n".encode()
+    return line * (day.large_kb * 1024 // len(line)) if is_large(day, request) else line
 
 
-def is_answer(day: Day, secret: str, found: str, request: int, body: bytes) -> bool:
-    """Whether some alert server gave this body for this request."""
+def is_answer(day: Day, secret: str, attempt_id: str, request: int, body: bytes) -> bool:
+    """Whether an alert server of the play created this body for this request."""
     server = body.split(b" ", 1)[0].decode("latin-1")
-    return body == answer_of(day, secret, server, found, request)
+    return body == answer_of(day, secret, server, attempt_id, request)
 
 
-# --- a front door's configuration -----------------------------------------------------------------------
+# --- the settings of a gateway --------------------------------------------------------------------------
 
 
 def settings_of(day: Day, seed: int, door: int) -> dict[str, object]:
-    """The settings of one front door, as the deployment's page has them."""
+    """Return the settings of one gateway, in the format of the deployment's settings file."""
     classes = [
         {
             "name": spec.name, "goal_time_s": spec.aim, "deadline_s": spec.deadline,
             "effect": "keyed" if spec.keyed else "safe", "dedup_scope": "cell" if spec.keyed else "all",
-            "memory_span_s": MEMORY if spec.keyed else 5.0, "worth": spec.worth,
+            "memory_span_s": DEDUP_SPAN if spec.keyed else 5.0, "worth": spec.worth,
             "late_value": 0.0, "stream": False,
         }
         for spec in CLASSES
@@ -177,7 +190,7 @@
         "me": door, "peers_total": day.doors, "az": door % len(day.zones), "zones": day.zones,
         "period_s": 0.004, "host_types": list(KINDS), "membership_mode": "push", "weight_source": "rough",
         "caps": {
-            "cancel": True, "conn_idle_s": 15.0, "connect_timeout_s": 0.25, "max_attempts": MOST_ATTEMPTS,
+            "cancel": True, "conn_idle_s": 15.0, "connect_timeout_s": 0.25, "max_attempts": MAX_ATTEMPTS,
             "max_retry_after_s": MOST_WAIT, "may_probe": True, "retry_after": True, "second_copies": True,
         },
         "classes": classes, "tariffs": tariffs,
@@ -185,7 +198,7 @@
         "report": {"how": "pull", "columns": ["util", "inflight"]},
         "penalties": {"late_fail": 0.03, "probe": 0.01, "waste": 0.05, "handshake": 0.0},
         "rules": {
-            "answer_slack_s": 0.016, "ask_within_s": 10.0, "cold_share": COLD_FROM, "drain_grace_s": GRACE,
-            "fall_multiple": 3.0, "fall_s": 2.0, "warm_up_s": WARM_UP,
+            "answer_slack_s": 0.016, "ask_within_s": 10.0, "cold_share": MIN_COLD_SHARE,
+            "drain_grace_s": GRACE, "fall_multiple": 3.0, "fall_s": 2.0, "warm_up_s": MAX_WARM_UP,
         },
     }  # fmt: skip
--- a/hazelspring/lab/rules.py
+++ b/hazelspring/lab/rules.py
@@ -12,9 +12,9 @@
 from hazelspring.lab.models.alertserver import ServerSpec
 from hazelspring.lab.models.customers import CLASSES, Arrivals
 from hazelspring.lab.plan import (
+    DEDUP_SPAN,
     GRACE,
-    MEMORY,
-    MOST_ATTEMPTS,
+    MAX_ATTEMPTS,
     MOST_WAIT,
     SLACK,
     Happening,
@@ -132,7 +132,7 @@
         job = tries.get(found)
         if job is None or arrivals[0].verdict == "unknown":
             continue
-        most = MOST_ATTEMPTS * (2 if job.resent else 1)
+        most = MAX_ATTEMPTS * (2 if job.resent else 1)
         if len(arrivals) > most:
             yield Breach("repeats", found, arrivals[-1].whole, f"sent {len(arrivals)} times, {most} at most")
         ran = [a for a in arrivals if a.verdict in RAN]
@@ -141,7 +141,7 @@
         first = ran[0]
         for later in ran[1:]:
             rack = seen.specs[later.server].rack
-            if rack != seen.specs[first.server].rack or later.began > first.whole + MEMORY + SLACK:
+            if rack != seen.specs[first.server].rack or later.began > first.whole + DEDUP_SPAN + SLACK:
                 yield Breach(
                     "repeats", found, later.whole, f"may have run at {first.server} and {later.server}"
                 )
