--- a/hazelspring/lab/cli.py
+++ b/hazelspring/lab/cli.py
@@ -24,7 +24,7 @@
 from hazelspring.lab.day import Day, DayError, load_day, shipped
 from hazelspring.lab.plan import Play
 
-MAX_PRINTED_BREACHES = 20  # of each rule
+MAX_PRINTED_BREACHES = 20  # per rule
 PLAIN_INTERVAL_S = 5.0  # seconds between progress lines when the output is not a terminal
 ROOT = Path(__file__).parent.parent.parent
 
@@ -159,7 +159,7 @@
     `signals` says whether SIGINT ends the play early; only the main thread can handle signals.
     """
     from hazelspring.lab.figures import figures
-    from hazelspring.lab.rules import Seen, judge
+    from hazelspring.lab.rules import PlayRecords, judge
 
     stage = Stage(day, seed, door, root)
     interrupted = False
@@ -180,16 +180,16 @@
                 elif "stats" in event and not quiet:
                     view.show(event)
                 elif "done" in event:
-                    seen = Seen.load(day, seed, Path(event["done"]))
-                    breaches = judge(seen)
-                    found = figures(seen, breaches, revision())
+                    data = PlayRecords.load(day, seed, Path(event["done"]))
+                    breaches = judge(data)
+                    found = figures(data, breaches, revision())
                     if report is not None:
                         from hazelspring.lab.report import (
                             write as write_page,  # this import takes 0.5 s, needed only for a report
                         )
 
                         click.echo(
-                            f"report: {write_page(report, title, seen, found, breaches, Path(event['done']))}"
+                            f"report: {write_page(report, title, data, found, breaches, Path(event['done']))}"
                         )
                     return found, breaches
     finally:
@@ -230,7 +230,7 @@
     broken = {name: breach for name, breach in breaches.items() if breach}
     for name, listed in broken.items():
         for breach in listed[:MAX_PRINTED_BREACHES]:
-            click.echo(f"BROKEN {name}: {breach.who} at {breach.at:.3f} s: {breach.how}")
+            click.echo(f"BROKEN {name}: {breach.who} at {breach.at:.3f} s: {breach.detail}")
         if len(listed) > MAX_PRINTED_BREACHES:
             click.echo(f"BROKEN {name}: and {len(listed) - MAX_PRINTED_BREACHES} more")
     if not found["valid"]:
--- a/hazelspring/lab/compare.py
+++ b/hazelspring/lab/compare.py
@@ -17,7 +17,7 @@
 BUILDS = ROOT / ".lab"  # worktrees and virtual environments, kept for reuse
 RESAMPLES = 10_000
 FAMILY_CONFIDENCE = 0.95  # probability that all intervals of a comparison contain the true differences
-MAX_REPLAYS = 2  # of a play that was not valid
+MAX_REPLAYS = 2  # how often a play that was not valid is repeated
 FIGURES = (
     "worth_share", "worst_10s_worth_share", "latency_ms.p50", "latency_ms.p90", "latency_ms.p99",
     "beyond_quota_share", "handshakes_per_request", "counter_calls_per_request", "probes_per_request",
--- a/hazelspring/lab/models/__init__.py
+++ b/hazelspring/lab/models/__init__.py
@@ -1,1 +1,1 @@
-"""What stands around a front door, as state machines: time is an argument, and there are no sockets."""
+"""Models of what surrounds a gateway, as state machines: time is an argument, and there are no sockets."""
--- a/hazelspring/lab/models/alertserver.py
+++ b/hazelspring/lab/models/alertserver.py
@@ -1,4 +1,4 @@
-"""One alert server: what it takes in, how its work gets done, and when it falls over."""
+"""One alert server: which requests it accepts, how it processes them, and when it fails by overload."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-EPS = 1e-9  # seconds of work that rounding may leave over
-STEP = 0.1  # seconds for which the capacity of a warming server counts as constant
+EPS = 1e-9  # seconds of work, tolerance for rounding errors
+STEP = 0.1  # seconds for which the capacity of a server that is warming up is taken as constant
 UTIL_SPAN = 0.5  # seconds over which a load report averages
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSpec:
-    """What a machine is; times in seconds, work in seconds of one core of speed 1."""
+    """The properties of one machine; times in seconds, work in seconds of one core of speed 1."""
 
     name: str
     kind: int
@@ -25,57 +25,57 @@
     speed: float = 1.0
     slots: int = 8
     queue: int = 50
-    thrash_at: float = 5.0  # requests in work for each core, from which on they hinder each other
-    thrash: float = 0.1
-    cold_from: float = 0.3  # share of its capacity just after its start
-    warm_up: float = 10.0
-    fall_multiple: float = 3.0
-    fall_time: float = 2.0
-    connections: int = 1000
-    handshake: float = 0.0012
-    probe: float = 0.0003
-    idle: float = 15.0
+    thrash_at: float = 5.0  # running requests per core, above which they slow each other down
+    thrash: float = 0.1  # slowdown for each running request per core above that
+    cold_share: float = 0.3  # share of its capacity just after its start
+    warm_up: float = 10.0  # seconds after its start until it has its full capacity
+    fall_multiple: float = 3.0  # a cold server fails when it is sent more than this many times its capacity
+    fall_time: float = 2.0  # seconds over which that work is summed
+    connections: int = 1000  # largest number of open connections
+    handshake: float = 0.0012  # work of a new connection
+    probe: float = 0.0003  # work of a probe
+    idle: float = 15.0  # seconds after which it closes an idle connection
     memory: float = 7.5  # seconds for which its rack remembers a key
-    refresh: float = 0.5
-    noise: float = 0.05
+    refresh: float = 0.5  # seconds between updates of its load report
+    noise: float = 0.05  # relative standard deviation of the reported utilization
 
 
 class Verdict(Enum):
-    """What becomes of a request that has come whole."""
+    """What a server does with a request that it has received completely."""
 
     BEGUN = "begun"
     FULL = "full"
     DRAINING = "draining"
-    DROPPED = "dropped"  # a repeat of a key that its rack has: answered with the first one's end
+    DROPPED = "dropped"  # its rack has the same key already: answered when the first request ends
     FALLEN = "fallen"
 
 
 @dataclass(slots=True)
 class Work:
-    """A request at its server; `token` is the caller's own."""
+    """A request at its server; `token` identifies it to the caller and may be any object."""
 
     token: object
-    left: float
+    needed: float  # work, in seconds of one core
     key: str
-    goal: float = 0.0  # the attained work of its server at which it is done
-    followers: list[object] = field(default_factory=list)
-    gone: bool = False
+    goal: float = 0.0  # the value of the server's `attained` at which it is done
+    followers: list[object] = field(default_factory=list)  # tokens of its repeats
+    lost: bool = False  # whether its server died before it was done
 
 
 class Rack:
-    """The keys that the servers of one rack have among them."""
+    """The idempotency keys that the servers of one rack share."""
 
     def __init__(self) -> None:
         self.keys: dict[str, tuple[float, Work]] = {}
         self.order: deque[tuple[float, str]] = deque()
 
-    def first(self, now: float, key: str, work: Work, span: float) -> Work | None:
-        """The work that has this key already; else it is remembered from now on for `span` seconds."""
+    def find_or_add(self, now: float, key: str, work: Work, span: float) -> Work | None:
+        """Return the work that has this key already; if there is none, store `work` for `span` seconds."""
         while self.order and self.order[0][0] <= now:
             at, old = self.order.popleft()
             if (found := self.keys.get(old)) is not None and found[0] <= at:
                 del self.keys[old]
-        if (known := self.keys.get(key)) is not None and not known[1].gone:
+        if (known := self.keys.get(key)) is not None and not known[1].lost:
             return known[1]
         self.keys[key] = (now + span, work)
         self.order.append((now + span, key))
@@ -83,49 +83,49 @@
 
 
 class AlertServer:
-    """Its cores are shared evenly by the requests in work, and the rest waits in turn."""
+    """A server whose running requests share its cores evenly, while the others wait in a queue."""
 
     def __init__(self, spec: ServerSpec, rack: Rack, now: float, started: float = -math.inf) -> None:
         self.spec, self.rack, self.started = spec, rack, started
         self.at = now
-        self.attained = 0.0  # work that each request in work has got since the start
+        self.attained = 0.0  # work received by each running request, cumulative since the start
         self.running: list[tuple[float, int, Work]] = []
         self.waiting: deque[Work] = deque()
         self.number = 0
         self.draining = self.fallen = False
-        self.slow = 1.0  # what another program leaves of the machine
+        self.slow = 1.0  # the share of the machine that another program leaves to it
         self.stalled = False
         self.connections = 0
-        self.pushed: deque[tuple[float, float]] = deque()  # times and work that it was sent while cold
-        self.pushed_sum = 0.0
+        self.cold_work: deque[tuple[float, float]] = deque()  # times and work that it was sent while cold
+        self.cold_work_sum = 0.0
         self.busy, self.busy_since = 0.0, self.at
-        self.told: tuple[float, float, int] = (-math.inf, 0.0, 0)
+        self.last_report: tuple[float, float, int] = (-math.inf, 0.0, 0)  # time, utilization, requests
 
     def warmth(self, now: float) -> float:
-        """The share of its capacity that it has."""
+        """Return the share of its capacity that the server has so long after its start."""
         age = max(0.0, now - self.started)
         part = min(1.0, age / self.spec.warm_up) if self.spec.warm_up > 0 else 1.0
-        return self.spec.cold_from + (1 - self.spec.cold_from) * part
+        return self.spec.cold_share + (1 - self.spec.cold_share) * part
 
     def pace(self, now: float) -> float:
-        """Work a second that each request in work gets."""
+        """Return the work per second that each running request receives."""
         count = len(self.running)
         if not count or self.stalled or self.fallen:
             return 0.0
         spec = self.spec
-        crowd = max(0.0, count / spec.cores - spec.thrash_at)
+        excess = max(0.0, count / spec.cores - spec.thrash_at)
         each = spec.speed * self.slow * self.warmth(now) * min(1.0, spec.cores / count)
-        return each / (1 + spec.thrash * crowd)
+        return each / (1 + spec.thrash * excess)
 
     def connect(self, now: float) -> bool:
-        """Whether a further connection is held."""
+        """Accept a connection if there is room for it, and return whether it was accepted."""
         if self.fallen or self.connections >= self.spec.connections:
             return False
         self.connections += 1
         return True
 
     def begin(self, now: float, token: object, work: float, key: str = "", fresh: bool = False) -> Verdict:
-        """A request has come whole; `fresh` on a connection that it is the first on."""
+        """Handle a request that was received completely; `fresh` if it is the first on its connection."""
         self.advance(now)
         if self.fallen:
             return Verdict.FALLEN
@@ -134,10 +134,10 @@
         item = Work(token, work + (self.spec.handshake if fresh else 0.0), key)
         if len(self.running) >= self.spec.slots and len(self.waiting) >= self.spec.queue:
             return Verdict.FULL
-        if self.overrun(now, item.left):
+        if self.check_overload(now, item.needed):
             return Verdict.FALLEN
-        if key and (held := self.rack.first(now, key, item, self.spec.memory)) is not None:
-            held.followers.append(token)
+        if key and (known := self.rack.find_or_add(now, key, item, self.spec.memory)) is not None:
+            known.followers.append(token)
             return Verdict.DROPPED
         if len(self.running) < self.spec.slots:
             self.run(item)
@@ -146,26 +146,31 @@
         return Verdict.BEGUN
 
     def run(self, item: Work) -> None:
+        """Start the work on a request."""
         self.number += 1
-        item.goal = self.attained + item.left
+        item.goal = self.attained + item.needed
         heapq.heappush(self.running, (item.goal, self.number, item))
 
-    def overrun(self, now: float, work: float) -> bool:
-        """A cold server that is sent too much of its capacity for too long falls over, and stays down."""
+    def check_overload(self, now: float, work: float) -> bool:
+        """Count the work against the capacity of a cold server; return whether the server has failed.
+
+        A cold server fails, and stays so, once it is sent more than `fall_multiple` times its capacity within
+        `fall_time`.
+        """
         spec = self.spec
         if now >= self.started + spec.warm_up:
             return False
-        self.pushed.append((now, work))
-        self.pushed_sum += work
-        while self.pushed and self.pushed[0][0] < now - spec.fall_time:
-            self.pushed_sum -= self.pushed.popleft()[1]
-        can = spec.cores * spec.speed * self.warmth(now) * spec.fall_time
-        if self.pushed_sum > spec.fall_multiple * can:
+        self.cold_work.append((now, work))
+        self.cold_work_sum += work
+        while self.cold_work and self.cold_work[0][0] < now - spec.fall_time:
+            self.cold_work_sum -= self.cold_work.popleft()[1]
+        capacity = spec.cores * spec.speed * self.warmth(now) * spec.fall_time
+        if self.cold_work_sum > spec.fall_multiple * capacity:
             self.fallen = True
         return self.fallen
 
     def due(self, now: float) -> float | None:
-        """When to look again: the next end as things stand, or the next step of its warming up."""
+        """Return when to call `advance` next: at the next end of a request, or earlier while warming up."""
         pace = self.pace(now)
         if not pace:
             return None
@@ -173,7 +178,7 @@
         return min(end, self.at + STEP) if now < self.started + self.spec.warm_up else end
 
     def advance(self, now: float) -> list[object]:
-        """The tokens of what has ended until now, followers included, the earliest first."""
+        """Process requests until now; return the tokens of those that ended, repeats included, in order."""
         ended: list[object] = []
         while self.running:
             goal, _, item = self.running[0]
@@ -198,22 +203,22 @@
         return ended
 
     def kill(self) -> list[object]:
-        """It dies; the tokens of what it held."""
-        held = [item for _, _, item in self.running] + list(self.waiting)
+        """Drop all requests and connections, as when the server dies; return the tokens of the requests."""
+        lost = [item for _, _, item in self.running] + list(self.waiting)
         self.running.clear()
         self.waiting.clear()
         tokens: list[object] = []
-        for item in held:
-            item.gone = True
+        for item in lost:
+            item.lost = True
             tokens += [item.token, *item.followers]
         self.connections = 0
         return tokens
 
     def report(self, now: float) -> tuple[float, int]:
-        """How busy its cores are, and the requests it holds, as last refreshed."""
+        """Return the utilization of the cores and the number of requests, as of the last refresh."""
         self.advance(now)
-        if now - self.told[0] >= self.spec.refresh:
+        if now - self.last_report[0] >= self.spec.refresh:
             span = max(1e-3, now - self.busy_since)
-            self.told = (now, min(1.0, self.busy / span), len(self.running) + len(self.waiting))
+            self.last_report = (now, min(1.0, self.busy / span), len(self.running) + len(self.waiting))
             self.busy, self.busy_since = 0.0, now
-        return self.told[1], self.told[2]
+        return self.last_report[1], self.last_report[2]
--- a/hazelspring/lab/models/chance.py
+++ b/hazelspring/lab/models/chance.py
@@ -8,10 +8,10 @@
 
 
 def stream(seed: int, part: str) -> np.random.Generator:
-    """The stream of that part.  Parts do not share numbers: what one draws more changes no other."""
+    """Return the generator of that part; the numbers of one part don't depend on the draws of another."""
     return np.random.Generator(np.random.PCG64(np.random.SeedSequence((seed, zlib.crc32(part.encode())))))
 
 
 def within(random: np.random.Generator, span: tuple[float, float]) -> float:
-    """A number between the two of a span."""
+    """Draw a number from the span, uniformly."""
     return float(random.uniform(*span))
--- a/hazelspring/lab/models/customers.py
+++ b/hazelspring/lab/models/customers.py
@@ -1,4 +1,4 @@
-"""Customers: what they have a right to, what they ask, through which front doors, and how they try again."""
+"""Customers: their quotas, their requests, the gateways that they use, and how their clients retry."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 from hazelspring.lab.models.chance import stream, within
 
-CALM_USE = (0.15, 0.5)  # of the rate
-FULL = (0.088, 0.22)  # shares of the customers: those that use nearly all of their quota,
-HEAVY = (0.066, 0.12)  # those that ask for a multiple of it for long spells,
-SPIKY = (0.12, 0.2)  # and now and then
-HEAVY_TIMES = (1.6, 4.4)
-SPIKE_TIMES = (2.0, 5.9)
-SPIKE_S = (1.9, 5.0)
-SPIKE_EVERY = (10.0, 25.0)
-SHIFT_S = (3.4, 8.6)
-SPREAD = (2, 4)  # front doors of a customer's set
-MOST_EXCESS = 0.9  # asked beyond quotas for each that is asked inside
+CALM_USE = (0.15, 0.5)  # requested share of the quota rate, unless a customer is in FULL or HEAVY
+FULL = (0.088, 0.22)  # share of the customers that use nearly all of their quota
+HEAVY = (0.066, 0.12)  # share of the customers that request a multiple of their quota all the time
+SPIKY = (0.12, 0.2)  # share of the customers that do so from time to time
+HEAVY_MULTIPLE = (1.6, 4.4)  # request rate of those in HEAVY / quota rate
+SPIKE_MULTIPLE = (2.0, 5.9)  # request rate of those in SPIKY during a spike / quota rate
+SPIKE_S = (1.9, 5.0)  # length of a spike
+SPIKE_INTERVAL_S = (10.0, 25.0)  # from the end of a spike to the next one
+SHIFT_S = (3.4, 8.6)  # from one change of a customer's weights of its gateways to the next
+SPREAD = (2, 4)  # number of gateways that a customer uses
+MAX_EXCESS = 0.9  # requests beyond quotas / requests within quotas
 
 
 @dataclass(frozen=True, slots=True)
 class ClassSpec:
-    """A class of requests; `work` is the span of its mean work in seconds of one core."""
+    """A class of requests; `work` is the range of its mean work in seconds of one core."""
 
     name: str
     share: float
     work: tuple[float, float]
-    aim: float
+    goal_time: float
     deadline: float
     worth: float
     keyed: bool
@@ -38,11 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TariffSpec:
-    """A tariff: its part of the use inside quotas, and the spans that a day draws its figures from."""
+    """A tariff: its share of the load within quotas, and the ranges that a day draws its values from."""
 
     name: str
     share: float
-    rate: tuple[float, float]  # requests a second for each customer
+    rate: tuple[float, float]  # requests per second for each customer
     burst: tuple[float, float]  # seconds' worth of the rate that may be used at once
     pays: float
     over_cost: float
@@ -62,43 +62,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Tariff:
-    """A tariff as it is on one day."""
+    """A tariff with the values of one day."""
 
     name: str
-    rate: float
-    units: float  # that may be used at once
+    rate: float  # requests per second
+    units: float  # that may be used at once, the size of the token bucket
     pays: float
     over_cost: float
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
+    """A customer and its set of gateways, which are `spread` consecutive ones from `first`, modulo all."""
+
     number: int
-    tariff: int
+    tariff: int  # index into the tariffs
     first: int
     spread: int
 
 
 @dataclass(slots=True)
 class Arrivals:
-    """All first tries of a day, in order of time.  One entry a request in each array."""
+    """The first attempts of all requests of a day, in order of time.  Each array has an entry per request."""
 
     at: np.ndarray  # microseconds since the start
-    customer: np.ndarray  # place in `customers`
+    customer: np.ndarray  # index into `customers`
     cls: np.ndarray
     work: np.ndarray  # microseconds of one core
-    wait: np.ndarray  # milliseconds for which the first try waits
-    door: np.ndarray  # [request, try] a draw below 2^32: which front door of its set
+    wait: np.ndarray  # milliseconds for which the client waits for the response to an attempt
+    door: np.ndarray  # [request, attempt] a draw below 2^32 that selects a gateway of the customer's set
     customers: tuple[Customer, ...]
     tariffs: tuple[Tariff, ...]
     shifts: tuple[np.ndarray, ...]  # by customer: when its weights change, microseconds
-    weights: tuple[np.ndarray, ...]  # by customer: [spell, door of its set], cumulative, below 2^32
+    weights: tuple[np.ndarray, ...]  # by customer: [period, gateway of its set], cumulative, below 2^32
 
     def __len__(self) -> int:
         return len(self.at)
 
     def digest(self) -> str:
-        """Of all that is sent; the same on any machine."""
+        """Return a digest of all that the clients send; it is the same on any machine."""
         found = hashlib.sha256()
         for array in (self.at, self.customer, self.cls, self.work, self.wait, self.door):
             found.update(np.ascontiguousarray(array, dtype="<i8").tobytes())
@@ -107,12 +109,15 @@
         return found.hexdigest()[:16]
 
     def place(self, request: int, attempt: int, up: list[bool]) -> int:
-        """The front door that the front deals this try to; what it sees down gets none, if others are up."""
+        """Return the gateway that the front sends this attempt to.
+
+        A gateway that is down gets no attempts unless all gateways of the customer's set are down.
+        """
         customer = self.customers[self.customer[request]]
         index = int(self.customer[request])
-        spell = int(np.searchsorted(self.shifts[index], self.at[request], side="right"))
+        period = int(np.searchsorted(self.shifts[index], self.at[request], side="right"))
         draw = int(self.door[request, min(attempt, self.door.shape[1] - 1)])
-        place = int(np.searchsorted(self.weights[index][spell], draw, side="right"))
+        place = int(np.searchsorted(self.weights[index][period], draw, side="right"))
         doors = [
             (customer.first + (place + step) % customer.spread) % len(up) for step in range(customer.spread)
         ]
@@ -120,20 +125,20 @@
 
 
 def tariffs_of(seed: int, pace: float) -> tuple[Tariff, ...]:
-    """The figures of a seed's tariffs; `pace` times as many requests, of as much less work each."""
+    """Draw the tariffs of a seed.  `pace` multiplies rates and units, as it divides the work of a request."""
     random = stream(seed, "tariffs")
-    made = []
+    found = []
     for spec in TARIFFS:
         rate = round(within(random, spec.rate), 2)
         units = float(max(2, round(rate * within(random, spec.burst))))
-        made.append(
+        found.append(
             Tariff(spec.name, round(rate * pace, 3), math.ceil(units * pace), spec.pays, spec.over_cost)
         )
-    return tuple(made)
+    return tuple(found)
 
 
 def mean_work(seed: int) -> tuple[float, ...]:
-    """Mean work of each class on that seed's day, seconds of one core."""
+    """Draw the mean work of each class for this seed, in seconds of one core."""
     random = stream(seed, "work")
     return tuple(within(random, spec.work) for spec in CLASSES)
 
@@ -141,13 +146,15 @@
 def draw(
     seed: int, length: float, doors: int, inside: float, pace: float, bursts: list[tuple[float, float, float]]
 ) -> Arrivals:
-    """The arrivals of a day.  `inside`: work a second that is asked for inside quotas, in seconds of one
-    core; `bursts`: spans of time in which that is multiplied.
+    """Draw the arrivals of a day.
+
+    `inside` is the work per second that is requested within quotas, in seconds of one core.  `bursts` are
+    begin, end and factor of the periods in which the request rate is multiplied.
     """
     tariffs, works = tariffs_of(seed, pace), mean_work(seed)
     shares = np.array([spec.share for spec in CLASSES])
     per_request = float(np.dot(shares, works)) / pace
-    total = inside / per_request  # requests a second
+    total = inside / per_request  # requests per second
     who = stream(seed, "customers")
     full, heavy, spiky = (within(who, span) for span in (FULL, HEAVY, SPIKY))
     customers: list[Customer] = []
@@ -156,28 +163,28 @@
     weights: list[np.ndarray] = []
     excess = 0.0
     for index, (spec, tariff) in enumerate(zip(TARIFFS, tariffs, strict=True)):
-        asked = 0.0
-        while asked < spec.share * total:
+        requested = 0.0
+        while requested < spec.share * total:
             kind = who.random()
             use = within(who, CALM_USE)
-            long, spike = 1.0, 0.0
+            multiple, spike = 1.0, 0.0
             if kind < full:
                 use = within(who, (0.9, 1.0))
             elif kind < full + heavy:
-                use, long = 1.0, within(who, HEAVY_TIMES)
+                use, multiple = 1.0, within(who, HEAVY_MULTIPLE)
             elif kind < full + heavy + spiky:
-                spike = within(who, SPIKE_TIMES)
-            part = min(1.0, (spec.share * total - asked) / (use * tariff.rate))
-            asked += use * tariff.rate
-            if (excess + tariff.rate * (long - 1)) > MOST_EXCESS * total:
-                long = 1.0
-            excess += tariff.rate * (long - 1)
+                spike = within(who, SPIKE_MULTIPLE)
+            part = min(1.0, (spec.share * total - requested) / (use * tariff.rate))
+            requested += use * tariff.rate
+            if (excess + tariff.rate * (multiple - 1)) > MAX_EXCESS * total:
+                multiple = 1.0
+            excess += tariff.rate * (multiple - 1)
             number = int(who.integers(1, 2**33))
             spread = min(doors, int(who.integers(SPREAD[0], SPREAD[1] + 1)))
             customers.append(Customer(number, index, int(who.integers(doors)), spread))
             own = stream(seed, f"customer {len(customers)}")
             times.append(
-                spell_times(own, length, part * use * tariff.rate * long, spike * tariff.rate, bursts)
+                request_times(own, length, part * use * tariff.rate * multiple, spike * tariff.rate, bursts)
             )
             edges = np.cumsum(own.uniform(*SHIFT_S, size=math.ceil(length / SHIFT_S[0]) + 1))
             drawn = own.gamma(1.0, size=(len(edges) + 1, spread)) + 0.05
@@ -202,55 +209,58 @@
     )
 
 
-def spell_times(
+def request_times(
     random: np.random.Generator,
     length: float,
     rate: float,
     spike: float,
     bursts: list[tuple[float, float, float]],
 ) -> np.ndarray:
-    """Times of a Poisson stream, seconds, with spikes now and then and the day's bursts."""
-    most = max([1.0, *(times for _, _, times in bursts)])
-    spells = []
+    """Draw the times of a Poisson process, in seconds, with random spikes and the day's bursts."""
+    largest = max([1.0, *(factor for _, _, factor in bursts)])
+    spikes = []
     if spike:
-        at = float(random.uniform(0, SPIKE_EVERY[1]))
+        at = float(random.uniform(0, SPIKE_INTERVAL_S[1]))
         while at < length:
             lasts = within(random, SPIKE_S)
-            spells.append((at, at + lasts))
-            at += lasts + within(random, SPIKE_EVERY)
-    top = max(rate, spike) * most
+            spikes.append((at, at + lasts))
+            at += lasts + within(random, SPIKE_INTERVAL_S)
+    top = max(rate, spike) * largest
     found = np.cumsum(random.exponential(1 / top, size=int(top * length * 1.3) + 40)) if top else np.empty(0)
     found = found[found < length]
     now = np.full(len(found), rate)
-    for begin, end in spells:
+    for begin, end in spikes:
         now = np.where((found >= begin) & (found < end), max(rate, spike), now)
-    for begin, end, times in bursts:
-        now = np.where((found >= begin) & (found < end), now * times, now)
+    for begin, end, factor in bursts:
+        now = np.where((found >= begin) & (found < end), now * factor, now)
     return found[random.random(len(found)) * top < now]
 
 
 @dataclass(frozen=True, slots=True)
-class Manners:
-    """How clients try again."""
+class RetryPolicy:
+    """How clients retry; times in seconds."""
 
     retries: int
     backoff: float
-    honour: float  # the share that waits as long as `Retry-After` says
-    most_wait: float
+    honour_share: float  # share of the requests whose client waits as long as `Retry-After` says
+    max_wait: float  # longest time that a client waits because of `Retry-After`
 
 
-def manners_of(seed: int, most_wait: float) -> Manners:
+def manners_of(seed: int, max_wait: float) -> RetryPolicy:
+    """Draw the retry policy of a seed."""
     random = stream(seed, "manners")
     retries = int(random.integers(0, 3))
     backoff = float(random.choice([0.0, within(random, (0.03, 0.24))]))
-    return Manners(retries, backoff, within(random, (0.62, 0.99)), most_wait)
+    return RetryPolicy(retries, backoff, within(random, (0.62, 0.99)), max_wait)
+
 
+def again_after(policy: RetryPolicy, seed: int, request: int, tries: int, advice: float) -> float | None:
+    """Return the delay in seconds before a client retries after `tries` failed attempts; None for no retry.
 
-def again_after(manners: Manners, seed: int, request: int, tries: int, advice: float) -> float | None:
-    """Seconds after which a client tries again, having had `tries` without a good answer; None: not at all.
-    Who honours an advice is the client's nature, and the same in each replay.
+    `advice` is the `Retry-After` of the last response in seconds, 0 if there was none.  Whether a client
+    honours it depends on the request and the seed alone, and so is the same in each play.
     """
-    if tries > manners.retries:
+    if tries > policy.retries:
         return None
-    honours = ((request * 2654435761 + seed * 40503) % 2**32) / 2**32 < manners.honour
-    return min(advice, manners.most_wait) if advice and honours else manners.backoff
+    honours = ((request * 2654435761 + seed * 40503) % 2**32) / 2**32 < policy.honour_share
+    return min(advice, policy.max_wait) if advice and honours else policy.backoff
--- a/hazelspring/lab/models/discovery.py
+++ b/hazelspring/lab/models/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of alert servers by versions, each told to each front door at its own time."""
+"""Discovery: the versioned list of alert servers, sent to each gateway after a delay of its own."""
 
 from __future__ import annotations
 
@@ -7,6 +7,8 @@
 
 
 class Health(Enum):
+    """The health of a server, as discovery reports it."""
+
     READY = "Ready"
     TERMINATING = "Terminating"
     GONE = "Gone"
@@ -14,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """One line of the list; `born` is in seconds of the Unix clock, 0 meaning long ago."""
+    """One entry of the list; `born` is the start time in Unix seconds, 0 for a server started long ago."""
 
     name: str
     zone: str
@@ -26,21 +28,21 @@
 
 
 class Discovery:
-    """What is true, and what each front door has been told of it."""
+    """The current list, and the version of it that each gateway has received."""
 
     def __init__(self, doors: int, hosts: list[Host], version: int = 1) -> None:
         self.version = version
         self.hosts = {host.name: host for host in hosts}
         self.log: list[tuple[int, Host]] = []  # changes, the oldest first
-        self.due: list[list[tuple[float, int]]] = [[] for _ in range(doors)]  # when a version is told
-        self.late = [0.0] * doors  # seconds after which a change is told
-        self.told = [version] * doors
-        self.silent = False
-        self.room = 0  # calls that may be made in a second; 0: any number
-        self.calls: list[float] = []
+        self.pending: list[list[tuple[float, int]]] = [[] for _ in range(doors)]  # when a version is sent
+        self.late = [0.0] * doors  # seconds after which a change is sent
+        self.sent_version = [version] * doors  # the version that was sent last
+        self.silent = False  # whether no version is sent at present
+        self.room = 0  # calls that are accepted per second; 0: any number
+        self.calls: list[float] = []  # times of the calls accepted within the last second
 
     def change(self, now: float, name: str, health: Health, born: float | None = None) -> None:
-        """That host's health is another from now on."""
+        """Publish a new version, in which the host has this health and, if `born` is given, start time."""
         host = replace(self.hosts[name], health=health)
         if born is not None:
             host = replace(host, born=born)
@@ -48,18 +50,18 @@
         self.hosts[name] = host
         self.log.append((self.version, host))
         for door, late in enumerate(self.late):
-            self.due[door].append((now + late, self.version))
+            self.pending[door].append((now + late, self.version))
 
     def current(self, door: int, now: float) -> int:
-        """The version that this front door's agent has been sent."""
+        """Return the version that the agent of this gateway has received by now."""
         if not self.silent:
-            queue = self.due[door]
+            queue = self.pending[door]
             while queue and queue[0][0] <= now:
-                self.told[door] = max(self.told[door], queue.pop(0)[1])
-        return self.told[door]
+                self.sent_version[door] = max(self.sent_version[door], queue.pop(0)[1])
+        return self.sent_version[door]
 
     def whole(self, version: int) -> list[Host]:
-        """The list as it was at that version; what was gone by then is not in it."""
+        """Return the complete list as of that version, without hosts that were gone by then."""
         hosts = dict(self.hosts)
         for at, host in self.log:
             if at <= version:
@@ -71,12 +73,12 @@
         return [host for host in hosts.values() if host.health is not Health.GONE]
 
     def since(self, after: int, version: int) -> list[Host]:
-        """The changes after one version up to another; each host once, as it stands at the latter."""
+        """Return the hosts changed after one version up to another; each once, in its state at the latter."""
         found = {host.name: host for at, host in self.log if after < at <= version}
         return list(found.values())
 
     def admits(self, now: float) -> bool:
-        """Whether a call finds room; where there is a limit, what is over it is refused."""
+        """Whether the limit on calls per second permits a call now; a permitted call is counted."""
         if not self.room:
             return True
         self.calls = [at for at in self.calls if at > now - 1.0]
--- a/hazelspring/lab/plan.py
+++ b/hazelspring/lab/plan.py
@@ -17,15 +17,15 @@
 from hazelspring.lab.models.customers import CLASSES, Arrivals, draw, tariffs_of
 
 KINDS = ("full-box", "old-box")
-OLD_SHARE = 0.32  # of the alert servers, that are of the second, slower kind
-SPEEDS = ((0.85, 1.1), (0.51, 0.69))  # of each kind
+OLD_SHARE = 0.32  # share of the alert servers that are of the second, slower kind
+SPEEDS = ((0.85, 1.1), (0.51, 0.69))  # range of the speed of each kind
 GRACE = 0.25  # seconds after which no new request may go to a server that is draining, gone or detached
 SLACK = 0.05  # seconds that the rules add to every time limit, as the play runs on real sockets
 MOST_WAIT = 2.0  # longest `Retry-After`, seconds
 DEDUP_SPAN = 7.5  # seconds for which a rack drops repeated requests
 MAX_ATTEMPTS = 5
-MAX_WARM_UP = 18.0  # seconds
-MIN_COLD_SHARE = 0.16  # of its capacity, that a server has just after its start
+MAX_WARM_UP = 18.0  # longest time in seconds that a server takes to warm up
+MIN_COLD_SHARE = 0.16  # smallest share of its capacity that a server has just after its start
 
 
 class Play(msgspec.Struct, frozen=True):
@@ -77,7 +77,7 @@
                 queue=queue,
                 thrash_at=within(random, (3.1, 7.3)),
                 thrash=within(random, (0.032, 0.25)),
-                cold_from=max(MIN_COLD_SHARE, within(random, (0.16, 0.47))),
+                cold_share=max(MIN_COLD_SHARE, within(random, (0.16, 0.47))),
                 warm_up=within(random, (5.6, MAX_WARM_UP)),
                 handshake=within(random, (0.0006, 0.0018)) / day.pace,
                 probe=within(random, (0.00012, 0.00059)) / day.pace,
@@ -171,7 +171,7 @@
     """Return the settings of one gateway, in the format of the deployment's settings file."""
     classes = [
         {
-            "name": spec.name, "goal_time_s": spec.aim, "deadline_s": spec.deadline,
+            "name": spec.name, "goal_time_s": spec.goal_time, "deadline_s": spec.deadline,
             "effect": "keyed" if spec.keyed else "safe", "dedup_scope": "cell" if spec.keyed else "all",
             "memory_span_s": DEDUP_SPAN if spec.keyed else 5.0, "worth": spec.worth,
             "late_value": 0.0, "stream": False,
--- a/hazelspring/lab/record.py
+++ b/hazelspring/lab/record.py
@@ -1,4 +1,7 @@
-"""What the stand-ins saw, as it goes to the folder and to the rules.  Times are seconds since the start."""
+"""The records that the stand-ins write to the folder of a play, and that the rules read.
+
+Times are in seconds since the start of the play.
+"""
 
 from __future__ import annotations
 
@@ -8,51 +11,51 @@
 
 import msgspec
 
-CHUNK = 2000  # records that are held before they are written
+BUFFERED_RECORDS = 2000  # a recorder writes its buffer to the file when it holds this many records
 
 
 class Try(msgspec.Struct, array_like=True):
-    """One try of a client, at its end."""
+    """One attempt of a client, recorded when it has ended."""
 
     id: str
     request: int
     attempt: int
     door: int
-    due: float  # when it was to leave
-    left: float  # when it left
-    sent: float  # when its last byte was written; 0: never, as no connection came up
+    due: float  # when it was scheduled to start
+    started: float  # when it started
+    sent: float  # when its last byte was written; 0: never, as no connection was established
     ended: float
-    status: int  # of a whole answer; 0: none came
-    how: str  # answer, refused (no connection), broken (the connection ended), silent (nothing in time)
-    advice: float = 0.0  # Retry-After
-    own: bool = True  # a body of status 200: whether an alert server made it for this request
-    resent: bool = False  # its connection was closed under it, and it was sent once more
+    status: int  # of a complete response; 0: there was none
+    outcome: str  # answer, refused (no connection), broken (connection closed), silent (no response in time)
+    retry_after: float = 0.0  # seconds
+    genuine: bool = True  # a body of status 200: whether an alert server created it for this request
+    resent: bool = False  # the gateway closed a reused connection, and the client sent the attempt again
 
 
 class Arrival(msgspec.Struct, array_like=True):
-    """A request that has come whole to an alert server."""
+    """A request that an alert server has received completely."""
 
     id: str
     server: int
     door: int
-    began: float  # its first byte
-    whole: float
-    verdict: str  # as the model's, or "unknown": no client made it, or it was changed on the way
-    life: int  # how often the alert server had started before
+    began: float  # when its first byte was received
+    received: float  # when its last byte was received
+    verdict: str  # the value of the model's Verdict; "unknown": not sent by a client, or altered
+    restarts: int  # of the alert server until then
 
 
 class Rude(msgspec.Struct, array_like=True):
-    """A connection of a client that means ill: what it did, and what it got after how long."""
+    """A connection of a hostile client: what the client did, and how the gateway responded."""
 
     kind: str
     door: int
     at: float
-    spent: float
-    status: int  # 0: closed without an answer; -1: neither
+    spent: float  # seconds until the response or the close
+    status: int  # of the response; 0: closed without a response; -1: neither a response nor a close
 
 
 class Note(msgspec.Struct, array_like=True):
-    """Something that happened: `what` says which, `who` to whom."""
+    """An event: `what` names its kind, `who` the process, server or gateway that it concerns."""
 
     at: float
     what: str
@@ -61,11 +64,11 @@
 
 
 class Sample(msgspec.Struct, array_like=True):
-    """One look at a front door's processes."""
+    """One measurement of a gateway's processes, as sums over all of them."""
 
     at: float
     door: int
-    cpu: float  # seconds since it started
+    cpu: float  # seconds of CPU time since they started
     memory_kb: int
     descriptors: int
     processes: int
@@ -79,23 +82,25 @@
     """Appends records of one type to a file."""
 
     def __init__(self, path: Path) -> None:
-        self.path, self.held = path, list[Any]()
+        self.path, self.buffer = path, list[Any]()
         self.encoder = msgspec.json.Encoder()
 
     def add(self, record: Any) -> None:
-        self.held.append(record)
-        if len(self.held) >= CHUNK:
+        """Buffer a record; the buffer is written to the file when it is full."""
+        self.buffer.append(record)
+        if len(self.buffer) >= BUFFERED_RECORDS:
             self.flush()
 
     def flush(self) -> None:
-        if self.held:
+        """Write all buffered records to the file."""
+        if self.buffer:
             with self.path.open("ab") as out:
-                out.write(self.encoder.encode_lines(self.held))
-            self.held.clear()
+                out.write(self.encoder.encode_lines(self.buffer))
+            self.buffer.clear()
 
 
 def read(folder: Path, kind: type[R]) -> Iterator[R]:
-    """All records of a type that a play left in its folder, the raw series as JSON lines."""
+    """Yield all records of a type from the files of JSON lines in the folder of a play."""
     decoder = msgspec.json.Decoder(kind)
     for path in sorted(folder.glob(f"*.{kind.__name__.lower()}.jsonl")):
         yield from decoder.decode_lines(path.read_bytes())
--- a/hazelspring/lab/report.py
+++ b/hazelspring/lab/report.py
@@ -1,4 +1,4 @@
-"""A play as one HTML page with plots over time, and the raw series as JSON lines beside it."""
+"""Writes the report of a play: one HTML page with plots over time, and the raw series as JSON lines."""
 
 from __future__ import annotations
 
@@ -17,50 +17,53 @@
 
 from hazelspring.lab.figures import in_quota, worth_of
 from hazelspring.lab.models.customers import CLASSES
-from hazelspring.lab.rules import REFUSED, Breach, Seen
+from hazelspring.lab.rules import REFUSED, Breach, PlayRecords
 
-SHOWN = 50  # breaches on the page
-PAGE = Path(__file__).with_name("report.html")
+MAX_SHOWN_BREACHES = 50  # on the page
+TEMPLATE = Path(__file__).with_name("report.html")
 
 
-def series(seen: Seen) -> list[dict[str, Any]]:
-    """One entry a second: what was asked then, what came of it, and where it was sent."""
-    length = max(1, int(np.ceil(seen.value("length", 1.0))))
+def series(records: PlayRecords) -> list[dict[str, Any]]:
+    """Return one entry per second: what was requested then, the outcomes, and where the attempts were sent.
+
+    Attempts count in the second for which they were scheduled, arrivals in that in which they were received.
+    """
+    length = max(1, int(np.ceil(records.value("length", 1.0))))
     rows: list[dict[str, Any]] = [
         {"second": n, "served": 0, "refused": 0, "failed": 0, "worth": 0.0, "worth_asked": 0.0,
-         "latency": [], "doors": [0] * seen.day.doors, "servers": [0] * seen.day.servers}
+         "latency": [], "doors": [0] * records.day.doors, "servers": [0] * records.day.servers}
         for n in range(length)
     ]  # fmt: skip
-    inside = in_quota(seen)
-    best: dict[int, float] = {}
-    for job in seen.tries:
-        row = rows[min(length - 1, max(0, int(job.due)))]
-        kind = "served" if job.status == 200 else "refused" if job.status in REFUSED else "failed"
+    inside = in_quota(records)
+    first_served: dict[int, float] = {}
+    for attempt in records.attempts:
+        row = rows[min(length - 1, max(0, int(attempt.due)))]
+        kind = "served" if attempt.status == 200 else "refused" if attempt.status in REFUSED else "failed"
         row[kind] += 1
-        row["doors"][job.door] += 1
-        if job.status == 200:
-            row["latency"].append((job.ended - job.due) * 1e3)
-            best.setdefault(job.request, job.ended - job.due)
-    for request in {job.request for job in seen.tries}:
+        row["doors"][attempt.door] += 1
+        if attempt.status == 200:
+            row["latency"].append((attempt.ended - attempt.due) * 1e3)
+            first_served.setdefault(attempt.request, attempt.ended - attempt.due)
+    for request in {attempt.request for attempt in records.attempts}:
         if inside[request]:
-            row = rows[min(length - 1, int(seen.work.at[request] / 1e6))]
-            row["worth_asked"] += worth_of(seen, request)
-            if best.get(request, np.inf) <= CLASSES[int(seen.work.cls[request])].aim:
-                row["worth"] += worth_of(seen, request)
-    for arrival in seen.arrivals:
-        rows[min(length - 1, max(0, int(arrival.whole)))]["servers"][arrival.server] += 1
+            row = rows[min(length - 1, int(records.work.at[request] / 1e6))]
+            row["worth_asked"] += worth_of(records, request)
+            if first_served.get(request, np.inf) <= CLASSES[int(records.work.cls[request])].goal_time:
+                row["worth"] += worth_of(records, request)
+    for arrival in records.arrivals:
+        rows[min(length - 1, max(0, int(arrival.received)))]["servers"][arrival.server] += 1
     for row in rows:
         found = row.pop("latency")
         row |= {f"p{p}": float(np.percentile(found, p)) if found else None for p in (50, 90, 99)}
     return rows
 
 
-def plot(seen: Seen, draw: Callable[[Axes], None], label: str) -> str:
-    """One plot over time as SVG, the day's faults as shaded bands."""
+def plot(records: PlayRecords, draw: Callable[[Axes], None], label: str) -> str:
+    """Return one plot over time as SVG, with the day's faults as shaded bands."""
     figure = Figure(figsize=(9, 2.8), layout="constrained")
     axes = figure.subplots()
     draw(axes)
-    for happening in seen.happened:
+    for happening in records.happenings:
         end = max(happening.end, happening.fault.at + 0.1)
         axes.axvspan(happening.fault.at, end, color="#c60", alpha=0.12)
         axes.annotate(happening.fault.kind, (happening.fault.at, 1.0), xycoords=("data", "axes fraction"),
@@ -74,7 +77,8 @@
     return out.getvalue().partition("<svg")[1] + out.getvalue().partition("<svg")[2]
 
 
-def plots(seen: Seen, rows: list[dict[str, Any]]) -> list[tuple[str, str]]:
+def plots(records: PlayRecords, rows: list[dict[str, Any]]) -> list[tuple[str, str]]:
+    """Return title and SVG of each plot on the page."""
     at = [row["second"] + 0.5 for row in rows]
 
     def lines(*keys: str) -> Callable[[Axes], None]:
@@ -106,39 +110,45 @@
         return draw
 
     return [
-        ("Worth served in time, of what was asked inside quotas", plot(seen, worth, "share")),
-        ("Latency of served tries", plot(seen, lines("p50", "p90", "p99"), "ms")),
-        ("Tries by what came of them", plot(seen, outcomes, "tries a second")),
-        ("Tries by front door", plot(seen, heat("doors"), "front door")),
-        ("Arrivals by alert server", plot(seen, heat("servers"), "alert server")),
+        ("Share of the worth requested within quotas that was served in time", plot(records, worth, "share")),
+        ("Latency of served attempts", plot(records, lines("p50", "p90", "p99"), "ms")),
+        ("Attempts by outcome", plot(records, outcomes, "attempts per second")),
+        ("Attempts by gateway", plot(records, heat("doors"), "gateway")),
+        ("Arrivals by alert server", plot(records, heat("servers"), "alert server")),
     ]
 
 
-def flat(found: dict[str, Any], path: str = "") -> list[tuple[str, str]]:
+def flatten(found: dict[str, Any], path: str = "") -> list[tuple[str, str]]:
+    """Return the figures as pairs of dotted key and text; the counts of breaches by rule are left out."""
     listed: list[tuple[str, str]] = []
     for key, value in found.items():
         if isinstance(value, dict):
-            listed += flat(value, f"{path}{key}.")
+            listed += flatten(value, f"{path}{key}.")
         elif not path.startswith("rules."):
             listed.append((path + key, f"{value:.4g}" if isinstance(value, float) else str(value)))
     return listed
 
 
 def write(
-    folder: Path, what: str, seen: Seen, found: dict[str, Any], breaches: dict[str, list[Breach]], raw: Path
+    folder: Path,
+    title: str,
+    records: PlayRecords,
+    found: dict[str, Any],
+    breaches: dict[str, list[Breach]],
+    raw: Path,
 ) -> Path:
-    """Write `index.html`, `series.jsonl` and what each stand-in saw; the page's path."""
+    """Write `index.html`, `series.jsonl` and copies of the stand-ins' records; return the page's path."""
     folder.mkdir(parents=True, exist_ok=True)
-    rows = series(seen)
+    rows = series(records)
     (folder / "series.jsonl").write_bytes(msgspec.json.Encoder().encode_lines(rows))
     for path in raw.glob("*.jsonl"):
         shutil.copy(path, folder / path.name)
-    listed = [breach for each in breaches.values() for breach in each][:SHOWN]
+    listed = [breach for each in breaches.values() for breach in each][:MAX_SHOWN_BREACHES]
     counts: dict[str, int] = defaultdict(int, found["rules"])
-    page = Environment(autoescape=True).from_string(PAGE.read_text())
+    page = Environment(autoescape=True).from_string(TEMPLATE.read_text())
     text = page.render(
-        what=what, about=seen.day.about, found=found | {"rules": counts}, doors=seen.day.doors,
-        servers=seen.day.servers, breaches=listed, flat=flat(found), plots=plots(seen, rows),
+        title=title, about=records.day.about, found=found | {"rules": counts}, doors=records.day.doors,
+        servers=records.day.servers, breaches=listed, figures=flatten(found), plots=plots(records, rows),
     )  # fmt: skip
     (folder / "index.html").write_text(text)
     return folder / "index.html"
--- a/hazelspring/lab/rules.py
+++ b/hazelspring/lab/rules.py
@@ -1,4 +1,7 @@
-"""The rules, as pure functions over what the stand-ins saw.  Nothing that a front door says counts here."""
+"""The rules, as pure functions over the records of the stand-ins.
+
+They use nothing that a gateway reports about itself.
+"""
 
 from __future__ import annotations
 
@@ -24,260 +27,311 @@
 )
 from hazelspring.lab.record import Arrival, Note, Rude, Sample, Try, read
 
-RUDE_TIME = 3.0  # seconds in which a peer that sends no request is owed an error or a close
-CRASH = 0.5  # seconds after a kill in which what breaks is put down to it
+HOSTILE_TIMEOUT = (
+    3.0  # seconds within which a client that sends no proper request must get an error or a close
+)
+CRASH_WINDOW = 0.5  # seconds after a kill in which a broken connection is attributed to the kill
 MOST_SHOWN = 50  # breaches of one rule
 REFUSED = (429, 503)
-RAN = ("begun", "dropped")  # verdicts after which a request may have had its effect
+RAN = ("begun", "dropped")  # verdicts after which a request may have taken effect
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A rule broken: by which request or party, when, and how."""
+    """A broken rule: the request, process or customer concerned, the time in seconds, and the details."""
 
     rule: str
     who: str
     at: float
-    how: str
+    detail: str
 
 
 @dataclass(slots=True)
-class Seen:
-    """All records of a play, and what they are judged against."""
+class PlayRecords:
+    """All records of a play, and the plan that they are checked against."""
 
     day: Day
     seed: int
     work: Arrivals
     specs: list[ServerSpec]
-    happened: list[Happening]
-    tries: list[Try]
+    happenings: list[Happening]
+    attempts: list[Try]
     arrivals: list[Arrival]
-    rudes: list[Rude]
+    hostile_connections: list[Rude]
     notes: list[Note]
     samples: list[Sample]
 
     @classmethod
-    def load(cls, day: Day, seed: int, folder: Path) -> Seen:
+    def load(cls, day: Day, seed: int, folder: Path) -> PlayRecords:
+        """Read the records from the folder of a play, and compute its plan from the day and the seed."""
         return cls(
             day, seed, arrivals_of(day, seed), servers_of(day, seed), happenings(day, seed),
             sorted(read(folder, Try), key=lambda t: (t.due, t.id)),
-            sorted(read(folder, Arrival), key=lambda a: (a.whole, a.id)),
+            sorted(read(folder, Arrival), key=lambda a: (a.received, a.id)),
             list(read(folder, Rude)),
             sorted(read(folder, Note), key=lambda n: n.at),
             list(read(folder, Sample)),
         )  # fmt: skip
 
-    def noted(self, what: str) -> list[Note]:
+    def notes_of(self, what: str) -> list[Note]:
+        """Return the notes of this kind, in order of time."""
         return [note for note in self.notes if note.what == what]
 
     def value(self, what: str, absent: float = 0.0) -> float:
+        """Return the value of the last note of this kind, or `absent` if there is none."""
         return next((note.value for note in reversed(self.notes) if note.what == what), absent)
 
-    def by_request(self) -> dict[str, list[Arrival]]:
+    def arrivals_by_attempt(self) -> dict[str, list[Arrival]]:
+        """Return the arrivals at alert servers by the id of their attempt, each list in order of time."""
         found: dict[str, list[Arrival]] = defaultdict(list)
         for arrival in self.arrivals:
             found[arrival.id].append(arrival)
         return found
 
     def died(self, door: int, at: float) -> bool:
-        """Whether that front door was killed, or had its time up, just before."""
+        """Whether this gateway was killed, crashed or exceeded its shutdown deadline shortly before `at`."""
         name = f"n{door}"
         return any(
             note.who == name and note.what in ("killed", "overdue", "new one killed", "crashed")
-            and note.at - 0.05 <= at <= note.at + CRASH
+            and note.at - 0.05 <= at <= note.at + CRASH_WINDOW
             for note in self.notes
         )  # fmt: skip
 
 
-def answered(seen: Seen) -> Iterator[Breach]:
-    """Each request that a front door took gets one whole answer."""
-    sent_on = seen.by_request()
-    for job in seen.tries:
-        if not job.sent or job.how in ("answer", "refused"):
+def answered(records: PlayRecords) -> Iterator[Breach]:
+    """Each request that a gateway received gets one complete response."""
+    forwarded = records.arrivals_by_attempt()
+    for attempt in records.attempts:
+        if not attempt.sent or attempt.outcome in ("answer", "refused"):
             continue
-        if job.how == "broken" and seen.died(job.door, job.ended):
+        if attempt.outcome == "broken" and records.died(attempt.door, attempt.ended):
             continue
-        if job.how == "broken" and job.id not in sent_on:
-            continue  # its connection was closed with nothing sent on: it has failed
-        if job.how == "silent" and killed_since(seen, job):
+        if attempt.outcome == "broken" and attempt.id not in forwarded:
+            continue  # nothing was forwarded before the close: the request failed and cannot have run
+        if attempt.outcome == "silent" and killed_during(records, attempt):
             continue
-        yield Breach("answered", job.id, job.ended, f"front door {job.door}: {job.how}, no whole answer")
-
-
-def killed_since(seen: Seen, job: Try) -> bool:
-    name = f"n{job.door}"
-    return any(n.who == name and n.what == "killed" and job.left <= n.at <= job.ended for n in seen.notes)
+        yield Breach(
+            "answered",
+            attempt.id,
+            attempt.ended,
+            f"gateway {attempt.door}: {attempt.outcome}, no complete response",
+        )
+
+
+def killed_during(records: PlayRecords, attempt: Try) -> bool:
+    """Whether a kill of the gateway falls between the start and the end of this attempt."""
+    name = f"n{attempt.door}"
+    return any(
+        n.who == name and n.what == "killed" and attempt.started <= n.at <= attempt.ended
+        for n in records.notes
+    )
 
 
-def bodies(seen: Seen) -> Iterator[Breach]:
-    """What is served is what an alert server made for this request."""
-    for job in seen.tries:
-        if job.status == 200 and not job.own:
+def bodies(records: PlayRecords) -> Iterator[Breach]:
+    """Each body that is served is one that an alert server created for this request."""
+    for attempt in records.attempts:
+        if attempt.status == 200 and not attempt.genuine:
             yield Breach(
-                "bodies", job.id, job.ended, f"front door {job.door} served what no alert server gave"
+                "bodies",
+                attempt.id,
+                attempt.ended,
+                f"gateway {attempt.door} served a body that no alert server created",
             )
 
 
-def unsent(seen: Seen) -> Iterator[Breach]:
-    """Nothing reaches an alert server that no client sent."""
-    for arrival in seen.arrivals:
+def unsent(records: PlayRecords) -> Iterator[Breach]:
+    """Each request that reaches an alert server was sent by a client."""
+    for arrival in records.arrivals:
         if arrival.verdict == "unknown":
-            yield Breach("unsent", arrival.id, arrival.whole, f"alert server {arrival.server} got it")
+            yield Breach("unsent", arrival.id, arrival.received, f"alert server {arrival.server} received it")
 
 
-def repeats(seen: Seen) -> Iterator[Breach]:
-    """A request is sent again only as its class permits, and so often at most."""
-    tries = {job.id: job for job in seen.tries}
-    for found, arrivals in seen.by_request().items():
-        job = tries.get(found)
-        if job is None or arrivals[0].verdict == "unknown":
+def repeats(records: PlayRecords) -> Iterator[Breach]:
+    """A request is repeated only as its class permits, and at most `MAX_ATTEMPTS` times.
+
+    The limit is twice that for an attempt that the client sent again on a new connection.
+    """
+    by_id = {attempt.id: attempt for attempt in records.attempts}
+    for attempt_id, arrivals in records.arrivals_by_attempt().items():
+        attempt = by_id.get(attempt_id)
+        if attempt is None or arrivals[0].verdict == "unknown":
             continue
-        most = MAX_ATTEMPTS * (2 if job.resent else 1)
-        if len(arrivals) > most:
-            yield Breach("repeats", found, arrivals[-1].whole, f"sent {len(arrivals)} times, {most} at most")
+        limit = MAX_ATTEMPTS * (2 if attempt.resent else 1)
+        if len(arrivals) > limit:
+            yield Breach(
+                "repeats", attempt_id, arrivals[-1].received, f"sent {len(arrivals)} times, limit {limit}"
+            )
         ran = [a for a in arrivals if a.verdict in RAN]
-        if not CLASSES[int(seen.work.cls[job.request])].keyed or len(ran) < 2 or job.resent:
+        if not CLASSES[int(records.work.cls[attempt.request])].keyed or len(ran) < 2 or attempt.resent:
             continue
         first = ran[0]
         for later in ran[1:]:
-            rack = seen.specs[later.server].rack
-            if rack != seen.specs[first.server].rack or later.began > first.whole + DEDUP_SPAN + SLACK:
+            rack = records.specs[later.server].rack
+            if rack != records.specs[first.server].rack or later.began > first.received + DEDUP_SPAN + SLACK:
                 yield Breach(
-                    "repeats", found, later.whole, f"may have run at {first.server} and {later.server}"
+                    "repeats",
+                    attempt_id,
+                    later.received,
+                    f"may have run at alert servers {first.server} and {later.server}",
                 )
 
 
-def barred(seen: Seen) -> dict[tuple[str, int], list[tuple[float, bool]]]:
-    """By alert server and front door: when the latter learned that nothing may go there, and when again."""
+def reported_changes(records: PlayRecords) -> dict[tuple[str, int], list[tuple[float, bool]]]:
+    """Return, by alert server and gateway, when discovery reported each change of the server to the gateway.
+
+    Each entry also says whether no new request may go to the server from then on.
+    """
     found: dict[tuple[str, int], list[tuple[float, bool]]] = defaultdict(list)
-    for note in seen.notes:
+    for note in records.notes:
         if note.what.startswith("told "):
             name, door = note.who.split()
             found[name, int(door)].append((note.at, note.what != "told Ready"))
     return found
 
 
-def drained(seen: Seen) -> Iterator[Breach]:
-    """Nothing new goes to what drains, is gone or is out by hand, once the grace is over."""
-    told = barred(seen)
+def drained(records: PlayRecords) -> Iterator[Breach]:
+    """No new request goes to a server that is draining, gone or detached, once the grace period is over."""
+    reported = reported_changes(records)
     bans: dict[tuple[str, int], list[tuple[float, bool]]] = defaultdict(list)
-    for note in seen.notes:
+    for note in records.notes:
         if note.what in ("banned", "called back"):
             name, door = note.who.split()
             bans[name, int(door)].append((note.at, note.what == "banned"))
-    for arrival in seen.arrivals:
-        pair = seen.specs[arrival.server].name, arrival.door
-        for why, spells in (("told so", told.get(pair)), ("out by hand", bans.get(pair))):
-            if not spells:
+    for arrival in records.arrivals:
+        pair = records.specs[arrival.server].name, arrival.door
+        for why, changes in (("reported as not ready", reported.get(pair)), ("detached", bans.get(pair))):
+            if not changes:
                 continue
-            # A front door that has started since goes by its own list, which its start told it.
-            place = bisect.bisect_right(spells, (arrival.began - GRACE - SLACK, True)) - 1
-            if place >= 0 and spells[place][1]:
-                until = spells[place + 1][0] if place + 1 < len(spells) else float("inf")
+            # A gateway that has started since uses its own list, which it was given at its start.
+            index = bisect.bisect_right(changes, (arrival.began - GRACE - SLACK, True)) - 1
+            if index >= 0 and changes[index][1]:
+                until = changes[index + 1][0] if index + 1 < len(changes) else float("inf")
                 if arrival.began < until:
-                    how = f"front door {arrival.door} sent it to {pair[0]}, {why} at {spells[place][0]:.3f}"
-                    yield Breach("drained", arrival.id, arrival.began, how)
+                    detail = (
+                        f"gateway {arrival.door} sent it to {pair[0]}, {why} at {changes[index][0]:.3f} s"
+                    )
+                    yield Breach("drained", arrival.id, arrival.began, detail)
 
 
-def cold(seen: Seen) -> Iterator[Breach]:
-    """The front doors together do not push a cold alert server over."""
-    for note in seen.noted("fell over"):
-        yield Breach("cold", f"alert server {note.who.split()[0]}", note.at, "fell over while cold")
+def cold(records: PlayRecords) -> Iterator[Breach]:
+    """The gateways together do not overload an alert server that is warming up so far that it fails."""
+    for note in records.notes_of("fell over"):
+        yield Breach("cold", f"alert server {note.who.split()[0]}", note.at, "failed by overload while cold")
 
 
-def let_in(seen: Seen) -> tuple[float, float, dict[int, float]]:
-    """Units that were let in, those of them beyond the quotas, and the latter by customer."""
-    first = {a.id: a for a in reversed(seen.arrivals) if a.verdict != "unknown"}
-    stores: dict[int, tuple[float, float]] = {}
+def admitted(records: PlayRecords) -> tuple[float, float, dict[int, float]]:
+    """Return the admitted units, the admitted units beyond the quotas, and the latter by customer.
+
+    Each attempt that reached an alert server counts as one unit, at its first arrival.
+    """
+    first = {a.id: a for a in reversed(records.arrivals) if a.verdict != "unknown"}
+    buckets: dict[int, tuple[float, float]] = {}  # tokens, and the time of the last update
     beyond: dict[int, float] = defaultdict(float)
     total = 0.0
-    for arrival in sorted(first.values(), key=lambda a: a.whole):
-        customer = int(seen.work.customer[int(arrival.id[:8], 16)])
-        tariff = seen.work.tariffs[seen.work.customers[customer].tariff]
-        held, at = stores.get(customer, (tariff.units, arrival.whole))
-        held = min(tariff.units, held + (arrival.whole - at) * tariff.rate)
+    for arrival in sorted(first.values(), key=lambda a: a.received):
+        customer = int(records.work.customer[int(arrival.id[:8], 16)])
+        tariff = records.work.tariffs[records.work.customers[customer].tariff]
+        tokens, at = buckets.get(customer, (tariff.units, arrival.received))
+        tokens = min(tariff.units, tokens + (arrival.received - at) * tariff.rate)
         total += 1
-        if held >= 1:
-            held -= 1
+        if tokens >= 1:
+            tokens -= 1
         else:
             beyond[customer] += 1
-        stores[customer] = held, arrival.whole
+        buckets[customer] = tokens, arrival.received
     return total, sum(beyond.values()), beyond
 
 
-def quotas(seen: Seen) -> Iterator[Breach]:
-    """What is let in beyond the quotas stays below the day's bound."""
-    total, beyond, by_customer = let_in(seen)
-    if total and beyond / total > seen.day.allow.beyond_quota:
+def quotas(records: PlayRecords) -> Iterator[Breach]:
+    """The share of the admitted units that is beyond the quotas is at most the day's bound."""
+    total, beyond, by_customer = admitted(records)
+    if total and beyond / total > records.day.allow.beyond_quota:
         worst = max(by_customer, key=lambda c: by_customer[c])
-        how = f"{beyond / total:.3f} of the units let in, {seen.day.allow.beyond_quota} at most"
-        yield Breach("quotas", f"customer {worst}", seen.value("length"), how)
-
-
-def refusals(seen: Seen) -> Iterator[Breach]:
-    """What is given up unsent is answered at once, and a refusal says when to come back."""
-    sent_on = seen.by_request()
-    for job in seen.tries:
-        if job.how != "answer" or job.status == 200:
+        detail = (
+            f"{beyond / total:.3f} of the admitted units are beyond the quotas, "
+            f"limit {records.day.allow.beyond_quota}"
+        )
+        yield Breach("quotas", f"customer {worst}", records.value("length"), detail)
+
+
+def refusals(records: PlayRecords) -> Iterator[Breach]:
+    """A request that is not forwarded is answered early, and a refusal says when to retry.
+
+    Early means within half of the time that the client waits.  A keyed request that may have run must not be
+    refused.
+    """
+    forwarded = records.arrivals_by_attempt()
+    for attempt in records.attempts:
+        if attempt.outcome != "answer" or attempt.status == 200:
             continue
-        wait, spent = float(seen.work.wait[job.request]) / 1e3, job.ended - job.sent
-        keyed = CLASSES[int(seen.work.cls[job.request])].keyed  # the others may be refused at will
-        if job.id not in sent_on and spent > wait / 2 + SLACK:
+        wait, spent = float(records.work.wait[attempt.request]) / 1e3, attempt.ended - attempt.sent
+        keyed = CLASSES[int(records.work.cls[attempt.request])].keyed  # the others may be refused at any time
+        if attempt.id not in forwarded and spent > wait / 2 + SLACK:
             yield Breach(
-                "refusals", job.id, job.ended, f"held back for {spent:.3f} s of {wait:.3f}, not sent on"
+                "refusals",
+                attempt.id,
+                attempt.ended,
+                f"not forwarded, and answered only after {spent:.3f} s of {wait:.3f} s",
             )
-        elif job.status in REFUSED and not 0 < job.advice <= MOST_WAIT:
-            yield Breach("refusals", job.id, job.ended, f"{job.status} with Retry-After {job.advice:g}")
-        elif keyed and job.status in REFUSED and any(a.verdict in RAN for a in sent_on.get(job.id, ())):
-            yield Breach("refusals", job.id, job.ended, f"{job.status}, though it may have run")
-
-
-def rude(seen: Seen) -> Iterator[Breach]:
-    """Who sends no proper request gets an error, or a close in time."""
-    for peer in seen.rudes:
-        if peer.status == 0 and peer.spent <= RUDE_TIME + SLACK:
+        elif attempt.status in REFUSED and not 0 < attempt.retry_after <= MOST_WAIT:
+            yield Breach(
+                "refusals",
+                attempt.id,
+                attempt.ended,
+                f"{attempt.status} with Retry-After {attempt.retry_after:g}",
+            )
+        elif (
+            keyed
+            and attempt.status in REFUSED
+            and any(a.verdict in RAN for a in forwarded.get(attempt.id, ()))
+        ):
+            yield Breach("refusals", attempt.id, attempt.ended, f"{attempt.status}, though it may have run")
+
+
+def rude(records: PlayRecords) -> Iterator[Breach]:
+    """A client that sends no proper request gets an error or a close in time."""
+    for peer in records.hostile_connections:
+        if peer.status == 0 and peer.spent <= HOSTILE_TIMEOUT + SLACK:
             continue
-        if 400 <= peer.status < 600 and peer.spent <= RUDE_TIME + SLACK:
+        if 400 <= peer.status < 600 and peer.spent <= HOSTILE_TIMEOUT + SLACK:
             continue
-        if seen.died(peer.door, peer.at + peer.spent):
+        if records.died(peer.door, peer.at + peer.spent):
             continue
-        how = f"front door {peer.door}: {peer.kind}: status {peer.status} after {peer.spent:.2f} s"
-        yield Breach("rude", f"front door {peer.door}", peer.at, how)
-
-
-def limits(seen: Seen) -> Iterator[Breach]:
-    """Memory, descriptors and log stay within what there is."""
-    for sample in seen.samples:
-        over = []
-        if sample.memory_kb > seen.day.memory_mb * 1024:
-            over.append(f"{sample.memory_kb} kB")
-        if sample.descriptors > seen.day.sockets:
-            over.append(f"{sample.descriptors} descriptors")
-        if over:
-            yield Breach("limits", f"front door {sample.door}", sample.at, " and ".join(over))
-    for note in seen.noted("log"):
-        if note.value > seen.day.allow.log_kb * 1024:
-            yield Breach("limits", f"front door {note.who[1:]}", note.at, f"{note.value:.0f} bytes of log")
-
-
-def alive(seen: Seen) -> Iterator[Breach]:
-    """A front door gets ready in time, does not end unasked, and ends well."""
-    for note in seen.notes:
+        detail = f"gateway {peer.door}: {peer.kind}: status {peer.status} after {peer.spent:.2f} s"
+        yield Breach("rude", f"gateway {peer.door}", peer.at, detail)
+
+
+def limits(records: PlayRecords) -> Iterator[Breach]:
+    """Memory, descriptors and log of a gateway stay within the limits of the day."""
+    for sample in records.samples:
+        exceeded = []
+        if sample.memory_kb > records.day.memory_mb * 1024:
+            exceeded.append(f"{sample.memory_kb} kB")
+        if sample.descriptors > records.day.sockets:
+            exceeded.append(f"{sample.descriptors} descriptors")
+        if exceeded:
+            yield Breach("limits", f"gateway {sample.door}", sample.at, " and ".join(exceeded))
+    for note in records.notes_of("log"):
+        if note.value > records.day.allow.log_kb * 1024:
+            yield Breach("limits", f"gateway {note.who[1:]}", note.at, f"{note.value:.0f} bytes of log")
+
+
+def alive(records: PlayRecords) -> Iterator[Breach]:
+    """A gateway is ready in time, does not exit on its own, and exits in time with status 0 when stopped."""
+    for note in records.notes:
         if note.what in ("crashed", "never ready", "ended badly", "overdue"):
-            how = f"{note.what}{f', status {note.value:.0f}' if note.value else ''}"
-            yield Breach("alive", f"front door {note.who[1:]}", note.at, how)
+            detail = f"{note.what}{f', status {note.value:.0f}' if note.value else ''}"
+            yield Breach("alive", f"gateway {note.who[1:]}", note.at, detail)
 
 
-def calls(seen: Seen) -> Iterator[Breach]:
-    """An operator's call is answered with yes, within a second."""
-    for note in seen.notes:
+def calls(records: PlayRecords) -> Iterator[Breach]:
+    """An operator's call succeeds within a second."""
+    for note in records.notes:
         if note.what.startswith("call "):
-            yield Breach(
-                "calls", f"front door {note.who[1:]}", note.at, f"{note.what} after {note.value:.2f} s"
-            )
+            yield Breach("calls", f"gateway {note.who[1:]}", note.at, f"{note.what} after {note.value:.2f} s")
 
 
-RULES: dict[str, Callable[[Seen], Iterator[Breach]]] = {
+RULES: dict[str, Callable[[PlayRecords], Iterator[Breach]]] = {
     rule.__name__: rule
     for rule in (
         answered, bodies, unsent, repeats, drained, cold, quotas, refusals, rude, limits, alive, calls,
@@ -285,6 +339,6 @@
 }  # fmt: skip
 
 
-def judge(seen: Seen) -> dict[str, list[Breach]]:
-    """The breaches of each rule."""
-    return {name: list(rule(seen)) for name, rule in RULES.items()}
+def judge(records: PlayRecords) -> dict[str, list[Breach]]:
+    """Apply all rules; return the breaches by the name of the rule."""
+    return {name: list(rule(records)) for name, rule in RULES.items()}
