--- a/hazelspring/lab/rules.py
+++ b/hazelspring/lab/rules.py
@@ -143,7 +143,12 @@
     """Each request that reaches an alert server was sent by a client."""
     for arrival in records.arrivals:
         if arrival.verdict == "unknown":
-            yield Breach("unsent", arrival.id, arrival.received, f"alert server {arrival.server} received it")
+            yield Breach(
+                "unsent",
+                arrival.id,
+                arrival.received,
+                f"received by alert server {arrival.server}, sent by no client",
+            )
 
 
 def repeats(records: PlayRecords) -> Iterator[Breach]:
@@ -271,7 +276,7 @@
                 "refusals",
                 attempt.id,
                 attempt.ended,
-                f"not forwarded, and answered only after {spent:.3f} s of {wait:.3f} s",
+                f"not forwarded, and answered only after {spent:.3f} s; the client waits {wait:.3f} s",
             )
         elif attempt.status in REFUSED and not 0 < attempt.retry_after <= MOST_WAIT:
             yield Breach(
