--- a/hazelspring/daemon/__init__.py
+++ b/hazelspring/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The node as a process: sockets, files, threads, settings, logs and metrics around the state machine."""
+"""The process of a node: sockets, files, threads, settings, logs and metrics around its state machine."""
--- a/hazelspring/daemon/__main__.py
+++ b/hazelspring/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""The program `hazelspringd`, which runs on every machine: its command line, its signals and its end."""
+"""The program `hazelspringd`, which runs a node on each machine: command line, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 SETTINGS_CHECK_INTERVAL = 1.0  # seconds between checks of the settings file: it changes seldom
 SETTINGS_VARIABLE = "HAZELSPRING_SETTINGS"  # the environment variable with the path of the settings file
 SUCCESS = 0
-USAGE = 2  # the exit status where an option or the settings file is wrong
+USAGE = 2  # exit status if an option or the settings file is wrong
 COMMANDS = {
-    "serve": "serve",
-    "check": "say whether the settings file can be used",
-    "recover": "make a new core from a stopped door's disk, or say what the disk holds",
-}  # with the help of each
+    "serve": "run a node until SIGTERM or SIGINT",
+    "check": "check whether the settings file can be used",
+    "recover": "make a new core from a stopped node's disk, or list what the disk holds",
+}  # the help text of each command
 
 
 @dataclass(slots=True, frozen=True)
 class FileStamp:
-    """What distinguishes two states of a file: the time of its change, in nanoseconds, and its size in bytes."""
+    """The time of a file's last change, in nanoseconds, and its size in bytes, to detect a change."""
 
     modified_ns: int
     size: int
@@ -43,15 +43,15 @@
 
 
 class SettingsWatcher:
-    """Follows changes of the settings file, which come with a SIGHUP or without."""
+    """Applies the settings file again when it has changed; SIGHUP forces this."""
 
     def __init__(self, path: str, apply: Callable[[Settings], None]) -> None:
         self.path = path
         self.apply = apply
-        self.last_seen = self.stamp()  # of the last file that was applied or refused
+        self.last_seen = self.stamp()  # stamp of the file that was last applied or rejected
 
     def stamp(self) -> FileStamp:
-        """Return the file's stamp; NO_FILE where it cannot be inspected."""
+        """Return the file's current stamp, or NO_FILE if its status cannot be read."""
         try:
             status = os.stat(self.path)
         except OSError:
@@ -59,10 +59,10 @@
         return FileStamp(status.st_mtime_ns, status.st_size)
 
     def check(self, forced: bool = False) -> None:
-        """Apply the settings of a file that was changed, or of any file where that is `forced`.
+        """Apply the settings file if it has changed since the last check, or in any case if `forced`.
 
-        A file that cannot be used is logged, and changes nothing.  One that cannot be read, or whose settings raise
-        an unforeseen error when they are applied, is tried again with the next check.
+        A file that cannot be used is logged and changes nothing.  If the file cannot be read, or if applying
+        its settings raises an unexpected error, the next check tries it again.
         """
         stamp = self.stamp()
         if stamp in (self.last_seen, NO_FILE) and not forced:
@@ -79,7 +79,7 @@
 
 
 async def serve(settings: Settings, path: str, metrics_port: int = 0) -> None:
-    """Run a node until SIGTERM or SIGINT; a SIGHUP reads the settings at `path` again."""
+    """Run a node until SIGTERM or SIGINT; on SIGHUP, it reads the settings at `path` again."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -95,13 +95,13 @@
         lambda error: process.supervisor.failed("look at the settings", error),
     )
     gc.collect()
-    gc.freeze()  # objects that live as long as the process need not be examined again
+    gc.freeze()  # objects that live as long as the process need not be scanned again
     await stop.wait()
     await process.drain()
 
 
 def port(text: str) -> int:
-    """Return a port's number, or 0; raises ValueError, which argparse reports."""
+    """Return the port number in `text`, which may be 0; raises ValueError, which argparse reports."""
     number = int(text)
     if not 0 <= number <= MAX_PORT:
         raise ValueError(text)
@@ -111,7 +111,7 @@
 def make_parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
     parser = argparse.ArgumentParser(
-        prog="hazelspringd", description="A door of hazelspring, on any machine."
+        prog="hazelspringd", description="Run, check or recover a hazelspring node."
     )
     calls = parser.add_subparsers(dest="call", required=True)
     path = os.environ.get(SETTINGS_VARIABLE)
@@ -121,7 +121,7 @@
         if name == "recover":
             recovery_command.add_arguments(call)
         elif name == "serve":
-            metrics_help = "also answer GET /-/metrics on this port of the machine (0: no)"
+            metrics_help = "also answer GET /-/metrics on this port of the node's address (0: do not)"
             call.add_argument("--metrics-port", type=port, default=0, metavar="PORT", help=metrics_help)
     return parser
 
@@ -133,7 +133,7 @@
     if options.call == "recover":
         return recovery_command.run(options)
     if not options.settings:
-        parser.error(f"no settings file: name one, or set {SETTINGS_VARIABLE}")
+        parser.error(f"no settings file: use --settings, or set {SETTINGS_VARIABLE}")
     try:
         settings = load_settings(options.settings)
     except SettingsError as error:
--- a/hazelspring/daemon/http_api.py
+++ b/hazelspring/daemon/http_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API for operators, servers and clients: one handler a call, chosen by method and path."""
+"""The HTTP API for operators, servers and clients: a handler for each method and path."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from hazelspring.configuration.blocks import unpack
 from hazelspring.configuration.validation import InvalidConfigurationError
 from hazelspring.daemon.client_listener import FinalAnswer, encode
-from hazelspring.daemon.operator_calls import OperatorCalls, OrderResult
+from hazelspring.daemon.operator_calls import CommandResult, OperatorCalls
 from hazelspring.daemon.structured_log import log
 from hazelspring.gateway.caller import BadRequest, Client, Exchange, Listener
 from hazelspring.gateway.config import Address
 from hazelspring.gateway.host import Answer, Open
 from hazelspring.gateway.metrics import Counts
 
-MAX_BODY_BYTES = 8 << 20  # bytes of a configuration
+MAX_BODY_BYTES = 8 << 20  # of a configuration
 MAX_CONNECTIONS = 128
-HEAD_TIMEOUT = 3.0  # seconds until a request's head must be whole
+HEAD_TIMEOUT = 3.0  # seconds within which a request's head must arrive completely
 IDLE_TIMEOUT = 15.0  # seconds until an idle connection is closed
 RETRY_AFTER = 0.5  # seconds after which a call that could not be answered may be repeated
 API_PREFIX = "-"  # first path segment of every call
@@ -34,7 +34,7 @@
 
 
 class ApiRole(StrEnum):
-    """The purpose of an address of the API; some calls are answered on the addresses of one role only."""
+    """The purpose of a listening address; some calls are answered only on addresses with a certain role."""
 
     READY = "ready"
     CONTROL = "control"
@@ -42,7 +42,7 @@
 
 
 class NodeInterface(Protocol):
-    """The part of a node's process that the calls use."""
+    """The attributes and methods of a node's process that the API handlers use."""
 
     counts: Counts
     operator_calls: OperatorCalls
@@ -83,7 +83,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """The handler of one method of a resource, and the role that an address needs for it (None: any)."""
+    """The handler of one method of a resource, and the role that an address needs to answer it (None: any).
+
+    `argument_count` is the number of path segments after the name of the resource.
+    """
 
     handler: Handler
     role: ApiRole | None = None
@@ -102,19 +105,19 @@
 
 
 class ApiConnection(Client):
-    """One connection of a caller; bodies are held whole, as a configuration is checked as one."""
+    """One connection of a caller; bodies are buffered, because a configuration is validated as a whole."""
 
     __slots__ = ()
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body.  Raises BadRequest where it becomes too large."""
+        """Collect a part of the body.  Raises BadRequest if it becomes too large."""
         self.size += len(body)
         if self.size > self.server.most_body:
             raise BadRequest("body too large", 413)
         self.body.append(body)
 
     def take(self, exchange: Exchange) -> None:
-        """Dispatch a request that is whole.  Raises BadRequest where its target is malformed."""
+        """Dispatch a request that has arrived completely.  Raises BadRequest if its target is malformed."""
         api = cast(HttpApi, self.server)
         try:
             url = httptools.parse_url(self.url)
@@ -144,10 +147,10 @@
         return self.node.counts
 
     def left(self, request: Open) -> None:
-        """Ignore that a caller has gone: its order continues, and the caller may send it again."""
+        """Ignore that a caller has disconnected: its command continues, and the caller may send it again."""
 
     def whole(self, request: Open) -> None:
-        """Ignore that a body is whole: a call is dispatched with its whole body."""
+        """Ignore the end of a body: `ApiConnection.take` dispatches a call with its complete body."""
 
     def dispatch(self, method: str, segments: list[str], query: str, body: bytes, reply: Reply) -> None:
         """Answer a call: 404 for an unknown path, 405 for a call that this address does not answer."""
@@ -176,7 +179,7 @@
             call.reply(problem(503, "not_ready", "not ready", RETRY_AFTER))
 
     def get_lookup(self, call: ApiCall) -> None:
-        """Answer with nodes for a client of the region that the query names."""
+        """Answer with nodes for a client of the region in the query, or with 503 if no node is ready."""
         region = parse_qs(call.query).get("answerRegion", [""])[0]
         addresses = self.node.lookup(region)
         if addresses:
@@ -193,7 +196,7 @@
         call.reply(FinalAnswer(200, self.node.metrics(), headers=METRICS_HEADERS))
 
     def put_configuration(self, call: ApiCall) -> None:
-        """Order a new configuration; 400 where it is invalid."""
+        """Propose a new configuration; answer 400 if it is invalid."""
         try:
             self.node.operator_calls.put_configuration(call.body, result_handler(call.reply))
         except InvalidConfigurationError as error:
@@ -205,7 +208,7 @@
         self.node.operator_calls.read_configuration(configuration_handler(call.reply))
 
     def set_evacuation(self, call: ApiCall) -> None:
-        """Order that a zone is evacuated (POST) or used again (DELETE)."""
+        """Begin (POST) or end (DELETE) the evacuation of a zone; answer 404 if the zone is unknown."""
         zone = call.arguments[0]
         if not self.node.is_zone_known(zone):
             call.reply(problem(404, "no_such_zone", f"zone {zone} is none of the settings"))
@@ -213,12 +216,12 @@
         self.node.operator_calls.set_evacuation(zone, call.method == "POST", result_handler(call.reply))
 
     def retire_member(self, call: ApiCall) -> None:
-        """Order that a member leaves the core for good."""
+        """Remove a member from the core permanently."""
         self.node.operator_calls.retire_member(call.arguments[0], result_handler(call.reply))
 
 
-def failure(result: OrderResult) -> FinalAnswer | None:
-    """Return the answer to an order that failed; None where it succeeded."""
+def failure(result: CommandResult) -> FinalAnswer | None:
+    """Return the answer to a command that failed; None if it succeeded."""
     if result.conflict:
         return problem(409, "number_taken", result.reason)
     if not result.succeeded:
@@ -226,19 +229,19 @@
     return None
 
 
-def result_handler(reply: Reply) -> Callable[[OrderResult], None]:
-    """Return a callback that answers an order with its acknowledgement or its failure."""
+def result_handler(reply: Reply) -> Callable[[CommandResult], None]:
+    """Return a callback that answers a command with its acknowledgement or its failure."""
 
-    def on_result(result: OrderResult) -> None:
+    def on_result(result: CommandResult) -> None:
         reply(failure(result) or answer(200, {"acknowledged": True}))
 
     return on_result
 
 
-def configuration_handler(reply: Reply) -> Callable[[OrderResult], None]:
+def configuration_handler(reply: Reply) -> Callable[[CommandResult], None]:
     """Return a callback that answers a read with the configuration or the read's failure."""
 
-    def on_result(result: OrderResult) -> None:
+    def on_result(result: CommandResult) -> None:
         reply(failure(result) or FinalAnswer(200, unpack(result.body), headers=JSON_HEADERS))
 
     return on_result
@@ -258,4 +261,4 @@
         "DELETE": Endpoint(HttpApi.set_evacuation, ApiRole.CONTROL, 1),
     },
     "core": {"DELETE": Endpoint(HttpApi.retire_member, ApiRole.CONTROL, 1)},
-}  # by resource and method
+}  # by resource and HTTP method
--- a/hazelspring/daemon/node_factory.py
+++ b/hazelspring/daemon/node_factory.py
@@ -1,4 +1,4 @@
-"""Makes the state machine of a node from the settings and from what its disk holds."""
+"""Makes the state machine of a node from the settings and from the records on its disk."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from hazelspring.membership.node_info import NodeInfo
 from hazelspring.node.node import Node, NodeStart
 
-NO_DISK = 0  # the disk id of a node that has none, or could not read it
+NO_DISK = 0  # the disk id of a node that has no disk, or could not read it
 
 
 class NodeFactory:
-    """Makes nodes of one process; `tenant_limit` gives a tenant's units for one window of its quota."""
+    """Makes a process's nodes; `tenant_limit` returns the units that a tenant may use in a quota window."""
 
     def __init__(
         self,
@@ -30,10 +30,10 @@
         self.tenant_limit = tenant_limit
 
     def make(self, incarnation: int, records: Mapping[str, bytes] | None, first_start: bool) -> Node:
-        """Return a node that continues from the records of its disk; None: they could not be read.
+        """Return a node that continues from the records of its disk; None means that they could not be read.
 
-        Records that make no sense are put aside: the node then begins with an empty disk, and never as a first start,
-        as what it promised is lost.
+        Invalid records are moved aside: the node then begins with an empty disk, and never as a first start,
+        because the promises that it had stored are lost.
         """
         settings = self.settings
         disk_id = incarnation if self.disk is not None and records is not None else NO_DISK
--- a/hazelspring/daemon/node_metrics.py
+++ b/hazelspring/daemon/node_metrics.py
@@ -23,7 +23,7 @@
     labels: tuple[tuple[str, str], ...] = ()
 
     def line(self) -> str:
-        """Return the sample as a line; whole numbers keep all their digits, as counts and versions are compared."""
+        """Return the sample as a line; integers keep all digits, as counts and versions are compared."""
         labels = ",".join(f'{name}="{escape(value)}"' for name, value in self.labels)
         labelled = f"{{{labels}}}" if labels else ""
         value = f"{self.value:g}" if isinstance(self.value, float) else str(int(self.value))
@@ -36,7 +36,7 @@
 
 
 def render(samples: Iterable[Sample]) -> bytes:
-    """Return the samples as one text, a line each."""
+    """Return the samples as one text, with a line for each."""
     return "".join(f"{sample.line()}\n" for sample in samples).encode()
 
 
@@ -64,7 +64,7 @@
 
 
 def server_list_samples(process: NodeProcess, now: float) -> Iterator[Sample]:
-    """Yield whether this node reads the platform's list, the list's age, and the servers known of each service."""
+    """Yield whether this node reads the platform's list, its age, and the known servers of each service."""
     reader = process.list_reader
     yield Sample("list_reader", process.node.list_reader_role.holds(now))
     yield Sample("list_age_seconds", process.node.freshness.age(now))
--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -1,4 +1,4 @@
-"""One node's process: wires its parts, starts them, ticks the node and executes the actions that it returns."""
+"""One node's process: connects and starts its parts, ticks the node and executes the returned actions."""
 
 from __future__ import annotations
 
@@ -54,34 +54,34 @@
 from hazelspring.routing.events import TimerTick
 from hazelspring.routing.request_router import RequestRouter
 
-TICK_INTERVAL = 0.05  # seconds: an eighth of a heartbeat's, and well under the time for a lease's call
-CALM_TICK_INTERVAL = 0.1  # seconds between ticks of a ready node without a disk: a quarter of a heartbeat's
-CONNECT_TIMEOUT = 0.3  # seconds for a connection to a server: a lost SYN is sent again only after a second
-SERVER_IDLE_TIME = 9.0  # seconds that servers keep idle connections at least, where they do not say
+TICK_INTERVAL = 0.05  # seconds: an eighth of a heartbeat interval, well under a lease request's time-out
+SLOW_TICK_INTERVAL = 0.1  # seconds, for a ready node without a disk: a quarter of a heartbeat interval
+CONNECT_TIMEOUT = 0.3  # seconds to connect to a server: a lost SYN is sent again only after a second
+SERVER_IDLE_TIME = 9.0  # minimum seconds for which servers keep idle connections, if they do not state it
 RESERVED_DESCRIPTORS = 400  # file descriptors for files, API calls and messages
-CLIENT_SHARE = 2  # one part in this many of the other descriptors is for clients
-SERVER_SHARE = 3  # one part in this many of the other descriptors is for servers
-DISK_RETRY_INTERVAL = 1.0  # seconds until a disk that could not be read is tried again
-INCARNATION_RANDOM_BITS = 8  # below the time: two starts within a millisecond differ
+CLIENT_DIVISOR = 2  # the remaining descriptors divided by this are for clients
+SERVER_DIVISOR = 3  # the remaining descriptors divided by this are for servers
+DISK_RETRY_INTERVAL = 1.0  # seconds between attempts to read a disk that could not be read
+INCARNATION_RANDOM_BITS = 8  # random bits below the time, so that two starts within a millisecond differ
 
 
 def new_incarnation() -> int:
-    """Return the number of this start of the process; a later start has a larger one."""
+    """Return the incarnation number of this start of the process; a later start has a larger one."""
     milliseconds = int(time.time() * 1000)
     return (milliseconds << INCARNATION_RANDOM_BITS) + secrets.randbits(INCARNATION_RANDOM_BITS)
 
 
 class NodeProcess:
-    """All parts of one node in one process, on one event loop.
+    """All parts of one node, in one process and on one event loop.
 
-    `node` is the node's own state machine; it is replaced where the disk is read only after the start.
+    `node` is the node's state machine; it is replaced if the disk can be read only after the start.
     """
 
     node: Node
     ticker: Periodic
 
     def __init__(self, settings: Settings, metrics_port: int = 0) -> None:
-        """`metrics_port`: a further port of this machine that answers `GET /-/metrics`; 0: none."""
+        """`metrics_port` is an additional port that answers `GET /-/metrics`; 0 means none."""
         self.settings = settings
         self.loop = asyncio.get_running_loop()
         self.counts = Counts()
@@ -89,7 +89,8 @@
         self.supervisor = Supervisor(self.loop)
         self.disk = DiskWorker(settings.data_directory, self.supervisor) if settings.data_directory else None
         self.configuration: Configuration | None = None
-        self.loaded_configuration: LoadedConfiguration | None = None  # the same, with what it was read from
+        # `configuration` and the data that it was loaded from
+        self.loaded_configuration: LoadedConfiguration | None = None
         self.operator_calls = OperatorCalls(
             self.loop.time, lambda: self.node, lambda: self.loaded_configuration, self.execute_all
         )
@@ -108,22 +109,22 @@
         self.metrics_api = HttpApi(metrics, self, frozenset()) if metrics_port else None
 
     def make_request_path(self, settings: Settings) -> None:
-        """Make all that requests pass through: the clients' listener, the router, the connections to servers."""
+        """Make the parts that requests pass through: client listener, router and connections to servers."""
         descriptors = settings.max_descriptors - RESERVED_DESCRIPTORS
         endpoints = EndpointSet(
             settings.zone, settings.region, settings.zones, random.Random(self.incarnation)
         )
         self.router = RequestRouter(settings.shared_limits, endpoints, self.incarnation)
         self.servers = UpstreamServers(
-            CONNECT_TIMEOUT, SERVER_IDLE_TIME, descriptors // SERVER_SHARE, self.counts
+            CONNECT_TIMEOUT, SERVER_IDLE_TIME, descriptors // SERVER_DIVISOR, self.counts
         )
         self.router_host = RouterHost(self.router, self.servers, self.counts, self.lease_credits)
         self.client_listener = ClientListener(
-            settings.client_address, self.router_host, descriptors // CLIENT_SHARE, self.is_confirmed
+            settings.client_address, self.router_host, descriptors // CLIENT_DIVISOR, self.is_confirmed
         )
 
     def make_apis(self, settings: Settings) -> list[HttpApi]:
-        """Return a listener for each address of the API; one that several roles name takes the calls of all."""
+        """Return a listener for each address of the API; roles that share an address share its listener."""
         roles: dict[Address, set[ApiRole]] = {}
         for address, role in (
             (settings.readiness_address, ApiRole.READY),
@@ -134,14 +135,14 @@
         return [HttpApi(address, self, frozenset(named)) for address, named in roles.items()]
 
     async def start(self) -> None:
-        """Read the disk, listen, and tick from now on.  Raises OSError where an address cannot be listened on."""
+        """Read the disk, listen, and start ticking.  Raises OSError if an address cannot be listened on."""
         settings = self.settings
         records = await self.read_disk()
         self.node = self.make_node(records, settings.first_start)
         if records is None:
-            self.supervisor.start("await the disk", self.await_disk())
-        self.use_current_configuration()
-        self.use_evacuated_zones()
+            self.supervisor.start("await the disk", self.wait_for_disk())
+        self.apply_current_configuration()
+        self.apply_evacuated_zones()
         await self.transport.start()
         for listener in [*self.apis, self.client_listener]:
             await listener.start()
@@ -155,7 +156,7 @@
         )
 
     async def start_metrics(self) -> None:
-        """Listen on the port for metrics; where it is taken, the node serves without it."""
+        """Listen on the port for metrics; if that fails, the node logs it and serves without the port."""
         if self.metrics_api is None:
             return
         try:
@@ -166,27 +167,27 @@
             self.apis.append(self.metrics_api)
 
     async def read_disk(self) -> dict[str, bytes] | None:
-        """Return the records on disk, none where there is no disk; None where they could not be read."""
+        """Return the records on disk, an empty dict without a disk, or None if they could not be read."""
         return await self.disk.load() if self.disk is not None else {}
 
-    async def await_disk(self) -> None:
-        """Use the disk once it can be read.
+    async def wait_for_disk(self) -> None:
+        """Wait until the disk can be read, and replace the node by one that uses the disk.
 
-        The node begins anew, as another incarnation: what the one so far has promised is on no disk.
+        The new node is another incarnation, because the promises of the previous one are on no disk.
         """
         records = None
         while records is None:
             await asyncio.sleep(DISK_RETRY_INTERVAL)
             records = await self.read_disk()
-        self.operator_calls.fail_all("the disk was taken up")
+        self.operator_calls.fail_all("the node was replaced because its disk can be read again")
         self.incarnation += 1
         self.node = self.make_node(records, False)
-        self.use_current_configuration()
-        self.use_evacuated_zones()
-        log.write("control", "reads the disk again", **self.node.control.acceptor.version_fields())
+        self.apply_current_configuration()
+        self.apply_evacuated_zones()
+        log.write("control", "the disk can be read again", **self.node.control.acceptor.version_fields())
 
     def make_node(self, records: dict[str, bytes] | None, first_start: bool) -> Node:
-        """Return a node that continues from the records of its disk; None: they could not be read."""
+        """Return a node that continues from its disk's records; None means that they could not be read."""
         factory = NodeFactory(self.loop.time, self.settings, self.disk, self.tenant_limit)
         return factory.make(self.incarnation, records, first_start)
 
@@ -196,7 +197,7 @@
         return tenant_window_limit(self.configuration, tenant, self.settings.shared_limits, node_count)
 
     def tick(self) -> None:
-        """Advance the router, and the node where its own tick is due."""
+        """Advance the router, and also the node if its own tick is due."""
         now = self.loop.time()
         if now - self.node_ticked_at > self.tick_interval() - TICK_INTERVAL / 2:
             self.node_ticked_at = now
@@ -208,15 +209,18 @@
         )
 
     def tick_interval(self) -> float:
-        """Return the seconds between ticks of the node: fewer while leases, saves or a start wait for it."""
-        return CALM_TICK_INTERVAL if self.node.ready and self.disk is None else TICK_INTERVAL
+        """Return the seconds between ticks of the node.
+
+        They are fewer if it has a disk or is not ready, because leases, saves or the start wait for ticks.
+        """
+        return SLOW_TICK_INTERVAL if self.node.ready and self.disk is None else TICK_INTERVAL
 
     def time_until_tick(self) -> float:
         """Return the seconds until the next tick."""
         return TICK_INTERVAL if self.router.pending else self.tick_interval()
 
     def tick_node(self, now: float) -> None:
-        """Advance the node, and hand what it knows to the parts that serve requests."""
+        """Advance the node, and update the parts that serve requests from its state."""
         self.update_confirmed_at(now)
         self.node.ready = self.is_ready()
         self.execute_all(self.node.tick(now))
@@ -227,9 +231,9 @@
         self.unserved_log.write(now, self.router.ends)
 
     def reload(self, settings: Settings) -> None:
-        """Use new settings: seeds, the platform, the time for revocations and the grace period.
+        """Apply new settings: the seeds, the platform, the revocation time and the grace period.
 
-        All else is used from the next start on.
+        All other settings take effect at the next start.
         """
         if settings == self.settings:
             return
@@ -239,26 +243,28 @@
         log.write("daemon", "uses new settings", seeds=",".join(settings.seeds))
 
     def on_message(self, source: str, message: Message) -> None:
-        """Hand a message of another node to this one's."""
+        """Pass another node's message to this node, and execute the actions that it returns."""
         now = self.loop.time()
         actions = self.node.on_message(now, source, message)
         self.execute_all(actions)
-        if not isinstance(
-            message, LoadReport
-        ):  # the most frequent, and it tells nothing of the configuration
+        # load reports are the most frequent messages, and carry nothing about the configuration
+        if not isinstance(message, LoadReport):
             self.update_confirmed_at(now)
 
     def update_confirmed_at(self, now: float) -> None:
-        """Note up to which time every acknowledged change is known here."""
+        """Update the time up to which this node knows every acknowledged change."""
         self.confirmed_at = self.node.confirmed_at(now)
         self.router.fresh_until = fresh_until(self.confirmed_at, self.settings.revocation_time)
 
     def is_confirmed(self) -> bool:
-        """Return whether what is known here is fresh enough to refuse requests by it."""
+        """Return whether the configuration was confirmed recently enough to refuse requests by it."""
         return self.loop.time() <= self.router.fresh_until
 
     def is_ready(self) -> bool:
-        """Return whether clients may be sent here: configuration and servers are known, and recently confirmed."""
+        """Return whether clients may be sent to this node.
+
+        It must know a configuration and servers, have a recent confirmation, and not be draining.
+        """
         known = self.configuration is not None and bool(self.node.registry.tables)
         until = ready_until(self.confirmed_at, self.settings.revocation_time)
         return known and not self.draining and self.loop.time() <= until
@@ -266,7 +272,7 @@
     def execute_all(self, actions: list[Action]) -> None:
         """Execute actions in order.
 
-        One that fails does not keep the others from being executed: a save or an answer may be among them.
+        If one fails, the others are still executed, because a save or an answer may be among them.
         """
         for action in actions:
             try:
@@ -295,29 +301,29 @@
                 log.write("daemon", "an invariant is violated", name=action.name)
 
     async def save(self, save: Save) -> None:
-        """Put records on disk, and report the end to the node that asked, unless it was replaced meanwhile."""
-        assert self.disk is not None  # a node without a disk asks for no saves
+        """Write records to disk, and report the result to the requesting node unless it was replaced."""
+        assert self.disk is not None  # a node without a disk requests no saves
         node = self.node
         saved = await self.disk.save(save.records)
         if node is self.node:
             self.execute_all(node.on_saved(self.loop.time(), save.serial, saved))
 
     def on_state_changed(self, change: StateChanged) -> None:
-        """Use what is new of the control state or of the servers."""
+        """Apply a change of the control state or of a table of servers."""
         match change:
             case ConfigurationChanged():
-                self.use_current_configuration()
+                self.apply_current_configuration()
             case EvacuatedZonesChanged():
-                self.use_evacuated_zones()
+                self.apply_evacuated_zones()
             case MembersChanged():
                 state = self.node.control.state
                 members = state.members if state is not None else ()
-                log.write("control", "the core is", members=",".join(member.ip for member in members))
+                log.write("control", "core membership", members=",".join(member.ip for member in members))
             case TableChanged():
-                self.use_table(change.service)
+                self.apply_table(change.service)
 
-    def use_current_configuration(self) -> None:
-        """Use the configuration in force, where there is one."""
+    def apply_current_configuration(self) -> None:
+        """Apply the configuration in force, if there is one."""
         if (packed := self.node.control.acceptor.current_configuration()) is None:
             return
         self.loaded_configuration = load_configuration(packed, self.loaded_configuration)
@@ -326,15 +332,15 @@
         self.router.use_configuration(self.configuration)
         log.write("control", "uses a configuration", number=self.configuration.version)
 
-    def use_evacuated_zones(self) -> None:
-        """Route by the zones that are evacuated."""
+    def apply_evacuated_zones(self) -> None:
+        """Pass the evacuated zones to the router, which sends no requests there."""
         state = self.node.control.state
         zones = state.evacuated_zones if state is not None else frozenset()
         self.router.set_evacuated_zones(self.loop.time(), zones)
         log.write("control", "closed zones", zones=",".join(sorted(zones)) or "none")
 
-    def use_table(self, service: str) -> None:
-        """Route a service's requests by its table of servers."""
+    def apply_table(self, service: str) -> None:
+        """Apply a service's new table of servers to the router and to the connections to servers."""
         now, table = self.loop.time(), self.node.registry.tables[service]
         servers = table.servers.values()
         log_table(service, table)
@@ -350,7 +356,7 @@
                 self.servers.accept(server.number)
 
     async def read_list(self, number: int) -> None:
-        """Read the platform's list, and report the end to the node that asked, unless it was replaced meanwhile."""
+        """Read the platform's list, and report the result to the requesting node unless it was replaced."""
         node = self.node
         servers = await self.list_reader.read()
         if node is self.node:
@@ -358,7 +364,7 @@
             self.execute_all(node.on_list_read(self.loop.time(), milliseconds, servers, number))
 
     def lease_credits(self, call: CounterCall) -> None:
-        """Ask a tenant's counter for units, for the router."""
+        """Request units from a tenant's counter on behalf of the router."""
         self.execute_all(self.node.lease_credits(self.loop.time(), call.tenant, call.number, call.units))
 
     def is_zone_known(self, zone: str) -> bool:
@@ -383,9 +389,9 @@
         return node_status(self, self.loop.time())
 
     async def drain(self) -> None:
-        """Stop in order; see `hazelspring.daemon.shutdown`."""
+        """Shut down gracefully; see `hazelspring.daemon.shutdown`."""
         await drain(self)
 
     async def close(self) -> None:
-        """Answer what is open, and close everything."""
+        """Answer the open requests, and close everything that the process has open."""
         await close(self)
--- a/hazelspring/daemon/recovery_command.py
+++ b/hazelspring/daemon/recovery_command.py
@@ -1,4 +1,4 @@
-"""`hazelspringd recover`: make a new core from the disk of a stopped node, after a majority of the core was lost."""
+"""`hazelspringd recover`: makes a new core from a stopped node's disk after the loss of a majority."""
 
 from __future__ import annotations
 
@@ -37,43 +37,44 @@
 from hazelspring.storage.replica_store import StoreError
 
 STORE_FILE = "comb.sqlite"
-ASIDE_FILE = "comb.sqlite.aside"  # a store that was put aside
-OLD_FORMAT = 1  # items and marks, before there was an agreement
-NODE_COUNT_MARK = "doors"  # of the old format
+ASIDE_FILE = "comb.sqlite.aside"  # a store that was moved aside
+OLD_FORMAT = 1  # items and marks, from before nodes agreed on states by consensus
+NODE_COUNT_MARK = "doors"  # in a store of the old format
 NODE_COUNT_RECORD = "mark doors"
 MARK_PREFIX = "mark "
 DISK_RECORD = "disk"
-ID_RANDOM_BITS = 8  # below the time, in the id of the new disk
+ID_RANDOM_BITS = 8  # random bits below the time, in the id of the new disk
 SUCCESS = 0
 REFUSED = 1  # nothing is changed
 USAGE = 2  # an option or the settings file is wrong
-HELP = """Exit status 0: listed, or the disk now holds the new core; 1: refused, and nothing is changed (the file is in
-use, damaged, or holds nothing that was agreed on); 2: a word of the command or the settings file is wrong."""
+HELP = """Exit status 0: listed, or the disk now holds the new core; 1: refused, and nothing is changed (the
+file is in use, damaged, or holds no decided state); 2: an option or the settings file is wrong."""
 
 
 def add_arguments(call: argparse.ArgumentParser) -> None:
     """Add the command's options to its parser."""
     call.epilog = HELP
-    call.add_argument("--list", action="store_true", help="say what the disk holds, and write nothing")
-    call.add_argument("--data", help="the folder of the disk, where it is not the one of the settings file")
+    call.add_argument("--list", action="store_true", help="print what the disk holds, and write nothing")
+    call.add_argument("--data", help="the disk's folder, if it is not the one in the settings file")
     call.add_argument("--from", action="append", dest="files", metavar="FILE", default=[],
-                      help="go on from this store file; may stand more than once, of format 1")  # fmt: skip
+                      help="continue from this store file; may be repeated for format 1")  # fmt: skip
     call.add_argument("--take", choices=("accepted", "decided"), default="accepted",
-                      help="what to go on from where a state was accepted and is not known to be decided")  # fmt: skip
-    call.add_argument("--size", type=int, default=0, help="doors with a disk that the core is meant to have")
+                      help="which state to use if the accepted one may not be decided")  # fmt: skip
+    call.add_argument("--size", type=int, default=0, help="nodes with a disk that the core is to have")
     call.add_argument("--old-core-is-stopped", action="store_true", dest="stopped",
-                      help="no majority of the old core runs, or will, out of reach of this door")  # fmt: skip
+                      help="confirm that no majority of the old core is running, or will run, "
+                           "where this node cannot reach it")  # fmt: skip
 
 
 class UsageError(HazelspringError):
-    """The command lacks an option, or the settings file; nothing was done."""
+    """An option or the settings file is missing from the command line; nothing was done."""
 
     code = "usage"
 
 
 @dataclass(slots=True, frozen=True)
 class RecoveryInput:
-    """The state to continue from, and the marks of the store that are kept."""
+    """The state to continue from, and the marks that are copied from the old store to the new one."""
 
     source: RecoverySource
     marks: dict[str, bytes]
@@ -86,7 +87,7 @@
         folder = options.data or (settings.data_directory if settings is not None else "")
         files = [Path(file) for file in options.files]
         if not folder and not (options.list and files):
-            raise UsageError("settings: no disk is named: use --settings or --data")
+            raise UsageError("settings: no disk given: use --settings or --data")
         if options.list:
             return print_contents(files or stores_in(Path(folder)))
         return recover(options, settings, Path(folder), files)
@@ -99,19 +100,21 @@
 
 
 def recover(options: argparse.Namespace, settings: Settings | None, folder: Path, files: list[Path]) -> int:
-    """Replace the store in a folder by one of a new core.
+    """Replace the store in a folder by the store of a new core, and keep a backup of the old one.
 
-    Raises UsageError, StoreError or UnrecoverableError; nothing is changed then.
+    Raises UsageError, StoreError or UnrecoverableError, and then changes nothing.
     """
     if settings is None:
-        raise UsageError("settings: a rescue wants the door's settings file")
+        raise UsageError("settings: a recovery needs the node's settings file: use --settings")
     if not options.stopped:
-        raise UsageError("say --old-core-is-stopped once it is so: two cores would serve and decide")
+        raise UsageError(
+            "stop the old core, then use --old-core-is-stopped: otherwise two cores would serve and decide"
+        )
     target = folder / STORE_FILE
     stores = [inspect_store(path) for path in files or [target]]
     chosen = recovery_input(stores, options.take == "accepted")
     if not (options.size or chosen.source.state.target_size):
-        raise UsageError("size: format 1 does not tell it: use --size")
+        raise UsageError("size: format 1 does not record the size of the core: use --size")
     ensure_usable(chosen.source)
     disk_id = (int(time.time() * 1000) << ID_RANDOM_BITS) + secrets.randbits(ID_RANDOM_BITS)
     member = Member(settings.ip, settings.zone, settings.region, disk_id)
@@ -119,47 +122,48 @@
     records = {name: body for name, body in acceptor.take_dirty_records().items() if body is not None}
     backup = Path(f"{target}.before-{disk_id}")
     replace_contents(target, chosen.marks | records, backup)
-    print(f"{target}: holds a new core; what it held is in {backup}")
+    print(f"{target}: holds a new core; the previous contents are in {backup}")
     if acceptor.decided is not None:
         print(f"  {describe_state(*acceptor.decided)}")
     return SUCCESS
 
 
 def print_error(text: str, status: int) -> int:
-    """Print why the command ends, and return its exit status."""
+    """Print to standard error why the command ends, and return `status`."""
     print(f"hazelspringd: {text}", file=sys.stderr)
     return status
 
 
 def stores_in(folder: Path) -> list[Path]:
-    """Return the store files that a folder has; where it has none, the one that it should have."""
+    """Return the paths of a folder's store files; if it has none, the path that its store would have."""
     paths = [folder / STORE_FILE, folder / ASIDE_FILE]
     return [path for path in paths if path.exists()] or paths[:1]
 
 
 def recovery_input(stores: list[StoreContents], accepted: bool) -> RecoveryInput:
-    """Return what to continue from; raises UnrecoverableError.
+    """Return the state and the marks to continue from; raises UnrecoverableError.
 
-    `accepted`: a state that was accepted, and may have been decided, is preferred to the one known to be decided.
+    With `accepted`, a state that was accepted and may have been decided is preferred to the one known to be
+    decided.
     """
     corrupt = [name for store in stores for name in store.corrupt]
     if corrupt:
-        raise UnrecoverableError(f"the sum of {', '.join(corrupt)} is wrong")
+        raise UnrecoverableError(f"the checksum of {', '.join(corrupt)} is wrong")
     if {store.format for store in stores} == {OLD_FORMAT}:
         node_count = max(int(store.marks.get(NODE_COUNT_MARK, b"0")) for store in stores)
         source = source_from_items(newest_items(store.items for store in stores))
         return RecoveryInput(source, {NODE_COUNT_RECORD: str(node_count).encode()})
     if len(stores) > 1:
-        raise UnrecoverableError("only files of format 1 can be put together: name one")
+        raise UnrecoverableError("only files of format 1 can be combined: give a single file")
     records = stores[0].records
     marks = {name: body for name, body in records.items() if name.startswith(MARK_PREFIX)}
     return RecoveryInput(source_from_acceptor(stored_acceptor(stores[0]), accepted), marks)
 
 
 def stored_acceptor(store: StoreContents) -> Acceptor:
-    """Return the acceptor that a store has; raises UnrecoverableError where its records hold none."""
+    """Return the acceptor that a store holds; raises UnrecoverableError if its records hold none."""
     if DISK_RECORD not in store.records:
-        raise UnrecoverableError("nothing was ever kept here")
+        raise UnrecoverableError("no node has ever stored its state here")
     try:
         return load_acceptor(store.records, 0, False)
     except (ValueError, TypeError, cbor2.CBORDecodeError) as error:
@@ -167,7 +171,7 @@
 
 
 def print_contents(paths: list[Path]) -> int:
-    """Print what stores hold, a part a line; return REFUSED where one cannot be read or is damaged."""
+    """Print the stores' contents, a line for each part; return REFUSED if one is unreadable or damaged."""
     status = SUCCESS
     for path in paths:
         try:
@@ -186,14 +190,14 @@
 
 
 def describe_store(store: StoreContents) -> Iterator[str]:
-    """Return the lines that describe a store; raises UnrecoverableError where its records make no sense."""
+    """Return the lines that describe a store; raises UnrecoverableError if its records are invalid."""
     if store.format == OLD_FORMAT:
         return describe_items(store)
     return describe_acceptor(stored_acceptor(store))
 
 
 def describe_acceptor(acceptor: Acceptor) -> Iterator[str]:
-    """Yield the promise of an acceptor, the state that is decided, and the one that it accepted since."""
+    """Yield lines on an acceptor's promise, its decided state, and the state that it has accepted since."""
     count, _, proposer = acceptor.promised
     yield f"disk      {acceptor.disk_id}  promised up to ballot {count} of {proposer or 'none'}"
     if acceptor.decided is not None:
@@ -205,7 +209,7 @@
 
 
 def describe_state(ballot: Ballot, state: ControlState) -> str:
-    """Return one line on a state and the ballot that it was proposed under."""
+    """Return one line on a state and the ballot under which it was proposed."""
     if state.configuration_digest != NO_CONFIGURATION:
         configuration = f"r{state.configuration_version} {state.configuration_digest.hex()}"
     else:
--- a/hazelspring/daemon/settings.py
+++ b/hazelspring/daemon/settings.py
@@ -20,11 +20,11 @@
 
 BYTES_PER_MEGABIT = 125_000
 MS_PER_SECOND = 1000
-NO_REVOCATION = 1e9  # seconds: more than a process lives, where nothing is revoked by time
+NO_REVOCATION = 1e9  # seconds, longer than any process runs: used if nothing is revoked by time
 
 
 class SettingsError(HazelspringError, ValueError):
-    """A settings file cannot be used; the message has its problems, one a line."""
+    """A settings file cannot be used; the message lists its problems, one on each line."""
 
     code = "settings"
 
@@ -47,7 +47,7 @@
 
 
 class CommaSeparatedField(fields.Field):  # type: ignore[type-arg]
-    """A list joined by commas; parts that are empty are ignored."""
+    """A list of values separated by commas; empty values are ignored."""
 
     def __init__(self, inner: fields.Field[Any], **kwargs: Any) -> None:
         super().__init__(**kwargs)
@@ -66,7 +66,7 @@
 
 
 class ThisNodeSchema(LenientSchema):
-    """`thisDoor`: the node itself, its place and its disk."""
+    """`thisDoor`: the node's name, address, location, disk and limits."""
 
     nodeName = fields.String(required=True, validate=validate.Length(min=1))
     internetAddress = fields.String(required=True, validate=validate.Length(min=1))
@@ -79,7 +79,7 @@
 
 
 class ListenAddressesSchema(LenientSchema):
-    """`listenAddresses`: of clients and of the HTTP API's roles."""
+    """`listenAddresses`: the listening addresses for clients and for each role of the HTTP API."""
 
     front = AddressField(required=True)
     readiness = AddressField(required=True)
@@ -88,7 +88,7 @@
 
 
 class NetworkSchema(LenientSchema):
-    """`network`: addresses, the nodes to join first, and the region of each zone."""
+    """`network`: addresses, the nodes to contact first, and the region of each zone."""
 
     listenAddresses = fields.Nested(ListenAddressesSchema, required=True)
     internalPorts = CommaSeparatedField(
@@ -99,20 +99,20 @@
 
 
 class CloudInterfaceSchema(LenientSchema):
-    """`cloudInterface`: the platform's list of instances, and the calls a second that it takes."""
+    """`cloudInterface`: the platform's list of instances, and the calls a second that it allows."""
 
     address = AddressField(required=True)
     requestsPerS = fields.Float(load_default=10.0, validate=validate.Range(min=0, min_inclusive=False))
 
 
 class PlatformSchema(LenientSchema):
-    """`platformSettings`: what the node uses of the platform."""
+    """`platformSettings`: the platform's interface that the node uses."""
 
     cloudInterface = fields.Nested(CloudInterfaceSchema, required=True)
 
 
 class RuleBoundsSchema(LenientSchema):
-    """`ruleBounds`: times and limits that all nodes share; each name ends with its unit."""
+    """`ruleBounds`: times and limits that all nodes share; the names of times end with their unit."""
 
     drainCutoffMs = fields.Float(load_default=3000.0, validate=validate.Range(min=0))
     inTouchMs = fields.Float(load_default=4000.0, validate=validate.Range(min=0))
@@ -129,14 +129,14 @@
 
 
 class TimingSchema(LenientSchema):
-    """`timingTerms`."""
+    """`timingTerms`: the times and limits that all nodes share."""
 
     ruleBounds = fields.Nested(RuleBoundsSchema, load_default=lambda: RuleBoundsSchema().load({}))
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The settings of one process; times in seconds."""
+    """The settings of one process; all times are in seconds."""
 
     name: str
     ip: str
@@ -145,12 +145,12 @@
     first_start: bool
     data_directory: str
     max_descriptors: int
-    link_bandwidth: float  # bytes a second of this machine alone
+    link_bandwidth: float  # bytes a second, of this machine alone
     client_address: Address
     readiness_address: Address
     control_address: Address
     directory_address: Address
-    internal_port: int  # of messages between nodes, UDP and TCP
+    internal_port: int  # for messages between nodes, UDP and TCP
     seeds: tuple[str, ...]
     zones: dict[str, str]
     platform_address: Address
@@ -172,7 +172,7 @@
 
     @pre_load
     def nest_tables(self, lines: dict[str, str], **kwargs: Any) -> dict[str, Any]:
-        """Return dotted keys as nested tables.  Raises ValidationError where a key is a value and a table."""
+        """Return dotted keys as nested tables.  Raises ValidationError if a key is a value and a table."""
         root: dict[str, Any] = {}
         for key, value in lines.items():
             *names, last = key.split(".")
@@ -186,7 +186,7 @@
 
     @post_load
     def make_settings(self, tables: dict[str, Any], **kwargs: Any) -> Settings:
-        """Return the settings of tables that are valid.  Raises ValidationError where no internal port is named."""
+        """Return the settings of valid tables.  Raises ValidationError if no internal port is given."""
         this_node, network = tables["thisDoor"], tables["network"]
         bounds, cloud = tables["timingTerms"]["ruleBounds"], tables["platformSettings"]["cloudInterface"]
         limits = this_node["limits"] or LimitsSchema().load({})
@@ -222,18 +222,18 @@
 
 
 def revocation_time(bounds: dict[str, Any]) -> float:
-    """Return the seconds within which a node that hears nothing new must stop serving."""
+    """Return the seconds within which a node that cannot confirm its configuration must stop serving."""
     return bounds["revocationMs"] / MS_PER_SECOND if bounds["closedRevocation"] else NO_REVOCATION
 
 
 def shared_limits(bounds: dict[str, Any]) -> SharedLimits:
-    """Return the limits of quotas and retries, which hold for all nodes together."""
+    """Return the limits of quotas and retries, which apply to the sum over all nodes."""
     quota = QuotaLimits(bounds["quotaWindowS"], bounds["quotaOverage"], bounds["quotaSlack"])
     return SharedLimits(quota, bounds["retryBudgetRatio"], bounds["budgetSlack"], bounds["budgetWindowS"])
 
 
 def parse_settings(text: str) -> Settings:
-    """Return the settings that a file's text holds; raises SettingsError with every problem."""
+    """Return the settings in a file's text; raises a SettingsError that lists every problem."""
     try:
         settings: Settings = SettingsSchema().load(parse_lines(text))
     except ValidationError as error:
@@ -242,7 +242,7 @@
 
 
 def parse_lines(text: str) -> dict[str, str]:
-    """Return the values of a file's text by their dotted keys; raises SettingsError for a line that has no `=`."""
+    """Return the values in a file's text by dotted key; raises SettingsError for a line without `=`."""
     values = {}
     for number, line in enumerate(text.splitlines(), 1):
         line = line.strip()
@@ -258,12 +258,12 @@
 def load_settings(path: str) -> Settings:
     """Return the settings of a file.
 
-    Raises UnreadableSettingsError where it cannot be read, SettingsError where it cannot be used.
+    Raises UnreadableSettingsError if the file cannot be read, SettingsError if its content cannot be used.
     """
     try:
         text = Path(path).read_text()
     except OSError as error:
         raise UnreadableSettingsError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise SettingsError(f"{path}: no text: {error}") from None
+        raise SettingsError(f"{path}: not a text file: {error}") from None
     return parse_settings(text)
--- a/hazelspring/daemon/shutdown.py
+++ b/hazelspring/daemon/shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a node's process: clients are sent elsewhere, roles are released, open requests are finished."""
+"""Graceful shutdown: sends clients to other nodes, releases the node's roles and finishes open requests."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 if TYPE_CHECKING:
     from hazelspring.daemon.node_process import NodeProcess
 
-LINGER_TIME = 1.5  # seconds after SIGTERM in which clients still come that were not yet sent elsewhere
-SHUTDOWN_MARGIN = 0.5  # seconds before the end of the grace period at which the process ends
-CHECK_INTERVAL = 0.02  # seconds between checks whether anything is still open
-FLUSH_TIME = 0.05  # seconds for the last answers to leave
+LINGER_TIME = 1.5  # seconds after SIGTERM in which clients that have not yet moved may connect
+SHUTDOWN_MARGIN = 0.5  # seconds before the end of the grace period at which the process stops waiting
+CHECK_INTERVAL = 0.02  # seconds between checks for open work
+FLUSH_TIME = 0.05  # seconds for the last answers to be sent
 
 
 async def drain(process: NodeProcess) -> None:
-    """Stop in order, within the grace period of the settings, and close all that the process holds open."""
+    """Drain within the grace period of the settings, and then close everything that the process has open."""
     began = process.loop.time()
     process.draining = process.router.leaving = True
     process.supervisor.guard("give duties up", lambda: process.execute_all(process.node.drain(began)))
@@ -34,14 +34,14 @@
 
 
 def has_open_work(process: NodeProcess) -> bool:
-    """Return whether requests or answers are open, or the control replicas still need this node."""
+    """Return whether requests or unsent answers are open, or the control replicas still need this node."""
     return bool(
         process.router_host.waiting or process.client_listener.owes() or process.node.control.must_stay_up()
     )
 
 
 async def close(process: NodeProcess) -> None:
-    """Answer what is open, and close listeners, connections, tasks and the disk."""
+    """Answer the open requests, and close listeners, connections, tasks and the disk."""
     process.ticker.cancel()
     process.router_host.answer_all()
     process.client_listener.close()
--- a/hazelspring/daemon/status.py
+++ b/hazelspring/daemon/status.py
@@ -1,4 +1,4 @@
-"""Views of a node's process for the HTTP API: its status, and addresses for clients."""
+"""Data of a node's process for the HTTP API: its status, and the addresses of nodes for clients."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
     from hazelspring.daemon.node_process import NodeProcess
 
 MAX_LOOKUP_ADDRESSES = 64  # in one answer
-MAX_LOOKUP_LIFETIME = 2.0  # seconds; the settings may ask for less
+MAX_LOOKUP_LIFETIME = 2.0  # seconds; the settings may set a lower limit
 ADDRESS_COLUMN = 0  # of a row of the roster
 READY_COLUMN = 5  # of a row of the roster
 
@@ -21,7 +21,7 @@
 
 
 def node_status(process: NodeProcess, now: float) -> dict[str, Any]:
-    """Return the body of `GET /-/status`; `now` in the seconds of the process's event loop."""
+    """Return the body of the answer to `GET /-/status`; `now` is in seconds of the process's event loop."""
     node = process.node
     state = node.control.state
     configuration = process.configuration
