--- a/hazelspring/localfleet/__init__.py
+++ b/hazelspring/localfleet/__init__.py
@@ -1,1 +1,1 @@
-"""Nodes, a stand-in platform and stand-in servers on loopback addresses, to try the system and to break it."""
+"""Nodes, a simulated platform and simulated servers on loopback addresses, for trials and fault tests."""
--- a/hazelspring/localfleet/__main__.py
+++ b/hazelspring/localfleet/__main__.py
@@ -1,4 +1,4 @@
-"""One command for the whole system on this machine: ``python3 -m hazelspring.localfleet``."""
+"""Runs the whole system on this machine: ``python3 -m hazelspring.localfleet``."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration
 from hazelspring.localfleet.stand_ins import StandIns
 
-SETTLE_PATIENCE = 30.0  # seconds for the first configuration
-START_TIMEOUT = 10.0  # seconds for the stand-ins to listen
+SETTLE_PATIENCE = 30.0  # seconds for the nodes to accept the first configuration
+START_TIMEOUT = 10.0  # seconds for the stand-ins to start listening
 STOP_TIMEOUT = 5.0  # seconds for their thread to end
 POLL_INTERVAL = 0.2  # seconds
 
 
 class BackgroundStandIns:
-    """The stand-ins' event loop, in a thread of its own."""
+    """Runs the simulated platform and servers on an event loop in a thread of its own."""
 
     def __init__(self, stand_ins: StandIns) -> None:
         self.stand_ins = stand_ins
@@ -43,10 +43,10 @@
 def make_parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
     parser = argparse.ArgumentParser(
-        prog="hazelspring.localfleet", description="Nodes, platform and servers on loopback addresses."
+        prog="hazelspring.localfleet", description="Runs nodes, platform and servers on loopback addresses."
     )
     parser.add_argument("--core", type=int, default=4, help="nodes with a disk (4)")
-    parser.add_argument("--others", type=int, default=2, help="nodes without one (2)")
+    parser.add_argument("--others", type=int, default=2, help="nodes without a disk (2)")
     parser.add_argument(
         "--for", type=float, default=0.0, dest="seconds", help="seconds to run; 0: until Ctrl-C"
     )
@@ -54,7 +54,7 @@
 
 
 def start_and_show(fleet: LocalFleet) -> None:
-    """Start the fleet with a configuration, and print how to reach it and what two requests get."""
+    """Start the fleet with a configuration, and print how to reach it and the answers to two requests."""
     fleet.start_all(first=True)
     addresses = fleet.control_addresses()
     call_until_settled(addresses, "PUT", "/-/configuration", configuration(1), SETTLE_PATIENCE)
@@ -66,15 +66,15 @@
         answer = fleet.request(n, method, path, f"try-{n}")
         text = answer.body.decode().strip()
         print(f"{method} {path} at {fleet.ips[n]}:{fleet.front} -> {answer.status} {text}")
-    print(f"\nas a client: Host: shop.example, Authorization: Bearer {KEY}; Ctrl-C ends it")
+    print(f"\nheaders of a request: Host: shop.example, Authorization: Bearer {KEY}; Ctrl-C stops the fleet")
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run a fleet until Ctrl-C or for the seconds asked for; return the exit status."""
+    """Run a fleet for the seconds of `--for`, or until Ctrl-C; return the exit status."""
     parser = make_parser()
     chosen = parser.parse_args(arguments)
     if chosen.core < 1 or chosen.others < 0:
-        parser.error("there must be a node with a disk")
+        parser.error("--core must be at least 1, and --others not negative")
     with tempfile.TemporaryDirectory(prefix="hazelspring-") as folder:
         fleet = LocalFleet(Path(folder), chosen.core, chosen.others)
         background = BackgroundStandIns(StandIns(fleet.platform, fleet.servers))
@@ -84,7 +84,7 @@
             while time.monotonic() < end:
                 time.sleep(POLL_INTERVAL)
         except KeyboardInterrupt:
-            pass  # how a user ends it
+            pass  # the usual way to stop the fleet
         finally:
             fleet.close()
             background.close()
--- a/hazelspring/localfleet/fleet.py
+++ b/hazelspring/localfleet/fleet.py
@@ -1,4 +1,4 @@
-"""Nodes and servers as processes on loopback addresses: settings, start, signals, disks, and a client's request."""
+"""Runs nodes and servers as processes on loopback addresses, with disks, signals and client requests."""
 
 from __future__ import annotations
 
@@ -21,32 +21,30 @@
 ROOT = Path(__file__).parent.parent.parent
 ZONES = {"north-1": "north", "north-2": "north", "south-1": "south", "south-2": "south"}
 KEY = "key-of-green"
-
-
-SEEDS = 3
-ADDRESSES_PER_FLEET = 16  # of nodes; servers have as many
-FIRST_SERVER, FIRST_PLATFORM = 100, 200  # last parts of addresses
+SEED_COUNT = 3  # seed nodes in the settings of each node
+ADDRESSES_PER_FLEET = 16  # of nodes; as many are reserved for servers
+FIRST_SERVER, FIRST_PLATFORM = 100, 200  # last octets of the addresses
 START_TIMEOUT = 20.0  # seconds
-STOP_TIMEOUT = 15.0  # seconds from a signal to a node's end
+STOP_TIMEOUT = 15.0  # seconds from a signal until a process has ended
 REQUEST_TIMEOUT = 5.0  # seconds
 READINESS_TIMEOUT = 1.0  # seconds
 POLL_INTERVAL = 0.05  # seconds
 
 
 def free_ports(count: int, host: str = "127.0.0.1") -> list[int]:
-    """Return ports that nobody listened on a moment ago."""
+    """Return ports that were free a moment ago; another process may still take them."""
     sockets = []
     for _ in range(count):
         sockets.append(socket.socket())
         sockets[-1].bind((host, 0))
-    ports = [held.getsockname()[1] for held in sockets]
-    for held in sockets:
-        held.close()
+    ports = [bound.getsockname()[1] for bound in sockets]
+    for bound in sockets:
+        bound.close()
     return ports
 
 
 def configuration(number: int, timeout_ms: int = 4000, keys: tuple[str, ...] = (KEY,)) -> bytes:
-    """Return a small configuration: reads and writes of one service, one tenant."""
+    """Return a small configuration as JSON: a tenant, and a service with routes for reads and writes."""
 
     def route(name: str, prefix: str, kind: str) -> dict[str, Any]:
         spec = {
@@ -67,18 +65,19 @@
 
 
 class ClientAnswer(NamedTuple):
-    """What a client got; the status is 0 where the connection ended without an answer."""
+    """The answer to a client's request; the status is 0 if the connection ended without an answer."""
 
     status: int
     body: bytes
 
 
 class LocalFleet:
-    """Core nodes and others, numbered from 0.
+    """Core nodes, which have disks, and other nodes, numbered from 0.
 
-    Each has an address of its own in 127.0.0.0/8, and all have the same ports. ``program`` is what runs a node,
-    ``settings`` are lines beside the usual ones, ``apart`` gives each server a process, and ``nth`` keeps the
-    addresses of several fleets of one process apart.
+    Each node has its own address in 127.0.0.0/8, and all use the same ports. ``program`` are the arguments
+    of the Python interpreter that run a node, ``settings`` are added to the usual settings, ``apart`` means
+    that each server runs as a process of its own, and ``nth`` is the number of the fleet, which keeps the
+    addresses of several fleets of one process distinct.
     """
 
     def __init__(
@@ -95,25 +94,25 @@
     ) -> None:
         self.folder = folder
         self.program = program
-        self.more_settings = settings or {}
-        self.disks = set(range(core))  # nodes that have one
-        self.lost_nodes: set[int] = set()  # for good
+        self.extra_settings = settings or {}
+        self.disks = set(range(core))  # numbers of the nodes that have a disk
+        self.lost_nodes: set[int] = set()  # permanently
         # Ports: clients, readiness, control calls, look-ups, messages between nodes, the platform, servers
         ports = free_ports(7)
         self.front, self.ready, self.control, self.directory, self.port, self.platform_port, server_port = (
             ports
         )
         self.net = f"127.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
-        self.first = 1 + ADDRESSES_PER_FLEET * nth
+        self.first_node = 1 + ADDRESSES_PER_FLEET * nth
         zones = list(ZONES)
-        self.ips = [f"{self.net}.{self.first + n}" for n in range(core + others)]
+        self.ips = [f"{self.net}.{self.first_node + n}" for n in range(core + others)]
         self.zones = [zones[n % len(zones)] for n in range(core + others)]
         self.platform = f"{self.net}.{FIRST_PLATFORM + nth}:{self.platform_port}"
         self.servers = [
             StandInServer(
                 f"i-{n}",
                 "shop",
-                f"{self.net}.{FIRST_SERVER + self.first + n}:{server_port}",
+                f"{self.net}.{FIRST_SERVER + self.first_node + n}:{server_port}",
                 zones[n % len(zones)],
                 separate_process=apart,
             )
@@ -123,7 +122,7 @@
         self.server_processes: dict[int, subprocess.Popen[bytes]] = {}
 
     def write_settings(self, node: int, first: bool) -> Path:
-        """Write a node's settings file, and make its data directory; ``first`` allows the start of a new core."""
+        """Write a node's settings file and create its data directory; ``first`` lets it bootstrap a core."""
         ip, zone = self.ips[node], self.zones[node]
         data = self.data_directory(node)
         if node in self.disks:
@@ -141,13 +140,13 @@
             "network.listenAddresses.directoryAddress": f"{ip}:{self.directory}",
             "network.internalPorts": f"{self.port},{self.port}",
             "network.seedNodes": ",".join(
-                [self.control_addresses()[seed] for seed in self.remaining_nodes()][:SEEDS]
+                [self.control_addresses()[seed] for seed in self.remaining_nodes()][:SEED_COUNT]
             ),
             **{f"network.zones.{name}": region for name, region in ZONES.items()},
             "platformSettings.cloudInterface.address": self.platform,
             "timingTerms.ruleBounds.budgetSlack": "60",
             "timingTerms.ruleBounds.quotaSlack": "20",
-            **self.more_settings,
+            **self.extra_settings,
         }
         path = self.folder / f"node-{node + 1}.conf"
         path.write_text("".join(f"{key}={value}\n" for key, value in lines.items()))
@@ -158,7 +157,7 @@
         return ZONES[self.zones[node]]
 
     def data_directory(self, node: int) -> Path:
-        """Return where a node's disk is, if it has one."""
+        """Return the path of a node's disk, whether or not the node has one."""
         return self.folder / f"node-{node + 1}"
 
     def start(self, node: int, first: bool = False) -> None:
@@ -176,27 +175,27 @@
             self.start(node, first)
 
     def kill(self, node: int, number: signal.Signals = signal.SIGKILL) -> None:
-        """End a node by a signal; raises TimeoutExpired where it goes on."""
+        """Send a node a signal, and wait for its end; raises TimeoutExpired after STOP_TIMEOUT."""
         process = self.processes.pop(node)
         process.send_signal(number)
         process.wait(STOP_TIMEOUT)
 
     def wipe(self, node: int) -> None:
-        """Lose a node's disk; a new one is empty."""
+        """Delete a node's disk; the next start creates an empty one."""
         shutil.rmtree(self.data_directory(node))
 
     def remaining_nodes(self) -> list[int]:
-        """Return the nodes that were not lost for good."""
+        """Return the nodes that were not replaced."""
         return [node for node in range(len(self.ips)) if node not in self.lost_nodes]
 
     def replace(self, node: int) -> int:
-        """Lose a node for good, and return the number of its replacement, which has yet to be started.
+        """Kill a node permanently, and return the number of its replacement, which the caller must start.
 
-        That is in the same zone, at a new address and with an empty disk if the lost one had a disk.
+        The replacement is in the same zone, at a new address, with an empty disk if the lost node had one.
         """
         self.kill(node)
         self.lost_nodes.add(node)
-        self.ips.append(f"{self.net}.{self.first + len(self.ips)}")
+        self.ips.append(f"{self.net}.{self.first_node + len(self.ips)}")
         self.zones.append(self.zones[node])
         if node in self.disks:
             self.disks = self.disks - {node} | {len(self.ips) - 1}
@@ -211,11 +210,11 @@
         )
 
     def execution_log(self, server: int) -> Path:
-        """Return the file to which a server process appends the attempt id of each request that it executes."""
+        """Return the file to which a server process appends the attempt ids of the requests it executes."""
         return self.folder / f"server-{server}.ran"
 
     def close(self) -> None:
-        """Kill all processes, also stopped ones."""
+        """Kill all processes, including those stopped by SIGSTOP."""
         processes = [*self.processes.values(), *self.server_processes.values()]
         for process in processes:
             process.send_signal(signal.SIGCONT)
@@ -224,11 +223,11 @@
             process.wait(STOP_TIMEOUT)
 
     def control_addresses(self) -> list[str]:
-        """Return the control address of each node, also of lost ones."""
+        """Return the control address of each node, including lost ones."""
         return [f"{ip}:{self.control}" for ip in self.ips]
 
     def request(self, node: int, method: str, path: str, attempt: str, key: str = KEY) -> ClientAnswer:
-        """Send a client's request to one node."""
+        """Send a client's request to one node, and return its answer; ``key`` is the tenant's access key."""
         headers = {
             "Host": "shop.example",
             "X-Hazelspring-Attempt-Id": attempt,
@@ -247,7 +246,7 @@
             return ClientAnswer(0, b"")
 
     def is_ready(self, node: int) -> bool:
-        """Whether a node answers that it is ready."""
+        """Return whether a node answers that it is ready."""
         url = f"http://{self.ips[node]}:{self.ready}/-/readiness"
         try:
             with urllib.request.urlopen(url, timeout=READINESS_TIMEOUT) as answer:
@@ -256,9 +255,9 @@
             return False
 
     def wait_until(self, condition: Callable[..., object], seconds: float = START_TIMEOUT) -> None:
-        """Wait for a condition to become true; raises TimeoutError after so many seconds."""
+        """Wait for a condition to become true; raises TimeoutError after ``seconds``."""
         end = time.monotonic() + seconds
         while not condition():
             if time.monotonic() > end:
-                raise TimeoutError(f"not within {seconds} s")
+                raise TimeoutError(f"condition not met within {seconds} s")
             time.sleep(POLL_INTERVAL)
--- a/hazelspring/localfleet/stand_ins.py
+++ b/hazelspring/localfleet/stand_ins.py
@@ -1,7 +1,7 @@
-"""A stand-in platform and stand-in servers: as much of the published protocols as nodes use.
+"""A simulated platform and servers, which implement the parts of the published protocols that nodes use.
 
-``python -m hazelspring.localfleet.stand_ins ID SERVICE ADDRESS ZONE FILE`` is one server as a process, which logs the
-requests that it executes.
+``python -m hazelspring.localfleet.stand_ins ID SERVICE ADDRESS ZONE FILE`` runs one server as a process,
+which logs the requests that it executes.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from http import HTTPStatus
 from typing import NamedTuple
 
-PROCESS_WORK_SECONDS = 0.03  # that a request takes at a server with a process of its own
+PROCESS_WORK_SECONDS = 0.03  # duration of a request at a server that runs as a process of its own
 
 Headers = dict[str, str]
 
 
 class StandInAnswer(NamedTuple):
-    """What a stand-in answers; without a status it ends the connection instead."""
+    """An answer of the platform or of a server; without a status, the connection is closed instead."""
 
     status: int | None
     headers: Headers
@@ -40,7 +40,7 @@
 
 
 class ServerState(StrEnum):
-    """A server's state as the platform lists it."""
+    """A server's state in the platform's list."""
 
     ACCEPTING = "accepting"
     DRAINING = "draining"
@@ -55,7 +55,7 @@
 
 
 async def read_body(reader: asyncio.StreamReader, headers: Headers) -> bytes:
-    """Return a request's body, which has a length or comes in chunks."""
+    """Return a request's body, which has a content length or is chunked."""
     body = await reader.readexactly(int(headers.get("content-length", 0)))
     while headers.get("transfer-encoding") == "chunked":
         size = int((await reader.readline()).strip(), 16)
@@ -88,7 +88,7 @@
 
 @dataclass
 class StandInServer:
-    """A server of the platform's list; it counts the requests that it executes by attempt id."""
+    """A server in the platform's list; it counts the requests that it executes, by attempt id."""
 
     id: str
     service: str
@@ -96,24 +96,23 @@
     zone: str
     slots: int = 2
     state: ServerState = ServerState.ACCEPTING
-    work_seconds: float = 0.01  # that a request takes
+    work_seconds: float = 0.01  # duration of a request
     padding_bytes: int = 0  # added to each of its answers
-    drops_answers: bool = False  # it executes a request and its answer is lost
+    drops_answers: bool = False  # execute requests, but close the connection instead of answering
     executions: Counter[str] = field(default_factory=Counter)
-    last_headers: Headers = field(
-        default_factory=dict
-    )  # of the last executed request; its first line and body: ""
+    # headers of the last executed request; the key "" has its method, path and body
+    last_headers: Headers = field(default_factory=dict)
     busy: int = 0  # requests in execution
-    separate_process: bool = False  # a process of its own serves it: here it is only listed
-    healthy: bool = True  # what its health check answers
-    probes: int = 0  # health checks that it got
-    misdirected: int = 0  # requests for another incarnation that it refused
-    execution_log: int | None = None  # descriptor of a file that gets each attempt id before the execution
-    drained_at: float = math.inf  # when it was listed as draining, by the monotonic clock
+    separate_process: bool = False  # another process serves its requests; this one only lists it
+    healthy: bool = True  # the result of its health check
+    probes: int = 0  # health checks received
+    misdirected: int = 0  # requests refused because they were for another incarnation
+    execution_log: int | None = None  # descriptor of a file that records attempt ids before execution
+    drained_at: float = math.inf  # when it was listed as draining, in monotonic seconds
     after_drain: list[LateRequest] = field(default_factory=list)
 
     def drain(self) -> None:
-        """Be listed as draining from now on."""
+        """Change the listed state to draining."""
         self.state = ServerState.DRAINING
         self.drained_at = time.monotonic()
 
@@ -155,7 +154,7 @@
         )
 
     def record_execution(self, attempt: str) -> None:
-        """Note a request that is about to be executed."""
+        """Record a request that is about to be executed."""
         self.executions[attempt] += 1
         if self.state is ServerState.DRAINING:
             self.after_drain.append(LateRequest(time.monotonic(), attempt))
@@ -164,14 +163,14 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset, as a machine that has forgotten it does."""
+    """Close a connection with a TCP reset, as a machine does that has lost the connection's state."""
     connection = writer.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 class StandIns:
-    """The platform and all servers, in one event loop."""
+    """The simulated platform and all simulated servers, in one event loop."""
 
     def __init__(self, platform: str, servers: list[StandInServer]) -> None:
         self.platform, self.servers = platform, servers
@@ -180,14 +179,14 @@
         self.platform_writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen at the platform's address and at those of the servers that are no processes of their own."""
+        """Listen at the addresses of the platform and of servers that are not separate processes."""
         for server in self.servers:
             if not server.separate_process:
                 await self.listen(server.address, server.handle)
         await self.listen(self.platform, self.list_instances)
 
     async def listen(self, address: str, handler: Handler) -> None:
-        """Answer the requests to an address by a handler."""
+        """Listen at an address, and answer its requests by a handler."""
         host, _, port = address.rpartition(":")
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -199,7 +198,7 @@
         self.listening.append(await asyncio.start_server(accept, host, int(port)))
 
     async def list_instances(self, _method: str, path: str, _headers: Headers, _body: bytes) -> StandInAnswer:
-        """Answer a call to the platform: the list of all servers, in one page."""
+        """Answer a call to the platform with the list of all servers, in one page."""
         self.calls += 1
         if not path.startswith("/instances"):
             return StandInAnswer(HTTPStatus.NOT_FOUND.value, {})
@@ -219,12 +218,12 @@
         return StandInAnswer(HTTPStatus.OK.value, {"Content-Type": "application/json"}, body)
 
     def reset_platform(self) -> None:
-        """Reset every connection to the platform."""
+        """Reset every open connection to the platform."""
         for writer in self.platform_writers:
             reset_connection(writer)
 
     def close(self) -> None:
-        """Listen no longer."""
+        """Stop listening."""
         for server in self.listening:
             server.close()
 
