--- a/hazelspring/daemon/http_api.py
+++ b/hazelspring/daemon/http_api.py
@@ -172,7 +172,7 @@
         return permitted and len(arguments) == endpoint.argument_count
 
     def get_readiness(self, call: ApiCall) -> None:
-        """Answer 200 where clients may be sent to this node, else 503."""
+        """Answer 200 if clients may be sent to this node, else 503."""
         if self.node.is_ready():
             call.reply(answer(200, {"ready": True}))
         else:
--- a/hazelspring/localfleet/__main__.py
+++ b/hazelspring/localfleet/__main__.py
@@ -18,7 +18,7 @@
 from hazelspring.localfleet.stand_ins import StandIns
 
 SETTLE_PATIENCE = 30.0  # seconds for the nodes to accept the first configuration
-START_TIMEOUT = 10.0  # seconds for the stand-ins to start listening
+START_TIMEOUT = 10.0  # seconds for the platform and the servers to start listening
 STOP_TIMEOUT = 5.0  # seconds for their thread to end
 POLL_INTERVAL = 0.2  # seconds
 
