--- a/tests/cut_node.py
+++ b/tests/cut_node.py
@@ -1,9 +1,10 @@
-"""A node with bad links: `hazelspringd serve` that drops or delays what other nodes send to it, for tests alone.
+"""A node with faulty links, for tests only: `hazelspringd serve` that drops or delays received messages.
 
-The file beside its settings that ends in `.cut` names addresses, one a line: what comes from there is dropped, or
-delayed by the seconds that follow it.  It is read again at each message.  The file that ends in `.platform` names what
-happens to reads of the platform's list: `hang` or `fail`.  `serve --skip-confirmation` serves by
-what it knows, without confirming it with the core."""
+The file beside its settings that ends in `.cut` has an address on each line: messages from there are
+dropped, or delayed by the seconds that follow the address.  The file is read again for each message.  The file
+that ends in `.platform` states what reads of the platform's list do: `hang` or `fail`.  The option
+`--skip-confirmation` makes the node serve by the state that it has, without confirming it with the core.
+"""
 
 from __future__ import annotations
 
@@ -24,19 +25,19 @@
 
 
 class FaultyTransport(MessageTransport):
-    """Datagrams and messages by TCP both pass here before they are decoded."""
+    """Drops or delays messages, by UDP and by TCP, before they are decoded."""
 
     def on_bytes(self, source: str, data: bytes) -> None:
         lines = FILE.read_text().splitlines() if FILE.exists() else ()
-        late = next((line.split()[1:] for line in lines if line.split()[0] == source), None)
-        if late is None:
+        delay = next((line.split()[1:] for line in lines if line.split()[0] == source), None)
+        if delay is None:
             super().on_bytes(source, data)
-        elif late:
-            self.loop.call_later(float(late[0]), super().on_bytes, source, data)
+        elif delay:
+            self.loop.call_later(float(delay[0]), super().on_bytes, source, data)
 
 
 class FaultyListClient(InstanceListClient):
-    """Reads that hang until they are given up, or end by an error of an unforeseen type."""
+    """Makes reads hang until their time-out, or fail with an error of an unexpected type."""
 
     async def read_pages(self) -> list[bytes]:
         match PLATFORM.read_text().strip() if PLATFORM.exists() else "":
@@ -48,7 +49,7 @@
 
 
 def disable_confirmation() -> None:
-    """Serve by everything known, confirmed or not."""
+    """Make the node serve by its state without a confirmation from the core."""
     ControlReplica.is_confirmed_for = lambda control, order, now: True  # type: ignore[assignment, method-assign]
     ControlReplica.confirmed_at = lambda control, now: now  # type: ignore[assignment, method-assign]
 
--- a/tests/test_node_metrics.py
+++ b/tests/test_node_metrics.py
@@ -1,4 +1,4 @@
-"""How a node's figures are written."""
+"""The text format of a node's metrics."""
 
 from __future__ import annotations
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,7 @@
-"""Failures between real processes: kills, a stop, a wiped disk, lost answers; the verdict is the same every time."""
+"""Failures of real processes: kills, a suspended node, a wiped disk, lost answers.
+
+Each test must give the same result in every run.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[LocalFleet]:
-    made = LocalFleet(tmp_path_factory.mktemp("yard"))
+    made = LocalFleet(tmp_path_factory.mktemp("fleet"))
     background = BackgroundStandIns(StandIns(made.platform, made.servers))
     try:
         made.start_all(first=True)
@@ -38,14 +41,14 @@
 
 
 def status(fleet: LocalFleet, n: int) -> Any:
-    """A node's status; nothing while it does not answer."""
+    """A node's status, empty while it does not answer."""
     try:
         return json.loads(call_once(fleet.control_addresses()[n], "GET", "/-/status", None, 2).body)
     except OSError:
         return {}
 
 
-def number_at(fleet: LocalFleet, n: int) -> int:
+def configuration_number(fleet: LocalFleet, n: int) -> int:
     answer = call_until_settled([fleet.control_addresses()[n]], "GET", "/-/configuration")
     return int(json.loads(answer.body)["versionNumber"][1:])
 
@@ -56,22 +59,22 @@
     call_until_settled([fleet.control_addresses()[4]], "PUT", "/-/configuration", configuration(7))
     fleet.start(1)
     fleet.wait_until(lambda: status(fleet, 1).get("member"))
-    assert number_at(fleet, 1) == 7
+    assert configuration_number(fleet, 1) == 7
     fleet.wait_until(lambda: fleet.request(1, "GET", "/read/a", "after-wipe")[0] == 200)
 
 
-def figures(fleet: LocalFleet, n: int) -> dict[str, float]:
-    """A node's metrics by name and labels."""
+def metrics(fleet: LocalFleet, n: int) -> dict[str, float]:
+    """A node's metrics, by name and labels."""
     text = call_once(fleet.control_addresses()[n], "GET", "/-/metrics", None, 2).body.decode()
     return {name: float(value) for name, value in (line.rsplit(" ", 1) for line in text.splitlines())}
 
 
-def test_the_metrics_name_the_one_reader_of_the_list_and_what_each_node_knows_of_servers(
+def test_the_metrics_show_a_single_list_reader_and_the_servers_known_to_each_node(
     fleet: LocalFleet,
 ) -> None:
     def readers() -> list[dict[str, float]]:
-        """The nodes that hold the list reader's lease and have read the list: a new holder has yet to."""
-        found = [figures(fleet, n) for n in range(6)]
+        """The nodes that hold the list reader's lease and have read the list; a new holder has not yet."""
+        found = [metrics(fleet, n) for n in range(6)]
         return [
             one
             for one in found
@@ -81,12 +84,12 @@
     fleet.wait_until(lambda: len(readers()) == 1)
     (reader,) = readers()
     assert reader["hazelspring_list_read_ago_seconds"] < 5
-    for one in [figures(fleet, n) for n in range(6)]:
+    for one in [metrics(fleet, n) for n in range(6)]:
         assert one['hazelspring_servers{service="shop",state="accepting"}'] == 4
         assert one['hazelspring_server_table_version{service="shop"}'] > 0
 
 
-def test_metrics_are_served_on_a_port_of_their_own_and_one_that_is_taken_keeps_from_nothing(
+def test_metrics_are_served_on_a_separate_port_and_a_node_whose_port_is_in_use_serves_without_it(
     tmp_path: Path,
 ) -> None:
     (wanted,) = free_ports(1)
@@ -114,14 +117,14 @@
     file = fleet.folder / "node-2" / "comb.sqlite"
     fleet.kill(1)
     file.rename(file.with_name("kept"))
-    file.mkdir()  # nothing can be opened there
+    file.mkdir()  # the store cannot be opened
     fleet.start(1)
     fleet.wait_until(lambda: fleet.request(1, "GET", "/read/a", "without-disk")[0] == 200)
     assert not status(fleet, 1)["member"]
     file.rmdir()
     file.with_name("kept").rename(file)
     fleet.wait_until(lambda: status(fleet, 1).get("member"))
-    assert status(fleet, 1)["version"] == before  # it is a member still: nothing had to be agreed on
+    assert status(fleet, 1)["version"] == before  # it is still a member: no new state had to be agreed on
 
 
 def test_all_processes_are_killed_at_once_and_nothing_is_lost(fleet: LocalFleet) -> None:
@@ -131,13 +134,13 @@
         fleet.kill(n)
     fleet.start_all()
     fleet.wait_until(lambda: all(fleet.is_ready(n) for n in range(6)))
-    said = status(fleet, 5)
-    assert said["configuration"] == 9 and said["closedZones"] == ["south-1"]
+    found = status(fleet, 5)
+    assert found["configuration"] == 9 and found["closedZones"] == ["south-1"]
     call_until_settled(fleet.control_addresses(), "DELETE", "/-/evacuation/south-1")
     fleet.wait_until(lambda: all(fleet.request(n, "GET", "/read/a", f"back-{n}")[0] == 200 for n in range(6)))
 
 
-def test_a_node_that_was_stopped_lets_no_key_in_that_went_meanwhile(fleet: LocalFleet) -> None:
+def test_a_node_that_was_suspended_refuses_a_key_that_was_removed_meanwhile(fleet: LocalFleet) -> None:
     call_until_settled(
         fleet.control_addresses(), "PUT", "/-/configuration", configuration(11, keys=(KEY, "leaving"))
     )
@@ -153,7 +156,7 @@
     assert fleet.request(5, "GET", "/read/a", "after", KEY)[0] == 200
 
 
-def test_a_write_whose_answer_is_lost_runs_once_and_gets_no_promise(fleet: LocalFleet) -> None:
+def test_a_write_whose_answer_is_lost_is_executed_once_and_answered_with_502(fleet: LocalFleet) -> None:
     for server in fleet.servers:
         server.drops_answers = True
     found, _ = fleet.request(0, "POST", "/write/a", "lost-1")
@@ -163,14 +166,14 @@
     assert sum(server.executions["lost-1"] for server in fleet.servers) == 1
 
 
-def raw(fleet: LocalFleet, n: int, *lines: str) -> int:
-    """The status that a request of these lines gets."""
-    with socket.create_connection((fleet.ips[n], fleet.front), 5) as wire:
-        wire.sendall("\r\n".join((*lines, "Connection: close", "", "")).encode())
-        return int(wire.makefile("rb").readline().split()[1])
+def send(fleet: LocalFleet, n: int, *lines: str) -> int:
+    """Send a request of these lines, and return the status of its answer."""
+    with socket.create_connection((fleet.ips[n], fleet.front), 5) as connection:
+        connection.sendall("\r\n".join((*lines, "Connection: close", "", "")).encode())
+        return int(connection.makefile("rb").readline().split()[1])
 
 
-def test_what_goes_on_to_a_server_and_what_does_not(fleet: LocalFleet) -> None:
+def test_which_requests_and_headers_are_forwarded_to_a_server(fleet: LocalFleet) -> None:
     good = ("Host: shop.example:80", "X-Hazelspring-Attempt-Id: raw-1", f"Authorization: Bearer {KEY}")
     forged = (
         "X-Hazelspring-Tenant-Name: other",
@@ -179,7 +182,7 @@
         "Connection: x-hop",
         "X-Hop: 1",
     )
-    assert raw(fleet, 0, "GET /read/a/../b?q=%20 HTTP/1.1", *good, *forged) == 200
+    assert send(fleet, 0, "GET /read/a/../b?q=%20 HTTP/1.1", *good, *forged) == 200
     (seen,) = [
         server.last_headers
         for server in fleet.servers
@@ -187,15 +190,15 @@
     ]
     assert seen[""] == "GET /read/a/../b?q=%20 " and seen["x-hazelspring-tenant-name"] == "green"
     assert seen["x-mine"] == "kept" and not {"authorization", "x-hop", "connection"} & set(seen)
-    assert raw(fleet, 0, "GET /read/a HTTP/1.1", *good, good[1]) == 400  # a header that counts stands twice
-    assert raw(fleet, 0, "GET /none/a HTTP/1.1", *good) == 404
-    assert raw(fleet, 0, "GET /read/a HTTP/1.1", *good[:2], "Authorization: Bearer wrong") == 401
-    assert raw(fleet, 0, "GET /read/a HTTP/1.1", good[0], good[2]) == 400  # no attempt id
-    assert raw(fleet, 0, "GET /read/a HTTP/1.1", *good, "X-Hazelspring-Remaining-Milliseconds: soon") == 400
-    assert raw(fleet, 0, "GET /read/a HTTP/1.1", *good, "X-Big: " + "x" * 20_000) == 431
+    assert send(fleet, 0, "GET /read/a HTTP/1.1", *good, good[1]) == 400  # the attempt id occurs twice
+    assert send(fleet, 0, "GET /none/a HTTP/1.1", *good) == 404
+    assert send(fleet, 0, "GET /read/a HTTP/1.1", *good[:2], "Authorization: Bearer wrong") == 401
+    assert send(fleet, 0, "GET /read/a HTTP/1.1", good[0], good[2]) == 400  # no attempt id
+    assert send(fleet, 0, "GET /read/a HTTP/1.1", *good, "X-Hazelspring-Remaining-Milliseconds: soon") == 400
+    assert send(fleet, 0, "GET /read/a HTTP/1.1", *good, "X-Big: " + "x" * 20_000) == 431
 
 
-def test_a_node_leaves_in_order_and_answers_what_it_holds(fleet: LocalFleet) -> None:
+def test_a_node_drains_after_sigterm_and_exits_with_status_0(fleet: LocalFleet) -> None:
     process = fleet.processes[4]
     process.send_signal(signal.SIGTERM)
     fleet.wait_until(lambda: not fleet.is_ready(4))
@@ -205,11 +208,11 @@
     fleet.wait_until(lambda: fleet.is_ready(4))
 
 
-def test_what_a_server_is_at_work_on_when_its_node_is_stopped_is_answered_and_runs_once(
+def test_requests_in_progress_when_their_node_is_stopped_are_answered_and_executed_once(
     fleet: LocalFleet,
 ) -> None:
     for server in fleet.servers:
-        server.work_seconds = 2.0  # longer than the node still listens
+        server.work_seconds = 2.0  # longer than a draining node continues to listen
     found: list[tuple[int, bytes]] = []
     calls = [
         threading.Thread(target=lambda call=call: found.append(fleet.request(4, *call)))
@@ -229,25 +232,26 @@
     fleet.wait_until(lambda: fleet.is_ready(4))
 
 
-def test_a_stopped_node_ends_only_when_its_last_answer_has_been_read(fleet: LocalFleet) -> None:
+def test_a_draining_node_exits_only_after_its_last_answer_has_been_read(fleet: LocalFleet) -> None:
     for server in fleet.servers:
         server.padding_bytes = 100_000
-    with socket.socket() as wire:
-        wire.settimeout(10)
-        wire.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-        wire.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536
-        )  # the node's machine holds little of it, too
-        wire.connect((fleet.ips[4], fleet.front))
+    with socket.socket() as connection:
+        connection.settimeout(10)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+        # small segments limit how much of the answer the node's kernel buffers, too
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536)
+        connection.connect((fleet.ips[4], fleet.front))
         head = f"GET /read/a HTTP/1.1\r\nHost: shop.example\r\nAuthorization: Bearer {KEY}\r\n"
-        wire.sendall(f"{head}X-Hazelspring-Attempt-Id: slow-1\r\n\r\n".encode())
-        answer = wire.makefile("rb")
+        connection.sendall(f"{head}X-Hazelspring-Attempt-Id: slow-1\r\n\r\n".encode())
+        answer = connection.makefile("rb")
         assert answer.readline().split()[1] == b"200"
         for server in fleet.servers:
             server.padding_bytes = 0
         process = fleet.processes[4]
         process.send_signal(signal.SIGTERM)
-        fleet.wait_until(lambda: fleet.request(4, "GET", "/read/a", "refused")[0] == 0)  # it listens no more
+        fleet.wait_until(
+            lambda: fleet.request(4, "GET", "/read/a", "refused")[0] == 0
+        )  # it no longer listens
         with pytest.raises(subprocess.TimeoutExpired):
             process.wait(0.5)
         length = 0
@@ -272,17 +276,17 @@
     assert fleet.request(5, "GET", "/read/a", "after-settings")[0] == 200
 
 
-@pytest.mark.parametrize("spelling", ["--node", "--door", "HAZELSPRING_NODES", "HAZELSPRING_DOORS"])
-def test_the_operators_client_takes_the_nodes_addresses_in_each_spelling(
-    fleet: LocalFleet, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], spelling: str
+@pytest.mark.parametrize("source", ["--node", "--door", "HAZELSPRING_NODES", "HAZELSPRING_DOORS"])
+def test_hazelspringctl_takes_node_addresses_from_each_option_and_variable(
+    fleet: LocalFleet, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], source: str
 ) -> None:
     monkeypatch.delenv("HAZELSPRING_NODES", raising=False)
     monkeypatch.delenv("HAZELSPRING_DOORS", raising=False)
     first, second = fleet.control_addresses()[:2]
     assert hazelspringctl(["status"]) == 2 and "no node: use --node" in capsys.readouterr().err
-    options = [spelling, first, spelling, second]
-    if spelling.startswith("HAZELSPRING"):
-        monkeypatch.setenv(spelling, f"{first},{second}")
+    options = [source, first, source, second]
+    if source.startswith("HAZELSPRING"):
+        monkeypatch.setenv(source, f"{first},{second}")
         options = []
     fleet.wait_until(lambda: all(len(status(fleet, n).get("doors", ())) == len(fleet.ips) for n in (0, 1)))
     fleet.wait_until(lambda: hazelspringctl([*options, "status"]) == 0)
@@ -291,7 +295,7 @@
     assert all(f"  nodes {len(fleet.ips)}  closed " in line for line in lines)
 
 
-def test_the_newer_variable_counts_where_both_are_set(
+def test_hazelspring_nodes_has_precedence_over_hazelspring_doors(
     fleet: LocalFleet, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     first, second = fleet.control_addresses()[:2]
@@ -301,7 +305,9 @@
     assert capsys.readouterr().out.splitlines()[-1].startswith(f"{first}  node-1  ready")
 
 
-def test_the_operators_client(fleet: LocalFleet, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_commands_of_hazelspringctl(
+    fleet: LocalFleet, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     nodes = [part for node in fleet.control_addresses() for part in ("--door", node)]
     good, bad, out = tmp_path / "good.json", tmp_path / "bad.json", tmp_path / "out.json"
     good.write_bytes(configuration(20))
--- a/tests/test_recovery_command.py
+++ b/tests/test_recovery_command.py
@@ -1,4 +1,4 @@
-"""hazelspringd recover: what it says a disk holds, what it makes of it, and what it refuses."""
+"""hazelspringd recover: lists a disk's contents, recovers a core from them, and refuses unusable ones."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 def format_1(folder: Path, name: str, items: LegacyItems) -> None:
-    """A file of format 1, from before there was an agreement."""
+    """Write a store file of format 1, from before nodes agreed on states by consensus."""
     folder.mkdir(exist_ok=True)
-    base = sqlite3.connect(folder / name)
-    base.executescript(
+    database = sqlite3.connect(folder / name)
+    database.executescript(
         "create table item (key text primary key, number integer, tie blob, body blob, sum blob);"
         "create table mark (name text primary key, body blob); pragma user_version=1"
     )
     rows = [(key, n, tie, body, item_checksum(key, n, tie, body)) for key, ((n, tie), body) in items.items()]
-    base.executemany("insert into item values (?, ?, ?, ?, ?)", rows)
-    base.executemany("insert into mark values (?, ?)", [("doors", b"6"), ("voice", b"1")])
-    base.commit()
-    base.close()
+    database.executemany("insert into item values (?, ?, ?, ?, ?)", rows)
+    database.executemany("insert into mark values (?, ?)", [("doors", b"6"), ("voice", b"1")])
+    database.commit()
+    database.close()
 
 
-def settings(tmp_path: Path) -> str:
+def write_settings(tmp_path: Path) -> str:
     path, disk = tmp_path / "node.conf", tmp_path / "disk"
     disk.mkdir(exist_ok=True)
     listens = ("front", "readiness", "controlAddress", "directoryAddress")
@@ -49,52 +49,56 @@
     return str(path)
 
 
-def store_with(path: Path, register: Acceptor) -> None:
+def write_store(path: Path, acceptor: Acceptor) -> None:
     store = ReplicaStore(str(path))
-    store.save({**register.take_dirty_records(), "mark doors": b"6"})
+    store.save({**acceptor.take_dirty_records(), "mark doors": b"6"})
     store.close()
 
 
-def test_the_command_lists_without_writing_and_rescues_what_was_stopped(
+def test_the_command_lists_a_store_without_writing_and_recovers_a_core_from_it(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = settings(tmp_path)
-    store_with(tmp_path / "disk", acceptor_with_pending_state())
+    path = write_settings(tmp_path)
+    write_store(tmp_path / "disk", acceptor_with_pending_state())
     before = {
         file.name: (file.read_bytes(), file.stat().st_mtime_ns) for file in (tmp_path / "disk").iterdir()
     }
     assert main(["recover", "--list", "--data", str(tmp_path / "disk")]) == 0
-    said = capsys.readouterr().out
-    assert "sums good" in said and "lineage 0 version 4 ballot 3  r7" in said and "closed z1" in said
-    assert "version 5 ballot 9" in said and "d1/1 d2/2 d3/3" in said and "may have been acknowledged" in said
-    assert main(["recover", "--settings", path]) == 2  # the operator has to say that the old core is stopped
+    output = capsys.readouterr().out
+    assert "sums good" in output and "lineage 0 version 4 ballot 3  r7" in output and "closed z1" in output
+    assert (
+        "version 5 ballot 9" in output
+        and "d1/1 d2/2 d3/3" in output
+        and "may have been acknowledged" in output
+    )
+    # the operator must confirm that the old core is stopped
+    assert main(["recover", "--settings", path]) == 2
     after = {
         file.name: (file.read_bytes(), file.stat().st_mtime_ns) for file in (tmp_path / "disk").iterdir()
     }
     assert after == before
     assert main(["recover", "--settings", path, "--old-core-is-stopped", "--take", "decided"]) == 0
     records = inspect_store(tmp_path / "disk" / "comb.sqlite").records
-    made = load_acceptor(records, 0, False)
+    recovered = load_acceptor(records, 0, False)
     assert (
-        made.state is not None
-        and made.state.evacuated_zones == {"z1"}
-        and made.current_configuration() == COMPRESSED_BODY
+        recovered.state is not None
+        and recovered.state.evacuated_zones == {"z1"}
+        and recovered.current_configuration() == COMPRESSED_BODY
     )
     assert (
-        made.state.members == (Member("127.0.0.1", "z", "e", made.disk_id),) and records["mark doors"] == b"6"
+        recovered.state.members == (Member("127.0.0.1", "z", "e", recovered.disk_id),)
+        and records["mark doors"] == b"6"
     )
-    (kept,) = (tmp_path / "disk").glob("comb.sqlite.before-*")
-    assert inspect_store(kept).records == {
+    (backup,) = (tmp_path / "disk").glob("comb.sqlite.before-*")
+    assert inspect_store(backup).records == {
         **acceptor_with_pending_state().take_dirty_records(),
         "mark doors": b"6",
     }
     assert ReplicaStore(str(tmp_path / "disk")).load() == records
 
 
-def test_the_command_puts_disks_of_format_1_together(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
-    path, files = settings(tmp_path), []
+def test_the_command_combines_stores_of_format_1(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    path, files = write_settings(tmp_path), []
     disks: list[LegacyItems] = [
         {"word": ((7, configuration_digest(BODY)), COMPRESSED_BODY), "zone/z1": ((1, b"a"), b"1")},
         {"word": ((6, b"6"), b"old"), "zone/z1": ((2, b"a"), b"0"), "zone/z2": ((1, b"a"), b"1")},
@@ -103,10 +107,10 @@
         format_1(tmp_path / f"{n}", "comb.sqlite.aside", items)
         files += ["--from", str(tmp_path / f"{n}" / "comb.sqlite.aside")]
     assert main(["recover", "--list", "--data", str(tmp_path / "1")]) == 0
-    assert "format 1" in (said := capsys.readouterr().out) and "zone/z2 closed" in said and "r6" in said
-    sure = ["recover", "--settings", path, "--old-core-is-stopped", *files]
-    assert main(sure) == 2 and "--size" in capsys.readouterr().err
-    assert main([*sure, "--size", "4"]) == 0
+    assert "format 1" in (text := capsys.readouterr().out) and "zone/z2 closed" in text and "r6" in text
+    command = ["recover", "--settings", path, "--old-core-is-stopped", *files]
+    assert main(command) == 2 and "--size" in capsys.readouterr().err
+    assert main([*command, "--size", "4"]) == 0
     records = inspect_store(tmp_path / "disk" / "comb.sqlite").records
     state = load_acceptor(records, 0, False).state
     assert state is not None and (state.configuration_version, state.evacuated_zones, state.target_size) == (
@@ -118,22 +122,22 @@
 
 
 @pytest.mark.parametrize("damage", ["sum", "foreign", "newer", "none", "body", "empty"])
-def test_the_command_refuses_what_cannot_continue_and_changes_nothing(
+def test_the_command_refuses_an_unusable_store_and_changes_nothing(
     tmp_path: Path, damage: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path, file = settings(tmp_path), tmp_path / "disk" / "comb.sqlite"
-    register = acceptor_with_pending_state() if damage != "empty" else Acceptor(3, False)
+    path, file = write_settings(tmp_path), tmp_path / "disk" / "comb.sqlite"
+    acceptor = acceptor_with_pending_state() if damage != "empty" else Acceptor(3, False)
     if damage == "body":
         bad = zlib.compress(json.dumps({"versionNumber": "r8"}).encode())
-        register.learn(Ballot(10, 1, "d1"), ControlState(6, MEMBERS, MEMBERS, 3, 8, b"bad"), bad)
-    store_with(tmp_path / "disk", register)
-    base = sqlite3.connect(file)
+        acceptor.learn(Ballot(10, 1, "d1"), ControlState(6, MEMBERS, MEMBERS, 3, 8, b"bad"), bad)
+    write_store(tmp_path / "disk", acceptor)
+    database = sqlite3.connect(file)
     if damage == "sum":
-        base.execute("update record set body = x'00' where name = 'vote'")
+        database.execute("update record set body = x'00' where name = 'vote'")
     elif damage == "newer":
-        base.execute("pragma user_version=99")
-    base.commit()
-    base.close()
+        database.execute("pragma user_version=99")
+    database.commit()
+    database.close()
     if damage == "foreign":
         file.write_bytes(b"no database at all" * 100)
     elif damage == "none":
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -1,4 +1,7 @@
-"""Recovery by hand between real processes: more disks lost than tolerated, an upgrade from format 1, an old member."""
+"""Manual recovery of real processes, after the loss of too many disks and after an upgrade from format 1.
+
+A member of the old core that comes back must join the recovered core.
+"""
 
 from __future__ import annotations
 
@@ -30,14 +33,14 @@
         made.start_all(first=True)
         call_until_settled(made.control_addresses(), "PUT", "/-/configuration", configuration(5), 30.0)
         call_until_settled(made.control_addresses(), "POST", "/-/evacuation/south-1", None, 30.0)
-        wait_until_whole(made)
+        wait_until_complete(made)
         yield made
     finally:
         made.close()
         background.close()
 
 
-def wait_until_whole(fleet: LocalFleet) -> None:
+def wait_until_complete(fleet: LocalFleet) -> None:
     """Wait until all nodes are ready and all that have a disk are members."""
     members = {fleet.ips[n] for n in fleet.disks}
     for n in fleet.remaining_nodes():
@@ -57,16 +60,16 @@
     return subprocess.run(command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=20)
 
 
-def check_nothing_settles(fleet: LocalFleet) -> None:
-    """No node settles a change: each answers 503 once it has tried for three seconds."""
+def check_changes_fail(fleet: LocalFleet) -> None:
+    """Check that no node settles a change: each answers 503 after it has tried for three seconds."""
     for _ in range(2):
         sent = [send_put(fleet, n, configuration(6)) for n in fleet.remaining_nodes()]
         assert [call.end().status for call in sent] == [503] * 5
 
 
 def check_recovered(fleet: LocalFleet, number: int) -> None:
-    """Every node has the configuration and the evacuated zone, and changes are settled again."""
-    wait_until_whole(fleet)
+    """Check that every node has the configuration and the evacuated zone, and that changes settle again."""
+    wait_until_complete(fleet)
     for n in fleet.remaining_nodes():
         answer = send_read(fleet, n).end()
         assert answer.status == 200 and answer.body == configuration(number)
@@ -90,7 +93,7 @@
         fleet.start(n)
     for n in fleet.remaining_nodes():
         fleet.wait_until(lambda n=n: node_status(fleet, n))
-    check_nothing_settles(fleet)  # until the recovery
+    check_changes_fail(fleet)  # until the recovery
     in_use = recover(fleet, 0, "--old-core-is-stopped")
     assert in_use.returncode == 1 and "in use" in in_use.stderr and node_status(fleet, 0)
     assert recover(fleet, 0, "--list").returncode == 1
@@ -104,13 +107,13 @@
     for n in fleet.remaining_nodes():
         fleet.start(n)
     check_recovered(fleet, 5)
-    # a disk of the old core that was not lost after all
+    # a disk of the old core that was thought to be lost comes back
     fleet.kill(1)
     fleet.wipe(1)
     shutil.copytree(old, fleet.folder / "node-2")
     assert "lineage 0" in recover(fleet, 1, "--list").stdout
     fleet.start(1)
-    wait_until_whole(fleet)
+    wait_until_complete(fleet)
     assert number_in(send_read(fleet, 1).end()) == 7
 
 
@@ -137,7 +140,7 @@
         )
     for n in fleet.remaining_nodes():
         fleet.wait_until(lambda n=n: node_status(fleet, n))
-    check_nothing_settles(fleet)  # until the recovery
+    check_changes_fail(fleet)  # until the recovery
     assert all(node_status(fleet, n)["configuration"] is None for n in fleet.remaining_nodes())
     fleet.kill(3)
     aside = str(fleet.folder / "node-4" / "comb.sqlite.aside")
