--- a/hazelspring/lab/stage.py
+++ b/hazelspring/lab/stage.py
@@ -1,6 +1,8 @@
-"""Owner of every process and file of a play: starts them, lets the day's faults happen, and clears up.
+"""Runs a play, which is one run of a day file with one seed.
 
-It is started by the command with the play as its first line, and lives as long as that pipe does.
+It starts the processes, applies the faults and cleans up.  This process owns every process and file of
+the play.  The command line starts it, writes the play to its standard input as the first line, and
+keeps that pipe open; the process ends when the pipe is closed.
 """
 
 from __future__ import annotations
@@ -28,40 +30,43 @@
 from hazelspring.lab.models.discovery import Discovery, Health, Host
 from hazelspring.lab.plan import KINDS, Happening, Play, happenings, servers_of, settings_of
 from hazelspring.lab.record import Note, Recorder, Sample
-from hazelspring.lab.stands.child import Told, clock, play, tell
-from hazelspring.lab.stands.hub import AgentStand, CounterStand, Hub
-
-READY = 0.05  # seconds between looks whether a front door is ready
-HEAD_START = 0.5  # seconds between the word to start and the start
-LOOK = 0.5  # seconds between looks at the front doors' processes
-STATS = 1.0
-LEAVE = 1.5  # seconds for which the old addresses of a reload keep their connections
-CALL = 1.0  # seconds in which an operator's call is due
-LAST = 3.7  # seconds from SIGTERM to SIGKILL: the longest deadline and 0.7 s
-MOST_TRIES = 3  # of a start whose port another has taken meanwhile
-KEPT_LOG = 64 * 1024  # bytes of a front door's log that are kept
-LOWEST_PORT, EPHEMERAL_PORTS = 20_000, 32_768
-PASSED = 4  # the descriptor of a socket that the platform holds
-ADD = (1.0, 2.5)  # seconds after which discovery sees that a server runs
-SILENT_NOTICE = (4.7, 10.0)  # the same, of one that says nothing any more
-TICKS = os.sysconf("SC_CLK_TCK")
+from hazelspring.lab.stands.child import Message, clock, run_child, send
+from hazelspring.lab.stands.hub import ServiceListeners, SimulatedAgent, SimulatedCounter
+
+READY_POLL_S = 0.05  # seconds between checks whether a gateway is ready
+START_DELAY_S = 0.5  # seconds between the start message and the start of the play
+SAMPLE_PERIOD_S = 0.5  # seconds between samples of the gateways' processes
+STATS_PERIOD_S = 1.0  # seconds between reports to the command line
+OLD_ADDRESS_GRACE_S = 1.5  # seconds for which connections to the old addresses stay open after a reload
+MANAGEMENT_CALL_LIMIT_S = 1.0  # seconds within which a management call has to be answered
+TERMINATION_GRACE_S = 3.7  # seconds from SIGTERM to SIGKILL: the longest deadline and 0.7 s
+MAX_START_ATTEMPTS = 3  # a start fails if another process has taken its port meanwhile
+KEPT_LOG_BYTES = 64 * 1024  # bytes kept of the log of a gateway process
+LOWEST_PORT, FIRST_EPHEMERAL_PORT = 20_000, 32_768
+PASSED_SOCKET_FD = 4  # descriptor at which a gateway receives the platform's listening socket
+READY_NOTICE_S = (1.0, 2.5)  # seconds after which discovery lists a started server as ready
+SILENT_NOTICE_S = (4.7, 10.0)  # seconds after which discovery lists a cut-off server as gone
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
 def die_with_parent() -> None:
+    """Have the kernel kill the calling process with SIGKILL when its parent ends."""
     _libc.prctl(1, signal.SIGKILL)  # PR_SET_PDEATHSIG
 
 
-# Ports for processes that are yet to start lie below those that Linux gives to outgoing connections (from 32768 on, by
-# ip_local_port_range): one of the latter may be taken by any connection before the process listens on it.
-_ports = itertools.cycle(range(LOWEST_PORT, EPHEMERAL_PORTS))
-for _ in range(random.randrange(EPHEMERAL_PORTS - LOWEST_PORT)):  # two labs begin at different ones
+# Ports for processes that have not started yet are taken from below the range that Linux assigns to
+# outgoing connections (from 32768 on, see ip_local_port_range): any connection could take a port of that
+# range before the process listens on it.
+_ports = itertools.cycle(range(LOWEST_PORT, FIRST_EPHEMERAL_PORT))
+# Each lab begins at a random port, so that concurrent labs use different ones.
+for _ in range(random.randrange(FIRST_EPHEMERAL_PORT - LOWEST_PORT)):
     next(_ports)
 
 
 def free_port() -> int:
-    """Return a port of 127.0.0.1 that nobody listens on now."""
+    """Return a port of 127.0.0.1 on which no process listens at the moment."""
     while True:
         port = next(_ports)
         with socket.socket() as sock, contextlib.suppress(OSError):
@@ -70,77 +75,85 @@
 
 
 class Process:
-    """One process of a front door."""
+    """One process of a gateway."""
 
-    def __init__(self, place: int, made: asyncio.subprocess.Process, management: str, began: float) -> None:
-        self.place, self.made, self.management, self.began = place, made, management, began
-        self.asked = False  # to end
+    def __init__(
+        self, index: int, handle: asyncio.subprocess.Process, management: str, started_at: float
+    ) -> None:
+        self.index, self.handle, self.management, self.started_at = index, handle, management, started_at
+        self.end_requested = False  # whether the runner has signalled it to end
         self.log, self.log_bytes = bytearray(), 0
 
     @property
     def pid(self) -> int:
-        return self.made.pid
+        """The process id."""
+        return self.handle.pid
 
     def signal(self, number: int) -> None:
+        """Send it a signal, unless it has ended."""
         with contextlib.suppress(ProcessLookupError):
-            self.made.send_signal(number)
+            self.handle.send_signal(number)
 
     async def read_log(self) -> None:
-        """What it writes is read on and on, and only the first part kept: an endless log fills nothing."""
-        assert self.made.stderr is not None
-        while data := await self.made.stderr.read(16384):
+        """Read its log to the end but keep only the first 64 KiB, so that an endless log fills no memory."""
+        assert self.handle.stderr is not None
+        while data := await self.handle.stderr.read(16384):
             self.log_bytes += len(data)
-            self.log += data[: max(0, KEPT_LOG - len(self.log))]
+            self.log += data[: max(0, KEPT_LOG_BYTES - len(self.log))]
 
     def cpu(self) -> float:
+        """CPU seconds used since it started.  Raises OSError if it has ended."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def memory_kb(self) -> int:
+        """Resident memory in kB.  Raises OSError if it has ended."""
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * PAGE_KB
 
     def descriptors(self) -> int:
+        """Number of open file descriptors.  Raises OSError if it has ended."""
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
 
-class Door:
-    """One front door: its addresses, its files, its processes, the newest last."""
+class Gateway:
+    """One gateway with its addresses, its files and its running processes, the newest last."""
 
-    def __init__(self, stage: Stage, place: int) -> None:
-        self.stage, self.place, self.name = stage, place, f"n{place}"
-        self.folder = Path(stage.told.folder) / self.name
+    def __init__(self, runner: PlayRunner, index: int) -> None:
+        self.runner, self.index, self.name = runner, index, f"n{index}"
+        self.folder = Path(runner.play.folder) / self.name
         self.shared = self.folder / "tmp"
         self.shared.mkdir(parents=True)
         self.config = self.folder / "config.json"
         self.sock: socket.socket | None = None
-        if stage.day.passed():
+        if runner.day.passed():
             self.sock = socket.socket()
             self.sock.bind(("127.0.0.1", 0))
             self.sock.listen(512)
         self.port = self.sock.getsockname()[1] if self.sock is not None else free_port()
-        self.listeners = 0  # which of the addresses of counter and discovery hold
+        self.address_set = 0  # addresses of counter and discovery in use: 0 from the start, 1 after a reload
         self.processes: list[Process] = []
 
     def write(self) -> None:
-        stage = self.stage
+        """Write its configuration file, replacing the old one atomically."""
+        runner = self.runner
         config = {
             "name": self.name,
             "listen": f"127.0.0.1:{self.port}",
-            "discovery": stage.addresses[f"agent {self.place} {self.listeners}"],
-            "counter": stage.addresses[f"counter {self.listeners}"],
-            "seed": f"{stage.told.seed * 1000 + self.place:016x}",
-            "limits": {"cores": 1.0, "memory_mb": stage.day.memory_mb, "sockets": stage.day.sockets},
+            "discovery": runner.addresses[f"agent {self.index} {self.address_set}"],
+            "counter": runner.addresses[f"counter {self.address_set}"],
+            "seed": f"{runner.play.seed * 1000 + self.index:016x}",
+            "limits": {"cores": 1.0, "memory_mb": runner.day.memory_mb, "sockets": runner.day.sockets},
             "known": msgspec.json.decode(
-                stage.agents[self.place].line(1, True, stage.discovery.whole(1)),
+                runner.agents[self.index].line(1, True, runner.discovery.whole(1)),
             ),
-            "settings": settings_of(stage.day, stage.told.seed, self.place),
+            "settings": settings_of(runner.day, runner.play.seed, self.index),
         }
         new = self.config.with_suffix(".new")
         new.write_bytes(msgspec.json.encode(config))
         new.replace(self.config)
 
     async def start(self) -> Process:
-        """Start a process; it is ready once its clients' address says so.  Raises OSError if it is not."""
+        """Start a process; its client address shows when it is ready.  Raises OSError if it cannot start."""
         management = f"127.0.0.1:{free_port()}"
         env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")} | {
             "NODE_NAME": self.name,
@@ -150,153 +163,166 @@
         }
         sock = self.sock
         if sock is not None:
-            env["NODE_PASSED_SOCKET"] = str(PASSED)
+            env["NODE_PASSED_SOCKET"] = str(PASSED_SOCKET_FD)
 
         def before() -> None:
             die_with_parent()
             if sock is not None:
-                os.dup2(sock.fileno(), PASSED)
+                os.dup2(sock.fileno(), PASSED_SOCKET_FD)
 
-        made = await asyncio.create_subprocess_exec(
-            *self.stage.door_command,
+        handle = await asyncio.create_subprocess_exec(
+            *self.runner.gateway_command,
             env=env,
-            cwd=self.stage.door_root,
+            cwd=self.runner.gateway_root,
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
             preexec_fn=before,
-            pass_fds=(PASSED,) if sock is not None else (),
+            pass_fds=(PASSED_SOCKET_FD,) if sock is not None else (),
         )
-        process = Process(self.place, made, management, time.monotonic())
+        process = Process(self.index, handle, management, time.monotonic())
         self.processes.append(process)
-        self.stage.spawn(process.read_log())
-        self.stage.spawn(self.watch(process))
+        self.runner.spawn(process.read_log())
+        self.runner.spawn(self.record_exit(process))
         return process
 
-    async def watch(self, process: Process) -> None:
-        status = await process.made.wait()
+    async def record_exit(self, process: Process) -> None:
+        """Wait until the process ends; record its log size and whether it crashed or ended with an error."""
+        status = await process.handle.wait()
         self.processes = [p for p in self.processes if p is not process]
-        stage = self.stage
-        stage.ended.append(process)
-        stage.note("log", self.name, process.log_bytes)
-        if not process.asked:
-            stage.note("crashed", self.name, status)
-            stage.tell_load(self.place, up=False)
+        runner = self.runner
+        runner.ended.append(process)
+        runner.note("log", self.name, process.log_bytes)
+        if not process.end_requested:
+            runner.note("crashed", self.name, status)
+            runner.notify_load(self.index, up=False)
         elif status not in (0, -signal.SIGKILL):
-            stage.note("ended badly", self.name, status)
+            runner.note("ended badly", self.name, status)
 
-    async def ready(self, process: Process, by_management: bool = False) -> bool:
-        """Whether it gets ready in time."""
-        until = time.monotonic() + self.stage.day.allow.ready_s
-        while time.monotonic() < until and process.made.returncode is None:
-            where = process.management if by_management else f"127.0.0.1:{self.port}"
+    async def wait_until_ready(self, process: Process, by_management: bool = False) -> bool:
+        """Poll its client or management address; return whether it is ready within `allow.ready_s`."""
+        until = time.monotonic() + self.runner.day.allow.ready_s
+        while time.monotonic() < until and process.handle.returncode is None:
+            address = process.management if by_management else f"127.0.0.1:{self.port}"
             path = "/_ready" if by_management else "/-/ready"
             with contextlib.suppress(OSError, ValueError, TimeoutError, asyncio.IncompleteReadError):
-                if await call(where, "GET", path) == 200:
+                if await http_status(address, "GET", path) == 200:
                     return True
-            await asyncio.sleep(READY)
+            await asyncio.sleep(READY_POLL_S)
         return False
 
-    async def come_up(self, first: bool = False) -> bool:
-        """Start it, and again on another port where that one is taken; then tell the clients."""
-        for _ in range(MOST_TRIES if first else 1):
+    async def start_until_ready(self, first: bool = False) -> bool:
+        """Start a process and return whether it became ready; if so, report it to the load process.
+
+        With `first`, up to three starts are attempted.  If a port was taken, the next start uses another.
+        """
+        for _ in range(MAX_START_ATTEMPTS if first else 1):
             self.write()
             process = await self.start()
-            if await self.ready(process):
+            if await self.wait_until_ready(process):
                 cpu = 0.0
                 with contextlib.suppress(OSError):
                     cpu = process.cpu()
-                self.stage.note("ready", self.name, time.monotonic() - process.began)
-                self.stage.note("start cpu", self.name, cpu)
-                self.stage.tell_load(self.place, up=True)
+                self.runner.note("ready", self.name, time.monotonic() - process.started_at)
+                self.runner.note("start cpu", self.name, cpu)
+                self.runner.notify_load(self.index, up=True)
                 return True
-            process.asked = True
+            process.end_requested = True
             process.signal(signal.SIGKILL)
-            await process.made.wait()
+            await process.handle.wait()
             if b"cannot listen" in process.log:
                 self.port = free_port()
-        self.stage.note("never ready", self.name)
+        self.runner.note("never ready", self.name)
         return False
 
     async def kill(self, lasts: float) -> None:
-        self.stage.note("killed", self.name)
+        """Kill its processes and, unless the play is over, start a new one after `lasts` seconds."""
+        self.runner.note("killed", self.name)
         for process in self.processes:
-            process.asked = True
+            process.end_requested = True
             process.signal(signal.SIGKILL)
-        self.stage.tell_load(self.place, up=False)
+        self.runner.notify_load(self.index, up=False)
         await asyncio.sleep(lasts)
-        if not self.stage.over:
-            await self.come_up()
+        if not self.runner.finished:
+            await self.start_until_ready()
 
-    async def end(self, process: Process) -> None:
-        """SIGTERM, and SIGKILL once its time is up."""
-        process.asked = True
+    async def terminate(self, process: Process) -> None:
+        """End a process with SIGTERM, and with SIGKILL if it still runs after 3.7 s."""
+        process.end_requested = True
         process.signal(signal.SIGTERM)
-        self.stage.note("termed", self.name)
+        self.runner.note("termed", self.name)
         try:
-            async with asyncio.timeout(LAST):
-                await process.made.wait()
+            async with asyncio.timeout(TERMINATION_GRACE_S):
+                await process.handle.wait()
         except TimeoutError:
-            self.stage.note("overdue", self.name)
+            self.runner.note("overdue", self.name)
             process.signal(signal.SIGKILL)
 
     async def restart(self) -> None:
-        self.stage.tell_load(self.place, up=False, planned=True)
+        """Terminate its processes and, unless the play is over, start a new one."""
+        self.runner.notify_load(self.index, up=False, planned=True)
         for process in list(self.processes):
-            await self.end(process)
-        if not self.stage.over:
-            await self.come_up()
+            await self.terminate(process)
+        if not self.runner.finished:
+            await self.start_until_ready()
 
     def reload(self) -> None:
-        """A new configuration, whose counter and discovery are at other addresses."""
-        self.listeners = 1
+        """Write a configuration with other addresses of counter and discovery, and send SIGHUP."""
+        self.address_set = 1
         self.write()
-        self.stage.note("reloaded", self.name)
+        self.runner.note("reloaded", self.name)
         for process in self.processes:
             process.signal(signal.SIGHUP)
 
-    async def operate(self, method: str, path: str, body: bytes = b"") -> bool:
-        """A call on its second address, and whether it was answered with yes, in time."""
+    async def call_management(self, method: str, path: str, body: bytes = b"") -> bool:
+        """Call its management address and return whether the status was 2xx.
+
+        A call with another status, or one that took more than a second, is recorded as a note.
+        """
         if not self.processes:
             return False
-        began = time.monotonic()
+        started_at = time.monotonic()
         status = 0
         with contextlib.suppress(OSError, ValueError, TimeoutError, asyncio.IncompleteReadError):
-            status = await call(self.processes[-1].management, method, path, body)
-        spent = time.monotonic() - began
-        if not 200 <= status < 300 or spent > CALL:
-            self.stage.note(f"call {method} {path} answered {status}", self.name, spent)
+            status = await http_status(self.processes[-1].management, method, path, body)
+        spent = time.monotonic() - started_at
+        if not 200 <= status < 300 or spent > MANAGEMENT_CALL_LIMIT_S:
+            self.runner.note(f"call {method} {path} answered {status}", self.name, spent)
         return 200 <= status < 300
 
-    async def put(self, rollback: bool, lasts: float) -> None:
+    async def put_configuration(self, rollback: bool, lasts: float) -> None:
+        """PUT its configuration with `max_attempts` one lower; `rollback`: undo it after `lasts` seconds."""
         config = msgspec.json.decode(self.config.read_bytes())
         config["settings"]["caps"]["max_attempts"] -= 1
         config.pop("known")
-        await self.operate("PUT", "/_configuration", msgspec.json.encode(config))
+        await self.call_management("PUT", "/_configuration", msgspec.json.encode(config))
         if rollback:
             await asyncio.sleep(lasts)
-            await self.operate("PUT", "/_configuration/rollback")
+            await self.call_management("PUT", "/_configuration/rollback")
 
     async def upgrade(self, dies: bool) -> None:
-        """A second process beside the first, on the platform's socket."""
+        """Start a second process on the platform's socket; when it is ready, terminate the first.
+
+        With `dies`, the new process is killed after 0.3 s instead.
+        """
         old = list(self.processes)
         new = await self.start()
         if dies:
             await asyncio.sleep(0.3)
-            new.asked = True
+            new.end_requested = True
             new.signal(signal.SIGKILL)
-            self.stage.note("new one killed", self.name)
-        elif await self.ready(new, by_management=True):
-            self.stage.note("upgraded", self.name, time.monotonic() - new.began)
+            self.runner.note("new one killed", self.name)
+        elif await self.wait_until_ready(new, by_management=True):
+            self.runner.note("upgraded", self.name, time.monotonic() - new.started_at)
             for process in old:
-                await self.end(process)
+                await self.terminate(process)
         else:
-            self.stage.note("never ready", self.name)
+            self.runner.note("never ready", self.name)
 
 
-async def call(where: str, method: str, path: str, body: bytes = b"") -> int:
-    """One HTTP call; its status."""
-    host, port = where.rsplit(":", 1)
+async def http_status(address: str, method: str, path: str, body: bytes = b"") -> int:
+    """Make an HTTP request and return the status.  Raises OSError, ValueError, or TimeoutError after 2 s."""
+    host, port = address.rsplit(":", 1)
     async with asyncio.timeout(2.0):
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
@@ -307,50 +333,51 @@
             )
             return int((await reader.readline()).split()[1])
         except IndexError:
-            raise ValueError("no answer") from None
+            raise ValueError("the response has no status line") from None
         finally:
             writer.close()
 
 
-class Child:
-    """A process of stand-ins."""
+class SimulatorProcess:
+    """A process that simulates alert servers or clients; messages are JSON lines on its pipes."""
 
-    def __init__(self, made: asyncio.subprocess.Process) -> None:
-        self.made = made
+    def __init__(self, handle: asyncio.subprocess.Process) -> None:
+        self.handle = handle
 
-    def say(self, **what: object) -> None:
-        if self.made.stdin is not None and not self.made.stdin.is_closing():
-            self.made.stdin.write(msgspec.json.encode(what) + b"\n")
+    def send(self, **fields: object) -> None:
+        """Send it one message, unless its pipe is closed."""
+        if self.handle.stdin is not None and not self.handle.stdin.is_closing():
+            self.handle.stdin.write(msgspec.json.encode(fields) + b"\n")
 
-    async def hear(self, wanted: str) -> Any:
-        """The value of the next line that has this key."""
-        assert self.made.stdout is not None
-        while line := await self.made.stdout.readline():
-            if wanted in (said := msgspec.json.decode(line)):
-                return said[wanted]
-        raise RuntimeError("a process of stand-ins has ended")
+    async def receive(self, key: str) -> Any:
+        """Return the value of the next message with this key.  Raises RuntimeError if the process ends."""
+        assert self.handle.stdout is not None
+        while line := await self.handle.stdout.readline():
+            if key in (message := msgspec.json.decode(line)):
+                return message[key]
+        raise RuntimeError("a simulator process ended before it sent the expected message")
 
 
-class Stage:
-    """All of one play."""
+class PlayRunner:
+    """Runs one play: owns the gateways, the simulator processes, the counter and discovery."""
 
-    def __init__(self, told: Play) -> None:
-        self.told, self.day = told, told.parsed()
+    def __init__(self, play: Play) -> None:
+        self.play, self.day = play, play.parsed()
         self.root = Path(__file__).parent.parent.parent
-        self.door_command = told.door or (sys.executable, "-m", "hazelspring.gateway")
-        self.door_root = told.root or str(self.root)
+        self.gateway_command = play.door or (sys.executable, "-m", "hazelspring.gateway")
+        self.gateway_root = play.root or str(self.root)
         self.tasks: set[asyncio.Task[None]] = set()
         self.now: Callable[[], float] = clock(time.monotonic() + 1000.0)
-        folder = Path(told.folder)
+        folder = Path(play.folder)
         self.notes = Recorder(folder / "stage.note.jsonl")
         self.samples = Recorder(folder / "stage.sample.jsonl")
-        self.specs = servers_of(self.day, told.seed)
-        self.random = stream(told.seed, "discovery")
+        self.specs = servers_of(self.day, play.seed)
+        self.random = stream(play.seed, "discovery")
         hosts = [Host(s.name, self.day.zones[s.zone], KINDS[s.kind], s.rack) for s in self.specs]
         self.discovery = Discovery(self.day.doors, hosts)
         self.discovery.late = [within(self.random, self.day.told_s) for _ in range(self.day.doors)]
-        spec = stream(told.seed, "counter")
-        self.counter = CounterStand(
+        spec = stream(play.seed, "counter")
+        self.counter = SimulatedCounter(
             Counter(
                 CounterSpec(
                     parts=int(spec.integers(1, 3)),
@@ -361,287 +388,312 @@
             lambda: self.now(),
         )
         self.addresses: dict[str, str] = {}
-        self.agents: list[AgentStand] = []
-        self.doors: list[Door] = []
+        self.agents: list[SimulatedAgent] = []
+        self.gateways: list[Gateway] = []
         self.ended: list[Process] = []
-        self.over = False
+        self.finished = False
         self.stats: dict[str, dict[str, float]] = {}
 
-    def spawn(self, what: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(what)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine as a task, and keep a reference to it until it ends."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def note(self, what: str, who: str = "", value: float = 0.0) -> None:
-        self.notes.add(Note(self.now(), what, who, value))
+    def note(self, event: str, who: str = "", value: float = 0.0) -> None:
+        """Record an event with the current time of the play."""
+        self.notes.add(Note(self.now(), event, who, value))
 
-    def tell_load(self, door: int, up: bool, planned: bool = False) -> None:
-        self.load.say(door=door, up=up, planned=planned)
+    def notify_load(self, gateway: int, up: bool, planned: bool = False) -> None:
+        """Notify the load process that a gateway is ready (`up`) or has ended."""
+        self.load.send(door=gateway, up=up, planned=planned)
 
-    async def child(self, module: str, *arguments: str) -> Child:
-        made = await asyncio.create_subprocess_exec(
+    async def start_simulator(self, module: str, *arguments: str) -> SimulatorProcess:
+        """Start a simulator process and send it the play."""
+        handle = await asyncio.create_subprocess_exec(
             sys.executable, "-m", module, *arguments, cwd=self.root, stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE, preexec_fn=die_with_parent, limit=2**24,
         )  # fmt: skip
-        assert made.stdin is not None
-        made.stdin.write(msgspec.json.encode(self.told) + b"\n")
-        return Child(made)
-
-    async def prepare(self) -> None:
-        """All stand-ins, then all front doors, each ready."""
-        self.hosts = [
-            await self.child("hazelspring.lab.stands.servers", str(n)) for n in range(self.told.hosts)
+        assert handle.stdin is not None
+        handle.stdin.write(msgspec.json.encode(self.play) + b"\n")
+        return SimulatorProcess(handle)
+
+    async def start_fleet(self) -> None:
+        """Start all simulators, then all gateways.  Raises RuntimeError if one does not become ready."""
+        self.server_processes = [
+            await self.start_simulator("hazelspring.lab.stands.servers", str(n))
+            for n in range(self.play.hosts)
         ]
-        self.load = await self.child("hazelspring.lab.stands.load")
+        self.load = await self.start_simulator("hazelspring.lab.stands.load")
         ports: dict[str, list[int]] = {}
-        for host in self.hosts:
-            ports |= await host.hear("dials")
-        for place in range(self.day.doors):
+        for host in self.server_processes:
+            ports |= await host.receive("dials")
+        for index in range(self.day.doors):
             dials = {
-                spec.name: f"127.0.0.1:{ports[str(number)][place]}" for number, spec in enumerate(self.specs)
+                spec.name: f"127.0.0.1:{ports[str(number)][index]}" for number, spec in enumerate(self.specs)
             }
-            self.agents.append(AgentStand(self.discovery, place, dials, lambda: self.now(), self.notes))
-        self.hub = Hub(self.counter, self.agents)
-        self.addresses = await self.hub.listen()
-        await self.load.hear("ready")
-        self.doors = [Door(self, place) for place in range(self.day.doors)]
-        came = await asyncio.gather(*(door.come_up(first=True) for door in self.doors))
-        if not all(came):
+            self.agents.append(SimulatedAgent(self.discovery, index, dials, lambda: self.now(), self.notes))
+        self.services = ServiceListeners(self.counter, self.agents)
+        self.addresses = await self.services.listen()
+        await self.load.receive("ready")
+        self.gateways = [Gateway(self, index) for index in range(self.day.doors)]
+        became_ready = await asyncio.gather(
+            *(gateway.start_until_ready(first=True) for gateway in self.gateways)
+        )
+        if not all(became_ready):
             logs = [bytes(p.log[-300:]).decode(errors="replace") for p in self.ended if p.log]
-            raise RuntimeError(f"a front door did not get ready: {' '.join(logs[-1:])}".strip())
+            raise RuntimeError(f"a gateway did not become ready: {' '.join(logs[-1:])}".strip())
 
-    def happen(self, found: list[Happening]) -> None:
+    def schedule_faults(self, faults: list[Happening]) -> None:
+        """Schedule all faults of the day, and what discovery reports of them."""
         loop = asyncio.get_running_loop()
 
-        def at(moment: float, what: Callable[..., None], *arguments: object) -> None:
-            loop.call_later(max(0.0, moment - self.now()), what, *arguments)
+        def at(moment: float, action: Callable[..., None], *arguments: object) -> None:
+            loop.call_later(max(0.0, moment - self.now()), action, *arguments)
 
-        for happening in found:
-            at(happening.fault.at, self.begin, happening)
-            self.tell_discovery(happening, at)
+        for happening in faults:
+            at(happening.fault.at, self.begin_fault, happening)
+            self.schedule_discovery_changes(happening, at)
 
-    def begin(self, happening: Happening) -> None:
-        """A fault of front doors, counter or discovery; what happens to alert servers, they see to."""
+    def begin_fault(self, happening: Happening) -> None:
+        """Begin a fault of gateways, counter or discovery; simulated alert servers apply their own."""
         fault, loop = happening.fault, asyncio.get_running_loop()
-        doors = [self.doors[n] for n in happening.targets] if fault.kind in (
+        gateways = [self.gateways[n] for n in happening.targets] if fault.kind in (
             "kill_doors", "term_doors", "reload", "put", "rollback", "upgrade", "upgrade_dies"
         ) else []  # fmt: skip
-        for door in doors:
+        for gateway in gateways:
             match fault.kind:
                 case "kill_doors":
-                    self.spawn(door.kill(fault.lasts))
+                    self.spawn(gateway.kill(fault.lasts))
                 case "term_doors":
-                    self.spawn(door.restart())
+                    self.spawn(gateway.restart())
                 case "reload":
-                    door.reload()
+                    gateway.reload()
                 case "put" | "rollback":
-                    self.spawn(door.put(fault.kind == "rollback", fault.lasts))
+                    self.spawn(gateway.put_configuration(fault.kind == "rollback", fault.lasts))
                 case "upgrade" | "upgrade_dies":
-                    self.spawn(door.upgrade(fault.kind == "upgrade_dies"))
+                    self.spawn(gateway.upgrade(fault.kind == "upgrade_dies"))
         match fault.kind:
             case "reload":
-                self.spawn(self.leave_old(all_doors=len(doors) == len(self.doors)))
+                self.spawn(self.retire_old_addresses(all_gateways=len(gateways) == len(self.gateways)))
             case "ban":
                 self.spawn(self.ban(happening))
             case "counter_away":
-                self.counter.away = True
-                loop.call_later(fault.lasts, self.counter_back)
+                self.counter.unavailable = True
+                loop.call_later(fault.lasts, self.restore_counter)
             case "counter_slow":
                 self.counter.model.slow = fault.size
-                loop.call_later(fault.lasts, self.counter_pace)
+                loop.call_later(fault.lasts, self.restore_counter_speed)
             case "counter_forget":
                 self.counter.model.lose()
             case "discovery_late":
                 before = list(self.discovery.late)
                 self.discovery.late = [late + fault.size for late in before]
-                loop.call_later(fault.lasts, self.discovery_on_time, before)
+                loop.call_later(fault.lasts, self.restore_discovery_delay, before)
             case "discovery_silent":
                 self.discovery.silent = True
-                loop.call_later(fault.lasts, self.discovery_speaks)
+                loop.call_later(fault.lasts, self.end_discovery_silence)
             case "discovery_full":
                 self.discovery.room = round(fault.size)
-                loop.call_later(fault.lasts, self.discovery_has_room)
+                loop.call_later(fault.lasts, self.lift_discovery_limit)
 
-    def counter_back(self) -> None:
-        """It is back elsewhere: the connections that it had are reset."""
-        self.counter.away = False
+    def restore_counter(self) -> None:
+        """End the counter's outage.  It restarts on another machine, so its old connections are reset."""
+        self.counter.unavailable = False
         for peer in list(self.counter.peers):
             if peer.transport is not None:
                 peer.transport.abort()
 
-    def counter_pace(self) -> None:
+    def restore_counter_speed(self) -> None:
+        """End the fault that slows the counter down."""
         self.counter.model.slow = 1.0
 
-    def discovery_on_time(self, late: list[float]) -> None:
+    def restore_discovery_delay(self, late: list[float]) -> None:
+        """Set the seconds after which each gateway receives a change back to these values."""
         self.discovery.late = late
 
-    def discovery_speaks(self) -> None:
+    def end_discovery_silence(self) -> None:
+        """Let discovery send updates again."""
         self.discovery.silent = False
 
-    def discovery_has_room(self) -> None:
+    def lift_discovery_limit(self) -> None:
+        """Let discovery accept any number of calls again."""
         self.discovery.room = 0
 
-    async def leave_old(self, all_doors: bool) -> None:
-        """The old addresses take no new connections, and end those they have after 1.5 s."""
-        old = [f"agent {door.place} 0" for door in self.doors if door.listeners]
-        old += ["counter 0"] if all_doors else []
+    async def retire_old_addresses(self, all_gateways: bool) -> None:
+        """Stop accepting connections at the old addresses, and close the existing ones after 1.5 s."""
+        old = [f"agent {gateway.index} 0" for gateway in self.gateways if gateway.address_set]
+        old += ["counter 0"] if all_gateways else []
         for name in old:
-            self.hub.leave(name)
-        await asyncio.sleep(LEAVE)
+            self.services.stop_listening(name)
+        await asyncio.sleep(OLD_ADDRESS_GRACE_S)
         for name in old:
-            self.hub.cut_off(name)
+            self.services.close_connections(name)
 
     async def ban(self, happening: Happening) -> None:
-        """Operators take servers out by hand at all front doors, restart them, and call them back."""
-        for place in happening.targets:
-            name = self.specs[place].name
-            for door in self.doors:
-                if await door.operate("PUT", "/_alert-servers/detach", name.encode()):
-                    self.note("banned", f"{name} {door.place}")
-        await asyncio.sleep(CALL)
-        for host in self.hosts:
-            host.say(restart=list(happening.targets))
+        """Act as an operator: detach servers at all gateways, restart them, and attach them again."""
+        for index in happening.targets:
+            name = self.specs[index].name
+            for gateway in self.gateways:
+                if await gateway.call_management("PUT", "/_alert-servers/detach", name.encode()):
+                    self.note("banned", f"{name} {gateway.index}")
+        await asyncio.sleep(MANAGEMENT_CALL_LIMIT_S)
+        for host in self.server_processes:
+            host.send(restart=list(happening.targets))
         await asyncio.sleep(max(0.0, happening.end - self.now()))
-        for place in happening.targets:
-            name = self.specs[place].name
-            for door in self.doors:
-                self.note("called back", f"{name} {door.place}")
-                await door.operate("PUT", "/_alert-servers/attach", name.encode())
-
-    def tell_discovery(self, happening: Happening, at: Callable[..., None]) -> None:
-        """What discovery comes to see of the faults of alert servers, and when."""
+        for index in happening.targets:
+            name = self.specs[index].name
+            for gateway in self.gateways:
+                self.note("called back", f"{name} {gateway.index}")
+                await gateway.call_management("PUT", "/_alert-servers/attach", name.encode())
+
+    def schedule_discovery_changes(self, happening: Happening, at: Callable[..., None]) -> None:
+        """Schedule the changes that discovery reports because of a fault of alert servers."""
         fault, end = happening.fault, happening.end
-        for place in happening.targets:
-            name = self.specs[place].name
-            notice, add = within(self.random, self.day.notice_s), within(self.random, ADD)
-            silent = within(self.random, SILENT_NOTICE)
+        for index in happening.targets:
+            name = self.specs[index].name
+            gone_after, ready_after = (
+                within(self.random, self.day.notice_s),
+                within(self.random, READY_NOTICE_S),
+            )
+            silent_gone_after = within(self.random, SILENT_NOTICE_S)
             match fault.kind:
                 case "kill_servers" | "zone":
-                    if notice < fault.lasts:
-                        at(fault.at + notice, self.change, name, Health.GONE)
-                    at(end + add, self.change, name, Health.READY, end)
+                    if gone_after < fault.lasts:
+                        at(fault.at + gone_after, self.change_health, name, Health.GONE)
+                    at(end + ready_after, self.change_health, name, Health.READY, end)
                 case "drain_servers":
-                    at(fault.at, self.change, name, Health.TERMINATING)
-                    at(max(fault.at + 3.0, end - 1.0), self.change, name, Health.GONE)
-                    back = max(fault.at + 4.0, end)
-                    at(back + add, self.change, name, Health.READY, back)
+                    at(fault.at, self.change_health, name, Health.TERMINATING)
+                    at(max(fault.at + 3.0, end - 1.0), self.change_health, name, Health.GONE)
+                    restarted_at = max(fault.at + 4.0, end)
+                    at(restarted_at + ready_after, self.change_health, name, Health.READY, restarted_at)
                 case "cut_servers":
-                    if silent < fault.lasts:
-                        at(fault.at + silent, self.change, name, Health.GONE)
-                        at(end + add, self.change, name, Health.READY)
+                    if silent_gone_after < fault.lasts:
+                        at(fault.at + silent_gone_after, self.change_health, name, Health.GONE)
+                        at(end + ready_after, self.change_health, name, Health.READY)
 
-    def change(self, name: str, health: Health, born: float | None = None) -> None:
+    def change_health(self, name: str, health: Health, born: float | None = None) -> None:
+        """Change a server's health in discovery; `born` is its start time in seconds of the play."""
         unix = None if born is None else time.time() - self.now() + born
         self.discovery.change(self.now(), name, health, unix)
 
-    # --- what is seen meanwhile -------------------------------------------------------------------------
+    # --- samples and statistics -------------------------------------------------------------------------
 
-    def look(self) -> None:
-        for door in self.doors:
+    def record_samples(self) -> None:
+        """Record CPU time, memory and descriptors of each gateway, and do so again every half second."""
+        for gateway in self.gateways:
             cpu, memory, descriptors = 0.0, 0, 0
             with contextlib.suppress(OSError, IndexError, ValueError):
-                for process in door.processes:
+                for process in gateway.processes:
                     cpu += process.cpu()
                     memory += process.memory_kb()
                     descriptors += process.descriptors()
-                if door.processes:
+                if gateway.processes:
                     self.samples.add(
-                        Sample(self.now(), door.place, cpu, memory, descriptors, len(door.processes))
+                        Sample(self.now(), gateway.index, cpu, memory, descriptors, len(gateway.processes))
                     )
-        if not self.over:
-            asyncio.get_running_loop().call_later(LOOK, self.look)
-
-    async def follow(self, name: str, child: Child) -> None:
-        """A child's figures, until it says that it is done."""
-        assert child.made.stdout is not None
-        while line := await child.made.stdout.readline():
-            said = msgspec.json.decode(line)
-            if "stats" in said or "done" in said:
-                self.stats[name] = self.stats.get(name, {}) | (said.get("stats") or said["done"])
-            if "done" in said:
+        if not self.finished:
+            asyncio.get_running_loop().call_later(SAMPLE_PERIOD_S, self.record_samples)
+
+    async def collect_stats(self, name: str, child: SimulatorProcess) -> None:
+        """Store the statistics that a simulator process sends, until it reports that it is done."""
+        assert child.handle.stdout is not None
+        while line := await child.handle.stdout.readline():
+            message = msgspec.json.decode(line)
+            if "stats" in message or "done" in message:
+                self.stats[name] = self.stats.get(name, {}) | (message.get("stats") or message["done"])
+            if "done" in message:
                 return
 
-    def show(self) -> None:
-        doors = [
-            {"name": door.name, "listen": f"127.0.0.1:{door.port}", "processes": len(door.processes),
-             "management": door.processes[-1].management if door.processes else ""}
-            for door in self.doors
+    def report_stats(self) -> None:
+        """Send the latest statistics to the command line, and do so again every second."""
+        gateways = [
+            {"name": gateway.name, "listen": f"127.0.0.1:{gateway.port}",
+             "processes": len(gateway.processes),
+             "management": gateway.processes[-1].management if gateway.processes else ""}
+            for gateway in self.gateways
         ]  # fmt: skip
         counter = {"calls": self.counter.calls, "turned_away": self.counter.turned_away}
-        tell(at=self.now(), stats=self.stats | {"counter": counter}, doors=doors)
-        if not self.over:
-            asyncio.get_running_loop().call_later(STATS, self.show)
-
-    async def run(self, queue: asyncio.Queue[Told]) -> None:
-        """From the start to the last answer."""
-        await self.prepare()
-        children = {"load": self.load} | {f"servers{n}": host for n, host in enumerate(self.hosts)}
-        followers = [asyncio.ensure_future(self.follow(name, child)) for name, child in children.items()]
-        start = time.monotonic() + HEAD_START
+        send(at=self.now(), stats=self.stats | {"counter": counter}, doors=gateways)
+        if not self.finished:
+            asyncio.get_running_loop().call_later(STATS_PERIOD_S, self.report_stats)
+
+    async def run(self, queue: asyncio.Queue[Message]) -> None:
+        """Run the whole play, and send the folder of its records to the command line."""
+        await self.start_fleet()
+        children = {"load": self.load} | {f"servers{n}": host for n, host in enumerate(self.server_processes)}
+        stats_tasks = [
+            asyncio.ensure_future(self.collect_stats(name, child)) for name, child in children.items()
+        ]
+        start = time.monotonic() + START_DELAY_S
         self.now = clock(start)
-        self.load.say(doors=[("127.0.0.1", door.port) for door in self.doors])
+        self.load.send(doors=[("127.0.0.1", gateway.port) for gateway in self.gateways])
         for child in children.values():
-            child.say(start=start)
-        self.counter.open = True
-        self.happen(happenings(self.day, self.told.seed))
-        self.look()
-        self.show()
-        tell(started={door.name: f"127.0.0.1:{door.port}" for door in self.doors})
-        waiting = asyncio.ensure_future(queue.get())
-        await asyncio.wait([waiting], timeout=self.day.length_s + HEAD_START)
+            child.send(start=start)
+        self.counter.accepting = True
+        self.schedule_faults(happenings(self.day, self.play.seed))
+        self.record_samples()
+        self.report_stats()
+        send(started={gateway.name: f"127.0.0.1:{gateway.port}" for gateway in self.gateways})
+        command = asyncio.ensure_future(queue.get())
+        await asyncio.wait([command], timeout=self.day.length_s + START_DELAY_S)
         length = min(self.day.length_s, self.now())
-        self.load.say(last=True)
-        self.load.say(stop=True)
-        await followers[0]
-        self.over = True
+        self.load.send(last=True)
+        self.load.send(stop=True)
+        await stats_tasks[0]
+        self.finished = True
         self.note("length", value=length)
-        await self.finish()
-        for host in self.hosts:
-            host.say(stop=True)
-        await asyncio.gather(*followers[1:])
+        await self.terminate_gateways()
+        for host in self.server_processes:
+            host.send(stop=True)
+        await asyncio.gather(*stats_tasks[1:])
         self.note("counter calls", value=self.counter.calls)
         for key in ("handshakes", "probes"):
-            self.note(key, value=sum(self.stats[f"servers{n}"].get(key, 0) for n in range(self.told.hosts)))
+            self.note(key, value=sum(self.stats[f"servers{n}"].get(key, 0) for n in range(self.play.hosts)))
         for key in ("sent", "late", "most_late", "cpu"):
             self.note(f"load {key}", value=self.stats["load"].get(key, 0))
         self.notes.flush()
         self.samples.flush()
-        self.hub.close()
-        tell(done=self.told.folder)
+        self.services.close()
+        send(done=self.play.folder)
 
-    async def finish(self) -> None:
-        """The front doors' planned end."""
-        for door in self.doors:
-            for process in door.processes:
+    async def terminate_gateways(self) -> None:
+        """Record the CPU time of the gateways' processes and terminate them."""
+        for gateway in self.gateways:
+            for process in gateway.processes:
                 with contextlib.suppress(OSError):
-                    self.note("cpu", door.name, process.cpu())
-        await asyncio.gather(*(door.end(p) for door in self.doors for p in list(door.processes)))
+                    self.note("cpu", gateway.name, process.cpu())
+        await asyncio.gather(
+            *(gateway.terminate(p) for gateway in self.gateways for p in list(gateway.processes))
+        )
         await asyncio.sleep(0.05)
 
 
-async def main(told: Play, queue: asyncio.Queue[Told]) -> None:
-    stage = Stage(told)
+async def main(play: Play, queue: asyncio.Queue[Message]) -> None:
+    """Run the play, report a failure to the command line, and wait until the pipe is closed."""
+    runner = PlayRunner(play)
     try:
-        await stage.run(queue)
+        await runner.run(queue)
     except (RuntimeError, OSError) as error:
-        tell(failed=f"{error}")
-    await asyncio.Event().wait()  # until the pipe ends
+        send(failed=f"{error}")
+    await asyncio.Event().wait()  # the process ends when the pipe is closed
 
 
 def run() -> None:
-    """The stage's process, and beside it one that outlives it by so much as clearing up takes."""
+    """Run the play in a forked child process, and delete its folder when that process has ended."""
     folder = tempfile.mkdtemp(prefix="fleetlab-")
-    keeper = os.fork()
-    if keeper:
-        # This process waits for the pipe's other end and clears up after the one that plays.
+    player_pid = os.fork()
+    if player_pid:
+        # The parent waits until the child, which runs the play, has ended, and then cleans up.
         signal.signal(signal.SIGINT, signal.SIG_IGN)
-        os.waitpid(keeper, 0)
+        os.waitpid(player_pid, 0)
         shutil.rmtree(folder, ignore_errors=True)
         return
-    for low in range(3, PASSED + 1):  # these stay taken, so that a child's descriptor 4 is nobody else's
+    # Descriptors 3 and 4 stay occupied, so that in a child process 4 can only be the passed socket.
+    for descriptor in range(3, PASSED_SOCKET_FD + 1):
         with contextlib.suppress(OSError):
-            os.dup2(os.open(os.devnull, os.O_RDONLY), low, inheritable=False)
-    play(lambda told, queue: main(msgspec.structs.replace(told, folder=folder), queue))
+            os.dup2(os.open(os.devnull, os.O_RDONLY), descriptor, inheritable=False)
+    run_child(lambda play, queue: main(msgspec.structs.replace(play, folder=folder), queue))
 
 
 if __name__ == "__main__":
--- a/hazelspring/lab/stands/__init__.py
+++ b/hazelspring/lab/stands/__init__.py
@@ -1,1 +1,1 @@
-"""The models on loopback sockets.  They decide nothing that a model could."""
+"""Serves the simulation models on loopback sockets.  Whatever a model can decide is left to the model."""
--- a/hazelspring/lab/stands/child.py
+++ b/hazelspring/lab/stands/child.py
@@ -1,4 +1,7 @@
-"""A process of the stage: it is told lines of JSON, tells lines of JSON, and ends with the pipe."""
+"""Entry point of the lab's child processes: messages are JSON lines on standard input and output.
+
+A child process ends when the pipe to its parent is closed.
+"""
 
 from __future__ import annotations
 
@@ -17,48 +20,49 @@
 
 from hazelspring.lab.plan import Play
 
-Told = dict[str, Any]
+Message = dict[str, Any]
 
 
-def tell(**what: object) -> None:
-    """A line to the stage.  A stage that is gone hears nothing, and nobody minds."""
+def send(**fields: object) -> None:
+    """Write one message to the parent process.  If the parent has ended, this process exits."""
     try:
-        os.write(1, msgspec.json.encode(what) + b"\n")
+        os.write(1, msgspec.json.encode(fields) + b"\n")
     except OSError:
         os._exit(1)
 
 
-def many_descriptors() -> None:
-    _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+def raise_descriptor_limit() -> None:
+    """Raise the limit of open file descriptors to the hard limit."""
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
 
 
 def clock(start: float) -> Callable[[], float]:
-    """Seconds since that moment of the machine's monotonic clock, which every process reads alike."""
+    """Return a function that gives the seconds since `start`, a time of the machine-wide monotonic clock."""
     return lambda: time.monotonic() - start
 
 
-def play(main: Callable[[Play, asyncio.Queue[Told]], Any]) -> None:
-    """Run one process: its first line is the play, and the others go to its queue."""
-    many_descriptors()
-    told = msgspec.json.decode(sys.stdin.buffer.readline(), type=Play)
+def run_child(main: Callable[[Play, asyncio.Queue[Message]], Any]) -> None:
+    """Run `main` with the play, which is the first line of input, and a queue of the further messages."""
+    raise_descriptor_limit()
+    play = msgspec.json.decode(sys.stdin.buffer.readline(), type=Play)
 
     async def run() -> None:
-        loop, queue = asyncio.get_running_loop(), asyncio.Queue[Told]()
+        loop, queue = asyncio.get_running_loop(), asyncio.Queue[Message]()
 
-        def listen() -> None:
+        def read_messages() -> None:
             for line in sys.stdin.buffer:
                 loop.call_soon_threadsafe(queue.put_nowait, msgspec.json.decode(line))
-            os._exit(1)  # the stage is gone
+            os._exit(1)  # the parent has ended
 
-        threading.Thread(target=listen, daemon=True).start()
-        await main(told, queue)
+        threading.Thread(target=read_messages, daemon=True).start()
+        await main(play, queue)
 
     uvloop.run(run())
     os._exit(0)
 
 
-def settle() -> None:
-    """What lives as long as the process need not be looked at again."""
+def freeze_heap() -> None:
+    """Exclude all current objects from garbage collection, as they live as long as the process."""
     gc.collect()
     gc.freeze()
--- a/hazelspring/lab/stands/load.py
+++ b/hazelspring/lab/stands/load.py
@@ -1,4 +1,7 @@
-"""The clients: open loop, each try at its time, whatever is still open; and those that mean ill."""
+"""Simulates the clients in an open loop, so that each attempt starts on time however many are still open.
+
+It simulates hostile clients as well, which send malformed, incomplete or excessive input.
+"""
 
 from __future__ import annotations
 
@@ -25,46 +28,47 @@
     request_id,
 )
 from hazelspring.lab.record import Recorder, Rude, Try
-from hazelspring.lab.stands.child import Told, clock, play, settle, tell
-
-OVERTIME = 0.5  # seconds past its time for which an answer still counts as one
-CONNECT = 1.0  # seconds that a connection may take to come up
-LATE = 0.02  # seconds: a try that leaves later than that was late
-RUDE_WAIT = 8.0  # seconds after which a rude client has got neither an answer nor a close
-KEPT = 64  # idle connections to one front door
-NOTICE = (1.6, 3.4)  # seconds after which the front sees that a front door has died
-PLANNED = (0.2, 0.4)  # the same, where the platform restarts it
-STATS = 1.0
-HUGE = b"X-Filler: " + b"a" * 60000 + b"\r\n"
-RUDE: dict[str, tuple[bytes, ...]] = {  # pieces, sent half a second apart
+from hazelspring.lab.stands.child import Message, clock, freeze_heap, run_child, send
+
+ANSWER_GRACE_S = 0.5  # seconds past its time-out for which an attempt still accepts an answer
+CONNECT_TIMEOUT_S = 1.0  # seconds within which a connection has to be established
+LATE_START_S = 0.02  # seconds after its due time from which an attempt counts as started late
+HOSTILE_CLIENT_TIMEOUT_S = 8.0  # seconds for which a hostile client waits for an answer or a close
+MAX_IDLE_CONNECTIONS = 64  # idle connections kept to one gateway
+FAILURE_DETECTION_S = (1.6, 3.4)  # seconds after which the load balancer notices that a gateway has ended
+PLANNED_DETECTION_S = (0.2, 0.4)  # the same, if the platform restarts the gateway as planned
+STATS_PERIOD_S = 1.0  # seconds between reports to the runner
+LONG_HEADER = b"X-Filler: " + b"a" * 60000 + b"\r\n"
+HOSTILE_INPUTS: dict[str, tuple[bytes, ...]] = {  # pieces, sent 0.1 s apart
     "garbled": (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 hello\r\n\r\n",),
     "no length": (b"POST /alert-rule?customer=zz HTTP/1.1\r\nHost: x\r\n\r\n",),
     "half-open": (b"GET /gauge-read?cust",),
     "silent": (),
     "slow": tuple(bytes([c]) for c in b"GET /gauge-read?customer=1 HTTP/1.1\r\n"),
-    "endless": tuple(HUGE for _ in range(16)),
+    "endless": tuple(LONG_HEADER for _ in range(16)),
     "two lengths": (b"POST /alert-rule HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nabcde",),
 }
 
 
-class Conn(asyncio.Protocol):
-    """A client's connection to a front door; one request at a time."""
+class Connection(asyncio.Protocol):
+    """A client's connection to a gateway, with one request at a time."""
 
-    def __init__(self, owner: Load, door: int) -> None:
-        self.owner, self.door = owner, door
+    def __init__(self, load: Load, gateway: int) -> None:
+        self.load, self.gateway = load, gateway
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.job: Job | None = None
+        self.pending: Attempt | None = None
         self.used = False
         self.body = bytearray()
-        self.advice = 0.0
+        self.retry_after_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, job: Job, data: bytes) -> None:
+    def send(self, attempt: Attempt, data: bytes) -> None:
+        """Send an attempt's request; the attempt is notified of the answer or the connection's end."""
         assert self.transport is not None
-        self.job = job
+        self.pending = attempt
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
@@ -76,9 +80,9 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"retry-after":
             try:
-                self.advice = float(value)
+                self.retry_after_s = float(value)
             except ValueError:
-                self.advice = -1.0
+                self.retry_after_s = -1.0
 
     def on_body(self, body: bytes) -> None:
         self.body += body
@@ -87,232 +91,260 @@
         status = self.parser.get_status_code()
         if status < 200:
             return
-        job, self.job, body, advice = self.job, None, bytes(self.body), self.advice
+        attempt, self.pending, body, retry_after_s = self.pending, None, bytes(self.body), self.retry_after_s
         self.body.clear()
-        self.advice, self.used = 0.0, True
-        keep = self.parser.should_keep_alive()
-        if job is not None:
-            job.answered(status, body, advice)
-        if keep and self.transport is not None and not self.transport.is_closing():
-            self.owner.keep(self)
+        self.retry_after_s, self.used = 0.0, True
+        keep_alive = self.parser.should_keep_alive()
+        if attempt is not None:
+            attempt.finish_with_answer(status, body, retry_after_s)
+        if keep_alive and self.transport is not None and not self.transport.is_closing():
+            self.load.keep_idle(self)
         else:
             self.abort()
 
     def abort(self) -> None:
+        """Reset the connection, if it is still open."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
-        self.owner.drop(self)
-        if (job := self.job) is not None:
-            self.job = None
-            job.broke(self.used)
-
-
-class Job:
-    """One try on its way."""
-
-    def __init__(self, owner: Load, request: int, attempt: int, due: float) -> None:
-        self.owner, self.request, self.attempt, self.due = owner, request, attempt, due
-        self.id = request_id(owner.told.seed, request, attempt)
-        self.left, self.sent, self.resent = owner.now(), 0.0, False
-        self.door = owner.work.place(request, attempt, owner.up)
-        self.wait = float(owner.work.wait[request]) / 1e3
-        self.conn: Conn | None = None
-        self.over = False
-        owner.open += 1
-        self.timer = owner.loop.call_later(self.wait + OVERTIME, self.silent)
+        self.load.forget(self)
+        if (attempt := self.pending) is not None:
+            self.pending = None
+            attempt.connection_ended(self.used)
+
+
+class Attempt:
+    """One attempt of a client's request, until it has an outcome."""
+
+    def __init__(self, load: Load, request: int, number: int, due: float) -> None:
+        self.load, self.request, self.number, self.due = load, request, number, due
+        self.id = request_id(load.play.seed, request, number)
+        self.started_at, self.sent, self.resent = load.now(), 0.0, False
+        self.gateway = load.work.place(request, number, load.up)
+        self.timeout = float(load.work.wait[request]) / 1e3
+        self.connection: Connection | None = None
+        self.finished = False
+        load.open_attempts += 1
+        self.timer = load.loop.call_later(self.timeout + ANSWER_GRACE_S, self.time_out)
 
     async def start(self) -> None:
-        owner = self.owner
-        conn = owner.kept(self.door) if not self.resent else None
-        if conn is None:
+        """Send the request on an idle connection or, if there is none or it is resent, on a new one."""
+        load = self.load
+        connection = load.take_idle(self.gateway) if not self.resent else None
+        if connection is None:
             try:
-                async with asyncio.timeout(CONNECT):
-                    host, port = owner.doors[self.door]
-                    _, conn = await owner.loop.create_connection(lambda: Conn(owner, self.door), host, port)
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    host, port = load.gateways[self.gateway]
+                    _, connection = await load.loop.create_connection(
+                        lambda: Connection(load, self.gateway), host, port
+                    )
             except (OSError, TimeoutError):
-                return self.end(0, "refused")
-        if self.over or conn.transport is None:
-            conn.abort()
-            return self.end(0, "refused")
-        self.conn = conn
-        conn.ask(self, owner.text(self))
-        self.sent = owner.now()
-
-    def answered(self, status: int, body: bytes, advice: float) -> None:
-        owner = self.owner
-        own = status != 200 or is_answer(owner.day, owner.told.secret, self.id, self.request, body)
-        self.end(status, "answer", advice, own)
-
-    def broke(self, used: bool) -> None:
-        """Its connection ended.  A close between requests may have crossed it: it is sent once more."""
-        if used and not self.resent and not self.over:
+                return self.finish(0, "refused")
+        if self.finished or connection.transport is None:
+            connection.abort()
+            return self.finish(0, "refused")
+        self.connection = connection
+        connection.send(self, load.encode(self))
+        self.sent = load.now()
+
+    def finish_with_answer(self, status: int, body: bytes, retry_after_s: float) -> None:
+        """Finish with a complete answer, and check that an alert server made the body for this request."""
+        load = self.load
+        genuine = status != 200 or is_answer(load.day, load.play.secret, self.id, self.request, body)
+        self.finish(status, "answer", retry_after_s, genuine)
+
+    def connection_ended(self, used: bool) -> None:
+        """Handle the end of its connection before an answer.
+
+        On a reused connection, the request is sent once more: it may have crossed with a close that the
+        gateway sent between two requests.
+        """
+        if used and not self.resent and not self.finished:
             self.resent = True
-            self.owner.spawn(self.start())
+            self.load.spawn(self.start())
         else:
-            self.end(0, "broken")
-
-    def silent(self) -> None:
-        conn = self.conn
-        self.end(0, "silent")
-        if conn is not None and conn.job is self:
-            conn.job = None
-            conn.abort()
-
-    def end(self, status: int, how: str, advice: float = 0.0, own: bool = True) -> None:
-        if self.over:
+            self.finish(0, "broken")
+
+    def time_out(self) -> None:
+        """Finish without an answer, and reset the connection."""
+        connection = self.connection
+        self.finish(0, "silent")
+        if connection is not None and connection.pending is self:
+            connection.pending = None
+            connection.abort()
+
+    def finish(self, status: int, outcome: str, retry_after_s: float = 0.0, genuine: bool = True) -> None:
+        """Record the outcome, unless the attempt has one already; `status` is 0 without an answer."""
+        if self.finished:
             return
-        self.over = True
+        self.finished = True
         self.timer.cancel()
-        owner, now = self.owner, self.owner.now()
-        owner.open -= 1
-        owner.tries.add(
+        load, now = self.load, self.load.now()
+        load.open_attempts -= 1
+        load.attempt_log.add(
             Try(
-                self.id, self.request, self.attempt, self.door, self.due, self.left, self.sent, now,
-                status, how, advice, own, self.resent,
+                self.id, self.request, self.number, self.gateway, self.due, self.started_at, self.sent, now,
+                status, outcome, retry_after_s, genuine, self.resent,
             )
         )  # fmt: skip
-        owner.ended(self, status, how, advice)
+        load.attempt_finished(self, status, outcome, retry_after_s)
 
 
 class Load:
-    """All clients, and the front that deals their tries to the front doors."""
+    """All clients, and the load balancer that distributes their attempts over the gateways."""
 
-    def __init__(self, told: Play) -> None:
-        self.told, self.day = told, told.parsed()
+    def __init__(self, play: Play) -> None:
+        self.play, self.day = play, play.parsed()
         self.loop = asyncio.get_running_loop()
-        self.work = arrivals_of(self.day, told.seed)
-        self.manners = manners_of(told.seed, MOST_WAIT)
-        folder = Path(told.folder)
-        self.tries = Recorder(folder / "load.try.jsonl")
-        self.rudes = Recorder(folder / "load.rude.jsonl")
+        self.work = arrivals_of(self.day, play.seed)
+        self.manners = manners_of(play.seed, MOST_WAIT)
+        folder = Path(play.folder)
+        self.attempt_log = Recorder(folder / "load.try.jsonl")
+        self.hostile_log = Recorder(folder / "load.rude.jsonl")
         self.notes = Recorder(folder / "load.note.jsonl")
-        self.doors: list[tuple[str, int]] = []
+        self.gateways: list[tuple[str, int]] = []
         self.up = [True] * self.day.doors
-        self.notice = stream(told.seed, "front")
-        self.idle: list[list[Conn]] = [[] for _ in range(self.day.doors)]
-        self.conns: set[Conn] = set()
+        self.detection_delays = stream(play.seed, "front")
+        self.idle: list[list[Connection]] = [[] for _ in range(self.day.doors)]
+        self.connections: set[Connection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.now: Callable[[], float] = clock(time.monotonic())
-        self.later: list[tuple[float, int, int]] = []  # tries to come: when, request, try
-        self.next = 0  # the first try that comes next
-        self.open = self.sent = self.late = 0
-        self.most_late = 0.0
+        self.retries: list[tuple[float, int, int]] = []  # a heap of due time, request, attempt number
+        self.next_request = 0  # the next request whose first attempt has not started
+        self.open_attempts = self.sent = self.started_late = 0
+        self.max_start_delay = 0.0
         self.counts = {"served": 0, "refused": 0, "failed": 0}
-        self.spans: list[float] = []
-        self.wake: asyncio.TimerHandle | None = None
+        self.latencies: list[float] = []
+        self.due_timer: asyncio.TimerHandle | None = None
 
-    def spawn(self, what: Coroutine[Any, Any, None]) -> None:
-        task = self.loop.create_task(what)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine as a task, and keep a reference to it until it ends."""
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     # --- connections ------------------------------------------------------------------------------------
 
-    def kept(self, door: int) -> Conn | None:
-        while self.idle[door]:
-            conn = self.idle[door].pop()
-            if conn.transport is not None and not conn.transport.is_closing():
-                return conn
+    def take_idle(self, gateway: int) -> Connection | None:
+        """Return the idle connection to this gateway that was used last, or None."""
+        while self.idle[gateway]:
+            connection = self.idle[gateway].pop()
+            if connection.transport is not None and not connection.transport.is_closing():
+                return connection
         return None
 
-    def keep(self, conn: Conn) -> None:
-        if len(self.idle[conn.door]) < KEPT:
-            self.idle[conn.door].append(conn)
+    def keep_idle(self, connection: Connection) -> None:
+        """Keep a connection for a further request, or reset it if 64 are idle already."""
+        if len(self.idle[connection.gateway]) < MAX_IDLE_CONNECTIONS:
+            self.idle[connection.gateway].append(connection)
         else:
-            conn.abort()
+            connection.abort()
 
-    def drop(self, conn: Conn) -> None:
-        if conn in self.idle[conn.door]:
-            self.idle[conn.door].remove(conn)
+    def forget(self, connection: Connection) -> None:
+        """Remove a closed connection from the idle ones."""
+        if connection in self.idle[connection.gateway]:
+            self.idle[connection.gateway].remove(connection)
 
-    def text(self, job: Job) -> bytes:
-        """The bytes of a try."""
-        work, request = self.work, job.request
+    def encode(self, attempt: Attempt) -> bytes:
+        """Encode the HTTP request of an attempt."""
+        work, request = self.work, attempt.request
         spec = CLASSES[int(work.cls[request])]
         customer = work.customers[int(work.customer[request])]
-        body = body_of(self.day, self.told.seed, request, spec.keyed)
+        body = body_of(self.day, self.play.seed, request, spec.keyed)
         lines = [
             f"{'POST' if spec.keyed else 'GET'} /{spec.name}?customer={customer.number:016x} HTTP/1.1",
             "Host: origin.svc",
-            f"Request-Id: {job.id}",
+            f"Request-Id: {attempt.id}",
             f"Request-Class: {spec.name}",
             f"X-Tier: {work.tariffs[customer.tariff].name}",
-            f"Request-Timeout: {round(job.wait * 1e3)}m",
+            f"Request-Timeout: {round(attempt.timeout * 1e3)}m",
             f"X-Call-Terms: units=1,spread={customer.spread},first={customer.first}",
         ]
-        if job.attempt:
+        if attempt.number:
             lines.append("Client-Retry: 1")
         if spec.keyed:
-            lines += [f"Idempotency-Key: {self.told.seed:016x}{request:016x}", f"Content-Length: {len(body)}"]
+            lines += [f"Idempotency-Key: {self.play.seed:016x}{request:016x}", f"Content-Length: {len(body)}"]
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
     # --- the open loop ----------------------------------------------------------------------------------
 
-    def pump(self) -> None:
-        """Start all that is due, and come again when the next one is."""
+    def start_due(self) -> None:
+        """Start all attempts that are due, and set the timer for the next one."""
         now, arrivals = self.now(), self.work.at
-        while self.next < len(arrivals) and arrivals[self.next] <= now * 1e6:
-            self.begin(self.next, 0, float(arrivals[self.next]) / 1e6)
-            self.next += 1
-        while self.later and self.later[0][0] <= now:
-            due, request, attempt = heapq.heappop(self.later)
-            self.begin(request, attempt, due)
-        following = float(arrivals[self.next]) / 1e6 if self.next < len(arrivals) else math.inf
-        if self.later:
-            following = min(following, self.later[0][0])
-        if self.wake is not None:
-            self.wake.cancel()
-        if following < math.inf:
-            self.wake = self.loop.call_later(max(0.0, following - self.now()), self.pump)
-
-    def begin(self, request: int, attempt: int, due: float) -> None:
-        job = Job(self, request, attempt, due)
+        while self.next_request < len(arrivals) and arrivals[self.next_request] <= now * 1e6:
+            self.start_attempt(self.next_request, 0, float(arrivals[self.next_request]) / 1e6)
+            self.next_request += 1
+        while self.retries and self.retries[0][0] <= now:
+            due, request, number = heapq.heappop(self.retries)
+            self.start_attempt(request, number, due)
+        next_due = float(arrivals[self.next_request]) / 1e6 if self.next_request < len(arrivals) else math.inf
+        if self.retries:
+            next_due = min(next_due, self.retries[0][0])
+        if self.due_timer is not None:
+            self.due_timer.cancel()
+        if next_due < math.inf:
+            self.due_timer = self.loop.call_later(max(0.0, next_due - self.now()), self.start_due)
+
+    def start_attempt(self, request: int, number: int, due: float) -> None:
+        """Start an attempt that is due at `due`, and count it if it starts late."""
+        attempt = Attempt(self, request, number, due)
         self.sent += 1
-        late = job.left - due
-        self.late += late > LATE
-        self.most_late = max(self.most_late, late)
-        self.spawn(job.start())
+        late = attempt.started_at - due
+        self.started_late += late > LATE_START_S
+        self.max_start_delay = max(self.max_start_delay, late)
+        self.spawn(attempt.start())
 
-    def ended(self, job: Job, status: int, how: str, advice: float) -> None:
+    def attempt_finished(self, attempt: Attempt, status: int, outcome: str, retry_after_s: float) -> None:
+        """Count the outcome, and schedule a retry if the client makes one."""
         if status == 200:
             self.counts["served"] += 1
-            self.spans.append(self.now() - job.due)
+            self.latencies.append(self.now() - attempt.due)
             return
         self.counts["refused" if status in (429, 503) else "failed"] += 1
-        wait = again_after(self.manners, self.told.seed, job.request, job.attempt + 1, max(0.0, advice))
-        if wait is None or self.next >= len(self.work.at):
+        delay = again_after(
+            self.manners, self.play.seed, attempt.request, attempt.number + 1, max(0.0, retry_after_s)
+        )
+        if delay is None or self.next_request >= len(self.work.at):
             return
-        heapq.heappush(self.later, (self.now() + wait, job.request, job.attempt + 1))
-        self.pump()
+        heapq.heappush(self.retries, (self.now() + delay, attempt.request, attempt.number + 1))
+        self.start_due()
 
     def done(self) -> bool:
-        return self.next >= len(self.work.at) and not self.open and not self.later
+        """Whether no attempt is open or still to start."""
+        return self.next_request >= len(self.work.at) and not self.open_attempts and not self.retries
+
+    # --- the load balancer's view of the gateways -------------------------------------------------------
 
-    # --- the front's view of the front doors --------------------------------------------------------------
+    def gateway_changed(self, gateway: int, up: bool, planned: bool) -> None:
+        """Handle that a gateway is ready or has ended.
 
-    def door_state(self, door: int, up: bool, planned: bool) -> None:
-        """A front door has died, or is ready: the front sees the former some seconds late, unless planned."""
+        The load balancer notices an unplanned end after 1.6 to 3.4 s, a planned one after 0.2 to 0.4 s, and
+        that a gateway is ready at once.
+        """
         if up:
-            self.up[door] = True
+            self.up[gateway] = True
         else:
-            span = float(self.notice.uniform(*(PLANNED if planned else NOTICE)))
-            self.loop.call_later(span, self.mark_down, door)
+            delay = float(
+                self.detection_delays.uniform(*(PLANNED_DETECTION_S if planned else FAILURE_DETECTION_S))
+            )
+            self.loop.call_later(delay, self.mark_down, gateway)
 
-    def mark_down(self, door: int) -> None:
-        self.up[door] = False
+    def mark_down(self, gateway: int) -> None:
+        """Give this gateway no more attempts while others are up."""
+        self.up[gateway] = False
 
-    # --- clients that mean ill --------------------------------------------------------------------------
+    # --- hostile clients --------------------------------------------------------------------------------
 
-    async def rude(self, kind: str, door: int) -> None:
-        began, status = self.now(), -1
+    async def send_hostile_input(self, kind: str, gateway: int) -> None:
+        """Send one hostile input on a connection of its own, and record the answer, close or time-out."""
+        started_at, status = self.now(), -1
         writer: asyncio.StreamWriter | None = None
         try:
-            async with asyncio.timeout(RUDE_WAIT):
-                reader, writer = await asyncio.open_connection(*self.doors[door])
-                sending = asyncio.ensure_future(self.trickle(writer, RUDE[kind]))
+            async with asyncio.timeout(HOSTILE_CLIENT_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(*self.gateways[gateway])
+                sending = asyncio.ensure_future(self.send_pieces(writer, HOSTILE_INPUTS[kind]))
                 try:
                     head = await reader.read(4096)
                 finally:
@@ -325,70 +357,85 @@
         finally:
             if writer is not None:
                 writer.close()
-        self.rudes.add(Rude(kind, door, began, self.now() - began, status))
+        self.hostile_log.add(Rude(kind, gateway, started_at, self.now() - started_at, status))
 
     @staticmethod
-    async def trickle(writer: asyncio.StreamWriter, pieces: tuple[bytes, ...]) -> None:
+    async def send_pieces(writer: asyncio.StreamWriter, pieces: tuple[bytes, ...]) -> None:
+        """Write the pieces 0.1 s apart."""
         for piece in pieces:
             writer.write(piece)
             await asyncio.sleep(0.1)
 
-    def rudeness(self) -> None:
-        """Set this day's rude clients going; `size` a second, over all front doors."""
-        chance = random.Random(self.told.seed)
-        for happening in happenings(self.day, self.told.seed):
+    def schedule_hostile_clients(self) -> None:
+        """Schedule the hostile clients of this day's faults: `size` a second over all gateways together."""
+        random_source = random.Random(self.play.seed)
+        for happening in happenings(self.day, self.play.seed):
             fault = happening.fault
             if fault.kind == "hostile":
                 for _ in range(round(fault.size * fault.lasts)):
-                    at = fault.at + chance.random() * fault.lasts
-                    kind, door = chance.choice(sorted(RUDE)), chance.randrange(self.day.doors)
-                    self.loop.call_later(max(0.0, at - self.now()), self.be_rude, kind, door)
-
-    def be_rude(self, kind: str, door: int) -> None:
-        self.spawn(self.rude(kind, door))
-
-    def stats(self) -> None:
-        spans = sorted(self.spans)
-        self.spans = []
-        tell(
+                    at = fault.at + random_source.random() * fault.lasts
+                    kind, gateway = (
+                        random_source.choice(sorted(HOSTILE_INPUTS)),
+                        random_source.randrange(self.day.doors),
+                    )
+                    self.loop.call_later(max(0.0, at - self.now()), self.start_hostile_client, kind, gateway)
+
+    def start_hostile_client(self, kind: str, gateway: int) -> None:
+        """Start one hostile client as a task."""
+        self.spawn(self.send_hostile_input(kind, gateway))
+
+    def report_stats(self) -> None:
+        """Send the counts, and the latencies since the last report, to the runner every second."""
+        latencies = sorted(self.latencies)
+        self.latencies = []
+        send(
             stats=self.counts | {
-                "sent": self.sent, "open": self.open, "late": self.late, "most_late": self.most_late,
-                "p50": spans[len(spans) // 2] if spans else 0.0,
-                "p99": spans[len(spans) * 99 // 100] if spans else 0.0,
+                "sent": self.sent, "open": self.open_attempts,
+                "late": self.started_late, "most_late": self.max_start_delay,
+                "p50": latencies[len(latencies) // 2] if latencies else 0.0,
+                "p99": latencies[len(latencies) * 99 // 100] if latencies else 0.0,
             }
         )  # fmt: skip
-        self.loop.call_later(STATS, self.stats)
+        self.loop.call_later(STATS_PERIOD_S, self.report_stats)
 
 
-async def main(told: Play, queue: asyncio.Queue[Told]) -> None:
-    load = Load(told)
-    tell(ready=len(load.work))
-    settle()
+async def main(play: Play, queue: asyncio.Queue[Message]) -> None:
+    """Simulate the clients of a play as the runner's messages direct, until it sends `stop`."""
+    load = Load(play)
+    send(ready=len(load.work))
+    freeze_heap()
     while True:
-        said = await queue.get()
-        if "doors" in said:
-            load.doors = [(host, port) for host, port in said["doors"]]
-        elif "start" in said:
-            load.now = clock(said["start"])
-            load.rudeness()
-            load.stats()
-            load.pump()
-        elif "door" in said:
-            load.door_state(said["door"], said["up"], said.get("planned", False))
-        elif "last" in said:  # no more tries; what is open ends by itself
-            load.next = len(load.work.at)
-            load.later.clear()
-        elif "stop" in said:
-            while not load.done() and load.open:
+        message = await queue.get()
+        if "doors" in message:
+            load.gateways = [(host, port) for host, port in message["doors"]]
+        elif "start" in message:
+            load.now = clock(message["start"])
+            load.schedule_hostile_clients()
+            load.report_stats()
+            load.start_due()
+        elif "door" in message:
+            load.gateway_changed(message["door"], message["up"], message.get("planned", False))
+        elif "last" in message:  # start no more attempts, and let the open ones finish
+            load.next_request = len(load.work.at)
+            load.retries.clear()
+        elif "stop" in message:
+            while not load.done() and load.open_attempts:
                 await asyncio.sleep(0.02)
             while any(not task.done() for task in load.tasks):
                 await asyncio.sleep(0.02)
-            usage = time.process_time()
-            for recorder in (load.tries, load.rudes, load.notes):
+            cpu_s = time.process_time()
+            for recorder in (load.attempt_log, load.hostile_log, load.notes):
                 recorder.flush()
-            tell(done={"sent": load.sent, "late": load.late, "most_late": load.most_late, "cpu": usage})
+            send(
+                done={
+                    "sent": load.sent,
+                    "late": load.started_late,
+                    "most_late": load.max_start_delay,
+                    "cpu": cpu_s,
+                }
+            )
             return
 
 
 if __name__ == "__main__":
-    play(main)
+    run_child(main)
--- a/hazelspring/lab/stands/servers.py
+++ b/hazelspring/lab/stands/servers.py
@@ -1,4 +1,4 @@
-"""A process of alert servers: their models on listeners, one for each pair of a front door and a server."""
+"""Simulates a part of the alert servers in one process, with a listener for each gateway and server."""
 
 from __future__ import annotations
 
@@ -28,67 +28,74 @@
     servers_of,
 )  # fmt: skip
 from hazelspring.lab.record import Arrival, Note, Recorder
-from hazelspring.lab.stands.child import Told, clock, play, settle, tell
+from hazelspring.lab.stands.child import Message, clock, freeze_heap, run_child, send
 
-BACKLOG = 512
-BEFORE = 1000.0  # before the start all clocks stand well below 0, and go on
-STATS = 1.0  # seconds between lines to the stage
+LISTEN_BACKLOG = 512
+CLOCK_OFFSET_S = 1000.0  # seconds by which the clock starts below 0, until the runner sends the start time
+STATS_PERIOD_S = 1.0  # seconds between reports to the runner
 EMPTY = b"HTTP/1.1 %s\r\nContent-Length: 0\r\n%s\r\n"
-REASONS = {Verdict.FULL: b"503 Busy", Verdict.DRAINING: b"503 Draining", Verdict.FALLEN: b"503 Down"}
+REFUSAL_STATUSES = {Verdict.FULL: b"503 Busy", Verdict.DRAINING: b"503 Draining", Verdict.FALLEN: b"503 Down"}
 
 
-def door_name(door: int) -> str:
-    return f"door {door}"
+def gateway_name(gateway: int) -> str:
+    """The name of a gateway as an end of the simulated network."""
+    return f"gateway {gateway}"
 
 
-class Socket:
-    """The listener of one alert server for one front door."""
+class Listener:
+    """The listener of one alert server for one gateway."""
 
-    def __init__(self, stand: Stand, door: int) -> None:
-        self.stand, self.door = stand, door
+    def __init__(self, server: SimulatedServer, gateway: int) -> None:
+        self.server, self.gateway = server, gateway
         self.port = 0
         self.sock: socket.socket | None = None
         self.fillers: list[socket.socket] = []
         self.open()
 
     def open(self) -> None:
+        """Listen, on the same port each time, and accept connections."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
         sock.bind(("127.0.0.1", self.port))
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
         self.sock, self.port = sock, sock.getsockname()[1]
-        self.stand.loop.add_reader(sock, self.accept)
+        self.server.loop.add_reader(sock, self.accept)
 
     def accept(self) -> None:
+        """Accept all queued connections."""
         assert self.sock is not None
         with contextlib.suppress(BlockingIOError, OSError):
             while True:
                 conn, _ = self.sock.accept()
                 conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                task = self.stand.loop.create_task(
-                    self.stand.loop.connect_accepted_socket(lambda: Peer(self.stand, self.door), conn)
+                task = self.server.loop.create_task(
+                    self.server.loop.connect_accepted_socket(
+                        lambda: GatewayConnection(self.server, self.gateway), conn
+                    )
                 )
-                self.stand.host.tasks.add(task)
-                task.add_done_callback(self.stand.host.tasks.discard)
+                self.server.process.tasks.add(task)
+                task.add_done_callback(self.server.process.tasks.discard)
 
     def close(self) -> None:
-        """As a dead process's: what comes is refused."""
+        """Close the socket, so that new connections are refused, as after the end of a process."""
         if self.sock is not None:
-            self.stand.loop.remove_reader(self.sock)
+            self.server.loop.remove_reader(self.sock)
             self.sock.close()
             self.sock = None
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
 
-    def silence(self) -> None:
-        """As a machine's that is cut off: connections to it never come up.  The kernel drops what comes to
-        a listener whose queue is full, and nobody accepts from this one.
+    def stop_accepting(self) -> None:
+        """Let new connections time out, as those to a machine that is cut off from the network.
+
+        Nothing accepts connections from this listener any more, and the kernel drops those that arrive while
+        its queue is full.
         """
         if self.sock is None:
             return
-        self.stand.loop.remove_reader(self.sock)
+        self.server.loop.remove_reader(self.sock)
         self.sock.listen(0)
         for _ in range(2):
             filler = socket.socket()
@@ -96,73 +103,77 @@
             filler.connect_ex(("127.0.0.1", self.port))
             self.fillers.append(filler)
 
-    def speak(self) -> None:
-        """It is back: what had been queued meanwhile is reset."""
+    def reopen(self) -> None:
+        """Accept connections again, and reset those that were queued meanwhile."""
         if self.sock is None:
             return
         self.close()
         self.open()
 
 
-class Peer(asyncio.Protocol):
-    """One connection of a front door."""
+class GatewayConnection(asyncio.Protocol):
+    """One connection from a gateway."""
 
-    def __init__(self, stand: Stand, door: int) -> None:
-        self.stand, self.door = stand, door
+    def __init__(self, server: SimulatedServer, gateway: int) -> None:
+        self.server, self.gateway = server, gateway
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.fresh = True
-        self.held = False
-        self.token: list[str] | None = None  # of the request that is out; its id
-        self.idle: asyncio.TimerHandle | None = None
-        self.clear()
-
-    def clear(self) -> None:
+        self.first_request = True
+        self.counted = False
+        self.token: list[str] | None = None  # identifies the open request; holds its id
+        self.idle_timer: asyncio.TimerHandle | None = None
+        self.reset_request()
+
+    def reset_request(self) -> None:
+        """Forget the request that was read last."""
         self.url, self.headers = b"", dict[bytes, bytes]()
         self.body = bytearray()
         self.began = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        stand = self.stand
-        if not stand.alive or not stand.model.connect(stand.now()):
+        server = self.server
+        if not server.alive or not server.model.connect(server.now()):
             self.transport.abort()
             return
-        self.held = True
-        stand.peers.add(self)
-        stand.host.handshakes += 1
-        self.rest()
+        self.counted = True
+        server.peers.add(self)
+        server.process.handshakes += 1
+        self.restart_idle_timer()
 
-    def rest(self) -> None:
-        if self.idle is not None:
-            self.idle.cancel()
-        self.idle = self.stand.loop.call_later(self.stand.model.spec.idle, self.close)
+    def restart_idle_timer(self) -> None:
+        """Set the time at which the connection is closed if it is idle."""
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+        self.idle_timer = self.server.loop.call_later(self.server.model.spec.idle, self.close)
 
     def close(self) -> None:
+        """Close the connection, unless a request is open."""
         if self.transport is not None and self.token is None:
             self.transport.close()
 
     def abort(self) -> None:
+        """Reset the connection, if it is still open."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self.idle is not None:
-            self.idle.cancel()
-        self.stand.peers.discard(self)
-        if self.held:
-            self.stand.model.connections = max(0, self.stand.model.connections - 1)
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+        self.server.peers.discard(self)
+        if self.counted:
+            self.server.model.connections = max(0, self.server.model.connections - 1)
         self.transport, self.token = None, None
 
     def data_received(self, data: bytes) -> None:
-        if self.stand.cut:
-            return  # it never came
+        if self.server.cut_off:
+            return  # the data is lost on the way
         if not self.began:
-            self.began = self.stand.now()
+            self.began = self.server.now()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.stand.note("malformed", self.door)
+            self.server.note("malformed", self.gateway)
             self.abort()
 
     def on_url(self, url: bytes) -> None:
@@ -175,193 +186,214 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        self.rest()
+        self.restart_idle_timer()
         url, headers, body, began = self.url, self.headers, bytes(self.body), self.began
         method = self.parser.get_method()
-        self.clear()
-        self.stand.heard(self, method, url, headers, body, began)
-        self.fresh = False
+        self.reset_request()
+        self.server.handle_request(self, method, url, headers, body, began)
+        self.first_request = False
 
     def answer(self, status: bytes, body: bytes = b"", headers: bytes = b"", break_at: int = 0) -> None:
-        """Answer, or break the connection after so many bytes of it."""
+        """Send the answer, or only `break_at` bytes of it before the connection is reset."""
         self.token = None
-        if self.transport is None or self.transport.is_closing() or self.stand.cut:
+        if self.transport is None or self.transport.is_closing() or self.server.cut_off:
             return
         text = b"HTTP/1.1 %s\r\nContent-Length: %d\r\n%s\r\n%s" % (status, len(body), headers, body)
         if break_at:
             self.transport.write(text[: min(break_at, len(text) - 1)])
-            self.stand.loop.call_soon(self.abort)
+            self.server.loop.call_soon(self.abort)
             return
         self.transport.write(text)
 
 
-class Stand:
-    """One alert server: its model, its listeners, its connections."""
+class SimulatedServer:
+    """One simulated alert server: its model, its listeners and its connections."""
 
-    def __init__(self, host: Host, place: int, spec: ServerSpec, rack: Rack) -> None:
-        self.host, self.place, self.rack = host, place, rack
-        self.loop = host.loop
-        self.model = AlertServer(spec, rack, host.now())
-        self.peers: set[Peer] = set()
-        self.alive, self.cut, self.life = True, False, 0
+    def __init__(self, process: ServerProcess, index: int, spec: ServerSpec, rack: Rack) -> None:
+        self.process, self.index, self.rack = process, index, rack
+        self.loop = process.loop
+        self.model = AlertServer(spec, rack, process.now())
+        self.peers: set[GatewayConnection] = set()
+        self.alive, self.cut_off, self.restarts = True, False, 0
         self.timer: asyncio.TimerHandle | None = None
-        self.random = stream(host.play.seed, f"noise {place}")
-        self.sockets = [Socket(self, door) for door in range(host.day.doors)]
+        self.random = stream(process.play.seed, f"noise {index}")
+        self.listeners = [Listener(self, gateway) for gateway in range(process.day.doors)]
 
     def now(self) -> float:
-        return self.host.now()
+        """Seconds since the start of the play."""
+        return self.process.now()
 
-    def note(self, what: str, door: int = -1, value: float = 0.0) -> None:
-        self.host.notes.add(Note(self.now(), what, f"{self.place} {door}", value))
+    def note(self, event: str, gateway: int = -1, value: float = 0.0) -> None:
+        """Record an event of this server; gateway -1: it concerns no gateway."""
+        self.process.notes.add(Note(self.now(), event, f"{self.index} {gateway}", value))
 
-    def load(self) -> bytes:
+    def load_report(self) -> bytes:
+        """Encode the load report, with noise on the utilization."""
         util, inflight = self.model.report(self.now())
         noise = 1 + self.model.spec.noise * float(self.random.standard_normal())
         return b"TEXT util=%.3f, inflight=%d" % (min(1.0, max(0.0, util * noise)), inflight)
 
-    def heard(
-        self, peer: Peer, method: bytes, url: bytes, headers: dict[bytes, bytes], body: bytes, began: float
+    def handle_request(
+        self,
+        peer: GatewayConnection,
+        method: bytes,
+        url: bytes,
+        headers: dict[bytes, bytes],
+        body: bytes,
+        began: float,
     ) -> None:
-        host, now = self.host, self.now()
+        """Answer a health check or a load request, or pass a client's request to the model."""
+        process, now = self.process, self.now()
         if url in (b"/-/healthy", b"/-/load"):
-            host.probes += 1
+            process.probes += 1
             if self.model.fallen:
                 return peer.abort()
             self.model.begin(now, None, self.model.spec.probe)
-            self.arm()
-            return peer.answer(b"200 OK", self.load() if url == b"/-/load" else b"")
-        found = headers.get(b"request-id", b"").decode("latin-1")
-        if not found:
+            self.set_timer()
+            return peer.answer(b"200 OK", self.load_report() if url == b"/-/load" else b"")
+        attempt_id = headers.get(b"request-id", b"").decode("latin-1")
+        if not attempt_id:
             return peer.answer(b"404 Not Found")
-        known = place_of(host.play.seed, found)
-        if known is None or not host.sent_so(known[0], method, url, headers, body):
-            host.arrivals_seen.add(Arrival(found, self.place, peer.door, began, now, "unknown", self.life))
+        known = place_of(process.play.seed, attempt_id)
+        if known is None or not process.is_client_request(known[0], method, url, headers, body):
+            process.arrivals_seen.add(
+                Arrival(attempt_id, self.index, peer.gateway, began, now, "unknown", self.restarts)
+            )
             return peer.answer(b"400 Bad Request")
         request = known[0]
         key = headers.get(b"idempotency-key", b"").decode("latin-1")
-        peer.token = [found]
-        was = self.model.fallen
-        work = float(host.work.work[request]) / 1e6
-        verdict = self.model.begin(now, (peer, peer.token), work, key, peer.fresh)
-        host.arrivals_seen.add(Arrival(found, self.place, peer.door, began, now, verdict.value, self.life))
+        peer.token = [attempt_id]
+        was_fallen = self.model.fallen
+        work = float(process.work.work[request]) / 1e6
+        verdict = self.model.begin(now, (peer, peer.token), work, key, peer.first_request)
+        process.arrivals_seen.add(
+            Arrival(attempt_id, self.index, peer.gateway, began, now, verdict.value, self.restarts)
+        )
         if verdict in (Verdict.FULL, Verdict.DRAINING):
-            peer.answer(REASONS[verdict], headers=b"Not-Started: 1\r\n")
+            peer.answer(REFUSAL_STATUSES[verdict], headers=b"Not-Started: 1\r\n")
         elif verdict is Verdict.FALLEN:
-            if not was:
-                self.note("fell over", peer.door)
-                self.fall()
+            if not was_fallen:
+                self.note("fell over", peer.gateway)
+                self.fall_over()
             peer.abort()
-        self.arm()
+        self.set_timer()
         return None
 
-    def fall(self) -> None:
+    def fall_over(self) -> None:
+        """Lose all requests and reset all connections."""
         self.model.kill()
         for peer in list(self.peers):
             peer.abort()
 
-    def arm(self) -> None:
+    def set_timer(self) -> None:
+        """Set the timer for the moment at which the model next finishes or changes something."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         if self.alive and (due := self.model.due(self.now())) is not None:
-            self.timer = self.loop.call_later(max(0.0, due - self.now()), self.look)
+            self.timer = self.loop.call_later(max(0.0, due - self.now()), self.advance)
 
-    def look(self) -> None:
+    def advance(self) -> None:
+        """Advance the model to the present, and answer the requests that it has finished."""
         self.timer = None
         for token in self.model.advance(self.now()):
             if token is not None:
-                peer, mark = cast(tuple[Peer, list[str]], token)
-                if peer.token is mark:
-                    self.served(peer, mark[0])
-        self.arm()
-
-    def served(self, peer: Peer, found: str) -> None:
-        host, now = self.host, self.now()
-        request = int(found[:8], 16)
-        body = answer_of(host.day, host.play.secret, self.model.spec.name, found, request)
-        ends = (door_name(peer.door), self.model.spec.name)
-        share, delay = host.network.reset_share(now, *ends), host.network.delay(now, *ends)
+                peer, request_token = cast(tuple[GatewayConnection, list[str]], token)
+                if peer.token is request_token:
+                    self.finish_request(peer, request_token[0])
+        self.set_timer()
+
+    def finish_request(self, peer: GatewayConnection, attempt_id: str) -> None:
+        """Send the answer of a finished request, delayed or broken off as the day's network faults say."""
+        process, now = self.process, self.now()
+        request = int(attempt_id[:8], 16)
+        body = answer_of(process.day, process.play.secret, self.model.spec.name, attempt_id, request)
+        ends = (gateway_name(peer.gateway), self.model.spec.name)
+        share, delay = process.network.reset_share(now, *ends), process.network.delay(now, *ends)
         break_at = 0
         if share and self.random.random() < share:
             break_at = 1 + int(self.random.integers(len(body) + 30))
-            self.note("broken", peer.door, break_at)
+            self.note("broken", peer.gateway, break_at)
         if delay:
             self.loop.call_later(delay, peer.answer, b"200 OK", body, b"", break_at)
         else:
             peer.answer(b"200 OK", body, break_at=break_at)
 
-    # --- what happens to it -----------------------------------------------------------------------------
+    # --- faults -----------------------------------------------------------------------------------------
 
-    def die(self) -> None:
-        """As by SIGKILL: connections are reset, and new ones refused."""
+    def kill(self) -> None:
+        """Stop as on SIGKILL: reset all connections, and refuse new ones."""
         self.alive = False
         self.note("died")
-        for sock in self.sockets:
-            sock.close()
+        for listener in self.listeners:
+            listener.close()
         self.model.kill()
         for peer in list(self.peers):
             peer.abort()
-        self.arm()
+        self.set_timer()
 
     def restart(self) -> None:
-        """It is back on the same addresses, cold."""
-        self.life += 1
+        """Start again, cold, on the same addresses."""
+        self.restarts += 1
         self.model = AlertServer(self.model.spec, self.rack, self.now(), self.now())
         self.alive = True
         self.note("started")
-        for sock in self.sockets:
-            sock.open()
+        for listener in self.listeners:
+            listener.open()
 
     def drain(self) -> None:
+        """Refuse new requests, and finish those already begun."""
         self.model.draining = True
         self.note("drains")
 
     def silence(self) -> None:
-        self.cut = True
+        """Cut the server off from the network: nothing that is sent in either direction arrives."""
+        self.cut_off = True
         self.note("cut")
-        for sock in self.sockets:
-            sock.silence()
+        for listener in self.listeners:
+            listener.stop_accepting()
 
-    def speak(self) -> None:
-        """It is heard again: the connections that it had are reset."""
-        self.cut = False
+    def end_silence(self) -> None:
+        """Reconnect the server to the network, and reset the connections that it had."""
+        self.cut_off = False
         self.note("back")
         for peer in list(self.peers):
             peer.abort()
-        for sock in self.sockets:
-            sock.speak()
+        for listener in self.listeners:
+            listener.reopen()
 
-    def slow(self, left: float) -> None:
+    def slow(self, remaining: float) -> None:
+        """Leave the server this share of its speed; 1 is all of it."""
         self.model.advance(self.now())
-        self.model.slow = left
-        self.arm()
+        self.model.slow = remaining
+        self.set_timer()
 
 
-class Host:
-    """One process: a part of the alert servers, whole racks together."""
+class ServerProcess:
+    """One process with a part of the alert servers; those of a rack are in the same process."""
 
-    def __init__(self, told: Play, part: int) -> None:
-        self.play, self.day = told, told.parsed()
+    def __init__(self, play: Play, part: int) -> None:
+        self.play, self.day = play, play.parsed()
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[object]] = set()
-        self.now = clock(time.monotonic() + BEFORE)
-        self.work: Arrivals = arrivals_of(self.day, told.seed)
-        folder = Path(told.folder)
+        self.now = clock(time.monotonic() + CLOCK_OFFSET_S)
+        self.work: Arrivals = arrivals_of(self.day, play.seed)
+        folder = Path(play.folder)
         self.arrivals_seen = Recorder(folder / f"servers{part}.arrival.jsonl")
         self.notes = Recorder(folder / f"servers{part}.note.jsonl")
         self.handshakes = self.probes = 0
         racks: dict[int, Rack] = {}
-        self.stands = {
-            place: Stand(self, place, spec, racks.setdefault(spec.rack, Rack()))
-            for place, spec in enumerate(servers_of(self.day, told.seed))
-            if spec.rack % told.hosts == part
+        self.servers = {
+            index: SimulatedServer(self, index, spec, racks.setdefault(spec.rack, Rack()))
+            for index, spec in enumerate(servers_of(self.day, play.seed))
+            if spec.rack % play.hosts == part
         }
         self.network = Network()
 
-    def sent_so(
+    def is_client_request(
         self, request: int, method: bytes, url: bytes, headers: dict[bytes, bytes], body: bytes
     ) -> bool:
-        """Whether a client sent this request in this form."""
+        """Whether the received request is exactly the one that a client sent."""
         if request >= len(self.work):
             return False
         spec = CLASSES[int(self.work.cls[request])]
@@ -373,15 +405,15 @@
             return False
         return body == body_of(self.day, self.play.seed, request, spec.keyed)
 
-    def happens(self, found: list[Happening]) -> None:
-        """Set the day's faults going."""
+    def schedule_faults(self, faults: list[Happening]) -> None:
+        """Schedule the faults of the day that concern servers of this process."""
         at, troubles = self.at, []
-        names = {place: stand.model.spec.name for place, stand in self.stands.items()}
-        for happening in found:
+        names = {index: server.model.spec.name for index, server in self.servers.items()}
+        for happening in faults:
             fault, end = happening.fault, happening.end
-            ours = [self.stands[place] for place in happening.targets if place in self.stands]
+            affected = [self.servers[index] for index in happening.targets if index in self.servers]
             if fault.kind in ("reset", "delay"):
-                ends = frozenset(names[stand.place] for stand in ours)
+                ends = frozenset(names[server.index] for server in affected)
                 if ends:
                     troubles.append(
                         Trouble(fault.kind, fault.at, end or math.inf, frozenset(), ends, fault.size)
@@ -389,54 +421,62 @@
                 continue
             if fault.kind not in ("kill_servers", "zone", "drain_servers", "cut_servers", "slow_servers"):
                 continue
-            for stand in ours:
+            for server in affected:
                 match fault.kind:
                     case "kill_servers" | "zone":
-                        at(fault.at, stand.die)
-                        at(end, stand.restart)
+                        at(fault.at, server.kill)
+                        at(end, server.restart)
                     case "drain_servers":
-                        at(fault.at, stand.drain)
-                        at(max(fault.at + 3.0, end - 1.0), stand.die)
-                        at(max(fault.at + 4.0, end), stand.restart)
+                        at(fault.at, server.drain)
+                        at(max(fault.at + 3.0, end - 1.0), server.kill)
+                        at(max(fault.at + 4.0, end), server.restart)
                     case "cut_servers":
-                        at(fault.at, stand.silence)
-                        at(end, stand.speak)
+                        at(fault.at, server.silence)
+                        at(end, server.end_silence)
                     case "slow_servers":
-                        at(fault.at, stand.slow, fault.size)
-                        at(end, stand.slow, 1.0)
+                        at(fault.at, server.slow, fault.size)
+                        at(end, server.slow, 1.0)
         self.network = Network(troubles)
 
-    def at(self, moment: float, what: Callable[..., None], *arguments: object) -> None:
-        self.loop.call_later(max(0.0, moment - self.now()), what, *arguments)
+    def at(self, moment: float, action: Callable[..., None], *arguments: object) -> None:
+        """Call `action` at this moment of the play, or at once if that has passed."""
+        self.loop.call_later(max(0.0, moment - self.now()), action, *arguments)
 
-    def stats(self) -> None:
-        tell(stats={"handshakes": self.handshakes, "probes": self.probes})
-        self.loop.call_later(STATS, self.stats)
+    def report_stats(self) -> None:
+        """Send the counts of handshakes and probes to the runner every second."""
+        send(stats={"handshakes": self.handshakes, "probes": self.probes})
+        self.loop.call_later(STATS_PERIOD_S, self.report_stats)
 
 
-async def main(told: Play, queue: asyncio.Queue[Told], part: int) -> None:
-    host = Host(told, part)
-    found = happenings(host.day, told.seed)
-    tell(dials={str(place): [s.port for s in stand.sockets] for place, stand in host.stands.items()})
-    settle()
+async def main(play: Play, queue: asyncio.Queue[Message], part: int) -> None:
+    """Simulate this part of the alert servers as the runner's messages direct, until it sends `stop`."""
+    process = ServerProcess(play, part)
+    faults = happenings(process.day, play.seed)
+    send(
+        dials={
+            str(index): [listener.port for listener in server.listeners]
+            for index, server in process.servers.items()
+        }
+    )
+    freeze_heap()
     while True:
-        said = await queue.get()
-        if "start" in said:
-            host.now = clock(said["start"])
-            host.happens(found)
-            host.stats()
-        elif "restart" in said:  # by hand, of a server that is out
-            for place in said["restart"]:
-                if (stand := host.stands.get(place)) is not None and stand.alive:
-                    stand.die()
-                    stand.restart()
-        elif "stop" in said:
-            for stand in host.stands.values():
-                for sock in stand.sockets:
-                    sock.close()
-            host.arrivals_seen.flush()
-            host.notes.flush()
-            tell(done={"handshakes": host.handshakes, "probes": host.probes})
+        message = await queue.get()
+        if "start" in message:
+            process.now = clock(message["start"])
+            process.schedule_faults(faults)
+            process.report_stats()
+        elif "restart" in message:  # an operator restarts servers that are detached
+            for index in message["restart"]:
+                if (server := process.servers.get(index)) is not None and server.alive:
+                    server.kill()
+                    server.restart()
+        elif "stop" in message:
+            for server in process.servers.values():
+                for listener in server.listeners:
+                    listener.close()
+            process.arrivals_seen.flush()
+            process.notes.flush()
+            send(done={"handshakes": process.handshakes, "probes": process.probes})
             return
 
 
@@ -444,4 +484,4 @@
     import sys
 
     number = int(sys.argv[1])
-    play(lambda told, queue: main(told, queue, number))
+    run_child(lambda play, queue: main(play, queue, number))
