--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -18,7 +18,7 @@
 import pytest
 
 from hazelspring.cli.__main__ import main as hazelspringctl
-from hazelspring.cli.control_client import CallError, call_once, call_until_settled
+from hazelspring.cli.control_client import Answer, CallError, call_once, call_until_settled
 from hazelspring.localfleet.__main__ import BackgroundStandIns
 from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration, free_ports
 from hazelspring.localfleet.stand_ins import StandIns
@@ -103,7 +103,13 @@
             fleet.start_all(first=True)
             call_until_settled(fleet.control_addresses(), "PUT", "/-/configuration", configuration(1), 30.0)
             fleet.wait_until(lambda: fleet.is_ready(0) and fleet.is_ready(1))
-            found = call_once(f"{fleet.ips[0]}:{wanted}", "GET", "/-/metrics", None, 2)
+
+            def scrape() -> Answer:
+                return call_once(f"{fleet.ips[0]}:{wanted}", "GET", "/-/metrics", None, 2)
+
+            # A core member may read the list before it holds the reader's lease, so it may be ready earlier.
+            fleet.wait_until(lambda: b"hazelspring_list_reader 1" in scrape().body)
+            found = scrape()
             assert found.status == 200 and b"hazelspring_list_reader 1" in found.body
             assert call_once(f"{fleet.ips[0]}:{wanted}", "PUT", "/-/configuration", b"", 2).status == 405
         finally:
