--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -1,4 +1,4 @@
-"""Random fault schedules against consensus: a few at each run, and that they detect what is taken out of it."""
+"""Runs consensus under a few random fault schedules; checks that the invariants detect faults in its code."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hazelspring.node.control_replica import ControlReplica
 
 from .chaos import play
-from .chaos_days import Act, draw, shrink
+from .chaos_days import Step, draw, shrink
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -29,6 +29,6 @@
 def test_a_schedule_depends_on_its_seed_alone_and_shrinks_to_what_fails() -> None:
     schedule = draw(11)
     assert schedule == draw(11) and play(schedule).now == play(draw(11)).now
-    needed = {schedule.actions[2], schedule.actions[-1]}
-    shrunk = shrink(schedule, lambda candidate: needed <= set(candidate.actions))
-    assert set(shrunk.actions) == needed and all(isinstance(action, Act) for action in shrunk.actions)
+    needed = {schedule.steps[2], schedule.steps[-1]}
+    shrunk = shrink(schedule, lambda candidate: needed <= set(candidate.steps))
+    assert set(shrunk.steps) == needed and all(isinstance(step, Step) for step in shrunk.steps)
