--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""What operators and clients send to several real processes, and which answers are correct; for tests alone."""
+"""Calls of operators and clients to nodes that are real processes, and which answers are correct."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration
 
 UNCLEAR = (0, 503)  # no answer, or one that leaves open whether the call took effect
-numbers = itertools.count(10)
+version_numbers = itertools.count(10)
 
 
 def core_nodes(fleet: LocalFleet) -> list[int]:
@@ -36,30 +36,30 @@
 
 
 class PendingCall:
-    """A call that has been sent and may wait at a node; its answer is read later.  Status 0: there was none."""
+    """A call that was sent; `end` reads its answer.  Status 0 means that there was none."""
 
     def __init__(
         self, address: str, method: str, path: str, body: bytes | None = None, **headers: str
     ) -> None:
         host, _, port = address.rpartition(":")
-        self.wire = http.client.HTTPConnection(host, int(port), timeout=6)
-        self.status, self.body, self.headers, self.over = 0, b"", dict[str, str](), False
+        self.connection = http.client.HTTPConnection(host, int(port), timeout=6)
+        self.status, self.body, self.headers, self.ended = 0, b"", dict[str, str](), False
         try:
-            self.wire.request(method, path, body, {k.replace("_", "-"): v for k, v in headers.items()})
+            self.connection.request(method, path, body, {k.replace("_", "-"): v for k, v in headers.items()})
         except OSError:
-            self.over = True
+            self.ended = True
 
     def end(self) -> PendingCall:
-        if not self.over:
-            self.over = True
+        if not self.ended:
+            self.ended = True
             try:
-                answer = self.wire.getresponse()
+                answer = self.connection.getresponse()
                 self.headers = {key.lower(): value for key, value in answer.getheaders()}
                 self.body = answer.read()
                 self.status = answer.status
             except (OSError, http.client.HTTPException):
                 self.status = 0
-        self.wire.close()
+        self.connection.close()
         return self
 
     def __repr__(self) -> str:
@@ -75,7 +75,7 @@
 
 
 def send_request(
-    fleet: LocalFleet, n: int, method: str, path: str, id_: str, key: str = KEY, left: int = 1500
+    fleet: LocalFleet, n: int, method: str, path: str, id_: str, key: str = KEY, remaining_ms: int = 1500
 ) -> PendingCall:
     return PendingCall(
         f"{fleet.ips[n]}:{fleet.front}",
@@ -85,12 +85,12 @@
         Host="shop.example",
         X_Hazelspring_Attempt_Id=id_,
         Authorization=f"Bearer {key}",
-        X_Hazelspring_Remaining_Milliseconds=str(left),
+        X_Hazelspring_Remaining_Milliseconds=str(remaining_ms),
     )
 
 
 def node_status(fleet: LocalFleet, n: int) -> Any:
-    """A node's own status; empty while it does not answer."""
+    """Return the status that a node reports; empty if it does not answer."""
     got = PendingCall(fleet.control_addresses()[n], "GET", "/-/status").end()
     return json.loads(got.body) if got.status == 200 else {}
 
@@ -104,18 +104,18 @@
 
 
 def other_body(number: int, *keys: str) -> bytes:
-    """Another body under a number."""
+    """Return another body with the same version number."""
     return configuration(number, timeout_ms=3999, keys=(KEY, *keys))
 
 
 @dataclass
 class NodeProbe:
-    """All calls of operators and clients to a node that was unreachable, sent at once."""
+    """Calls of operators and clients to a node that was unreachable, of all kinds and all sent at once."""
 
     fleet: LocalFleet
     n: int
-    number: int  # acknowledged elsewhere meanwhile, with the key `coming` and without the key `leaving`
-    mark: str
+    number: int  # acknowledged by other nodes in the meantime, with the key `new-key` and without `old-key`
+    id_prefix: str  # of the attempt ids
     sent: dict[str, PendingCall] = field(default_factory=dict)
 
     def send(self) -> NodeProbe:
@@ -128,78 +128,81 @@
     def send_changes(self) -> NodeProbe:
         fleet, n, number = self.fleet, self.n, self.number
         self.sent |= {
-            "same": send_put(fleet, n, configuration(number, keys=(KEY, "coming"))),
+            "same": send_put(fleet, n, configuration(number, keys=(KEY, "new-key"))),
             "other": send_put(fleet, n, other_body(number)),
             "close": PendingCall(fleet.control_addresses()[n], "POST", "/-/evacuation/south-2"),
         }
         return self
 
     def send_keys(self) -> NodeProbe:
-        """Requests with keys, to a node that has heard nobody for longer than a revocation may take."""
-        for key in ("leaving", "coming", KEY):
-            id_ = f"{self.mark}-{self.n}-{key}"
-            self.sent[key] = send_request(self.fleet, self.n, "GET", f"/read/{self.mark}", id_, key)
+        """Send requests with each key; no message may have reached the node for the time of a revocation."""
+        for key in ("old-key", "new-key", KEY):
+            id_ = f"{self.id_prefix}-{self.n}-{key}"
+            self.sent[key] = send_request(self.fleet, self.n, "GET", f"/read/{self.id_prefix}", id_, key)
         return self
 
-    def judge(self, settles: bool = True, hears: bool = True) -> None:
+    def check_answers(self, may_settle: bool = True, may_learn: bool = True) -> None:
         """Check each answer.
 
-        `settles`: calls that this node takes in may take effect.  `hears`: it may have learnt what others decided.
+        `may_settle`: whether calls at this node may take effect.  `may_learn`: whether the node may know what
+        the other nodes decided.
         """
         for name, sent in self.sent.items():
             got = sent.end()
             if name == "read":
-                due = got.status == 200 and settles and number_in(got) >= self.number
+                is_correct = got.status == 200 and may_settle and number_in(got) >= self.number
             elif name == "same":
-                due = got.status == 200 and hears
+                is_correct = got.status == 200 and may_learn
             elif name == "other":
-                due = is_number_taken(got) and hears
+                is_correct = is_number_taken(got) and may_learn
             elif name == "close":
-                due = got.status == 200 and settles
-            elif name == "leaving":
-                due = got.status == 401
+                is_correct = got.status == 200 and may_settle
+            elif name == "old-key":
+                is_correct = got.status == 401
             else:
-                due = got.status == 200 or got.status > 500
-            assert due or got.status in UNCLEAR, (self.mark, self.n, name, got)
-        if "close" in self.sent and self.sent["close"].status == 200:  # then it is so at every node
+                is_correct = got.status == 200 or got.status > 500
+            assert is_correct or got.status in UNCLEAR, (self.id_prefix, self.n, name, got)
+        # every node must show a zone whose evacuation was confirmed
+        if "close" in self.sent and self.sent["close"].status == 200:
             for n in self.fleet.remaining_nodes():
                 self.fleet.wait_until(
                     lambda n=n: "south-2" in node_status(self.fleet, n).get("closedZones", ())
                 )
 
     def reopen(self) -> None:
-        """End the evacuation at every node: a call whose outcome was unclear may have taken effect, too."""
+        """End the evacuation at every node, as a call with an unclear outcome may have taken effect, too."""
         call_until_settled(control_addresses(self.fleet), "DELETE", "/-/evacuation/south-2")
         for n in self.fleet.remaining_nodes():
             self.fleet.wait_until(lambda n=n: node_status(self.fleet, n).get("closedZones") == [])
 
 
-def give_keys(fleet: LocalFleet, nodes: Sequence[int]) -> None:
-    """Wait until these nodes accept the key `leaving`."""
+def add_old_key(fleet: LocalFleet, nodes: Sequence[int]) -> None:
+    """Put a configuration with the key `old-key`; wait until these nodes accept the key."""
     call_until_settled(
         control_addresses(fleet),
         "PUT",
         "/-/configuration",
-        configuration(next(numbers), keys=(KEY, "leaving")),
+        configuration(next(version_numbers), keys=(KEY, "old-key")),
     )
     marks = itertools.count()
     for n in nodes:
         fleet.wait_until(
             lambda n=n: (
-                send_request(fleet, n, "GET", "/read/a", f"g{n}-{next(marks)}", "leaving").end().status == 200
+                send_request(fleet, n, "GET", "/read/a", f"g{n}-{next(marks)}", "old-key").end().status == 200
             )
         )
 
 
-def change_keys(fleet: LocalFleet, without: Sequence[int]) -> int:
-    number = next(numbers)
-    body = configuration(number, keys=(KEY, "coming"))
+def replace_old_key(fleet: LocalFleet, without: Sequence[int]) -> int:
+    """Replace `old-key` by `new-key` without the help of these nodes; return the configuration's number."""
+    number = next(version_numbers)
+    body = configuration(number, keys=(KEY, "new-key"))
     call_until_settled(control_addresses(fleet, but=without), "PUT", "/-/configuration", body)
     return number
 
 
 def is_confirmed(nodes: Sequence[str], body: bytes) -> bool:
-    """Whether a body is confirmed; the only other correct answer is that another body has its number."""
+    """Whether a body is confirmed; the only other correct answer is that its number has another body."""
     try:
         return call_until_settled(nodes, "PUT", "/-/configuration", body).status == 200
     except CallError as error:
@@ -207,15 +210,18 @@
         return False
 
 
-def write_links(fleet: LocalFleet, n: int, lines: dict[str, str]) -> None:
-    """Drop or delay what a node receives from other addresses: see tests/cut_node.py."""
+def write_links(fleet: LocalFleet, n: int, delays: dict[str, str]) -> None:
+    """Drop or delay what a node receives: `delays` has seconds, or '' to drop, by the sender's address.
+
+    tests/cut_node.py reads the file.
+    """
     path = fleet.folder / f"node-{n + 1}.cut"
-    path.with_suffix(".new").write_text("".join(f"{ip} {late}\n" for ip, late in lines.items()))
+    path.with_suffix(".new").write_text("".join(f"{ip} {delay}\n" for ip, delay in delays.items()))
     path.with_suffix(".new").rename(path)
 
 
 def cut_off(fleet: LocalFleet, n: int, ways: str) -> None:
-    """Cut a node off from all others: in both directions, or only what it receives (`in`) or sends (`out`)."""
+    """Cut a node off from all others: both ways, or only what it receives (`in`) or sends (`out`)."""
     others = [other for other in fleet.remaining_nodes() if other != n]
     if ways in ("both", "in"):
         write_links(fleet, n, {fleet.ips[other]: "" for other in others})
@@ -229,7 +235,7 @@
 
 
 class Operators:
-    """Configurations sent one after another by several threads until `stop`; each must be confirmed."""
+    """Threads that put one configuration after another until `stop`; each must be confirmed."""
 
     def __init__(self, nodes: Callable[[], list[str]], count: int = 3) -> None:
         self.nodes, self.stopped = nodes, threading.Event()
@@ -240,7 +246,7 @@
 
     def run(self, n: int) -> None:
         while not self.stopped.is_set():
-            nodes, number = self.nodes(), next(numbers)
+            nodes, number = self.nodes(), next(version_numbers)
             n += 1
             try:
                 call_until_settled(
@@ -266,13 +272,13 @@
 
 
 class Clients:
-    """Writes and reads, each sent once, to all nodes in turn; a connection is kept as long as it works."""
+    """Threads that send writes and reads, each once, to all nodes in turn over persistent connections."""
 
     def __init__(self, fleet: LocalFleet, count: int = 8) -> None:
         self.fleet, self.stopped = fleet, threading.Event()
-        self.ends: dict[str, int] = {}  # status by attempt id
-        self.nodes: dict[str, int] = {}  # the node that was asked, by attempt id
-        self.foreign: list[str] = []
+        self.statuses: dict[str, int] = {}  # status by attempt id
+        self.nodes: dict[str, int] = {}  # the node that got the request, by attempt id
+        self.mismatched_answers: list[str] = []
         self.ids = itertools.count()
         self.threads = [threading.Thread(target=self.run, args=(n,)) for n in range(count)]
         for thread in self.threads:
@@ -280,32 +286,34 @@
 
     def run(self, n: int) -> None:
         nodes = self.fleet.remaining_nodes()
-        wires: dict[int, http.client.HTTPConnection] = {}
+        connections: dict[int, http.client.HTTPConnection] = {}
         while not self.stopped.is_set():
             n += 1
             node, id_ = nodes[n % len(nodes)], f"c-{next(self.ids)}"
             self.nodes[id_] = node
             method = "POST" if is_write(id_) else "GET"
             path = f"/{'read' if method == 'GET' else 'write'}/{id_}"
-            if node not in wires:
-                wires[node] = http.client.HTTPConnection(self.fleet.ips[node], self.fleet.front, timeout=6)
+            if node not in connections:
+                connections[node] = http.client.HTTPConnection(
+                    self.fleet.ips[node], self.fleet.front, timeout=6
+                )
             headers = {
                 "Host": "shop.example", "X-Hazelspring-Attempt-Id": id_, "Authorization": f"Bearer {KEY}",
                 "X-Hazelspring-Remaining-Milliseconds": "800",
             }  # fmt: skip
             try:
-                wires[node].request(method, path, b"" if method == "POST" else None, headers)
-                answer = wires[node].getresponse()
+                connections[node].request(method, path, b"" if method == "POST" else None, headers)
+                answer = connections[node].getresponse()
                 body, status = answer.read().decode(), answer.status
-                given = answer.getheader("X-Hazelspring-Attempt-Id", id_ if status != 200 else "")
-                if given != id_ or (status == 200 and body.split()[1:3] != [method, path]):
-                    self.foreign.append(f"{status} {given} {body} for {method} {path}")
+                answered_id = answer.getheader("X-Hazelspring-Attempt-Id", id_ if status != 200 else "")
+                if answered_id != id_ or (status == 200 and body.split()[1:3] != [method, path]):
+                    self.mismatched_answers.append(f"{status} {answered_id} {body} for {method} {path}")
             except (OSError, http.client.HTTPException):
                 status = 0
-                wires.pop(node).close()
-            self.ends[id_] = status
-        for wire in wires.values():
-            wire.close()
+                connections.pop(node).close()
+            self.statuses[id_] = status
+        for connection in connections.values():
+            connection.close()
 
     def stop(self) -> None:
         self.stopped.set()
--- a/tests/soak_lookups.py
+++ b/tests/soak_lookups.py
@@ -1,4 +1,4 @@
-"""What look-ups name while a soak goes on: every node's directory is asked again and again."""
+"""Repeated look-ups at the directories of all nodes during a soak test."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from hazelspring.localfleet.fleet import LocalFleet
 
 PAUSE = 0.02  # seconds between two look-ups
-TIMEOUT = 0.3  # seconds for one: the node may be stopped
+TIMEOUT = 0.3  # seconds for one look-up; short, as the node may be stopped
 
 
 @dataclass(frozen=True)
 class Lookup:
-    """An answer of a node's directory: the addresses that it named, and when."""
+    """An answer of a node's directory."""
 
     at: float  # by the monotonic clock, in seconds
     node: int
-    named: frozenset[str]
+    addresses: frozenset[str]
 
 
 class Lookups:
-    """Asks all nodes in turn for addresses for clients of their own regions, until `stop`."""
+    """A thread that looks up addresses at all nodes in turn, for clients of each node's region."""
 
     def __init__(self, fleet: LocalFleet) -> None:
         self.fleet, self.stopped = fleet, threading.Event()
@@ -36,11 +36,11 @@
     def run(self) -> None:
         while not self.stopped.is_set():
             for node in self.fleet.remaining_nodes():
-                self.ask(node)
+                self.look_up(node)
                 if self.stopped.wait(PAUSE):
                     return
 
-    def ask(self, node: int) -> None:
+    def look_up(self, node: int) -> None:
         region = self.fleet.region(node)
         path = f"/-/lookup?name=shop.example&answerRegion={region}&zone={self.fleet.zones[node]}"
         try:
@@ -48,8 +48,8 @@
         except (OSError, http.client.HTTPException):
             return
         if got.status == 200:
-            named = frozenset(each.rpartition(":")[0] for each in json.loads(got.body)["addresses"])
-            self.answers.append(Lookup(time.monotonic(), node, named))
+            addresses = frozenset(each.rpartition(":")[0] for each in json.loads(got.body)["addresses"])
+            self.answers.append(Lookup(time.monotonic(), node, addresses))
 
     def stop(self) -> None:
         self.stopped.set()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The short form of the soak: see tests/soak.py."""
+"""A short soak test of two episodes (see tests/soak.py), and tests of its random failures."""
 
 from __future__ import annotations
 
@@ -8,21 +8,36 @@
 import pytest
 
 from .soak import Settings, Soak
-from .soak_faults import AWAY, AWAY_TIME, CUT, HANG, IN_TOUCH, KILL, KINDS, Failure, draw, in_touch_at
+from .soak_faults import (
+    CONNECT_TIME,
+    CUT,
+    HANG,
+    KILL,
+    KINDS,
+    LONG_KILL,
+    LONG_KILL_TIME,
+    Failure,
+    connected_since,
+    draw,
+)
 
 CORE, OTHERS = 4, 2
 DRAWN = [draw(random.Random(seed), CORE, OTHERS) for seed in range(80)]
 
 
 def test_nodes_under_overlapping_failures_keep_every_rule(tmp_path: Path) -> None:
-    """Once as drawn, and once with the nearest member of some nodes off and reads of the list that do not end."""
+    """One episode is random; in the other, some nodes' nearest member is off and reads of the list hang."""
     soak = Soak(tmp_path, seed=1, settings=Settings(nth=7))
-    fixed = [Failure(AWAY, 0, 0.3, 0.3 + AWAY_TIME), Failure(HANG, 1, 0.5, 4.0), Failure(HANG, 2, 2.8, 4.0)]
-    assert soak.play([draw(soak.chance, CORE, OTHERS), fixed]) == []
+    fixed = [
+        Failure(LONG_KILL, 0, 0.3, 0.3 + LONG_KILL_TIME),
+        Failure(HANG, 1, 0.5, 4.0),
+        Failure(HANG, 2, 2.8, 4.0),
+    ]
+    assert soak.run([draw(soak.chance, CORE, OTHERS), fixed]) == []
     assert len(soak.last_requests) == 4
 
 
-def test_failures_are_drawn_by_their_seed_overlap_and_are_of_all_kinds() -> None:
+def test_random_failures_depend_on_their_seed_overlap_and_are_of_all_kinds() -> None:
     assert [draw(random.Random(seed), CORE, OTHERS) for seed in range(80)] == DRAWN
     assert {failure.kind for failures in DRAWN for failure in failures} == set(KINDS)
     for failures in DRAWN:
@@ -31,18 +46,18 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "affected", "asked", "at", "since"),
+    ("kind", "affected", "node", "at", "since"),
     [
-        (KILL, 0, 5, 0.5, 0.0),  # before it
-        (KILL, 0, 5, 2.0, 1.0 + IN_TOUCH),  # a member that is off disturbs no more
-        (KILL, 0, 5, 4.0, 3.0 + IN_TOUCH),
-        (CUT, 0, 5, 2.0, 3.0 + IN_TOUCH),  # one that is cut off does
-        (CUT, 4, 5, 4.0, 0.0),  # no member
-        (CUT, 5, 5, 4.0, 3.0 + IN_TOUCH),
+        (KILL, 0, 5, 0.5, 0.0),  # before the failure
+        (KILL, 0, 5, 2.0, 1.0 + CONNECT_TIME),  # a member that is off does not disconnect other nodes
+        (KILL, 0, 5, 4.0, 3.0 + CONNECT_TIME),
+        (CUT, 0, 5, 2.0, 3.0 + CONNECT_TIME),  # a member that is cut off does
+        (CUT, 4, 5, 4.0, 0.0),  # not a member of the core
+        (CUT, 5, 5, 4.0, 3.0 + CONNECT_TIME),
         (HANG, 0, 0, 4.0, 0.0),
     ],
 )
-def test_a_node_is_in_touch_some_time_after_it_or_a_member_was_disturbed(
-    kind: str, affected: int, asked: int, at: float, since: float
+def test_a_node_is_connected_some_time_after_a_failure_of_the_node_or_of_a_member(
+    kind: str, affected: int, node: int, at: float, since: float
 ) -> None:
-    assert in_touch_at([Failure(kind, affected, 1.0, 3.0)], asked, CORE, at) == since
+    assert connected_since([Failure(kind, affected, 1.0, 3.0)], node, CORE, at) == since
