--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,10 +1,11 @@
-"""What pytest loads for these tests: the plugin that passes over the tests in KNOWN-RED.txt."""
+"""Registers the pytest plugin that lets the tests listed in KNOWN-RED.txt fail without failing the run."""
 
 from __future__ import annotations
 
-# Its pytest plugin imports it at the end of each run, and pytest then parses its source.  Where garbage of the tests is
-# collected in the midst of that, and a finalizer formats a traceback, CPython 3.11 fails, as a traceback's carets are
-# parsed by the same code: "SystemError: AST constructor recursion depth mismatch".  Imported here, no test has run yet.
+# Hypothesis is imported here, before any test runs.  Otherwise its pytest plugin imports it at the end of a
+# run, and pytest then parses its source.  If garbage of the tests is collected during the parsing and a
+# finalizer formats a traceback, CPython 3.11 fails, because it computes the carets of a traceback with the
+# same parser: "SystemError: AST constructor recursion depth mismatch".
 import hypothesis  # noqa: F401
 import pytest
 
