--- a/bench/scale.py
+++ b/bench/scale.py
@@ -1,16 +1,16 @@
-"""Measures what each role costs as the fleet grows, and renews the tables of docs/CAPACITY.md from it.
+"""Measures the cost of each role as the fleet grows, and rewrites the tables of docs/CAPACITY.md with it.
 
-    python bench/scale.py all                  everything, then the page: the one command after a change of the program
-    python bench/scale.py fleet --doors 30 100 hollow doors on simulated time, each size in a process of its own
-    python bench/scale.py services             the price of one message by services, at a few doors
-    python bench/scale.py rounds               an order's time and messages as the core grows
+    python bench/scale.py all                  all but `sizes`, then the page: run after a change of the program
+    python bench/scale.py fleet --doors 30 100 nodes on simulated time, each fleet size in its own process
+    python bench/scale.py services             the cost of one message by the number of services, few nodes
+    python bench/scale.py rounds               the time and the messages of a proposal as the core grows
     python bench/scale.py words                configurations of 100 to 57,000 routes
-    python bench/scale.py parts                tables and lists at the size of the target
-    python bench/scale.py carry                requests a second through one real door on loopback
-    python bench/scale.py sizes                the table of docs/system.md: fleets shaped as the deployments are
-    python bench/scale.py page                 the tables of the page from the figures at hand
+    python bench/scale.py parts                server tables and instance lists at the size of the target
+    python bench/scale.py carry                requests a second through one real node on loopback
+    python bench/scale.py sizes                the table of docs/system.md: fleets shaped as deployments are
+    python bench/scale.py page                 the tables of docs/CAPACITY.md from the stored figures
 
-Figures are kept in bench/scale/found/, each part with the command and the revision that gave it.
+Figures are stored in bench/scale/found/, each part with the command and the revision that produced it.
 """
 
 from __future__ import annotations
--- a/bench/scale/__init__.py
+++ b/bench/scale/__init__.py
@@ -1,1 +1,2 @@
-"""bench.scale: hollow doors, many in one process on simulated time, and what they cost as the fleet grows."""
+"""Cost of the system as the fleet grows, measured with many simulated nodes in one process on simulated
+time."""
--- a/bench/scale/carry.py
+++ b/bench/scale/carry.py
@@ -1,7 +1,9 @@
-"""Requests a second through one real door on loopback: processor time of each, and the time that it adds.
+"""Requests per second through one real node on loopback: processor time of each, and the latency that the
+node adds.
 
-One door with a disk, servers that answer at once, and clients on kept connections; servers and clients have a
-process each, so the door's own is what is full.  A few seconds and a bounded count of requests.
+There are one node with a disk, servers that answer at once, and clients on persistent connections.  Servers
+and clients each have a process of their own, so that the node's process is the one at full load.  A
+measurement takes a few seconds and a bounded number of requests.
 """
 
 from __future__ import annotations
@@ -17,19 +19,28 @@
 
 import uvloop
 
-from bench.scale.figures import peak
+from bench.scale.figures import peak_memory
 from hazelspring.cli.control_client import call_until_settled
 from hazelspring.localfleet.fleet import KEY, LocalFleet, configuration
 from hazelspring.localfleet.stand_ins import StandIns
 
 SERVERS, CONNECTIONS = 8, 32
-MOST = 60_000  # requests of one measurement
-SPAN = 4.0  # seconds of one measurement
-ROUNDS = 3  # of each: others use the machine, so the least disturbed stands for it, all are kept
-PACES = (0.1, 0.25, 0.5, 0.75)  # parts of the most that it carries, for the time that it adds
+MAX_REQUESTS = 60_000  # requests of one measurement
+DURATION = 4.0  # seconds of one measurement
+# Repetitions of each measurement.  Other processes use the machine, so the least disturbed one is taken as
+# the result; the range over all of them is stored, too.
+ROUNDS = 3
+LOAD_FRACTIONS = (
+    0.1,
+    0.25,
+    0.5,
+    0.75,
+)  # parts of the node's full load at which the added latency is measured
+
+
+def run_stand_ins(platform: str, servers: list[Any]) -> None:
+    """Serve the platform's interface at an address, and the servers, until the process is ended."""
 
-
-def stand(platform: str, servers: list[Any]) -> None:
     async def serve() -> None:
         await StandIns(platform, servers).start()
         await asyncio.Event().wait()
@@ -37,32 +48,36 @@
     uvloop.run(serve())
 
 
-def used(pid: int) -> float:
-    """Seconds of processor time of a process."""
+def processor_time(pid: int) -> float:
+    """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def drive(address: str, life: str, rate: float) -> dict[str, float]:
-    """Requests on kept connections, `rate` a second in all at set times, or each after the last where it is 0."""
+async def send_requests(address: str, headers: str, rate: float) -> dict[str, float]:
+    """Send requests on persistent connections for `DURATION`, and return their number, rate and latencies.
+
+    `rate` requests a second are sent in all, at times fixed in advance; with 0, each client sends the next
+    request after the last response.  `headers` are header lines, each with its line end.
+    """
     host, _, port = address.rpartition(":")
     times: list[float] = []
     wrong, sent = 0, 0
-    end = time.monotonic() + SPAN
+    end = time.monotonic() + DURATION
 
     async def client(number: int) -> None:
         nonlocal wrong, sent
         reader, writer = await asyncio.open_connection(host, int(port))
         due = time.monotonic() + number / rate if rate else 0.0
-        while time.monotonic() < end and sent < MOST:
+        while time.monotonic() < end and sent < MAX_REQUESTS:
             if rate:
                 await asyncio.sleep(max(0.0, due - time.monotonic()))
-            began = time.monotonic()  # a late timer of the client's is not the door's
+            began = time.monotonic()  # taken here, so that a late timer of the client does not count
             sent += 1
             writer.write(
                 f"GET /read/{sent} HTTP/1.1\r\nHost: shop.example\r\nAuthorization: Bearer {KEY}\r\n"
                 f"X-Hazelspring-Attempt-Id: {number}-{sent}\r\nX-Hazelspring-Remaining-Milliseconds: 3000\r\n"
-                f"{life}\r\n".encode()
+                f"{headers}\r\n".encode()
             )
             head = await reader.readuntil(b"\r\n\r\n")
             length = next(
@@ -82,8 +97,9 @@
     return {"requests": len(times), "wrong": wrong, "a_second": len(times) / took, **at}
 
 
-def word(number: int, rate: float) -> bytes:
-    """The apiary's configuration, its tenant's quota so high that none is refused; 0: without one."""
+def configuration_with_quota(number: int, rate: float) -> bytes:
+    """Return the local fleet's configuration with a tenant's quota of `rate` requests a second; 0 means no
+    quota."""
     document = json.loads(configuration(number))
     for entry in document["resourceList"]:
         if entry["resourceKind"] == "tenantTable":
@@ -91,57 +107,70 @@
     return json.dumps(document).encode()
 
 
-def full(pid: int, door: str, rest: float) -> dict[str, float]:
-    """As many requests as one door takes, and its processor time for each beyond that at rest."""
-    before, began = used(pid), time.monotonic()
-    found = uvloop.run(drive(door, "", 0.0))
-    spent = used(pid) - before - rest * (time.monotonic() - began)
+def measure_full_load(pid: int, node: str, rest: float) -> dict[str, float]:
+    """Send as many requests as one node serves; return the figures, and its processor time for each in ms.
+
+    `rest` is the processor time per second that the node uses at rest; it is subtracted.
+    """
+    before, began = processor_time(pid), time.monotonic()
+    found = uvloop.run(send_requests(node, "", 0.0))
+    spent = processor_time(pid) - before - rest * (time.monotonic() - began)
     return {**found, "cpu_ms": 1000 * spent / found["requests"]}
 
 
 def measure() -> dict[str, Any]:
+    """Return the figures of one node at rest, at full load without and with a quota, and at parts of full
+    load."""
     found: dict[str, Any] = {}
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
-        yard = LocalFleet(Path(folder), core=1, others=0, servers=SERVERS)
-        for each in yard.servers:
+        fleet = LocalFleet(Path(folder), core=1, others=0, servers=SERVERS)
+        for each in fleet.servers:
             each.slots, each.work_seconds = 64, 0.0
-        stands = multiprocessing.Process(target=stand, args=(yard.platform, yard.servers), daemon=True)
+        stands = multiprocessing.Process(
+            target=run_stand_ins, args=(fleet.platform, fleet.servers), daemon=True
+        )
         stands.start()
         try:
-            yard.start_all(first=True)
-            pid = yard.processes[0].pid
-            door, server = f"{yard.ips[0]}:{yard.front}", yard.servers[0].address
-            call_until_settled(yard.control_addresses(), "PUT", "/-/configuration", word(1, 0.0), 30.0)
-            yard.wait_until(lambda: yard.request(0, "GET", "/read/first", "first")[0] == 200)
-            before = used(pid)
-            time.sleep(SPAN)
-            found["rest_cpu"] = (used(pid) - before) / SPAN
+            fleet.start_all(first=True)
+            pid = fleet.processes[0].pid
+            node, server = f"{fleet.ips[0]}:{fleet.front}", fleet.servers[0].address
+            call_until_settled(
+                fleet.control_addresses(), "PUT", "/-/configuration", configuration_with_quota(1, 0.0), 30.0
+            )
+            fleet.wait_until(lambda: fleet.request(0, "GET", "/read/first", "first")[0] == 200)
+            before = processor_time(pid)
+            time.sleep(DURATION)
+            found["rest_cpu"] = (processor_time(pid) - before) / DURATION
             for name, number, quota in (("no quota", 2, 0.0), ("a quota", 3, 1e6)):
                 call_until_settled(
-                    yard.control_addresses(), "PUT", "/-/configuration", word(number, quota), 30.0
+                    fleet.control_addresses(),
+                    "PUT",
+                    "/-/configuration",
+                    configuration_with_quota(number, quota),
+                    30.0,
                 )
                 time.sleep(1.0)
                 found[name] = max(
-                    (full(pid, door, found["rest_cpu"]) for _ in range(ROUNDS)),
+                    (measure_full_load(pid, node, found["rest_cpu"]) for _ in range(ROUNDS)),
                     key=lambda one: one["a_second"],
                 )
             most = found["a quota"]["a_second"]
-            expected = f"X-Hazelspring-Expected-Instance: {yard.servers[0].id}\r\n"
-            for part in PACES:
+            expected = f"X-Hazelspring-Expected-Instance: {fleet.servers[0].id}\r\n"
+            for part in LOAD_FRACTIONS:
                 rounds = [
                     {
-                        "through": uvloop.run(drive(door, "", part * most)),
-                        "direct": uvloop.run(drive(server, expected, part * most)),
+                        "through": uvloop.run(send_requests(node, "", part * most)),
+                        "direct": uvloop.run(send_requests(server, expected, part * most)),
                     }
                     for _ in range(ROUNDS)
                 ]
                 least = min(rounds, key=lambda one: one["direct"]["p99_ms"])
                 ends = sorted(one["through"]["p99_ms"] for one in rounds)
                 found[f"pace {part:g}"] = {**least, "p99_ms": [ends[0], ends[-1]]}
-            found["memory"] = peak(pid)
+            found["memory"] = peak_memory(pid)
             found["descriptors"] = len(os.listdir(f"/proc/{pid}/fd"))
         finally:
-            yard.close()
+            fleet.close()
             stands.terminate()
             stands.join(5)
     return found
--- a/bench/scale/cli.py
+++ b/bench/scale/cli.py
@@ -1,4 +1,5 @@
-"""The verbs of the scale run: each part in a process of its own, its figures kept beside the command that gave them."""
+"""The verbs of the scale run: each part runs in a process of its own; its figures are stored with their
+command."""
 
 from __future__ import annotations
 
@@ -14,76 +15,92 @@
 from typing import Any
 
 from bench.scale import carry, page, parts, phases, rounds, sizes, words
-from bench.scale.figures import FOLDER, ROOT, keep, load
-from bench.scale.world import LARGE
-
-DOORS = (30, 100, 300, 1000, 4500)
-TWICE = 300  # doors up to which a size is played whole, and twice, for the spread of its slopes; above, what is due:
-MIDDLE = ("rest", "change", "one", "zone", "peak")
-FEW = ("rest", "change", "one", "tenth", "storm", "region", "zone", "peak")
+from bench.scale.figures import FOLDER, ROOT, load, save
+from bench.scale.world import LARGE_FLEET
+
+FLEET_SIZES = (30, 100, 300, 1000, 4500)  # nodes
+# Nodes.  Fleets up to this size play all phases, and twice, for the spread of the slopes; larger fleets play
+# fewer.
+REPEATED_UP_TO = 300
+MEDIUM_PHASES = ("rest", "change", "one", "zone", "peak")
+LARGE_PHASES = ("rest", "change", "one", "tenth", "storm", "region", "zone", "peak")
 SERVICES = (20, 60, 200, 400)
-AMONG = 30  # doors among which services grow: a start costs each their square; 60 with 2,300 were not up in 13 min
+# Nodes of the runs in which the number of services grows.  A start costs each node the square of the
+# services: 60 nodes with 2,300 services had not started within 13 minutes.
+SERVICE_RUN_NODES = 30
 ROUTES = (100, 1000, 5700, 19_000, 57_000)
 CORES = (4, 8, 15)  # members
 SERVERS = (400, 1300, 4000, 13_000, 40_000)
-PER_SERVICE = 17.4  # servers: 40,000 of 2,300
+SERVERS_PER_SERVICE = 17.4  # as at the target: 40,000 servers of 2,300 services
 
-PLAIN = ["hazelspring"]  # what the figures are of
+MEASURED_PATHS = ["hazelspring"]  # the source whose revision is stored with the figures
 
 
 def revision() -> str:
-    """Of the program that was measured; a + where it was changed since."""
+    """Return the revision of the program that was measured, with a + where there are uncommitted changes."""
 
     def git(*words: str) -> str:
         return subprocess.run(
             ["git", *words], cwd=ROOT, capture_output=True, text=True, check=True
         ).stdout.strip()
 
-    return git("log", "-1", "--format=%h", "--", *PLAIN) + (
-        "+" if git("status", "--short", "--", *PLAIN) else ""
+    return git("log", "-1", "--format=%h", "--", *MEASURED_PATHS) + (
+        "+" if git("status", "--short", "--", *MEASURED_PATHS) else ""
     )
 
 
-def fleet(doors: int, run: int, names: tuple[str, ...], jobs: int = 1) -> tuple[str, Any]:
-    played = names or (phases.PHASES if doors <= TWICE else FEW if doors >= LARGE else MIDDLE)
-    return f"fleet-{doors}-{run}", phases.play(doors, names=played, jobs=jobs)
+def fleet(nodes: int, run: int, names: tuple[str, ...], jobs: int = 1) -> tuple[str, Any]:
+    """Play the named phases with a fleet (none: those of its size); return the part's name and its figures."""
+    played = names or (
+        phases.PHASES if nodes <= REPEATED_UP_TO else LARGE_PHASES if nodes >= LARGE_FLEET else MEDIUM_PHASES
+    )
+    return f"fleet-{nodes}-{run}", phases.play(nodes, names=played, jobs=jobs)
 
 
 def services(number: int) -> tuple[str, Any]:
+    """Play three phases with a number of services among few nodes; return the part's name and its figures."""
     of = ("rest", "news", "lease")
-    return f"services-{number}", phases.play(AMONG, number, int(number * PER_SERVICE), of)
+    return f"services-{number}", phases.play(SERVICE_RUN_NODES, number, int(number * SERVERS_PER_SERVICE), of)
 
 
 def orders(core: int) -> tuple[str, Any]:
+    """Measure proposals in a core of a number of members; return the part's name and its figures."""
     return f"rounds-{core}", rounds.measure(core)
 
 
 def route(number: int) -> tuple[str, Any]:
+    """Measure a configuration of a number of routes; return the part's name and its figures."""
     return f"words-{number}", words.measure(number)
 
 
 def part(number: int) -> tuple[str, Any]:
+    """Measure the tables of one node for a number of servers; return the part's name and its figures."""
     return f"parts-{number}", parts.measure(number)
 
 
-def shape(doors: int) -> tuple[str, Any]:
-    return f"sizes-{doors}", sizes.measure(doors)
+def shape(nodes: int) -> tuple[str, Any]:
+    """Measure a fleet shaped as the deployments are; return the part's name and its figures."""
+    return f"sizes-{nodes}", sizes.measure(nodes)
 
 
 def carried() -> tuple[str, Any]:
+    """Measure the requests that one real node serves; return the part's name and its figures."""
     return "carry", carry.measure()
 
 
-Work = tuple[Callable[..., tuple[str, Any]], tuple[Any, ...]]
+Task = tuple[Callable[..., tuple[str, Any]], tuple[Any, ...]]
 
 
-def works(verb: str, doors: Sequence[int], names: tuple[str, ...] = ()) -> list[Work]:
-    """What a verb runs, the longest first."""
-    found: list[Work] = []
+def tasks_of(verb: str, fleet_sizes: Sequence[int], names: tuple[str, ...] = ()) -> list[Task]:
+    """Return the functions that a verb runs, with their arguments, the longest runs first."""
+    found: list[Task] = []
     if verb in ("all", "fleet"):
-        fleets = sorted((size for size in doors if size < LARGE), reverse=True)
+        fleets = sorted((size for size in fleet_sizes if size < LARGE_FLEET), reverse=True)
         found += [
-            (fleet, (size, run, names)) for size in fleets for run in (1, 2) if run == 1 or size <= TWICE
+            (fleet, (size, run, names))
+            for size in fleets
+            for run in (1, 2)
+            if run == 1 or size <= REPEATED_UP_TO
         ]
     if verb in ("all", "services"):
         found += [(services, (number,)) for number in reversed(SERVICES)]
@@ -94,11 +111,12 @@
     if verb in ("all", "parts"):
         found += [(part, (number,)) for number in reversed(SERVERS)]
     if verb == "sizes":
-        found += [(shape, (number,)) for number in sorted(doors, reverse=True)]
+        found += [(shape, (number,)) for number in sorted(fleet_sizes, reverse=True)]
     return found
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Run the chosen verb; return exit status 1 if a part failed."""
     parser = argparse.ArgumentParser(
         prog="bench/scale.py", description="What each role costs as the fleet grows."
     )
@@ -117,42 +135,48 @@
     chosen = parser.parse_args(arguments)
     FOLDER.mkdir(exist_ok=True)
     source = {"command": f"bench/scale.py {chosen.verb}", "revision": revision()}
-    doors = chosen.doors or (sizes.SHAPES if chosen.verb == "sizes" else DOORS)
+    fleet_sizes = chosen.doors or (sizes.SHAPES if chosen.verb == "sizes" else FLEET_SIZES)
     began = time.monotonic()
 
     failed: list[str] = []
 
     def done(name: str, future: Future[tuple[str, Any]]) -> None:
-        """Keep a part's figures; one that failed leaves the last ones as they are, and the others go on."""
+        """Store a part's figures; if the part failed, its last figures stay and the other parts go on."""
         try:
             made = future.result()
-        except Exception as error:  # whatever it died of, or a process that was killed
+        except Exception as error:  # any failure of the part, also that its process was killed
             failed.append(f"{name}: {error!r}")
             return
-        keep(made[0], {**source, "load": f"{os.getloadavg()[1]:.0f}"}, made[1])
+        save(made[0], {**source, "load": f"{os.getloadavg()[1]:.0f}"}, made[1])
         print(f"{time.monotonic() - began:6.0f} s  {made[0]}", flush=True)
 
-    # the largest fleets take all processes but one for their phases, one after another; all else has the last one
+    # The largest fleets run one after another and use all processes but one for their phases; all other
+    # parts use the remaining one.
     context = multiprocessing.get_context("spawn")
-    largest = [size for size in doors if size >= LARGE and chosen.verb in ("all", "fleet")]
-    todo = works(chosen.verb, list(doors), tuple(chosen.phases))
+    largest = [size for size in fleet_sizes if size >= LARGE_FLEET and chosen.verb in ("all", "fleet")]
+    todo = tasks_of(chosen.verb, list(fleet_sizes), tuple(chosen.phases))
     few = 1 if largest else chosen.jobs
     with (
-        ProcessPoolExecutor(1, context, max_tasks_per_child=1) as among,
+        ProcessPoolExecutor(1, context, max_tasks_per_child=1) as largest_pool,
         ProcessPoolExecutor(few, context, max_tasks_per_child=1) as pool,
     ):
         names = {
-            among.submit(fleet, size, 1, tuple(chosen.phases), max(1, chosen.jobs - 1)): f"fleet {size}"
+            largest_pool.submit(
+                fleet, size, 1, tuple(chosen.phases), max(1, chosen.jobs - 1)
+            ): f"fleet {size}"
             for size in largest
         }
         names |= {pool.submit(what, *given): f"{what.__name__} {given}" for what, given in todo}
         for future in as_completed(names):
             done(names[future], future)
     if chosen.verb == "sizes":
-        print(sizes.page([load(f"sizes-{number}")["figures"] for number in doors]))
-    if chosen.verb in ("all", "carry"):  # alone, as others would take its time
+        print(sizes.page([load(f"sizes-{number}")["figures"] for number in fleet_sizes]))
+    if chosen.verb in (
+        "all",
+        "carry",
+    ):  # alone, since parts that ran beside it would take processor time from it
         name, found = carried()
-        keep(name, source, found)
+        save(name, source, found)
         print(json.dumps(found, indent=1))
     if chosen.verb in ("all", "page"):
         print(page.renew(Path(ROOT) / "docs" / "CAPACITY.md"))
--- a/bench/scale/figures.py
+++ b/bench/scale/figures.py
@@ -1,4 +1,5 @@
-"""Figures on disk, each with the command and revision that gave it, and how they grow: log-log least squares."""
+"""Figures on disk, each with the command and revision that produced it, and how they grow: log-log least
+squares."""
 
 from __future__ import annotations
 
@@ -13,7 +14,7 @@
 
 
 def rounded(value: Any) -> Any:
-    """Five digits are more than any of these repeats."""
+    """Round all floats of a value to five digits, which is more than any of these figures repeats."""
     if isinstance(value, float):
         return float(f"{value:.5g}")
     if isinstance(value, dict):
@@ -21,32 +22,35 @@
     return [rounded(of) for of in value] if isinstance(value, list | tuple) else value
 
 
-def keep(name: str, source: dict[str, str], found: Any) -> None:
+def save(name: str, source: dict[str, str], found: Any) -> None:
+    """Write the figures of a part to `FOLDER`, with their source: the command and the program's revision."""
     text = json.dumps({**source, "figures": rounded(found)}, indent=None, separators=(",", ":"))
     (FOLDER / f"{name}.json").write_text(text + "\n")
 
 
 def load(name: str) -> Any:
+    """Return a part's file: its source, and its figures under `figures`."""
     return json.loads((FOLDER / f"{name}.json").read_text())
 
 
 def slope(sizes: Sequence[float], values: Sequence[float]) -> float:
-    """The power by which values grow with sizes: least squares through their logarithms."""
+    """Return the power by which values grow with sizes: least squares through their logarithms."""
     xs, ys = [math.log(size) for size in sizes], [math.log(max(value, 1e-12)) for value in values]
     mx, my = sum(xs) / len(xs), sum(ys) / len(ys)
     return sum((x - mx) * (y - my) for x, y in zip(xs, ys, strict=True)) / sum((x - mx) ** 2 for x in xs)
 
 
-def peak(pid: int | str = "self") -> int:
-    """The most memory that a process ever had, in bytes; not what it took over from who started it."""
-    return status(pid, "VmHWM")
+def peak_memory(pid: int | str = "self") -> int:
+    """Return the peak resident memory of a process in bytes, without what it inherited from its parent."""
+    return read_status(pid, "VmHWM")
 
 
-def resident() -> int:
-    """The memory that this process has now, in bytes."""
-    return status("self", "VmRSS")
+def resident_memory() -> int:
+    """Return the resident memory of this process now, in bytes."""
+    return read_status("self", "VmRSS")
 
 
-def status(pid: int | str, name: str) -> int:
+def read_status(pid: int | str, name: str) -> int:
+    """Return a memory field of /proc/PID/status, such as `VmRSS`, in bytes."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return 1024 * next(int(line.split()[1]) for line in lines if line.startswith(name))
--- a/bench/scale/model.py
+++ b/bench/scale/model.py
@@ -1,7 +1,9 @@
-"""What the measured slopes come to at the size of the target: each role in each state, and the budgets beside it.
+"""The cost at the size of the target, extrapolated from the measured figures: each role in each state, and
+the budgets.
 
-A figure at the target is the one played at the largest fleet, carried on by its power where that is smaller; what
-grows with services is added from the run among few doors with all services: price a message x messages a second.
+A figure at the target is that of the largest measured fleet; where this fleet is smaller than the target,
+the figure is extrapolated by its power.  What grows with the number of services is added from the runs with
+few nodes and many services: the time that a message takes, times the messages per second.
 """
 
 from __future__ import annotations
@@ -15,22 +17,23 @@
 from bench.scale import figures
 from bench.scale.figures import FOLDER, slope
 
-DOORS, SERVICES, SERVERS, ROUTES, TENANTS = 4500, 2300, 40_000, 57_000, 390_000
-REQUESTS, CHANGES, RESTARTS, REPLACED = 640_000, 17_000, 5_000, 5_100  # a second; a day
-NEWS = 3  # of each server that is replaced: it drains, it is gone, its successor has come
-DAY, COUNTERS, CORE = 86_400, 8, 15
-LINK = 125_000.0  # KB a second of a core member's link, 1 Gbit/s as on the sites
-LOOK = 0.5  # seconds between looks at the platform's list, as hazelspring.node.node has it
-FORGET = 30  # seconds for which a door keeps a tenant's lease, as hazelspring.quota.credits has it
+NODES, SERVICES, SERVERS, ROUTES, TENANTS = 4500, 2300, 40_000, 57_000, 390_000
+# Requests a second; configuration changes, restarts of nodes and replaced servers a day.
+REQUESTS, CHANGES, RESTARTS, REPLACED = 640_000, 17_000, 5_000, 5_100
+UPDATES_PER_REPLACEMENT = 3  # for each replaced server: it drains, it is gone, its successor has started
+SECONDS_PER_DAY, COUNTERS, CORE = 86_400, 8, 15
+LINK_KB_PER_S = 125_000.0  # a core member's link, 1 Gbit/s as on the sites
+LIST_READ_INTERVAL = 0.5  # seconds between two reads of the platform's list, as in hazelspring.node.node
+LEASE_RETENTION = 30  # seconds for which a node keeps a tenant's lease, as in hazelspring.quota.credits
 ROLES = {
     "door": "door without a disk", "home": "home of a service", "core": "core member",
     "counter": "counter of tenants", "list": "holder of the list",
 }  # fmt: skip
-Play = dict[str, Any]
+Play = dict[str, Any]  # the figures of one fleet, as `bench.scale.phases.play` returns them
 
 
 class Figures:
-    """All that was measured, by size; a fleet's runs are a list."""
+    """All stored figures, by size; a fleet size has a list of them, one for each run."""
 
     def __init__(self) -> None:
         self.fleet: dict[int, list[Play]] = {}
@@ -42,26 +45,27 @@
 
     @staticmethod
     def sizes(part: str) -> dict[int, Any]:
+        """Return the stored figures of a part by its size, such as the number of services."""
         return {
             int(Path(p).stem.split("-")[1]): figures.load(p.stem)["figures"]
             for p in FOLDER.glob(f"{part}-*.json")
         }
 
     def at_target(self, of: Callable[[Play], float]) -> float:
-        """A figure of the fleet at the target's doors."""
+        """Return a fleet's figure at the target's number of nodes."""
         known: dict[int, float] = {}
         for size in sorted(self.fleet):
-            with contextlib.suppress(KeyError):  # the largest do not play every phase
+            with contextlib.suppress(KeyError):  # the largest fleets do not play every phase
                 known[size] = of(self.fleet[size][0])
         sizes = list(known)[-3:]
-        if sizes[-1] == DOORS:
-            return known[DOORS]
+        if sizes[-1] == NODES:
+            return known[NODES]
         power = slope(sizes, [known[size] for size in sizes])
-        return known[sizes[-1]] * math.exp(power * math.log(DOORS / sizes[-1]))
+        return known[sizes[-1]] * math.exp(power * math.log(NODES / sizes[-1]))
 
 
-def taken() -> dict[str, tuple[set[str], list[int]]]:
-    """By part of the run: the revisions of the program that its figures are of, and its sizes."""
+def sources() -> dict[str, tuple[set[str], list[int]]]:
+    """Return by part of the run the revisions of the program that was measured, and the sizes."""
     found: dict[str, tuple[set[str], list[int]]] = {}
     for path in sorted(FOLDER.glob("*.json")):
         part, *size = path.stem.split("-")
@@ -74,8 +78,12 @@
 # --- figures of one play ----------------------------------------------------------------------------------------
 
 
-def nearest(play: Play, phase: str, role: str) -> dict[str, float]:
-    """The mean a second of a role; where a small fleet has none, of the role that does its work."""
+def mean_load(play: Play, phase: str, role: str) -> dict[str, float]:
+    """Return the means per second of a role; if a small fleet has no node of this role, those of the role
+    that does its work there.
+
+    Raises KeyError where the phase was not played.
+    """
     loads = play["phases"][phase]["loads"]
     for name in (role, "home" if role == "door" else "door", "core", "counter", "list"):
         if name in loads:
@@ -85,47 +93,53 @@
 
 
 def load(phase: str) -> Callable[[Play, str, str], float]:
-    return lambda play, role, name: float(nearest(play, phase, role)[name])
+    """Return a function that reads a role's mean of a figure in this phase, per second."""
+    return lambda play, role, name: float(mean_load(play, phase, role)[name])
 
 
 def traffic(play: Play, phase: str, role: str, names: tuple[str, ...] = ("out_bytes", "came_bytes")) -> float:
-    """KB a second."""
-    return sum(nearest(play, phase, role)[name] for name in names) / 1000
+    """Return a role's traffic in a phase, in KB a second."""
+    return sum(mean_load(play, phase, role)[name] for name in names) / 1000
 
 
 def processor(play: Play, phase: str, role: str) -> float:
-    """Percent of a core: the door's own calls, and its messages encoded and decoded."""
-    mean = nearest(play, phase, role)
+    """Return the processor time of a role in percent of a core: its own calls, and the coding of its
+    messages."""
+    mean = mean_load(play, phase, role)
     return 100 * (mean["core"] + mean["codec"])
 
 
-def price(play: Play, phase: str, kind: str) -> float:
-    """Microseconds of one call; `kind` with the role by its disk, such as `core beat`."""
+def call_time(play: Play, phase: str, kind: str) -> float:
+    """Return the microseconds of one call; `kind` begins with the disk's role, such as `core beat`."""
     found = play["phases"][phase]["kinds"].get(kind)
     return 1e6 * found["seconds"] / found["count"] if found else 0.0
 
 
-def held(play: Play, role: str) -> float:
-    """KB of a core's own state."""
-    weights: dict[str, float] = play["held"]
-    return weights.get(role, weights.get("home", 0.0)) / 1000
+def state_size(play: Play, role: str) -> float:
+    """Return the KB of a node's own state."""
+    sizes: dict[str, float] = play["held"]
+    return sizes.get(role, sizes.get("home", 0.0)) / 1000
 
 
-def more(play: Play, phase: str, role: str, names: tuple[str, ...] = ("out_bytes", "came_bytes")) -> float:
-    """KB a second beyond those at rest."""
+def above_rest(
+    play: Play, phase: str, role: str, names: tuple[str, ...] = ("out_bytes", "came_bytes")
+) -> float:
+    """Return a role's traffic in a phase beyond that at rest, in KB a second."""
     return max(0.0, traffic(play, phase, role, names) - traffic(play, "rest", role, names))
 
 
-def extra(play: Play, phase: str, role: str) -> float:
-    """KB in and out that an event costs: beyond as many messages of the mean size that they have at rest."""
-    found, rest = nearest(play, phase, role), nearest(play, "rest", role)
+def event_cost(play: Play, phase: str, role: str) -> float:
+    """Return the KB, in and out, that an event costs a role: the bytes in the event's phase beyond those of
+    as many messages of the mean size at rest."""
+    found, rest = mean_load(play, phase, role), mean_load(play, "rest", role)
     more_bytes = sum(
         found[f"{way}_bytes"] - found[way] * rest[f"{way}_bytes"] / rest[way] for way in ("out", "came")
     )
     return max(0.0, more_bytes * float(play["phases"][phase]["seconds"]) / 1000)
 
 
-def waited(play: Play, phase: str, what: str) -> float | None:
+def wait_time(play: Play, phase: str, what: str) -> float | None:
+    """Return the seconds until a condition held in a phase; None if it did not in time, or was not awaited."""
     found: float | None = play["phases"][phase]["times"].get(what)
     return found
 
@@ -133,44 +147,55 @@
 # --- roles at the target ----------------------------------------------------------------------------------------
 
 
-def disk_of(role: str) -> str:
+def kind_prefix(role: str) -> str:
+    """Return the word with which a role's kinds of messages begin: `core` for nodes with a disk, else
+    `door`."""
     return "core" if role in ("core", "counter", "list") else "door"
 
 
 def with_services(f: Figures, of: Callable[[Play], float]) -> float:
-    """A figure among few doors, carried on to all services by its power."""
+    """Return a figure of the runs with few nodes, extrapolated by its power to all services of the target."""
     sizes = sorted(f.services)[-3:]
     values = [of(f.services[size]) for size in sizes]
     return values[-1] * math.exp(slope(sizes, values) * math.log(SERVICES / sizes[-1]))
 
 
-def dearer(f: Figures, kind: str) -> float:
-    """Microseconds that all services add to a call of a kind, such as `core beat`."""
+def added_by_services(f: Figures, kind: str) -> float:
+    """Return the microseconds that the target's services add to a call of a kind, such as `core beat`."""
     few = f.services[min(f.services)]
     for of in ("rest", "news", "leases"):
         if all(kind in play["phases"][of]["kinds"] for play in f.services.values()):
-            return max(0.0, with_services(f, lambda p, of=of: price(p, of, kind)) - price(few, of, kind))  # type: ignore[misc]
+            return max(
+                0.0, with_services(f, lambda p, of=of: call_time(p, of, kind)) - call_time(few, of, kind)
+            )  # type: ignore[misc]
     return 0.0
 
 
 def by_services(f: Figures, phase: str, role: str) -> float:
-    """Percent of a core that all services add to a phase: each message and tick costs what it does among few doors."""
-    disk = disk_of(role)
+    """Return the percent of a core that the target's services add to a phase.
+
+    Each message and tick is taken to cost as much more as it does in the runs with few nodes.
+    """
+    prefix = kind_prefix(role)
     size = max(size for size, plays in f.fleet.items() if phase in plays[0]["phases"])
     found = f.fleet[size][0]["phases"][phase]
-    doors = CORE if disk == "core" else size - CORE
+    nodes = CORE if prefix == "core" else size - CORE
     total = sum(
-        float(kind["count"]) / found["seconds"] / doors * dearer(f, name)
+        float(kind["count"]) / found["seconds"] / nodes * added_by_services(f, name)
         for name, kind in found["kinds"].items()
-        if name.startswith(disk)
+        if name.startswith(prefix)
     )
-    return float(total) * 1e-6 * 100 * (DOORS / size if disk == "core" else 1.0)
+    return float(total) * 1e-6 * 100 * (NODES / size if prefix == "core" else 1.0)
 
 
 def role(f: Figures, role: str) -> dict[str, Any]:
-    """KB a second and percent of a core in each state; MB held; connections a second for large messages."""
-    word, parts, everyone = f.words[max(f.words)], f.parts[max(f.parts)], f.services[max(f.services)]
-    disk = disk_of(role)
+    """Return a role's figures at the target.
+
+    `rest`, `peak`, `change`, `zone` and `apart` are pairs of KB a second and percent of a core; `memory` and
+    `disk` are in MB; `calls` are connections a second for large messages.
+    """
+    config, parts, most_services = f.words[max(f.words)], f.parts[max(f.parts)], f.services[max(f.services)]
+    prefix = kind_prefix(role)
 
     def state(phase: str) -> tuple[float, float]:
         kb = f.at_target(lambda p: traffic(p, phase, role))
@@ -179,87 +204,91 @@
     rest = state("rest")
     if role == "list":
         rest = (
-            rest[0] + parts["list_bytes"] / LOOK / 1000,
-            rest[1] + 100 * (parts["parse_s"] + parts["look_s"]) / LOOK,
+            rest[0] + parts["list_bytes"] / LIST_READ_INTERVAL / 1000,
+            rest[1] + 100 * (parts["parse_s"] + parts["look_s"]) / LIST_READ_INTERVAL,
         )
-    # the peak: dances of the region, calls to counters
-    dances = f.at_target(lambda p: load("peak")(p, "door", "came")) - f.at_target(
+    # the peak: load reports of the nodes of the region, calls to counters
+    load_reports = f.at_target(lambda p: load("peak")(p, "door", "came")) - f.at_target(
         lambda p: load("rest")(p, "door", "came")
     )
-    calls = REQUESTS / DOORS
-    leases = everyone["phases"]["leases"]["kinds"]
+    calls = REQUESTS / NODES
+    leases = most_services["phases"]["leases"]["kinds"]
     each = (
         (leases["core lease"]["bytes"] + leases["door grant"]["bytes"]) / leases["core lease"]["count"] / 1000
     )
     asks, grants = "door lease out", "door grant"
-    own = with_services(f, lambda p: price(p, "leases", asks) + price(p, "leases", grants))
-    kb = f.at_target(lambda p: more(p, "peak", "door")) + calls * each
-    cpu = 100 * (dances * parts["dance_s"] + calls * own * 1e-6) + f.at_target(
+    own = with_services(f, lambda p: call_time(p, "leases", asks) + call_time(p, "leases", grants))
+    kb = f.at_target(lambda p: above_rest(p, "peak", "door")) + calls * each
+    cpu = 100 * (load_reports * parts["dance_s"] + calls * own * 1e-6) + f.at_target(
         lambda p: max(0.0, processor(p, "peak", "door") - processor(p, "rest", "door"))
     )
     if role == "counter":
         kb += REQUESTS / COUNTERS * each
-        cpu += REQUESTS / COUNTERS * with_services(f, lambda p: price(p, "leases", "core lease")) * 1e-4
+        cpu += REQUESTS / COUNTERS * with_services(f, lambda p: call_time(p, "leases", "core lease")) * 1e-4
     peak = rest[0] + kb, rest[1] + cpu
-    # changes, each of one route: the difference once to each door, by the core to its share; then made and read
-    a_second = CHANGES / DAY
-    packed = word["one_bytes"] / 1000
-    share = 1 + (DOORS / CORE if disk == "core" else 0)
+    # Configuration changes, each of one route.  The delta goes once to each node, and each core member sends
+    # it to its share of the nodes; each node assembles and loads the new configuration.
+    a_second = CHANGES / SECONDS_PER_DAY
+    packed = config["one_bytes"] / 1000
+    share = 1 + (NODES / CORE if prefix == "core" else 0)
     change = (
-        rest[0] + a_second * (packed * share + f.at_target(lambda p: extra(p, "change", role))),
-        rest[1] + 100 * a_second * (word["one_apply_s"] + word["one_read_s"]),
+        rest[0] + a_second * (packed * share + f.at_target(lambda p: event_cost(p, "change", role))),
+        rest[1] + 100 * a_second * (config["one_apply_s"] + config["one_read_s"]),
     )
-    restarts = RESTARTS / DAY * f.at_target(lambda p: extra(p, "one restart", role))
-    news = with_services(f, lambda p: extra(p, "news", role)) * (
-        DOORS / everyone["doors"] if disk == "core" else 1.0
+    restarts = RESTARTS / SECONDS_PER_DAY * f.at_target(lambda p: event_cost(p, "one restart", role))
+    news = with_services(f, lambda p: event_cost(p, "news", role)) * (
+        NODES / most_services["doors"] if prefix == "core" else 1.0
     )
-    memory = f.carry["memory"] / 1e6 + word["held"] / 1e6 + word["packed"] / 1e6
+    memory = f.carry["memory"] / 1e6 + config["held"] / 1e6 + config["packed"] / 1e6
     memory += (parts["news_held"] + parts["fleet_held"]) / 1e6
-    memory += f.at_target(lambda p: held(p, role)) / 1000
+    memory += f.at_target(lambda p: state_size(p, role)) / 1000
     few = f.services[min(f.services)]
-    memory += (with_services(f, lambda p: held(p, role)) - held(few, role)) / 1000
-    memory += calls * FORGET * parts["lease_held"] / 1e6
+    memory += (with_services(f, lambda p: state_size(p, role)) - state_size(few, role)) / 1000
+    memory += calls * LEASE_RETENTION * parts["lease_held"] / 1e6
     if role == "counter":
         memory += TENANTS / COUNTERS * parts["count_held"] / 1e6
     return {
         "messages": f.at_target(lambda p: load("rest")(p, role, "came") + load("rest")(p, role, "out")),
         "rest": rest, "peak": peak, "change": change, "restarts": restarts,
-        "news": news * REPLACED * NEWS / DAY, "zone": state("a zone lost"), "apart": state("all regions apart"),
-        "memory": memory, "disk": word["packed"] / 1e6 if disk == "core" else 0.0,
+        "news": news * REPLACED * UPDATES_PER_REPLACEMENT / SECONDS_PER_DAY,
+        "zone": state("a zone lost"), "apart": state("all regions apart"),
+        "memory": memory, "disk": config["packed"] / 1e6 if prefix == "core" else 0.0,
         "calls": f.at_target(lambda p: load("a zone lost")(p, role, "calls")),
     }  # fmt: skip
 
 
 def budgets(f: Figures) -> list[tuple[str, float, float, str]]:
-    """Name, budget, what it would be, unit."""
-    door, core = role(f, "door"), role(f, "core")
-    word, full = f.words[max(f.words)], f.carry["a quota"]
+    """Return for each budget its name, its limit, the expected figure at the target, and the unit."""
+    node, core = role(f, "door"), role(f, "core")
+    config, full = f.words[max(f.words)], f.carry["a quota"]
     quiet = f.carry[min(name for name in f.carry if name.startswith("pace"))]
-    in_force = word["one_check_s"] + word["one_delta_s"] + word["one_apply_s"] + word["one_read_s"]
-    in_force += f.at_target(lambda p: waited(p, "change", "in force everywhere") or 10.0)
-    # the door that proposes it brings it to each member, and each of these to its share of the doors
-    in_force += word["one_bytes"] * (CORE + DOORS / CORE) / 1000 / LINK
-    day = door["rest"][0] + (door["change"][0] - door["rest"][0]) + door["restarts"] + door["news"]
+    in_force = config["one_check_s"] + config["one_delta_s"] + config["one_apply_s"] + config["one_read_s"]
+    in_force += f.at_target(lambda p: wait_time(p, "change", "in force everywhere") or 10.0)
+    # the proposing node sends the change to each member, and each member to its share of the nodes
+    in_force += config["one_bytes"] * (CORE + NODES / CORE) / 1000 / LINK_KB_PER_S
+    day = node["rest"][0] + (node["change"][0] - node["rest"][0]) + node["restarts"] + node["news"]
     return [
-        ("control of a door, processor, at rest", 4.0, door["rest"][1], "% of a core"),
-        ("the same at the peak", 4.0, door["peak"][1], "% of a core"),
-        ("the same, an ordinary day's changes", 4.0, door["change"][1], "% of a core"),
-        ("control of a door, bytes at rest", 21.0, door["rest"][0], "KB/s"),
-        ("the same, an ordinary day's news of servers", 21.0, door["rest"][0] + door["news"], "KB/s"),
-        ("the same, an ordinary day's restarts", 21.0, door["rest"][0] + door["restarts"], "KB/s"),
-        ("the same, an ordinary day's changes", 21.0, door["change"][0], "KB/s"),
+        ("control of a door, processor, at rest", 4.0, node["rest"][1], "% of a core"),
+        ("the same at the peak", 4.0, node["peak"][1], "% of a core"),
+        ("the same, an ordinary day's changes", 4.0, node["change"][1], "% of a core"),
+        ("control of a door, bytes at rest", 21.0, node["rest"][0], "KB/s"),
+        ("the same, an ordinary day's news of servers", 21.0, node["rest"][0] + node["news"], "KB/s"),
+        ("the same, an ordinary day's restarts", 21.0, node["rest"][0] + node["restarts"], "KB/s"),
+        ("the same, an ordinary day's changes", 21.0, node["change"][0], "KB/s"),
         ("the same, all of an ordinary day", 21.0, day, "KB/s"),
-        ("the same at the peak", 21.0, door["peak"][0], "KB/s"),
-        ("memory of a door", 256.0, door["memory"], "MB"),
-        ("the same while it reads a change", 256.0, door["memory"] + word["one_peak"] / 1e6, "MB"),
+        ("the same at the peak", 21.0, node["peak"][0], "KB/s"),
+        ("memory of a door", 256.0, node["memory"], "MB"),
+        ("the same while it reads a change", 256.0, node["memory"] + config["one_peak"] / 1e6, "MB"),
         ("a change in force everywhere", 14.0, in_force, "s"),
-        ("a configuration's way between doors", 8.39, word["packed"] / 1e6, "MB"),
-        ("the same through the desk", 8.39, word["bytes"] / 1e6, "MB"),
-        ("17,000 changes a day, checked by one door", 100.0, 100 * CHANGES / DAY * word["one_check_s"], "% of a core"),
+        ("a configuration's way between doors", 8.39, config["packed"] / 1e6, "MB"),
+        ("the same through the desk", 8.39, config["bytes"] / 1e6, "MB"),
+        ("17,000 changes a day, checked by one door", 100.0,
+         100 * CHANGES / SECONDS_PER_DAY * config["one_check_s"], "% of a core"),
         ("15 machines: one core member, at rest", 100.0, core["rest"][1], "% of the core that it can use"),
-        ("the same, an ordinary day's changes, bytes out", LINK, core["change"][0], "KB/s of a link of 1 Gbit/s"),
+        ("the same, an ordinary day's changes, bytes out", LINK_KB_PER_S,
+         core["change"][0], "KB/s of a link of 1 Gbit/s"),
         ("counters of tenants, at the peak", 100.0, role(f, "counter")["peak"][1], "% of the core that one can use"),
-        ("640,000 requests a second, processes", float(DOORS), REQUESTS / full["a_second"], "processes"),
+        ("640,000 requests a second, processes", float(NODES), REQUESTS / full["a_second"], "processes"),
         ("1.1 ms added for 99 in 100, at a tenth of what a door carries", 1.1,
          quiet["through"]["p99_ms"] - quiet["direct"]["p99_ms"], "ms"),
     ]  # fmt: skip
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, made from the figures at hand; the text around their places stays."""
+"""Writes the tables of docs/CAPACITY.md from the stored figures; the text around them stays."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
 MARK = "<!-- made by bench/scale.py: {} -->"
 END = "<!-- end -->"
-REPEATS = 0.1  # within which the power of a second run is to come to the first's
-TURNED, SETTLED = "most that turn keys away", "settled after the start"
+POWER_TOLERANCE = 0.1  # the most by which the power of a second run should differ from that of the first
+NOT_FRESH, SETTLED = "most that turn keys away", "settled after the start"
 
 
 def number(value: float | None) -> str:
-    """Three digits; a dash where it was not played, or not true in 10 s."""
+    """Return a figure with three digits; a dash where its phase was not played, or its condition not met in
+    10 s."""
     if value is None:
         return "-"
     if value == 0 or abs(value) < 0.0005:
@@ -27,6 +28,7 @@
 
 
 def table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+    """Return a table in Markdown."""
     lines = ["| " + " | ".join(row) + " |" for row in [head, ["---"] * len(head), *rows]]
     return "\n".join(lines)
 
@@ -35,7 +37,8 @@
 
 
 def value(of: Callable[[Any], float | None], play: Any) -> float | None:
-    """A figure; none where the phase was not played at this size or nothing came true in time."""
+    """Return a figure, or None where its phase was not played at this size or its condition was not met in
+    time."""
     try:
         return of(play)
     except KeyError:
@@ -45,7 +48,11 @@
 def grown(
     sizes: Sequence[int], runs: Sequence[Sequence[Any]], rows: Sequence[Row], fitted: int = 0
 ) -> list[list[str]]:
-    """A row for each figure: its value at each size, its power, and how far a second run's power is from that."""
+    """Return a row for each figure: its value at each size, its power, and how much a second run's power
+    differs.
+
+    The power is computed from the last `fitted` sizes, or from all where it is 0.
+    """
     found = []
     for name, of in rows:
         values = [value(of, each[0]) for each in runs]
@@ -64,41 +71,42 @@
 
 
 def fleet(f: Figures) -> str:
+    """Return the table of growth by the number of nodes."""
     rest = model.load("rest")
     rows: list[Row] = [
         ("core member: messages in, a s", lambda p: rest(p, "core", "came")),
         ("core member: KB/s in and out", lambda p: model.traffic(p, "rest", "core")),
         ("core member: processor %", lambda p: model.processor(p, "rest", "core")),
-        ("core member: a tick, µs", lambda p: model.price(p, "rest", "core tick")),
-        ("core member: a beat, µs", lambda p: model.price(p, "rest", "core beat")),
-        ("core member: state, KB", lambda p: model.held(p, "core")),
+        ("core member: a tick, µs", lambda p: model.call_time(p, "rest", "core tick")),
+        ("core member: a beat, µs", lambda p: model.call_time(p, "rest", "core beat")),
+        ("core member: state, KB", lambda p: model.state_size(p, "core")),
         ("door: KB/s in and out", lambda p: model.traffic(p, "rest", "door")),
         ("door: processor %", lambda p: model.processor(p, "rest", "door")),
-        ("door: state, KB", lambda p: model.held(p, "door")),
-        ("door: KB that one restart elsewhere costs", lambda p: model.extra(p, "one restart", "door")),
-        ("core, the first by name: KB of it", lambda p: model.extra(p, "one restart", "list")),
-        ("door: KB/s more at the peak", lambda p: model.more(p, "peak", "door")),
-        ("a change in force everywhere, s", lambda p: model.waited(p, "change", "in force everywhere")),
-        ("doors that turn keys away meanwhile, %", lambda p: 100 * (model.waited(p, "change", TURNED) or 0.0)),
-        ("settled after a tenth restarted, s", lambda p: model.waited(p, "a tenth restarts", SETTLED)),
+        ("door: state, KB", lambda p: model.state_size(p, "door")),
+        ("door: KB that one restart elsewhere costs", lambda p: model.event_cost(p, "one restart", "door")),
+        ("core, the first by name: KB of it", lambda p: model.event_cost(p, "one restart", "list")),
+        ("door: KB/s more at the peak", lambda p: model.above_rest(p, "peak", "door")),
+        ("a change in force everywhere, s", lambda p: model.wait_time(p, "change", "in force everywhere")),
+        ("doors that turn keys away meanwhile, %", lambda p: 100 * (model.wait_time(p, "change", NOT_FRESH) or 0.0)),
+        ("settled after a tenth restarted, s", lambda p: model.wait_time(p, "a tenth restarts", SETTLED)),
     ]  # fmt: skip
     sizes = sorted(f.fleet)
     head = ["by doors (20 services)", *(f"{size:,}" for size in sizes), "power", "second run"]
     body = grown(sizes, [f.fleet[size] for size in sizes], rows, 3)
-    apart = [row[0] for row in body if len(row) == len(head) and float(row[-1]) > REPEATS]
+    apart = [row[0] for row in body if len(row) == len(head) and float(row[-1]) > POWER_TOLERANCE]
     said = f"but for: {'; '.join(apart)}" if apart else "in all rows"
-    return f"{table(head, body)}\n\nA second run repeats the power within {REPEATS:g} {said}."
+    return f"{table(head, body)}\n\nA second run repeats the power within {POWER_TOLERANCE:g} {said}."
 
 
 def others(f: Figures) -> str:
-    """Growth by services, by routes, by servers."""
+    """Return the tables of growth by services, by routes, and by servers."""
     services: list[Row] = [
-        ("door: an echo, µs", lambda p: model.price(p, "rest", "door echo")),
-        ("door: a tick, µs", lambda p: model.price(p, "rest", "door tick")),
-        ("core member: a beat, µs", lambda p: model.price(p, "rest", "core beat")),
+        ("door: an echo, µs", lambda p: model.call_time(p, "rest", "door echo")),
+        ("door: a tick, µs", lambda p: model.call_time(p, "rest", "door tick")),
+        ("core member: a beat, µs", lambda p: model.call_time(p, "rest", "core beat")),
         ("door: a start, s", lambda p: p["started"]["door"]),
-        ("counter: a call, µs", lambda p: model.price(p, "leases", "core lease")),
-        ("door: KB for one news", lambda p: model.extra(p, "news", "door")),
+        ("counter: a call, µs", lambda p: model.call_time(p, "leases", "core lease")),
+        ("door: KB for one news", lambda p: model.event_cost(p, "news", "door")),
     ]
     words: list[Row] = [
         ("packed, MB", lambda w: w["packed"] / 1e6),
@@ -127,7 +135,7 @@
 
 
 def orders(f: Figures) -> str:
-    """Growth of an order by members."""
+    """Return the table of a proposal's growth by the number of core members."""
     rows: list[Row] = [
         ("acknowledged, ms: half of 20", lambda r: 1000 * r["half"]),
         ("in force everywhere, ms: half", lambda r: 1000 * r["everywhere"]),
@@ -144,11 +152,16 @@
 
 
 def busiest(play: Any, phase: str, of: Callable[[dict[str, float]], float]) -> float:
+    """Return a figure of the busiest node in a phase."""
     return max(of(load["most"]) for load in play["phases"][phase]["loads"].values())
 
 
 def beside(f: Figures) -> str:
-    """The bench's sweep, and what of it the hollow doors have, at rest: the mean of plain doors / the busiest."""
+    """Return the table of the bench's sweep, with the same figures of the simulated nodes where there are
+    any.
+
+    The latter are taken at rest, as the mean of the nodes without a disk / the busiest node.
+    """
     entry = sweep.newest()
     if entry is None:
         return "No sweep is in the journal."
@@ -168,9 +181,9 @@
         "door: kB a second": lambda p: (
             f"{number(model.traffic(p, 'rest', 'door'))} / {number(busiest(p, 'rest', bytes_of))}"
         ),
-        "config acked, ms": lambda p: number(1000 * (model.waited(p, "change", "acknowledged") or 0)),
+        "config acked, ms": lambda p: number(1000 * (model.wait_time(p, "change", "acknowledged") or 0)),
         "config in force, ms": lambda p: number(
-            1000 * (model.waited(p, "change", "in force everywhere") or 0)
+            1000 * (model.wait_time(p, "change", "in force everywhere") or 0)
         ),
     }
     head = [f"the bench ({entry['id']}, {entry['site']}; middle / busiest)", *sizes, "power"]
@@ -181,15 +194,16 @@
 
 
 def taken(_: Figures) -> str:
-    """What each part was played with, and of which revision."""
+    """Return the line that names the sizes and the revision of each part."""
     parts = []
-    for part, (revisions, sizes) in model.taken().items():
+    for part, (revisions, sizes) in model.sources().items():
         among = f" ({', '.join(f'{size:,}' for size in sorted(set(sizes)))})" if sizes else ""
         parts.append(f"{part}{among} of {', '.join(sorted(revisions))}")
     return "Taken: " + "; ".join(parts) + "."
 
 
 def roles(f: Figures) -> str:
+    """Return the table of all roles at the target."""
     head = ["at the target", "at rest: messages/s", "KB/s", "core %", "peak KB/s; %", "changes KB/s; %",
             "5,000 restarts a day KB/s", "a zone lost KB/s; %", "all apart KB/s; %",
             "state MB", "disk MB", "connections/s"]  # fmt: skip
@@ -209,7 +223,7 @@
 
 
 def budgets(f: Figures) -> str:
-    """What is measured against one budget stands in one row."""
+    """Return the table of budgets; successive figures with the same budget share a row."""
     rows: list[list[str]] = []
     for name, budget, measured, unit in model.budgets(f):
         factor = measured / budget
@@ -225,6 +239,7 @@
 
 
 def carry(f: Figures) -> str:
+    """Return the table of the requests that one real node serves."""
     rows = []
     for name in ("no quota", "a quota"):
         full = f.carry[name]
@@ -251,7 +266,10 @@
 
 
 def put(text: str, made: dict[str, str], path: Path) -> str:
-    """A page's text with its tables in their places; one without a place raises ValueError."""
+    """Return a page's text with the tables replaced.
+
+    Raises ValueError if the page has no place for a table.
+    """
     for name, block in made.items():
         mark = MARK.format(name)
         before, found, rest = text.partition(mark + "\n")
@@ -263,6 +281,7 @@
 
 
 def renew(path: Path) -> str:
+    """Rewrite the tables of a page; return a line that says how many there are."""
     figures = Figures()
     makers = (taken, budgets, roles, fleet, others, orders, beside, carry)
     made = {make.__name__: make(figures) for make in makers}
--- a/bench/scale/parts.py
+++ b/bench/scale/parts.py
@@ -1,4 +1,4 @@
-"""Tables and lists of one door by the number of servers: the platform's list, dances, choices, and memory."""
+"""Costs within one node by the number of servers: the instance list, load reports, routing, and memory."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
 import cbor2
 
 from bench.scale import program
-from bench.scale.phases import AT_SERVERS
-from bench.scale.world import REGIONS, ZONES, weigh
+from bench.scale.phases import IN_FLIGHT_PER_NODE
+from bench.scale.world import REGIONS, ZONES, deep_size
 from hazelspring.node import codec
 from hazelspring.node.messages import LoadReport
 from hazelspring.registry.tables import server_tag
 
-DANCERS = 4500 // REGIONS  # doors of a region at the target: those that tell each other where requests are
-PLACES = {f"zone-{n}": f"region-{n % REGIONS}" for n in range(ZONES)}
+REPORTING_NODES = 4500 // REGIONS  # nodes of a region at the target, which send each other load reports
+REGION_BY_ZONE = {f"zone-{n}": f"region-{n % REGIONS}" for n in range(ZONES)}
 
 
 def seconds(what: Callable[[], Any], least: float = 0.2) -> float:
-    """Processor time of one call: the least of three rounds of as many as take `least` seconds."""
+    """Return the processor time of one call: the least of three rounds, each of as many calls as take
+    `least` seconds."""
     rounds, count = [], 1
     while True:
         began = time.process_time()
@@ -39,8 +40,8 @@
             count *= 2
 
 
-def page(servers: int, services: int) -> bytes:
-    """The platform's list as it comes, whole."""
+def list_page(servers: int, services: int) -> bytes:
+    """Return the platform's instance list as one page, in JSON."""
     entries = {
         server.id: {
             "service": service, "address": server.address, "zone": server.zone, "versionNumber": server.release,
@@ -53,30 +54,37 @@
 
 
 def measure(servers: int) -> dict[str, float]:
+    """Return the figures for a number of servers; sizes are in bytes, and those of leases and counts per
+    tenant."""
     services = max(1, servers * 2300 // 40_000)
-    body = page(servers, services)
+    body = list_page(servers, services)
     found = program.parse_list(body)
-    news = program.news_of(found)
-    fleet = program.fleet_of(found, PLACES)
+    registry = program.registry_of(found)
+    endpoints = program.endpoints_of(found, REGION_BY_ZONE)
     names, draw = [server_tag(name) for of in found.values() for name in of], random.Random(1)
-    outs = [dict.fromkeys(draw.sample(names, min(AT_SERVERS, len(names))), 1) for _ in range(DANCERS)]
-    for n, each in enumerate(outs):
-        program.danced(fleet, f"10.200.9.{n}", each)
-    turns = itertools.cycle(outs[:2])  # what differs from a door's last word is summed up: here all of it
+    in_flight = [
+        dict.fromkeys(draw.sample(names, min(IN_FLIGHT_PER_NODE, len(names))), 1)
+        for _ in range(REPORTING_NODES)
+    ]
+    for n, each in enumerate(in_flight):
+        program.receive_load_report(endpoints, f"10.200.9.{n}", each)
+    # A load report is compared with the node's previous one, and only differences are added up.  Two reports
+    # in turn differ in all servers.
+    reports = itertools.cycle(in_flight[:2])
     busy = next(iter(found))
     gc.disable()
     figures = {
         "servers": servers, "services": services, "list_bytes": len(body),
         "parse_s": seconds(lambda: program.parse_list(body)),
-        "look_s": seconds(lambda: program.look_again(news, found)),
-        "dance_s": seconds(lambda: program.danced(fleet, "10.200.9.0", next(turns))),
-        "dance_bytes": len(codec.encode(LoadReport(outs[0]))),
-        "choose_s": seconds(lambda: program.choose(fleet, busy)),
-        "versions_bytes": len(cbor2.dumps(news.versions())),
-        "table_bytes": len(cbor2.dumps(news.encode(1.0, busy))),
-        "news_held": weigh(news), "fleet_held": weigh(fleet),
-        "lease_held": weigh(program.credits_of(1000, 4500)) / 1000,
-        "count_held": weigh(program.counter_of(1000)) / 1000,
+        "look_s": seconds(lambda: program.update_registry(registry, found)),
+        "dance_s": seconds(lambda: program.receive_load_report(endpoints, "10.200.9.0", next(reports))),
+        "dance_bytes": len(codec.encode(LoadReport(in_flight[0]))),
+        "choose_s": seconds(lambda: program.choose(endpoints, busy)),
+        "versions_bytes": len(cbor2.dumps(registry.versions())),
+        "table_bytes": len(cbor2.dumps(registry.encode(1.0, busy))),
+        "news_held": deep_size(registry), "fleet_held": deep_size(endpoints),
+        "lease_held": deep_size(program.credits_of(1000, 4500)) / 1000,
+        "count_held": deep_size(program.counter_of(1000)) / 1000,
     }  # fmt: skip
     gc.enable()
     return figures
--- a/bench/scale/phases.py
+++ b/bench/scale/phases.py
@@ -1,4 +1,5 @@
-"""What hollow doors go through: rest, news, a change, a storm, restarts, a lost zone, a cut region, the peak."""
+"""The phases that a simulated fleet is measured in: rest, list updates, configuration changes, restarts, a
+lost zone, cut regions, the peak."""
 
 from __future__ import annotations
 
@@ -12,22 +13,24 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-from bench.scale.figures import peak
-from bench.scale.program import TICK, Hollow, homes
-from bench.scale.world import CORE, LARGE, REGIONS, ZONES, Kind, Meter, World, weigh
-
-STEP = 0.01  # seconds between two looks at whether something has come true
-PATIENCE = 10.0  # seconds after which it counts as not come true
-DOWN = 2.0  # seconds from a kill to the start of the next life
-TAIL = 4.0  # seconds of a phase beyond what it waits for by itself: two beats between regions,
-MANY = 1000  # and one from so many doors on
-AT_SERVERS = 36  # requests a door has out at the peak: 640,000 / 4,500 a second, a quarter of a second each
+from bench.scale.figures import peak_memory
+from bench.scale.program import TICK, SimulatedNode, homes
+from bench.scale.world import CORE, LARGE_FLEET, REGIONS, ZONES, Kind, Meter, World, deep_size
+
+STEP = 0.01  # seconds between two checks of an awaited condition
+WAIT_TIMEOUT = 10.0  # seconds after which an awaited condition counts as not reached
+DOWN_TIME = 2.0  # seconds from a node's kill to its restart
+MIN_PHASE_TIME = 4.0  # seconds of a phase, unless it waits longer itself: two heartbeats between regions
+MANY_NODES = 1000  # from this size on it is half as long, one heartbeat between regions
+# Requests that a node has in flight at the peak: 640,000 / 4,500 a second, each for a quarter of a second.
+IN_FLIGHT_PER_NODE = 36
 ROLES = ("door", "home", "core", "counter", "list")
 
 
 @dataclass
 class Load:
-    """A role in one phase: its doors; the mean a second of each figure, and the most of any door."""
+    """The load of a role in one phase: its number of nodes, each figure's mean per second, and the most of
+    any node."""
 
     doors: int
     mean: dict[str, float]
@@ -36,94 +39,107 @@
 
 @dataclass
 class Phase:
+    """The figures of one phase."""
+
     name: str
     seconds: float
     loads: dict[str, Load]
-    kinds: dict[str, Kind]  # by role of the disk and kind of message
-    times: dict[str, float | None] = field(default_factory=dict)  # what was waited for, in seconds
+    kinds: dict[str, Kind]  # by `core` (with a disk) or `door`, and the kind of message, such as `core beat`
+    times: dict[str, float | None] = field(default_factory=dict)  # seconds until each awaited condition
 
 
 class Play:
-    """One world brought through phases; `phases` grows."""
+    """A simulated fleet that goes through phases, whose figures are appended to `phases`.
+
+    The constructor returns when all nodes have started and know each other, or when its waits have timed
+    out.
+    """
 
     def __init__(
-        self, doors: int, services: int = 20, servers: int = 180, core: int = CORE, zones: int = ZONES,
+        self, nodes: int, services: int = 20, servers: int = 180, core: int = CORE, zones: int = ZONES,
         regions: int = REGIONS,
     ) -> None:  # fmt: skip
-        self.world = World(doors, services, servers, core, zones=zones, regions=regions)
+        self.world = World(nodes, services, servers, core, zones=zones, regions=regions)
         self.phases: list[Phase] = []
         self.token = 0
-        self.plain = [door for door in self.world.doors.values() if not door.disk]
-        self.core = [door for door in self.world.doors.values() if door.disk]
-        self.tail = TAIL if doors < MANY else TAIL / 2
-        self.wait(lambda: all(door.founded() for door in self.world.up()))
+        self.diskless = [node for node in self.world.nodes.values() if not node.disk]
+        self.core = [node for node in self.world.nodes.values() if node.disk]
+        self.min_phase_time = MIN_PHASE_TIME if nodes < MANY_NODES else MIN_PHASE_TIME / 2
+        self.wait(lambda: all(node.core_agreed() for node in self.world.running_nodes()))
         self.put(self.core[0], 1)
-        for door in self.plain:
-            if door.core is None:
-                self.world.start(door, first=True)
+        for node in self.diskless:
+            if node.instance is None:
+                self.world.start(node, first=True)
         self.wait(lambda: self.settled(1))
         self.started = {
-            role: sum(self.world.meters[door.ip].core for door in doors) / max(1, len(doors))
-            for role, doors in (("core", self.core), ("door", self.plain))
-        }  # seconds of processor time of each until then
-        self.world.run(
-            3.0 if doors < LARGE else 2.1
-        )  # the last news of the start has gone round: a beat between regions and one more
+            role: sum(self.world.meters[node.ip].core for node in nodes) / max(1, len(nodes))
+            for role, nodes in (("core", self.core), ("door", self.diskless))
+        }  # seconds of processor time of a node of each role until then
+        # Until the last updates of the start have reached all nodes: a heartbeat between regions and one
+        # more.
+        self.world.run(3.0 if nodes < LARGE_FLEET else 2.1)
 
-    # --- doing ------------------------------------------------------------------------------------------
+    # --- operations and conditions ----------------------------------------------------------------------
 
-    def put(self, door: Hollow, number: int) -> int:
+    def put(self, node: SimulatedNode, number: int) -> int:
+        """Propose a configuration with the version `number` at a node; return the proposal's token."""
         self.token += 1
         token, now = self.token, self.world.now
-        self.world.call(door, "put", 0, 0.0, lambda: door.put(now, token, number))
+        self.world.call(node, "put", 0, 0.0, lambda: node.put(now, token, number))
         return token
 
-    def wait(self, what: Callable[[], bool]) -> float | None:
-        """Seconds until something has come true."""
+    def wait(self, holds: Callable[[], bool]) -> float | None:
+        """Return the seconds until a condition holds, or None if it does not within `WAIT_TIMEOUT`."""
         began = self.world.now
-        while self.world.now - began < PATIENCE:
-            if what():
+        while self.world.now - began < WAIT_TIMEOUT:
+            if holds():
                 return self.world.now - began
             self.world.run(STEP)
         return None
 
     def settled(self, number: int) -> bool:
-        """Whether all doors that are up have a configuration, hear the core, and are known to it."""
-        up = self.world.up()
+        """Whether all running nodes have a configuration and a recent confirmation of the core, and are
+        known to it."""
+        up = self.world.running_nodes()
         return (
-            all(door.number() >= number for door in up)
-            and all(door.fresh(self.world.now) for door in up)
-            and all(door.counted() == len(up) for door in up if door.disk)
+            all(node.configuration_version() >= number for node in up)
+            and all(node.fresh(self.world.now) for node in up)
+            and all(node.known_ready_nodes() == len(up) for node in up if node.disk)
         )
 
     def acknowledged(self, token: int) -> bool:
-        return token in self.world.answers and self.world.answers[token][1]
+        """Whether a proposal has ended with success."""
+        return token in self.world.proposal_results and self.world.proposal_results[token][1]
 
     def roles(self) -> dict[str, str]:
-        services, found = list(self.world.list), {}
-        known: dict[tuple[str, ...], set[str | None]] = {}  # most doors of a zone know the same ones
-        for door in self.world.up():
-            duties = door.duties(self.world.now)
+        """Return the role of each running node, one of `ROLES`, by its address."""
+        services, found = list(self.world.server_list), {}
+        known: dict[tuple[str, ...], set[str | None]] = {}  # most nodes of a zone know the same neighbours
+        for node in self.world.running_nodes():
+            duties = node.duties(self.world.now)
             if duties:
-                found[door.ip] = "list" if "list" in duties else "counter"
-            elif door.disk:
-                found[door.ip] = "core"
+                found[node.ip] = "list" if "list" in duties else "counter"
+            elif node.disk:
+                found[node.ip] = "core"
             else:
-                near = door.neighbours()
+                near = node.neighbours()
                 if near not in known:
-                    known[near] = homes(door.zone, near, services)
-                found[door.ip] = "home" if door.ip in known[near] else "door"
+                    known[near] = homes(node.zone, near, services)
+                found[node.ip] = "home" if node.ip in known[near] else "door"
         return found
 
     def phase(
         self, name: str, seconds: float, work: Callable[[], dict[str, float | None]] = dict,
-        among: list[Hollow] | None = None,
+        among: list[SimulatedNode] | None = None,
     ) -> None:  # fmt: skip
-        """Play one: `work` may itself let time pass; what is left of the seconds passes after it.  Loads are those
-        of all doors, or of some."""
+        """Run a phase and append its figures.
+
+        `work` may advance time itself; the rest of the phase's seconds passes after it.  The loads are those
+        of all nodes, or of the nodes in `among`.
+        """
         world, roles = self.world, self.roles()
         if among is not None:
-            roles = {door.ip: roles[door.ip] for door in among}
+            roles = {node.ip: roles[node.ip] for node in among}
         before = {ip: meter.copy() for ip, meter in world.meters.items()}
         world.kinds.clear()
         gc.collect()
@@ -141,9 +157,9 @@
                 loads[role] = Load(len(ips), mean, {n: max(r[k] for r in rows) for k, n in enumerate(names)})
         kinds = {f"{role} {kind}": dataclasses.replace(of) for (role, kind), of in world.kinds.items()}
         self.phases.append(Phase(name, took, loads, kinds, times))
-        if len(self.world.doors) >= LARGE:
+        if len(self.world.nodes) >= LARGE_FLEET:
             print(
-                f"{time.process_time():6.0f} s  {len(self.world.doors)} doors: {name}",
+                f"{time.process_time():6.0f} s  {len(self.world.nodes)} doors: {name}",
                 file=sys.stderr,
                 flush=True,
             )
@@ -151,36 +167,40 @@
     # --- the phases -----------------------------------------------------------------------------------------
 
     def rest(self) -> None:
-        self.phase("rest", self.tail)
+        """Nothing happens besides heartbeats and ticks."""
+        self.phase("rest", self.min_phase_time)
 
     def news(self) -> None:
-        """One server of one service is replaced."""
-        service, servers = next(iter(self.world.list.items()))
+        """One server of one service is replaced; waits until all nodes know it."""
+        service, servers = next(iter(self.world.server_list.items()))
         name, old = next(iter(servers.items()))
         new = dataclasses.replace(old, id=f"{name}-next")
         changed = {key: server for key, server in servers.items() if key != name} | {new.id: new}
         before = self.core[0].versions()[service]
 
         def work() -> dict[str, float | None]:
-            self.world.list = {**self.world.list, service: changed}
-            everywhere = self.wait(lambda: all(d.versions()[service] > before for d in self.world.up()))
+            self.world.server_list = {**self.world.server_list, service: changed}
+            everywhere = self.wait(
+                lambda: all(d.versions()[service] > before for d in self.world.running_nodes())
+            )
             return {"known everywhere": everywhere}
 
-        self.phase("news", self.tail, work)
+        self.phase("news", self.min_phase_time, work)
 
     def change(self) -> None:
-        number = self.core[0].number() + 1
+        """One configuration change at a node without a disk; waits until it is in force at all nodes."""
+        number = self.core[0].configuration_version() + 1
         stale = [0.0]
 
-        def all_have_it() -> bool:
-            up = self.world.up()
-            stale.append(sum(not door.fresh(self.world.now) for door in up) / len(up))
-            return all(door.number() >= number for door in up)
+        def in_force_everywhere() -> bool:
+            up = self.world.running_nodes()
+            stale.append(sum(not node.fresh(self.world.now) for node in up) / len(up))
+            return all(node.configuration_version() >= number for node in up)
 
         def work() -> dict[str, float | None]:
-            token = self.put((self.plain or self.core)[-1], number)
+            token = self.put((self.diskless or self.core)[-1], number)
             acknowledged = self.wait(lambda: self.acknowledged(token))
-            left = self.wait(all_have_it)
+            left = self.wait(in_force_everywhere)
             everywhere = None if acknowledged is None or left is None else acknowledged + left
             return {
                 "acknowledged": acknowledged,
@@ -188,116 +208,126 @@
                 "most that turn keys away": max(stale),
             }
 
-        self.phase("change", self.tail, work)
+        self.phase("change", self.min_phase_time, work)
 
     def storm(self) -> None:
-        """Ten changes at different doors, a tenth of a second apart."""
-        number = self.core[0].number()
+        """Ten configuration changes at different nodes, a tenth of a second apart."""
+        number = self.core[0].configuration_version()
 
         def work() -> dict[str, float | None]:
             tokens = []
             for n in range(1, 11):
-                tokens.append(self.put(list(self.world.doors.values())[-n], number + n))
+                tokens.append(self.put(list(self.world.nodes.values())[-n], number + n))
                 self.world.run(0.1)
             ended = self.wait(lambda: all(self.acknowledged(token) for token in tokens))
-            left = self.wait(lambda: all(door.number() >= number + 10 for door in self.world.up()))
+            left = self.wait(
+                lambda: all(
+                    node.configuration_version() >= number + 10 for node in self.world.running_nodes()
+                )
+            )
             everywhere = None if ended is None or left is None else ended + left
             return {"in force everywhere": everywhere}
 
-        self.phase("storm", self.tail, work)
+        self.phase("storm", self.min_phase_time, work)
 
-    def restart(self, name: str, which: list[Hollow]) -> None:
-        """Doors die and come back; loads are those of the others."""
+    def restart(self, name: str, which: list[SimulatedNode]) -> None:
+        """Run a phase in which the given nodes are killed and restarted; the loads are those of the other
+        nodes."""
 
         def work() -> dict[str, float | None]:
-            for door in which:
-                self.world.kill(door)
-            self.world.run(DOWN)
-            for door in which:
-                self.world.start(door)
+            for node in which:
+                self.world.kill(node)
+            self.world.run(DOWN_TIME)
+            for node in which:
+                self.world.start(node)
             return {"settled after the start": self.wait(lambda: self.settled(1))}
 
-        stay = [door for door in self.world.up() if door not in which]
-        self.phase(name, DOWN + self.tail, work, among=stay)
+        stay = [node for node in self.world.running_nodes() if node not in which]
+        self.phase(name, DOWN_TIME + self.min_phase_time, work, among=stay)
 
     def one(self) -> None:
-        self.restart("one restart", [(self.plain or self.core)[0]])
+        """One node without a disk restarts."""
+        self.restart("one restart", [(self.diskless or self.core)[0]])
 
     def member(self) -> None:
+        """One core member restarts."""
         self.restart("a member restarts", [self.core[4]])
 
     def tenth(self) -> None:
-        self.restart("a tenth restarts", list(self.world.doors.values())[5::10])
+        """A tenth of all nodes restarts at once."""
+        self.restart("a tenth restarts", list(self.world.nodes.values())[5::10])
 
     def zone(self) -> None:
-        """All doors of a zone lose power, and come back."""
-        self.restart("a zone lost", [d for d in self.world.doors.values() if d.zone == "zone-3"])
+        """All nodes of a zone lose power and restart."""
+        self.restart("a zone lost", [d for d in self.world.nodes.values() if d.zone == "zone-3"])
 
     def region(self) -> None:
-        """A region hears no other for six seconds; then it does again."""
-        number = self.core[0].number() + 1
-        there = [door for door in self.world.doors.values() if door.region == "region-5"]
+        """One region is cut off from all others for six seconds; then the links are restored."""
+        number = self.core[0].configuration_version() + 1
+        there = [node for node in self.world.nodes.values() if node.region == "region-5"]
 
-        def apart() -> dict[str, float | None]:
-            self.world.cut = lambda source, to: (source.region == "region-5") != (to.region == "region-5")
-            stale = self.wait(lambda: not any(door.fresh(self.world.now) for door in there))
+        def cut_links() -> dict[str, float | None]:
+            self.world.is_cut = lambda source, to: (source.region == "region-5") != (to.region == "region-5")
+            stale = self.wait(lambda: not any(node.fresh(self.world.now) for node in there))
             token = self.put(self.core[0], number)
             return {
                 "no door there is fresh": stale,
                 "a change acknowledged": self.wait(lambda: self.acknowledged(token)),
             }
 
-        def together() -> dict[str, float | None]:
-            self.world.cut = lambda source, to: False
+        def restore_links() -> dict[str, float | None]:
+            self.world.is_cut = lambda source, to: False
             return {"settled": self.wait(lambda: self.settled(number))}
 
-        self.phase("a region apart", 6.0, apart)
-        self.phase("together again", self.tail, together)
+        self.phase("a region apart", 6.0, cut_links)
+        self.phase("together again", self.min_phase_time, restore_links)
 
     def alone(self) -> None:
-        """No region hears another; then all do again."""
+        """All regions are cut off from each other; then the links are restored."""
 
-        def apart() -> dict[str, float | None]:
-            self.world.cut = lambda source, to: source.region != to.region
+        def cut_links() -> dict[str, float | None]:
+            self.world.is_cut = lambda source, to: source.region != to.region
             return {
                 "no door is fresh": self.wait(
-                    lambda: not any(d.fresh(self.world.now) for d in self.world.up())
+                    lambda: not any(d.fresh(self.world.now) for d in self.world.running_nodes())
                 )
             }
 
-        def together() -> dict[str, float | None]:
-            self.world.cut = lambda source, to: False
+        def restore_links() -> dict[str, float | None]:
+            self.world.is_cut = lambda source, to: False
             return {"settled": self.wait(lambda: self.settled(1))}
 
-        self.phase("all regions apart", 8.0, apart)
-        self.phase("all together again", self.tail, together)
+        self.phase("all regions apart", 8.0, cut_links)
+        self.phase("all together again", self.min_phase_time, restore_links)
 
     def peak(self) -> None:
-        """The doors of one region have requests out and tell each other where."""
-        dancers = [door for door in self.world.doors.values() if door.region == "region-0"]
-        random, servers = self.world.random, [name for of in self.world.list.values() for name in of]
+        """The nodes of one region have requests in flight and send each other load reports."""
+        reporting = [node for node in self.world.nodes.values() if node.region == "region-0"]
+        random, servers = self.world.random, [name for of in self.world.server_list.values() for name in of]
         end = self.world.now + 1.5
 
-        def step(door: Hollow) -> None:
-            outs = dict.fromkeys(random.sample(servers, min(AT_SERVERS, len(servers))), 1)
-            self.world.call(door, "dance out", 0, 0.0, lambda: door.dance(self.world.now, outs))
+        def step(node: SimulatedNode) -> None:
+            in_flight = dict.fromkeys(random.sample(servers, min(IN_FLIGHT_PER_NODE, len(servers))), 1)
+            self.world.call(
+                node, "dance out", 0, 0.0, lambda: node.report_in_flight(self.world.now, in_flight)
+            )
             if self.world.now + TICK < end:
-                self.world.at(self.world.now + TICK, step, door)
+                self.world.schedule(self.world.now + TICK, step, node)
 
-        for door in dancers:
-            self.world.at(self.world.now + random.random() * TICK, step, door)
-        self.world.run(0.5)  # all have told once
-        self.phase("peak", 1.0, among=dancers)
-        for door in dancers:
-            door.outs = {}
+        for node in reporting:
+            self.world.schedule(self.world.now + random.random() * TICK, step, node)
+        self.world.run(0.5)  # until all have sent a report
+        self.phase("peak", 1.0, among=reporting)
+        for node in reporting:
+            node.in_flight = {}
 
     def lease(self) -> None:
-        """Calls to the counters of tenants, from one door."""
-        door, now = (self.plain or self.core)[-1], self.world.now
+        """One node requests credit for 400 tenants from their counters."""
+        node, now = (self.diskless or self.core)[-1], self.world.now
 
         def work() -> dict[str, float | None]:
             for n in range(400):
-                self.world.call(door, "lease out", 0, 0.0, lambda n=n: door.lease(now, f"tenant-{n:06d}", n))  # type: ignore[misc]
+                self.world.call(node, "lease out", 0, 0.0, lambda n=n: node.lease(now, f"tenant-{n:06d}", n))  # type: ignore[misc]
             return {}
 
         self.phase("leases", 1.0, work)
@@ -317,29 +347,33 @@
     "peak",
     "lease",
 )
-JOBS = 3  # processes of one fleet at once
+JOBS = 3  # processes of one fleet that run at once
+
 
+def figures(fleet: Play, name: str) -> dict[str, Any]:
+    """Run the method named by `name`, and return the figures of its one or two phases by the phases' names."""
+    done = len(fleet.phases)
+    getattr(fleet, name)()
+    return {phase.name: dataclasses.asdict(phase) for phase in fleet.phases[done:]}
 
-def figures(here: Play, name: str) -> dict[str, Any]:
-    """What a phase, or two that belong together, gives on a world that has settled."""
-    done = len(here.phases)
-    getattr(here, name)()
-    return {phase.name: dataclasses.asdict(phase) for phase in here.phases[done:]}
 
+def run_in_copies(fleet: Play, names: Sequence[str], jobs: int) -> dict[str, Any]:
+    """Run each phase from the same settled state in a fork of this process, and return the figures by phase.
 
-def apart(here: Play, names: Sequence[str], jobs: int) -> dict[str, Any]:
-    """Each phase from the same settled state, in a copy of this process: so many at once, the first ones first."""
+    At most `jobs` forks run at once, in the order of the names.  Raises EOFError if one ends without
+    figures.
+    """
     context, found = multiprocessing.get_context("fork"), {}
     running: list[tuple[Any, Connection]] = []
 
     def copy(name: str, end: Connection) -> None:
-        end.send(figures(here, name))
+        end.send(figures(fleet, name))
         end.close()
 
     for name in [*names, *[None] * jobs]:
         if len(running) == jobs or (name is None and running):
             process, end = running.pop(0)
-            found.update(end.recv())  # EOFError: it ended without figures
+            found.update(end.recv())
             process.join()
         if name is not None:
             ours, theirs = context.Pipe(duplex=False)
@@ -351,19 +385,21 @@
 
 
 def play(
-    doors: int, services: int = 20, servers: int = 180, names: Sequence[str] = PHASES, core: int = CORE,
+    nodes: int, services: int = 20, servers: int = 180, names: Sequence[str] = PHASES, core: int = CORE,
     zones: int = ZONES, regions: int = REGIONS, jobs: int = 1,
 ) -> dict[str, Any]:  # fmt: skip
-    """The figures of one size, as they are kept; each phase from the state that the start has settled to."""
+    """Return the figures of one fleet as they are stored; each phase begins in the settled state after the
+    start."""
     began = time.monotonic()
-    gc.disable()  # or one door's call pays for looking through the memory of all
-    here = Play(doors, services, servers, core, zones, regions)
+    gc.disable()  # otherwise one node's call would be charged with a collection over the memory of all nodes
+    fleet = Play(nodes, services, servers, core, zones, regions)
     up = time.monotonic() - began
-    one = {role: ip for ip, role in here.roles().items()}
-    held = {role: weigh(here.world.doors[ip].core) for role, ip in one.items()}
-    phases = apart(here, names, jobs)
+    one = {role: ip for ip, role in fleet.roles().items()}
+    held = {role: deep_size(fleet.world.nodes[ip].instance) for role, ip in one.items()}
+    phases = run_in_copies(fleet, names, jobs)
     gc.enable()
     return {
-        "doors": doors, "services": services, "servers": servers, "phases": phases,
-        "held": held, "started": here.started, "up_s": up, "seconds": time.monotonic() - began, "memory": peak(),
+        "doors": nodes, "services": services, "servers": servers, "phases": phases,
+        "held": held, "started": fleet.started, "up_s": up, "seconds": time.monotonic() - began,
+        "memory": peak_memory(),
     }  # fmt: skip
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -1,4 +1,7 @@
-"""All that the scale run knows of the program: one hollow door, its roles and deeds.  It follows the program here."""
+"""The scale run's only access to the program: one simulated node, its roles and its actions.
+
+When the program's interfaces change, only this module has to follow.
+"""
 
 from __future__ import annotations
 
@@ -32,15 +35,18 @@
 from hazelspring.registry.tables import ServerEntry, ServerRegistry, home_node, server_tag
 from hazelspring.routing.endpoint_set import EndpointSet
 
-TICK = 0.05  # seconds between two ticks of a door, as hazelspring.daemon.node_process has it,
-CALM = 0.1  # and of one that is ready and has no disk
-SYNC = 0.002  # seconds of a write to disk
-REVOCATION = 5.0  # seconds, as the sites have it
-FRESH = (
-    0.9 * REVOCATION
-)  # without fresh word after which keyed requests stop, as hazelspring.daemon.node_process has it,
-READY = 0.5 * REVOCATION  # and clients are sent elsewhere
-ROUNDS = {
+TICK = 0.05  # seconds between two ticks of a node, as in hazelspring.daemon.node_process
+READY_TICK = 0.1  # seconds between two ticks of a node that is ready and has no disk
+DISK_WRITE = 0.002  # seconds of a write to disk
+REVOCATION = 5.0  # seconds, as in the settings of the sites
+# Seconds after the core's last confirmation from which on a node refuses requests with an access key, as in
+# hazelspring.daemon.node_process.
+MAX_CONFIRMATION_AGE = 0.9 * REVOCATION
+MAX_READY_AGE = (
+    0.5 * REVOCATION
+)  # seconds after it from which on a node is not ready, and clients go to other nodes
+# Kinds of the messages of consensus rounds.
+ROUND_KINDS = {
     "prepare",
     "promise",
     "accept",
@@ -49,15 +55,16 @@
     "over",
     "hand",
     "lack",
-}  # messages of the agreement's rounds,
-BRINGING = {"want", "decided"}  # and those that bring what was decided to all doors
+}
+DELIVERY_KINDS = {"want", "decided"}  # kinds of the messages that bring the decided state to all nodes
 
-CALLS = 640_000 / 4500  # a second of a door to counters at the peak, as bench.scale.model has it
+COUNTER_CALLS_PER_S = 640_000 / 4500  # calls of a node to counters at the peak, as in bench.scale.model
 Listing = dict[str, dict[str, ServerEntry]]
 
 
 def listing(services: int, servers: int, zones: int) -> Listing:
-    """A platform's list of so many services and servers, spread over the zones."""
+    """Return a platform's instance list with the given numbers of services and servers, spread over the
+    zones."""
     found: Listing = {f"service-{n}": {} for n in range(services)}
     for n in range(servers):
         name = f"i-{n:05d}"
@@ -70,227 +77,258 @@
 
 @dataclass(slots=True)
 class Effects:
-    """What a call of a core has brought about."""
+    """The effects of a call into a node: messages to send, disk writes to make, and proposals that ended."""
 
     sends: list[tuple[str, Message]] = field(default_factory=list)
     saves: list[Save] = field(default_factory=list)
     done: list[tuple[int, bool]] = field(
         default_factory=list
-    )  # orders that ended, and whether they were taken
+    )  # tokens of ended proposals, and whether they succeeded
 
 
-def check_word(body: bytes) -> int:
-    """As the desk has a configuration checked."""
+def check_configuration(body: bytes) -> int:
+    """Validate a configuration as the node that receives it from an operator does; return its version."""
     return validate_configuration(body)
 
 
-def read_word(body: bytes) -> object:
-    """The tables of a configuration, read from the whole text."""
+def read_configuration(body: bytes) -> object:
+    """Return the tables of a configuration, parsed from its full text."""
     return parse_configuration(body)
 
 
-def pack_word(body: bytes) -> bytes:
-    """As the door that takes the first configuration packs it."""
+def pack_configuration(body: bytes) -> bytes:
+    """Pack a configuration as the node that accepts the first one does."""
     return pack(body)
 
 
-def unpack_word(packed: bytes) -> bytes:
+def unpack_configuration(packed: bytes) -> bytes:
+    """Return the text of a packed configuration."""
     return unpack(packed)
 
 
 def read_packed(packed: bytes, held: LoadedConfiguration | None = None) -> LoadedConfiguration:
-    """As each door reads a configuration: the first one, and one after what it holds."""
+    """Load a configuration as each node does: the first one, or one that follows the configuration that it
+    has."""
     return load_configuration(packed, held)
 
 
 def check_next(body: bytes, held: LoadedConfiguration) -> ValidatedConfiguration:
-    """As the desk has a change of the configuration that its door holds packed and checked."""
+    """Pack and validate a change of a node's configuration as the node that receives it from an operator
+    does."""
     return validate_change(body, held)
 
 
 def delta_of(old: bytes, new: bytes) -> bytes:
-    """What goes to each door for a change, beside its state."""
+    """Return what each node is sent for a change, besides the state."""
     return make_delta(old, new)
 
 
 def digest_of(body: bytes) -> bytes:
+    """Return the digest by which a node verifies the configuration that it has assembled from a delta."""
     return configuration_digest(body)
 
 
 def apply_delta(packed: bytes, delta: bytes, digest: bytes) -> bytes:
-    """As each door makes the new configuration of what it holds."""
+    """Assemble the new configuration, packed, from the old one and a delta, as each node does."""
     return apply_deltas(packed, [delta], digest)
 
 
 def parse_list(page: bytes) -> Listing:
+    """Return the servers by service of an instance list of one page."""
     return parse_instance_list([page], 0.0).servers
 
 
-def news_of(found: Listing) -> ServerRegistry:
-    """What a door knows of servers once a list has come."""
+def registry_of(found: Listing) -> ServerRegistry:
+    """Return a node's server registry after its first instance list."""
     news = ServerRegistry()
     news.update_from_list(0.0, 1, found)
     return news
 
 
-def look_again(news: ServerRegistry, found: Listing) -> list[str]:
+def update_registry(news: ServerRegistry, found: Listing) -> list[str]:
+    """Compare another instance list with the registry; return the services that changed."""
     return news.update_from_list(1.0, 2, found)
 
 
-def fleet_of(found: Listing, zones: dict[str, str]) -> EndpointSet:
-    """What the way of a request is chosen from."""
+def endpoints_of(found: Listing, zones: dict[str, str]) -> EndpointSet:
+    """Return the servers among which a node routes requests; `zones` maps each zone to its region."""
     fleet = EndpointSet("zone-0", zones["zone-0"], zones, random.Random(1))
     for service, servers in found.items():
         fleet.update_endpoints(0.0, service, servers.values(), 0.0)
     return fleet
 
 
-def danced(fleet: EndpointSet, door: str, outs: dict[int, int]) -> None:
-    """What a door does with another's word of its requests."""
-    fleet.on_load_report(1.0, door, outs)
+def receive_load_report(fleet: EndpointSet, node: str, in_flight: dict[int, int]) -> None:
+    """Apply another node's load report: its requests in flight, by server tag."""
+    fleet.on_load_report(1.0, node, in_flight)
 
 
 def choose(fleet: EndpointSet, service: str) -> object:
+    """Choose the server of a request to a service."""
     return fleet.choose(1.0, service, "route", 0.4, frozenset(), False, frozenset(), set())
 
 
-def credits_of(tenants: int, doors: int) -> CreditLeases:
-    """Leases of so many tenants at one door."""
+def credits_of(tenants: int, nodes: int) -> CreditLeases:
+    """Return one node's credit leases for a number of tenants."""
     credits = CreditLeases(QuotaLimits())
     for n in range(tenants):
-        credits.request_credit(0.0, f"tenant-{n:06d}", 10.0, 10.0, n, doors)
+        credits.request_credit(0.0, f"tenant-{n:06d}", 10.0, 10.0, n, nodes)
     return credits
 
 
 def counter_of(tenants: int) -> QuotaCounter:
+    """Return a quota counter that has granted credit to a number of tenants."""
     counter = QuotaCounter(QuotaLimits().window)
     for n in range(tenants):
         counter.grant(0.5, 2.0, f"tenant-{n:06d}", 1.0, 30.0, ("door", 1), n)
     return counter
 
 
-class Hollow:
-    """One door: the program's own core, with a disk that outlives it; sockets and clients are left out."""
+class SimulatedNode:
+    """One node: the program's own `Node`, with a disk that survives restarts, but without sockets and
+    clients."""
 
     def __init__(self, ip: str, zone: str, region: str, disk: bool, seeds: list[str]) -> None:
         self.place, self.disk, self.seeds = (ip, zone, region), disk, seeds
         self.ip, self.zone, self.region = self.place
         self.records: dict[str, bytes] = {}
-        self.dances: dict[str, tuple[float, dict[int, int]]] = {}  # what others told of their requests
-        self.outs: dict[str, int] = {}  # its own
-        self.lives = 0
-        self.core: Node | None = None
+        # By node, when its last load report came, and its requests in flight by server tag.
+        self.load_reports: dict[str, tuple[float, dict[int, int]]] = {}
+        self.in_flight: dict[str, int] = {}  # this node's own requests in flight, by server
+        self.starts = 0
+        self.instance: Node | None = None
         self.listing: Callable[[], Listing] = dict
 
     def start(self, now: float, first: bool) -> None:
-        self.lives += 1
-        life = (1_700_000_000_000 + int(now * 1000)) << 8 | self.lives & 255  # as wide as a real one
-        number = zlib.crc32(self.ip.encode()) << 28 | self.lives if self.disk else 0  # no two disks have one
-        about = NodeInfo(*self.place, number, life)
+        """Start the program's node anew with the records on its disk; `first`: the fleet's first start."""
+        self.starts += 1
+        incarnation = (
+            1_700_000_000_000 + int(now * 1000)
+        ) << 8 | self.starts & 255  # as many bits as a real one
+        number = zlib.crc32(self.ip.encode()) << 28 | self.starts if self.disk else 0  # unique per disk
+        about = NodeInfo(*self.place, number, incarnation)
         start = NodeStart(about, self.seeds, first, dict(self.records))
-        self.dances, self.outs = {}, {}
-        self.core = Node(now, start, QuotaLimits().window, lambda tenant: 30.0)
+        self.load_reports, self.in_flight = {}, {}
+        self.instance = Node(now, start, QuotaLimits().window, lambda tenant: 30.0)
 
-    def effects(self, now: float, deeds: list[Action]) -> Effects:
+    def effects(self, now: float, actions: list[Action]) -> Effects:
+        """Carry out what an action does within the node, also a read of the list, and return the other
+        effects."""
         found = Effects()
-        while deeds:
+        while actions:
             more: list[Action] = []
-            for deed in deeds:
-                match deed:
+            for action in actions:
+                match action:
                     case Send():
-                        found.sends.append((deed.to, deed.message))
+                        found.sends.append((action.to, action.message))
                     case Save():
-                        found.saves.append(deed)
+                        found.saves.append(action)
                     case LoadReported():
-                        self.dances[deed.node] = (now, deed.in_flight_by_tag)
+                        self.load_reports[action.node] = (now, action.in_flight_by_tag)
                     case ReadList():
-                        more += self.known().on_list_read(now, int(now * 1000), self.listing(), deed.number)
+                        more += self.running().on_list_read(
+                            now, int(now * 1000), self.listing(), action.number
+                        )
                     case ProposalOutcome():
-                        found.done.append((deed.token, deed.succeeded))
+                        found.done.append((action.token, action.succeeded))
                     case _:
                         pass
-            deeds = more
+            actions = more
         return found
 
-    def known(self) -> Node:
-        assert self.core is not None
-        return self.core
+    def running(self) -> Node:
+        """Return the program's node, which must be running."""
+        assert self.instance is not None
+        return self.instance
 
-    # --- what the world and the phases call: each returns deeds for `effects` -------------------------------
+    # --- calls by the world and the phases: each returns actions for `effects` --------------------------
 
-    def tick(self, now: float, dancing: bool = True) -> list[Action]:
-        """`dancing`: also where it has no requests out, so that there is nothing to tell, it is asked what to tell."""
-        core = self.known()
-        core.ready = self.number() >= 0 and now - core.confirmed_at(now) <= READY
-        deeds = core.tick(now)
+    def tick(self, now: float, idle_reports: bool = True) -> list[Action]:
+        """Return the actions of a tick; `idle_reports`: a load report is also computed without requests in
+        flight, when there is nothing to report."""
+        core = self.running()
+        core.ready = self.configuration_version() >= 0 and now - core.confirmed_at(now) <= MAX_READY_AGE
+        actions = core.tick(now)
         return (
-            deeds if self.outs or not dancing else deeds + core.disseminator.report_load(now, {}, self.dances)
+            actions
+            if self.in_flight or not idle_reports
+            else actions + core.disseminator.report_load(now, {}, self.load_reports)
         )
 
-    def pause(self) -> float:
-        """Seconds until the next tick."""
-        return CALM if self.known().ready and not self.disk else TICK
+    def tick_interval(self) -> float:
+        """Return the seconds until the next tick."""
+        return READY_TICK if self.running().ready and not self.disk else TICK
 
-    def heard(self, now: float, source: str, message: Message) -> list[Action]:
-        return self.known().on_message(now, source, message)
+    def receive(self, now: float, source: str, message: Message) -> list[Action]:
+        """Handle a message from the node with the address `source`."""
+        return self.running().on_message(now, source, message)
 
-    def synced(self, now: float, save: Save) -> list[Action]:
+    def on_saved(self, now: float, save: Save) -> list[Action]:
+        """Put the records of a finished write on the disk, and report it to the program's node."""
         for name, body in save.records.items():
             if body is None:
                 self.records.pop(name, None)
             else:
                 self.records[name] = body
-        return self.known().on_saved(now, save.serial, True)
+        return self.running().on_saved(now, save.serial, True)
 
     def put(self, now: float, token: int, number: int) -> list[Action]:
+        """Propose an empty configuration with the version `number`."""
         body = json.dumps({"versionNumber": f"r{number}", "resourceList": []}).encode()
-        return self.known().put_configuration(now, token, body)
-
-    def dance(self, now: float, outs: dict[str, int]) -> list[Action]:
-        """Those of the peak: a tick's calls to counters go out beside them."""
-        self.outs = outs
-        self.known().disseminator.load_reporter.record_other_bytes(CALLS * TICK * LEASE_CALL_BYTES)
-        return self.known().disseminator.report_load(
-            now, {server_tag(name): out for name, out in outs.items()}, self.dances
+        return self.running().put_configuration(now, token, body)
+
+    def report_in_flight(self, now: float, in_flight: dict[str, int]) -> list[Action]:
+        """Send load reports as at the peak, when a tick's calls to counters are sent besides them."""
+        self.in_flight = in_flight
+        self.running().disseminator.load_reporter.record_other_bytes(
+            COUNTER_CALLS_PER_S * TICK * LEASE_CALL_BYTES
+        )
+        return self.running().disseminator.report_load(
+            now, {server_tag(name): out for name, out in in_flight.items()}, self.load_reports
         )
 
     def lease(self, now: float, tenant: str, number: int) -> list[Action]:
-        return self.known().lease_credits(now, tenant, number, 1.0)
+        """Request credit for a tenant from its counter."""
+        return self.running().lease_credits(now, tenant, number, 1.0)
 
-    # --- what is looked at ----------------------------------------------------------------------------------
+    # --- the node's state -------------------------------------------------------------------------------
 
     def fresh(self, now: float) -> bool:
-        return now - self.known().confirmed_at(now) <= FRESH
+        """Whether the core's last confirmation is recent enough to serve requests with an access key."""
+        return now - self.running().confirmed_at(now) <= MAX_CONFIRMATION_AGE
 
-    def number(self) -> int:
-        """Of the configuration in force here; below 0 where there is none."""
-        state = self.known().control.state
+    def configuration_version(self) -> int:
+        """Return the version of the configuration in force at this node, below 0 where there is none."""
+        state = self.running().control.state
         return state.configuration_version if state is not None else -1
 
-    def founded(self) -> bool:
-        """Whether the first members are agreed on, as this door knows."""
-        return self.known().core_agreed()
+    def core_agreed(self) -> bool:
+        """Whether this node knows that the first core members are agreed on."""
+        return self.running().core_agreed()
 
-    def seated(self) -> bool:
-        return self.known().control.is_member()
+    def is_member(self) -> bool:
+        """Whether this node is a core member, as far as it knows."""
+        return self.running().control.is_member()
 
     def versions(self) -> dict[str, int]:
-        return self.known().registry.versions()
+        """Return the versions of this node's server tables, by service."""
+        return self.running().registry.versions()
 
-    def counted(self) -> int:
-        """Doors that this one knows of as ready."""
-        return len(self.known().peers.ready_nodes())
+    def known_ready_nodes(self) -> int:
+        """Return the number of nodes that this node knows to be ready."""
+        return len(self.running().peers.ready_nodes())
 
     def duties(self, now: float) -> set[str]:
-        """Roles by duty: `list`, `counter`."""
-        held = [duty for duty in range(TENANT_SHARDS + 1) if self.known().roles.held_until(duty) > now]
+        """Return the roles of which this node has a lease: `list` to read the instance list, `counter` for
+        quotas."""
+        held = [duty for duty in range(TENANT_SHARDS + 1) if self.running().roles.held_until(duty) > now]
         return {"list" if duty == LIST_READER else "counter" for duty in held}
 
     def neighbours(self) -> tuple[str, ...]:
-        """The ready doors of its zone, as it knows them."""
-        return tuple(self.known().peers.ready_nodes(zone=self.zone))
+        """Return the addresses of the ready nodes of this node's zone, as it knows them."""
+        return tuple(self.running().peers.ready_nodes(zone=self.zone))
 
 
-def homes(zone: str, doors: tuple[str, ...], services: list[str]) -> set[str | None]:
-    """Doors of a zone that are home of a service."""
-    return {home_node(service, zone, doors) for service in services}
+def homes(zone: str, nodes: tuple[str, ...], services: list[str]) -> set[str | None]:
+    """Return the nodes of a zone that are the home node of a service."""
+    return {home_node(service, zone, nodes) for service in services}
--- a/bench/scale/rounds.py
+++ b/bench/scale/rounds.py
@@ -1,4 +1,5 @@
-"""What an order costs as the core grows: its time, and the messages of its rounds, among doors in 17 regions."""
+"""The cost of a proposal as the core grows: its time and the messages of its rounds, among nodes in 17
+regions."""
 
 from __future__ import annotations
 
@@ -6,57 +7,65 @@
 from typing import Any
 
 from bench.scale.phases import Play
-from bench.scale.program import BRINGING, ROUNDS
+from bench.scale.program import DELIVERY_KINDS, ROUND_KINDS
 from bench.scale.world import ZONES
 
-DOORS = 2 * ZONES  # two in each zone
-ORDERS = 20  # one after another, each at another door
-# then ten at once, so often: how these meet hangs on the order of a set of doors, which differs by process
-TENS = 10
-PAUSE = 2.0  # seconds between two: the slowest beat, so that each is known everywhere
+NODES = 2 * ZONES  # two in each zone
+PROPOSALS = 20  # one after another, each at another node
+# After these, so many bursts of ten proposals at once.  There are several since the conflicts within a burst
+# depend on the order of a set of nodes, which differs by process.
+BURSTS = 10
+PAUSE = 2.0  # seconds between two, the slowest heartbeat interval, so that each is known to all nodes
 
 
-def tally(here: Play, orders: int) -> dict[str, float]:
-    """Messages an order since the last look: of rounds, of these refusals, and those that bring the state to doors."""
-    kinds = here.world.kinds
+def messages_per_proposal(fleet: Play, proposals: int) -> dict[str, float]:
+    """Return the messages and kilobytes per proposal since the last call, and reset the counts.
+
+    `rounds` are the messages of consensus rounds, `refusals` those among them that refuse, and `bringing`
+    those that bring the decided state to the nodes.
+    """
+    kinds = fleet.world.kinds
     found = {
         name: [of for (_, kind), of in kinds.items() if kind in names]
-        for name, names in (("rounds", ROUNDS), ("refusals", {"no"}), ("bringing", BRINGING))
+        for name, names in (("rounds", ROUND_KINDS), ("refusals", {"no"}), ("bringing", DELIVERY_KINDS))
     }
-    made = {name: sum(of.count for of in several) / orders for name, several in found.items()}
-    made["kb"] = sum(of.bytes for name in ("rounds", "bringing") for of in found[name]) / orders / 1000
+    made = {name: sum(of.count for of in several) / proposals for name, several in found.items()}
+    made["kb"] = sum(of.bytes for name in ("rounds", "bringing") for of in found[name]) / proposals / 1000
     kinds.clear()
     return made
 
 
-def measure(core: int, doors: int = DOORS, orders: int = ORDERS, tens: int = TENS) -> dict[str, Any]:
-    here = Play(doors, core=core)
-    everyone, number = list(here.world.doors.values()), here.core[0].number()
-    here.world.kinds.clear()
+def measure(
+    core: int, nodes: int = NODES, proposals: int = PROPOSALS, bursts: int = BURSTS
+) -> dict[str, Any]:
+    """Return the times of proposals in seconds, and their messages, one after another and ten at once."""
+    fleet = Play(nodes, core=core)
+    all_nodes, number = list(fleet.world.nodes.values()), fleet.core[0].configuration_version()
+    fleet.world.kinds.clear()
     times, everywhere = [], []
-    for n in range(orders):
+    for n in range(proposals):
         number += 1
-        token, began = here.put(everyone[n * doors // orders], number), here.world.now
-        here.wait(lambda token=token: here.acknowledged(token))  # type: ignore[misc]
-        times.append(here.world.answers[token][0] - began)
-        here.wait(lambda number=number: all(d.number() >= number for d in everyone))  # type: ignore[misc]
-        everywhere.append(here.world.now - began)
-        here.world.run(PAUSE)
-    alone = tally(here, orders)
+        token, began = fleet.put(all_nodes[n * nodes // proposals], number), fleet.world.now
+        fleet.wait(lambda token=token: fleet.acknowledged(token))  # type: ignore[misc]
+        times.append(fleet.world.proposal_results[token][0] - began)
+        fleet.wait(lambda number=number: all(d.configuration_version() >= number for d in all_nodes))  # type: ignore[misc]
+        everywhere.append(fleet.world.now - began)
+        fleet.world.run(PAUSE)
+    alone = messages_per_proposal(fleet, proposals)
     lasts: list[float] = []
-    untaken: list[float] = []
-    for _ in range(tens):
-        began = here.world.now
-        tokens = [here.put(everyone[-1 - n % doors], number + 1 + n) for n in range(10)]
+    rejected: list[float] = []
+    for _ in range(bursts):
+        began = fleet.world.now
+        tokens = [fleet.put(all_nodes[-1 - n % nodes], number + 1 + n) for n in range(10)]
         number += 10
-        here.wait(lambda tokens=tokens: all(token in here.world.answers for token in tokens))  # type: ignore[misc]
-        ends = {token: here.world.answers[token][0] - began for token in tokens}
+        fleet.wait(lambda tokens=tokens: all(token in fleet.world.proposal_results for token in tokens))  # type: ignore[misc]
+        ends = {token: fleet.world.proposal_results[token][0] - began for token in tokens}
         lasts.append(max(ends.values()))
-        untaken += [end for token, end in ends.items() if not here.acknowledged(token)]
-        here.world.run(PAUSE)
-    at_once = tally(here, 10 * tens)
+        rejected += [end for token, end in ends.items() if not fleet.acknowledged(token)]
+        fleet.world.run(PAUSE)
+    at_once = messages_per_proposal(fleet, 10 * bursts)
     return {
         "core": core, "half": statistics.median(times), "most": max(times),
         "everywhere": statistics.median(everywhere), "alone": alone,
-        "at once": {"last": lasts, "untaken": untaken, **at_once},
+        "at once": {"last": lasts, "untaken": rejected, **at_once},
     }  # fmt: skip
--- a/bench/scale/sizes.py
+++ b/bench/scale/sizes.py
@@ -1,4 +1,5 @@
-"""What a door and a core member cost a second by the size of the fleet: at rest, in an ordinary day, at the peak."""
+"""The cost per second of a node and of a core member by fleet size: at rest, in an ordinary day, and at the
+peak."""
 
 from __future__ import annotations
 
@@ -8,45 +9,54 @@
 from bench.scale import model, phases
 from bench.scale.page import number, table
 
-SHAPES = {11: (4, 4, 2), 82: (6, 6, 2), 200: (8, 8, 4), 1000: (15, 34, 17)}  # doors: members, zones, regions
-NAMES = ("rest", "news", "change", "one", "peak")
-EVENTS = {  # of a day, a door: the target's
-    "news": model.NEWS * model.REPLACED / model.DOORS,
-    "change": model.CHANGES / model.DOORS,
-    "one restart": model.RESTARTS / model.DOORS,
+# By the number of nodes: core members, zones, regions.
+SHAPES = {11: (4, 4, 2), 82: (6, 6, 2), 200: (8, 8, 4), 1000: (15, 34, 17)}
+PLAYED_PHASES = ("rest", "news", "change", "one", "peak")
+EVENTS_PER_NODE_AND_DAY = {  # as at the target
+    "news": model.UPDATES_PER_REPLACEMENT * model.REPLACED / model.NODES,
+    "change": model.CHANGES / model.NODES,
+    "one restart": model.RESTARTS / model.NODES,
 }
-FIGURES: dict[str, Callable[[dict[str, float]], float]] = {  # of a mean a second
+FIGURES: dict[str, Callable[[dict[str, float]], float]] = {  # computed from a role's means per second
     "processor %": lambda mean: 100 * (mean["core"] + mean["codec"]),
     "KB/s": lambda mean: (mean["out_bytes"] + mean["came_bytes"]) / 1000,
     "messages/s": lambda mean: mean["out"] + mean["came"],
 }
 
 
-def measure(doors: int) -> dict[str, Any]:
-    """One size as the deployments have it: members, zones and regions, nine servers a door."""
-    core, zones, regions = SHAPES[doors]
-    return phases.play(doors, 20, 9 * doors, NAMES, core, zones, regions)
+def measure(nodes: int) -> dict[str, Any]:
+    """Return the figures of one fleet shaped as the deployments are: members, zones, regions, nine servers a
+    node."""
+    core, zones, regions = SHAPES[nodes]
+    return phases.play(nodes, 20, 9 * nodes, PLAYED_PHASES, core, zones, regions)
 
 
 def row(play: dict[str, Any], role: str) -> list[str]:
-    """Each figure at rest, in the mean of a day, at the peak; an event costs what its phase had beyond rest."""
+    """Return the cells of a role, each with a figure at rest, as the mean of a day, and at the peak.
+
+    The cost of an event is what its phase took beyond the cost at rest.
+    """
 
     def mean(phase: str) -> dict[str, float]:
-        return model.nearest(play, phase, role)
+        return model.mean_load(play, phase, role)
 
     cells = []
     for of in FIGURES.values():
         rest = of(mean("rest"))
         day = sum(
-            (of(mean(phase)) - rest) * play["phases"][phase]["seconds"] * each * play["doors"] / model.DAY
-            for phase, each in EVENTS.items()
+            (of(mean(phase)) - rest)
+            * play["phases"][phase]["seconds"]
+            * each
+            * play["doors"]
+            / model.SECONDS_PER_DAY
+            for phase, each in EVENTS_PER_NODE_AND_DAY.items()
         )
         cells.append("; ".join(map(number, (rest, rest + max(0.0, day), of(mean("peak"))))))
     return cells
 
 
 def page(plays: list[dict[str, Any]]) -> str:
-    """The table, smallest fleet first."""
+    """Return the table as Markdown, smallest fleet first."""
     rows = [
         [f"{play['doors']}", name, *row(play, role)]
         for play in sorted(plays, key=lambda play: play["doors"])
--- a/bench/scale/sweep.py
+++ b/bench/scale/sweep.py
@@ -1,4 +1,5 @@
-"""What the users' bench measures as a deployment grows, from the journal, beside the same of the hollow doors."""
+"""Reads from the journal what the users' bench measured as a deployment grew, to compare it with the
+simulated nodes."""
 
 from __future__ import annotations
 
@@ -14,7 +15,7 @@
 
 
 def newest(folder: Path = JOURNAL) -> dict[str, Any] | None:
-    """The journal's last sweep that ended well; none where there is no such entry."""
+    """Return the journal's last sweep that succeeded, or None where there is no such entry."""
     for path in sorted(folder.glob("*.json"), reverse=True):
         text = path.read_text()
         if '"cmd":"sweep"' in text:
@@ -25,9 +26,10 @@
 
 
 def rows(digest: str) -> tuple[list[str], list[list[str]]]:
-    """Sizes, and of each figure its name, `middle / busiest` at each size and its power.
+    """Return the sizes, and a row for each figure: its name, `middle / busiest` at each size, and its power.
 
-    Raises ValueError where the sweep has none."""
+    Raises ValueError where the sweep has no figures by size.
+    """
     lines = digest.splitlines()
     heads = [n for n, line in enumerate(lines) if line.startswith("middle / busiest")]
     if not heads:
--- a/bench/scale/words.py
+++ b/bench/scale/words.py
@@ -1,4 +1,4 @@
-"""Configurations of 100 to 57,000 routes: bytes, time and memory to check and to read one, and a change of it."""
+"""Configurations of 100 to 57,000 routes: bytes, time and memory to check and to load one, and to change it."""
 
 from __future__ import annotations
 
@@ -12,26 +12,32 @@
 from pathlib import Path
 from typing import Any
 
-from bench.scale.figures import peak, resident
+from bench.scale.figures import peak_memory, resident_memory
 from bench.scale.program import (
     apply_delta,
+    check_configuration,
     check_next,
-    check_word,
     delta_of,
     digest_of,
-    pack_word,
+    pack_configuration,
     read_packed,
-    unpack_word,
+    unpack_configuration,
 )
-from bench.scale.world import weigh
+from bench.scale.world import deep_size
 
-ROUTES, TENANTS, SERVICES = 57_000, 390_000, 2_300  # of the target: smaller ones keep its proportions
+ROUTES, TENANTS, SERVICES = (
+    57_000,
+    390_000,
+    2_300,
+)  # of the target; smaller configurations keep its proportions
 KINDS = ("read_only", "read_only", "read_only", "mutating", "upload")
 
 
 def configuration(routes: int, number: int = 1) -> bytes:
-    """A configuration with so many routes, and tenants and services in proportion; keys are drawn, so that it packs
-    no better than a real one."""
+    """Return a configuration with a number of routes, and with tenants and services in proportion.
+
+    The access keys are random, so that it packs no better than a real one.
+    """
     draw = random.Random(routes)
     services = max(1, routes * SERVICES // ROUTES)
     found: list[dict[str, Any]] = []
@@ -62,7 +68,7 @@
 
 
 def altered(body: bytes, routes: int, changed: int) -> bytes:
-    """The next configuration, in which so many routes, spread over all, have another priority."""
+    """Return the next configuration, in which `changed` routes, spread over all, have another priority."""
     document = json.loads(body)
     document["versionNumber"] = "r2"
     first = max(1, routes * SERVICES // ROUTES)
@@ -71,28 +77,38 @@
     return json.dumps(document).encode()
 
 
-def alone(path: str, verb: str) -> dict[str, float]:
-    """One step with a body from a file, in a process of its own: its memory at the peak is the step's."""
+def measure_step(path: str, verb: str) -> dict[str, float]:
+    """Return the time and the peak memory of one step, `check`, `read` or `pack`, with a body from a file.
+
+    It runs in a process of its own, so that the process's peak memory is that of the step.
+    """
     body = Path(path).read_bytes()
-    before = peak()
-    steps: dict[str, Callable[[bytes], Any]] = {"check": check_word, "read": read_packed, "pack": pack_word}
+    before = peak_memory()
+    steps: dict[str, Callable[[bytes], Any]] = {
+        "check": check_configuration,
+        "read": read_packed,
+        "pack": pack_configuration,
+    }
     began = time.process_time()
     result = steps[verb](body)
     found = {f"{verb}_s": time.process_time() - began}
-    found[f"{verb}_peak"] = peak() - before + len(body)
+    found[f"{verb}_peak"] = peak_memory() - before + len(body)
     if verb == "read":
-        found["held"] = weigh(result.word)
+        found["held"] = deep_size(result.word)
     if verb == "pack":
         began = time.process_time()
-        unpack_word(result)
+        unpack_configuration(result)
         found |= {"unpack_s": time.process_time() - began, "packed": len(result)}
     return found
 
 
-def desk(path: str, routes: int) -> dict[str, float]:
-    """What a change costs the door that takes it: it packs, checks and tells apart; and the bytes for each other."""
-    body = (Path(path) / "word").read_bytes()
-    packed = pack_word(body)
+def measure_proposer(path: str, routes: int) -> dict[str, float]:
+    """Return the cost of a change of one and of ten routes at the node that receives it from an operator.
+
+    This node packs and validates the configuration and makes the delta, whose bytes go to each other node.
+    """
+    body = (Path(path) / "configuration").read_bytes()
+    packed = pack_configuration(body)
     held, found = read_packed(packed), dict[str, float]()
     for changed, name in ((1, "one"), (10, "ten")):
         new = altered(body, routes, changed)
@@ -108,31 +124,32 @@
     return found
 
 
-def door(path: str, name: str) -> dict[str, float]:
-    """What it costs each other door, in a process that holds the configuration before it."""
+def measure_receiver(path: str, name: str) -> dict[str, float]:
+    """Return the cost of a change at each other node, in a process that has the previous configuration."""
     packed, delta, digest = [(Path(path) / of).read_bytes() for of in ("packed", name, f"{name} digest")]
     held = read_packed(packed)
-    before, began = resident(), time.process_time()
+    before, began = resident_memory(), time.process_time()
     new = apply_delta(packed, delta, digest)
     between = time.process_time()
     read_packed(new, held)
     took = {f"{name}_apply_s": between - began, f"{name}_read_s": time.process_time() - between}
-    return {**took, f"{name}_peak": max(0, peak() - before)}
+    return {**took, f"{name}_peak": max(0, peak_memory() - before)}
 
 
 def measure(routes: int) -> dict[str, float]:
+    """Return the figures of a configuration with a number of routes; sizes and memory are in bytes."""
     found: dict[str, float] = {"routes": routes}
     context = multiprocessing.get_context("spawn")
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
-        path, body = Path(folder) / "word", configuration(routes)
+        path, body = Path(folder) / "configuration", configuration(routes)
         path.write_bytes(body)
-        (Path(folder) / "packed").write_bytes(pack_word(body))
+        (Path(folder) / "packed").write_bytes(pack_configuration(body))
         found["bytes"], found["one"] = len(body), len(json.dumps(json.loads(body)["resourceList"][-1]))
         with ProcessPoolExecutor(1, context, max_tasks_per_child=1) as pool:
             for verb in ("read", "check", "pack"):
                 of = str(path if verb != "read" else Path(folder) / "packed")
-                found |= pool.submit(alone, of, verb).result()
-            found |= pool.submit(desk, folder, routes).result()
+                found |= pool.submit(measure_step, of, verb).result()
+            found |= pool.submit(measure_proposer, folder, routes).result()
             for name in ("one", "ten"):
-                found |= pool.submit(door, folder, name).result()
+                found |= pool.submit(measure_receiver, folder, name).result()
     return found
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -1,7 +1,9 @@
-"""Many hollow doors on simulated time: links that delay and are cut, messages and processor time counted by role.
+"""Many simulated nodes on simulated time: links with delays and cuts, messages and processor time counted by
+role.
 
-Messages are handed on as they are and encoded and decoded aside, so that their size and the time for it count;
-what the doors of one process share by that is counted for each of them by `weigh`.
+Messages are delivered as objects.  They are also encoded and decoded, so that their size and the time that
+this takes are counted.  The nodes of one process share the objects by this; `deep_size` counts them for each
+node.
 """
 
 from __future__ import annotations
@@ -20,24 +22,25 @@
 
 import cbor2
 
-from bench.scale.program import SYNC, TICK, Effects, Hollow, Listing, listing
+from bench.scale.program import DISK_WRITE, TICK, Effects, Listing, SimulatedNode, listing
 from hazelspring.node import codec
 from hazelspring.node.messages import Message
 
-NEAR, FAR = 0.001, 0.020  # seconds one way inside a region and between regions
-# bytes; what is larger takes a connection of its own, as hazelspring.daemon.message_transport has it
-MOST_DATAGRAM = 1200
-LONG = ("s", "e")  # parts of an echo that are the same for many: the roster, and what changed in it
-LARGE = (
-    2000  # doors from which on a door with no requests does not work out with each roster whom it would tell
-)
-SMALL, EACH = {"beat", "echo"}, 8
+DELAY_IN_REGION, DELAY_BETWEEN_REGIONS = 0.001, 0.020  # seconds one way inside a region and between regions
+# Bytes.  A larger message takes a connection of its own, as in hazelspring.daemon.message_transport.
+MAX_DATAGRAM = 1200
+# Fields of an echo with the same value for many receivers: the roster, and the changes of the roster.
+SHARED_FIELDS = ("s", "e")
+# Nodes.  From this size on, a node without requests does not compute to whom it would send a load report.
+LARGE_FLEET = 2000
+SMALL_KINDS, TIMED_ONE_IN = {"beat", "echo"}, 8
 ZONES, REGIONS, CORE = 34, 17, 15  # of the target
 
 
 @dataclass(slots=True)
 class Meter:
-    """What a door has sent, got and used; seconds of processor time in its core and for its messages' encoding."""
+    """Messages and bytes that a node has sent and received, and the seconds of processor time that it has
+    used: `core` in the node's own code, `codec` to encode and decode its messages."""
 
     out: int = 0
     out_bytes: int = 0
@@ -48,15 +51,17 @@
     codec: float = 0.0
 
     def since(self, before: Meter) -> list[float]:
+        """Return how much each figure has grown since a copy was made, in the order of the slots."""
         return [getattr(self, name) - getattr(before, name) for name in Meter.__slots__]
 
     def copy(self) -> Meter:
+        """Return the figures as they are now."""
         return Meter(*(getattr(self, name) for name in Meter.__slots__))
 
 
 @dataclass(slots=True)
 class Kind:
-    """All messages of one kind at one role, or ticks: how many came, bytes, seconds to handle them."""
+    """All messages of one kind at one role, or its ticks: their number, bytes, and seconds to handle them."""
 
     count: int = 0
     bytes: int = 0
@@ -65,7 +70,7 @@
 
 @dataclass(slots=True)
 class Size:
-    """An encoded message: bytes, seconds to encode and to decode."""
+    """The size of an encoded message in bytes, and the seconds to encode and to decode it."""
 
     bytes: int
     dumps: float
@@ -73,35 +78,40 @@
 
 
 def clock_cost() -> float:
-    """Seconds that one look at the processor's clock takes by itself: it is no part of what is timed."""
+    """Return the seconds that one reading of the processor's clock takes; they are subtracted from what is
+    timed."""
     times = [time.process_time() for _ in range(2001)]
     return statistics.median(after - before for before, after in itertools.pairwise(times))
 
 
-CLOCK = clock_cost()
+CLOCK_COST = clock_cost()
 
 
 def measure(message: Any) -> Size:
+    """Return the size of an object in CBOR, and the processor time to encode and to decode it."""
     began = time.process_time()
     data = cbor2.dumps(message)
     between = time.process_time()
     cbor2.loads(data)
     ended = time.process_time()
-    return Size(len(data), max(0.0, between - began - CLOCK), max(0.0, ended - between - CLOCK))
+    return Size(len(data), max(0.0, between - began - CLOCK_COST), max(0.0, ended - between - CLOCK_COST))
 
 
 @dataclass(slots=True)
 class Sizes:
-    """Sizes of messages.  A list that goes to many is encoded once here, and counts each time; of small messages of one
-    shape one in `EACH` is timed, the others take as long as these on the mean."""
+    """Sizes of messages.
 
-    held: dict[int, tuple[list[Any], Size]] = field(default_factory=dict)
-    shapes: dict[tuple[str, ...], list[float]] = field(
-        default_factory=dict
-    )  # seen, timed, seconds of each way
+    A list that goes to many nodes is encoded once here, and counted each time.  Of the small messages with
+    the same fields, one in `TIMED_ONE_IN` is timed; the others count with the mean of these times.
+    """
+
+    cached: dict[int, tuple[list[Any], Size]] = field(default_factory=dict)
+    # By the names of the fields: messages seen, messages timed, seconds to encode and seconds to decode
+    # these.
+    shapes: dict[tuple[str, ...], list[float]] = field(default_factory=dict)
 
     def of(self, message: Message) -> Size:
-        """Return the size of a message, and the times of its way between an object and bytes."""
+        """Return the size of a message, and the times to convert it from an object to bytes and back."""
         began = time.process_time()
         fields = codec.to_fields(message)
         between = time.process_time()
@@ -110,39 +120,43 @@
         )
         ended = time.process_time()
         size = self.of_fields(fields)
-        dumps, loads = max(0.0, between - began - CLOCK), max(0.0, ended - between - CLOCK)
+        dumps, loads = max(0.0, between - began - CLOCK_COST), max(0.0, ended - between - CLOCK_COST)
         return Size(size.bytes, size.dumps + dumps, size.loads + loads)
 
     def of_fields(self, message: dict[str, Any]) -> Size:
-        for name in LONG:
+        """Return the size of a message given by its fields, and the times to encode and decode these."""
+        for name in SHARED_FIELDS:
             if message["k"] == "echo" and isinstance(rows := message.get(name), list | tuple):
-                whole = self.whole(rows)
-                rest = self.small({key: value for key, value in message.items() if key != name})
+                whole = self.rows_size(rows)
+                rest = self.small_size({key: value for key, value in message.items() if key != name})
                 return Size(rest.bytes + 2 + whole.bytes, rest.dumps + whole.dumps, rest.loads + whole.loads)
-        return self.small(message) if message["k"] in SMALL else measure(message)
-
-    def whole(self, rows: Any) -> Size:
-        if id(rows) not in self.held:
-            if len(self.held) > 64:
-                self.held.clear()
-            self.held[id(rows)] = (rows, measure(rows))
-        return self.held[id(rows)][1]
-
-    def small(self, message: dict[str, Any]) -> Size:
-        """A beat or an echo, whose encoding takes as long as that of others with the same fields."""
+        return self.small_size(message) if message["k"] in SMALL_KINDS else measure(message)
+
+    def rows_size(self, rows: Any) -> Size:
+        """Return the size of a shared list; the sizes of up to 65 lists are cached by their identity."""
+        if id(rows) not in self.cached:
+            if len(self.cached) > 64:
+                self.cached.clear()
+            self.cached[id(rows)] = (rows, measure(rows))
+        return self.cached[id(rows)][1]
+
+    def small_size(self, message: dict[str, Any]) -> Size:
+        """Return the size of a beat or an echo, whose encoding takes as long as that of others with the same
+        fields."""
         if "z" in message:
             return measure(message)
         shape = self.shapes.setdefault(tuple(message), [0, 0, 0.0, 0.0])
         shape[0] += 1
-        if shape[0] % EACH == 1:
+        if shape[0] % TIMED_ONE_IN == 1:
             size = measure(message)
             shape[1:] = shape[1] + 1, shape[2] + size.dumps, shape[3] + size.loads
             return size
         return Size(len(cbor2.dumps(message)), shape[2] / shape[1], shape[3] / shape[1])
 
 
-def weigh(root: object) -> int:
-    """Bytes of all that an object holds, as if it shared none of it; code and classes are left out."""
+def deep_size(root: object) -> int:
+    """Return the bytes of an object and of all that it references, as if it shared none of it with other
+    objects; functions, modules and classes are left out."""
     seen: set[int] = set()
     todo, total = [root], 0
     while todo:
@@ -156,123 +170,143 @@
 
 
 class World:
-    """`doors` hollow doors, the first `core` of them with a disk, spread over zones and regions by turns."""
+    """A fleet of simulated nodes, the first `core` of them with a disk, spread round-robin over zones and
+    regions."""
 
     def __init__(
-        self, doors: int, services: int = 20, servers: int = 180, core: int = CORE, seed: int = 1,
+        self, nodes: int, services: int = 20, servers: int = 180, core: int = CORE, seed: int = 1,
         zones: int = ZONES, regions: int = REGIONS,
     ) -> None:  # fmt: skip
         self.random, self.now = random.Random(seed), 100.0
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.numbers = itertools.count()  # of events: those of one time happen in their order
-        self.list: Listing = listing(services, servers, zones)
-        self.cut: Callable[[Hollow, Hollow], bool] = lambda source, to: False
+        self.event_numbers = itertools.count()  # events of the same time run in the order of their numbers
+        self.server_list: Listing = listing(services, servers, zones)
+        self.is_cut: Callable[[SimulatedNode, SimulatedNode], bool] = lambda source, to: False
         self.sizes = Sizes()
-        self.last: tuple[Message, Size] | None = None  # the message that was sent last, and its size
+        self.last_encoded: tuple[Message, Size] | None = None  # the message that was sent last, and its size
         self.kinds: dict[tuple[str, str], Kind] = {}
-        self.dancing = doors < LARGE  # doors at rest look whom they would tell; among the most it is left out
-        self.answers: dict[
-            int, tuple[float, bool]
-        ] = {}  # orders that ended: when, and whether they were taken
-        self.doors: dict[str, Hollow] = {}
+        # Whether nodes without requests compute to whom they would send a load report; not in the largest
+        # fleets.
+        self.idle_reports = nodes < LARGE_FLEET
+        # By token, the proposals that ended: when, and whether they succeeded.
+        self.proposal_results: dict[int, tuple[float, bool]] = {}
+        self.nodes: dict[str, SimulatedNode] = {}
         seeds = [self.address(n) for n in range(3)]
-        for n in range(doors):
+        for n in range(nodes):
             zone = n % zones
-            door = Hollow(self.address(n), f"zone-{zone}", f"region-{zone % regions}", n < core, seeds)
-            door.listing = lambda: self.list
-            self.doors[door.ip] = door
-        self.meters = {ip: Meter() for ip in self.doors}
-        for door in self.doors.values():
-            if door.disk or doors < LARGE:
-                self.start(door, first=True)
+            node = SimulatedNode(self.address(n), f"zone-{zone}", f"region-{zone % regions}", n < core, seeds)
+            node.listing = lambda: self.server_list
+            self.nodes[node.ip] = node
+        self.meters = {ip: Meter() for ip in self.nodes}
+        for node in self.nodes.values():
+            if node.disk or nodes < LARGE_FLEET:
+                self.start(node, first=True)
 
     @staticmethod
     def address(n: int) -> str:
+        """Return the IP address of the node with a number, counted from 0."""
         return f"10.200.{n >> 8}.{n & 255}"
 
     # --- time ---------------------------------------------------------------------------------------------
 
-    def at(self, when: float, what: Callable[..., None], *given: Any) -> None:
-        heapq.heappush(self.events, (when, next(self.numbers), what, given))
+    def schedule(self, when: float, what: Callable[..., None], *given: Any) -> None:
+        """Have a function called with the given arguments at a simulated time, in seconds."""
+        heapq.heappush(self.events, (when, next(self.event_numbers), what, given))
 
     def run(self, seconds: float) -> None:
+        """Advance simulated time, and run all events that are due until then."""
         end, events = self.now + seconds, self.events
         while events and events[0][0] <= end:
             self.now, _, what, given = heapq.heappop(events)
             what(*given)
         self.now = end
 
-    # --- lives ----------------------------------------------------------------------------------------------
+    # --- starts and ends of nodes -----------------------------------------------------------------------
 
-    def start(self, door: Hollow, first: bool = False) -> None:
-        door.start(self.now, first)
-        life = door.lives
-        self.at(self.now + self.random.random() * TICK, self.tick, door, life)
+    def start(self, node: SimulatedNode, first: bool = False) -> None:
+        """Start a node, and have it tick from a random time within `TICK` on; `first`: the fleet's first
+        start."""
+        node.start(self.now, first)
+        starts = node.starts
+        self.schedule(self.now + self.random.random() * TICK, self.tick, node, starts)
 
-    def kill(self, door: Hollow) -> None:
-        door.core = None
+    def kill(self, node: SimulatedNode) -> None:
+        """End a node at once; its disk stays."""
+        node.instance = None
 
-    def up(self) -> list[Hollow]:
-        return [door for door in self.doors.values() if door.core is not None]
+    def running_nodes(self) -> list[SimulatedNode]:
+        """Return the nodes that are started and not killed."""
+        return [node for node in self.nodes.values() if node.instance is not None]
 
-    def tick(self, door: Hollow, life: int) -> None:
-        if door.core is None or door.lives != life:
+    def tick(self, node: SimulatedNode, starts: int) -> None:
+        """Call a node's tick and schedule the next one, unless the node has ended or restarted since."""
+        if node.instance is None or node.starts != starts:
             return
-        self.call(door, "tick", 0, 0.0, lambda: door.tick(self.now, self.dancing))
-        self.at(self.now + door.pause(), self.tick, door, life)
+        self.call(node, "tick", 0, 0.0, lambda: node.tick(self.now, self.idle_reports))
+        self.schedule(self.now + node.tick_interval(), self.tick, node, starts)
 
     # --- calls and messages -----------------------------------------------------------------------------------
 
-    def call(self, door: Hollow, kind: str, size: int, codec: float, what: Callable[[], Any]) -> None:
-        """One call of a core, timed, and what it brings about."""
+    def call(self, node: SimulatedNode, kind: str, size: int, codec: float, what: Callable[[], Any]) -> None:
+        """Call into a node, add the processor time to its figures, and apply the effects of the call."""
         began = time.process_time()
-        effects = door.effects(self.now, what())
-        spent = max(0.0, time.process_time() - began - CLOCK)
-        meter = self.meters[door.ip]
+        effects = node.effects(self.now, what())
+        spent = max(0.0, time.process_time() - began - CLOCK_COST)
+        meter = self.meters[node.ip]
         meter.core += spent
         meter.codec += codec
-        entry = self.kinds.setdefault(("core" if door.disk else "door", kind), Kind())
+        entry = self.kinds.setdefault(("core" if node.disk else "door", kind), Kind())
         entry.count += 1
         entry.bytes += size
         entry.seconds += spent
-        self.carry_out(door, effects)
+        self.apply_effects(node, effects)
 
-    def carry_out(self, door: Hollow, effects: Effects) -> None:
+    def apply_effects(self, node: SimulatedNode, effects: Effects) -> None:
+        """Send a node's messages, schedule the ends of its disk writes, and note the results of its
+        proposals."""
         for to, message in effects.sends:
-            self.send(door, to, message)
+            self.send(node, to, message)
         for save in effects.saves:
-            self.at(self.now + SYNC, self.synced, door, door.lives, save)
+            self.schedule(self.now + DISK_WRITE, self.on_saved, node, node.starts, save)
         for token, good in effects.done:
-            self.answers[token] = (self.now, good)
+            self.proposal_results[token] = (self.now, good)
 
-    def synced(self, door: Hollow, life: int, save: Any) -> None:
-        if door.core is not None and door.lives == life:
-            self.call(door, "synced", 0, 0.0, lambda: door.synced(self.now, save))
+    def on_saved(self, node: SimulatedNode, starts: int, save: Any) -> None:
+        """Report the end of a disk write to a node, unless the node has ended or restarted since."""
+        if node.instance is not None and node.starts == starts:
+            self.call(node, "synced", 0, 0.0, lambda: node.on_saved(self.now, save))
 
-    def send(self, source: Hollow, ip: str, message: Message) -> None:
-        to = self.doors.get(ip)
+    def send(self, source: SimulatedNode, ip: str, message: Message) -> None:
+        """Count a message and schedule its arrival, unless the link is cut or no node has the address."""
+        to = self.nodes.get(ip)
         if to is None:
             return
         meter = self.meters[source.ip]
-        if self.last is None or self.last[0] is not message:  # one that goes to many is encoded once
-            self.last = message, self.sizes.of(message)
-            meter.codec += self.last[1].dumps
-        size = self.last[1]
+        # A message that goes to many nodes is encoded once.
+        if self.last_encoded is None or self.last_encoded[0] is not message:
+            self.last_encoded = message, self.sizes.of(message)
+            meter.codec += self.last_encoded[1].dumps
+        size = self.last_encoded[1]
         meter.out += 1
         meter.out_bytes += size.bytes
-        meter.calls += size.bytes > MOST_DATAGRAM
-        if self.cut(source, to):
+        meter.calls += size.bytes > MAX_DATAGRAM
+        if self.is_cut(source, to):
             return
-        way = NEAR if source.region == to.region else FAR
-        when = self.now + way * (1 + self.random.random() * 0.2)
-        self.at(when, self.arrive, source, to, message, size)
+        delay = DELAY_IN_REGION if source.region == to.region else DELAY_BETWEEN_REGIONS
+        when = self.now + delay * (1 + self.random.random() * 0.2)
+        self.schedule(when, self.arrive, source, to, message, size)
 
-    def arrive(self, source: Hollow, to: Hollow, message: Message, size: Size) -> None:
-        if to.core is None:
+    def arrive(self, source: SimulatedNode, to: SimulatedNode, message: Message, size: Size) -> None:
+        """Count a message at its receiver, and have the receiver handle it, unless it is not running."""
+        if to.instance is None:
             return
         meter = self.meters[to.ip]
         meter.came += 1
         meter.came_bytes += size.bytes
         self.call(
-            to, codec.kind_of(message), size.bytes, size.loads, lambda: to.heard(self.now, source.ip, message)
+            to,
+            codec.kind_of(message),
+            size.bytes,
+            size.loads,
+            lambda: to.receive(self.now, source.ip, message),
         )
