--- a/bench/scale/words.py
+++ b/bench/scale/words.py
@@ -91,7 +91,7 @@
     found = {f"{verb}_s": time.process_time() - began}
     found[f"{verb}_peak"] = peak_memory() - before + len(body)
     if verb == "read":
-        found["held"] = deep_size(result.word)
+        found["held"] = deep_size(result.configuration)
     if verb == "pack":
         began = time.process_time()
         unpack_configuration(result)
