--- a/bench/drawn.py
+++ b/bench/drawn.py
@@ -21,6 +21,7 @@
 
 from bench.plays import CLOSINGS, Entry, Play, day_text, play_day
 
+# How machines come back, as words of `how`.
 RETURNS = (
     "",
     "meet",
@@ -30,7 +31,7 @@
     "meet race",
     "meet drain",
     "hard race",
-)  # how machines come back, as words of `how`
+)
 WHICH = ("", "turn", "leader", "reader", "seed")  # which machines a fault hits, as words of `how`
 SERVERS = ("", "across")
 CUTS = ("", "reset", "refuse")
--- a/bench/scale/model.py
+++ b/bench/scale/model.py
@@ -163,8 +163,10 @@
     for of in ("rest", "news", "leases"):
         if all(kind in play["phases"][of]["kinds"] for play in f.services.values()):
             return max(
-                0.0, with_services(f, lambda p, of=of: call_time(p, of, kind)) - call_time(few, of, kind)
-            )  # type: ignore[misc]
+                0.0,
+                with_services(f, lambda p, of=of: call_time(p, of, kind))  # type: ignore[misc]
+                - call_time(few, of, kind),
+            )
     return 0.0
 
 
--- a/bench/scale/phases.py
+++ b/bench/scale/phases.py
@@ -70,10 +70,11 @@
             if node.instance is None:
                 self.world.start(node, first=True)
         self.wait(lambda: self.settled(1))
+        # Seconds of processor time until then, as the mean of the nodes with and of those without a disk.
         self.started = {
             role: sum(self.world.meters[node.ip].core for node in nodes) / max(1, len(nodes))
             for role, nodes in (("core", self.core), ("door", self.diskless))
-        }  # seconds of processor time of a node of each role until then
+        }
         # Until the last updates of the start have reached all nodes: a beat between regions, and one more.
         self.world.run(3.0 if nodes < LARGE_FLEET else 2.1)
 
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -79,9 +79,8 @@
 
     sends: list[tuple[str, Message]] = field(default_factory=list)
     saves: list[Save] = field(default_factory=list)
-    done: list[tuple[int, bool]] = field(
-        default_factory=list
-    )  # tokens of ended proposals, and whether they succeeded
+    # Tokens of the proposals that ended, and whether they succeeded.
+    done: list[tuple[int, bool]] = field(default_factory=list)
 
 
 def check_configuration(body: bytes) -> int:
