--- a/bench/scale/__init__.py
+++ b/bench/scale/__init__.py
@@ -1,1 +1,1 @@
-"""bench.scale: hollow doors, many in one process on simulated time, and what they cost as the fleet grows."""
+"""The cost of the system as the fleet grows, measured with many nodes in one process on simulated time."""
