--- a/hazelspring/lab/models/alertserver.py
+++ b/hazelspring/lab/models/alertserver.py
@@ -10,7 +10,6 @@
 
 EPS = 1e-9  # seconds of work, tolerance for rounding errors
 STEP = 0.1  # seconds for which the capacity of a server that is warming up is taken as constant
-UTIL_SPAN = 0.5  # seconds over which a load report averages
 
 
 @dataclass(frozen=True, slots=True)
--- a/hazelspring/lab/rules.py
+++ b/hazelspring/lab/rules.py
@@ -31,7 +31,6 @@
     3.0  # seconds within which a client that sends no proper request must get an error or a close
 )
 CRASH_WINDOW = 0.5  # seconds after a kill in which a broken connection is attributed to the kill
-MOST_SHOWN = 50  # breaches of one rule
 REFUSED = (429, 503)
 RAN = ("begun", "dropped")  # verdicts after which a request may have taken effect
 
--- a/hazelspring/lab/stands/servers.py
+++ b/hazelspring/lab/stands/servers.py
@@ -33,7 +33,6 @@
 LISTEN_BACKLOG = 512
 CLOCK_OFFSET_S = 1000.0  # seconds by which the clock starts below 0, until the runner sends the start time
 STATS_PERIOD_S = 1.0  # seconds between reports to the runner
-EMPTY = b"HTTP/1.1 %s\r\nContent-Length: 0\r\n%s\r\n"
 REFUSAL_STATUSES = {Verdict.FULL: b"503 Busy", Verdict.DRAINING: b"503 Draining", Verdict.FALLEN: b"503 Down"}
 
 
