--- a/hazelspring/lab/cli.py
+++ b/hazelspring/lab/cli.py
@@ -30,17 +30,26 @@
 
 
 class PlayError(Exception):
-    """The stage process could not play the day, or ended early; the message gives the reason."""
-
-
-class Stage:
-    """The command's connection to the stage process.  The folder of the play exists until `close`."""
-
-    def __init__(self, day: Day, seed: int, door: tuple[str, ...] = (), root: str = "") -> None:
-        play = Play(day.model_dump_json(by_alias=True), seed, secrets.token_hex(16), "", door=door, root=root)
+    """The runner process could not play the day, or ended early; the message gives the reason."""
+
+
+class RunnerProcess:
+    """The command's connection to the runner process.  The folder of the play exists until `close`."""
+
+    def __init__(
+        self, day: Day, seed: int, gateway_command: tuple[str, ...] = (), gateway_root: str = ""
+    ) -> None:
+        play = Play(
+            day.model_dump_json(by_alias=True),
+            seed,
+            secrets.token_hex(16),
+            "",
+            gateway_command=gateway_command,
+            gateway_root=gateway_root,
+        )
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "hazelspring.lab.stage"], stdin=subprocess.PIPE, stdout=subprocess.PIPE,
-            cwd=ROOT, start_new_session=True,
+            [sys.executable, "-m", "hazelspring.lab.play_runner"], stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE, cwd=ROOT, start_new_session=True,
         )  # fmt: skip
         assert self.process.stdin is not None and self.process.stdout is not None
         self.stdin: IO[bytes] = self.process.stdin
@@ -49,9 +58,9 @@
         self.stdin.flush()
 
     def lines(self) -> Iterator[dict[str, Any]]:
-        """Yield the events that the stage process prints, up to and including `done`.
+        """Yield the events that the runner process prints, up to and including `done`.
 
-        Raises PlayError when the stage process reports a failure or ends before `done`.
+        Raises PlayError when the runner process reports a failure or ends before `done`.
         """
         for line in self.stdout:
             event = msgspec.json.decode(line)
@@ -60,7 +69,7 @@
             yield event
             if "done" in event:
                 return
-        raise PlayError("the stage process ended before the play was done")
+        raise PlayError("the runner process ended before the play was done")
 
     def finish(self) -> None:
         """Stop sending new attempts; the play ends once the open attempts have ended."""
@@ -69,7 +78,7 @@
             self.stdin.flush()
 
     def close(self) -> None:
-        """Close the pipe, at which the stage process cleans up, and wait until that process has ended."""
+        """Close the pipe, at which the runner process cleans up, and wait until that process has ended."""
         with contextlib.suppress(OSError):
             self.stdin.close()
         self.process.wait()
@@ -135,8 +144,8 @@
             f"{load['open']}", f"{load['p50'] * 1e3:.0f}", f"{load['p99'] * 1e3:.0f}", f"{counter['calls']}",
         )  # fmt: skip
         gateways = Table("gateway", "client address", "operator address", "processes")
-        for door in event["doors"]:
-            gateways.add_row(door["name"], door["listen"], door["management"], str(door["processes"]))
+        for row in event["doors"]:
+            gateways.add_row(row["name"], row["listen"], row["management"], str(row["processes"]))
         grid = Table.grid()
         grid.add_row(table)
         grid.add_row(gateways)
@@ -147,21 +156,22 @@
     day: Day,
     seed: int,
     title: str,
-    door: tuple[str, ...] = (),
-    root: str = "",
+    gateway_command: tuple[str, ...] = (),
+    gateway_root: str = "",
     quiet: bool = False,
     signals: bool = True,
     report: Path | None = None,
 ) -> tuple[dict[str, Any], dict[str, Any]]:
     """Play a day; return its figures and the breaches of each rule.  Raises PlayError.
 
-    `door` and `root` are the command and the folder of another gateway, used instead of this checkout's.
-    `signals` says whether SIGINT ends the play early; only the main thread can handle signals.
+    `gateway_command` and `gateway_root` are the command and the folder of another gateway, used instead of
+    this checkout's.  `signals` says whether SIGINT ends the play early; only the main thread can handle
+    signals.
     """
     from hazelspring.lab.figures import figures
     from hazelspring.lab.rules import PlayRecords, judge
 
-    stage = Stage(day, seed, door, root)
+    runner = RunnerProcess(day, seed, gateway_command, gateway_root)
     interrupted = False
 
     def interrupt(*_: object) -> None:
@@ -169,12 +179,12 @@
         if interrupted:
             raise KeyboardInterrupt
         interrupted = True
-        stage.finish()
+        runner.finish()
 
     previous = signal.signal(signal.SIGINT, interrupt) if signals else None
     try:
         with View(day, title) as view:
-            for event in stage.lines():
+            for event in runner.lines():
                 if "started" in event and not quiet:
                     view.print_line(f"front doors: {', '.join(event['started'].values())}")
                 elif "stats" in event and not quiet:
@@ -195,8 +205,8 @@
     finally:
         if signals:
             signal.signal(signal.SIGINT, previous)
-        stage.close()
-    raise PlayError("the stage process ended before the play was done")
+        runner.close()
+    raise PlayError("the runner process ended before the play was done")
 
 
 def revision() -> str:
@@ -350,7 +360,7 @@
 
         def play_side(side: int, number: int) -> dict[str, Any]:
             built = sides[side]
-            found, _ = play(chosen_day, number, day, built.door, str(built.root), quiet=True)
+            found, _ = play(chosen_day, number, day, built.gateway_command, str(built.root), quiet=True)
             return found | {"revision": built.commit}
 
         ours, theirs = collect(plays, seed, play_side, click.echo)
--- a/hazelspring/lab/compare.py
+++ b/hazelspring/lab/compare.py
@@ -11,7 +11,7 @@
 
 import numpy as np
 
-from hazelspring.lab.models.chance import stream
+from hazelspring.lab.models.random_streams import stream
 
 ROOT = Path(__file__).parent.parent.parent
 BUILDS = ROOT / ".lab"  # worktrees and virtual environments, kept for reuse
@@ -38,7 +38,7 @@
     root: Path
 
     @property
-    def door(self) -> tuple[str, ...]:
+    def gateway_command(self) -> tuple[str, ...]:
         """The command that starts the gateway of this revision."""
         renamed = (self.root / "hazelspring" / "gateway").is_dir()
         module = "hazelspring.gateway" if renamed else "ivymux"  # the package's name in older revisions
--- a/hazelspring/lab/wrongdoor.py
+++ b/hazelspring/lab/faulty_gateway.py
@@ -1,6 +1,6 @@
 """A minimal gateway with a deliberate fault, to prove that the lab's rules detect it.
 
-It forwards requests and does nothing else.  `python -m hazelspring.lab.wrongdoor [FAULT]` takes the same
+It forwards requests and does nothing else.  `python -m hazelspring.lab.faulty_gateway [FAULT]` takes the same
 environment as a real gateway.  FAULT names the one rule that it breaks; without it, it breaks none.
 """
 
--- a/hazelspring/lab/models/customers.py
+++ b/hazelspring/lab/models/customers.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from hazelspring.lab.models.chance import stream, within
+from hazelspring.lab.models.random_streams import stream, within
 
 CALM_USE = (0.15, 0.5)  # requested share of the quota rate, unless a customer is in FULL or HEAVY
 FULL = (0.088, 0.22)  # share of the customers that use nearly all of their quota
--- a/hazelspring/lab/plan.py
+++ b/hazelspring/lab/plan.py
@@ -13,8 +13,8 @@
 
 from hazelspring.lab.day import GATEWAY_FAULTS, SERVER_FAULTS, Day, Fault
 from hazelspring.lab.models.alertserver import ServerSpec
-from hazelspring.lab.models.chance import stream, within
 from hazelspring.lab.models.customers import CLASSES, Arrivals, draw, tariffs_of
+from hazelspring.lab.models.random_streams import stream, within
 
 KINDS = ("full-box", "old-box")
 OLD_SHARE = 0.32  # share of the alert servers that are of the second, slower kind
@@ -35,9 +35,9 @@
     seed: int
     secret: str  # alert servers sign their responses with it; no gateway knows it
     folder: str
-    hosts: int = 2  # number of processes that run the alert servers
-    door: tuple[str, ...] = ()  # command that starts a gateway; empty: the gateway of this checkout
-    root: str = ""  # folder in which that command is started
+    server_process_count: int = 2  # number of processes that run the alert servers
+    gateway_command: tuple[str, ...] = ()  # starts a gateway; empty: the gateway of this checkout
+    gateway_root: str = ""  # folder in which that command is started
 
     def parsed(self) -> Day:
         """Return the day that `day` holds as JSON."""
--- a/hazelspring/lab/stage.py
+++ b/hazelspring/lab/play_runner.py
@@ -25,13 +25,13 @@
 
 import msgspec
 
-from hazelspring.lab.models.chance import stream, within
 from hazelspring.lab.models.counter import Counter, CounterSpec
 from hazelspring.lab.models.discovery import Discovery, Health, Host
+from hazelspring.lab.models.random_streams import stream, within
 from hazelspring.lab.plan import KINDS, Happening, Play, happenings, servers_of, settings_of
 from hazelspring.lab.record import Note, Recorder, Sample
-from hazelspring.lab.stands.child import Message, clock, run_child, send
-from hazelspring.lab.stands.hub import ServiceListeners, SimulatedAgent, SimulatedCounter
+from hazelspring.lab.simulators.child_process import Message, clock, run_child, send
+from hazelspring.lab.simulators.services import ServiceListeners, SimulatedAgent, SimulatedCounter
 
 READY_POLL_S = 0.05  # seconds between checks whether a gateway is ready
 START_DELAY_S = 0.5  # seconds between the start message and the start of the play
@@ -364,8 +364,8 @@
     def __init__(self, play: Play) -> None:
         self.play, self.day = play, play.parsed()
         self.root = Path(__file__).parent.parent.parent
-        self.gateway_command = play.door or (sys.executable, "-m", "hazelspring.gateway")
-        self.gateway_root = play.root or str(self.root)
+        self.gateway_command = play.gateway_command or (sys.executable, "-m", "hazelspring.gateway")
+        self.gateway_root = play.gateway_root or str(self.root)
         self.tasks: set[asyncio.Task[None]] = set()
         self.now: Callable[[], float] = clock(time.monotonic() + 1000.0)
         folder = Path(play.folder)
@@ -421,10 +421,10 @@
     async def start_fleet(self) -> None:
         """Start all simulators, then all gateways.  Raises RuntimeError if one does not become ready."""
         self.server_processes = [
-            await self.start_simulator("hazelspring.lab.stands.servers", str(n))
-            for n in range(self.play.hosts)
+            await self.start_simulator("hazelspring.lab.simulators.servers", str(n))
+            for n in range(self.play.server_process_count)
         ]
-        self.load = await self.start_simulator("hazelspring.lab.stands.load")
+        self.load = await self.start_simulator("hazelspring.lab.simulators.clients")
         ports: dict[str, list[int]] = {}
         for host in self.server_processes:
             ports |= await host.receive("dials")
@@ -649,7 +649,12 @@
         await asyncio.gather(*stats_tasks[1:])
         self.note("counter calls", value=self.counter.calls)
         for key in ("handshakes", "probes"):
-            self.note(key, value=sum(self.stats[f"servers{n}"].get(key, 0) for n in range(self.play.hosts)))
+            self.note(
+                key,
+                value=sum(
+                    self.stats[f"servers{n}"].get(key, 0) for n in range(self.play.server_process_count)
+                ),
+            )
         for key in ("sent", "late", "most_late", "cpu"):
             self.note(f"load {key}", value=self.stats["load"].get(key, 0))
         self.notes.flush()
--- a/hazelspring/lab/record.py
+++ b/hazelspring/lab/record.py
@@ -1,4 +1,4 @@
-"""The records that the stand-ins write to the folder of a play, and that the rules read.
+"""The records that the simulators and the play runner write to the folder of a play, and that the rules read.
 
 Times are in seconds since the start of the play.
 """
--- a/hazelspring/lab/report.py
+++ b/hazelspring/lab/report.py
@@ -137,7 +137,7 @@
     breaches: dict[str, list[Breach]],
     raw: Path,
 ) -> Path:
-    """Write `index.html`, `series.jsonl` and copies of the stand-ins' records; return the page's path."""
+    """Write `index.html`, `series.jsonl` and copies of the play's records; return the page's path."""
     folder.mkdir(parents=True, exist_ok=True)
     rows = series(records)
     (folder / "series.jsonl").write_bytes(msgspec.json.Encoder().encode_lines(rows))
--- a/hazelspring/lab/rules.py
+++ b/hazelspring/lab/rules.py
@@ -1,4 +1,4 @@
-"""The rules, as pure functions over the records of the stand-ins.
+"""The rules, as pure functions over the records of the simulators and of the play runner.
 
 They use nothing that a gateway reports about itself.
 """
--- a/hazelspring/lab/stands/load.py
+++ b/hazelspring/lab/simulators/clients.py
@@ -16,8 +16,8 @@
 
 import httptools
 
-from hazelspring.lab.models.chance import stream
 from hazelspring.lab.models.customers import CLASSES, again_after, manners_of
+from hazelspring.lab.models.random_streams import stream
 from hazelspring.lab.plan import (
     MOST_WAIT,
     Play,
@@ -28,7 +28,7 @@
     request_id,
 )
 from hazelspring.lab.record import Recorder, Rude, Try
-from hazelspring.lab.stands.child import Message, clock, freeze_heap, run_child, send
+from hazelspring.lab.simulators.child_process import Message, clock, freeze_heap, run_child, send
 
 ANSWER_GRACE_S = 0.5  # seconds past its time-out for which an attempt still accepts an answer
 CONNECT_TIMEOUT_S = 1.0  # seconds within which a connection has to be established
--- a/hazelspring/lab/stands/servers.py
+++ b/hazelspring/lab/simulators/servers.py
@@ -14,9 +14,9 @@
 import httptools
 
 from hazelspring.lab.models.alertserver import AlertServer, Rack, ServerSpec, Verdict
-from hazelspring.lab.models.chance import stream
 from hazelspring.lab.models.customers import CLASSES, Arrivals
 from hazelspring.lab.models.network import Network, Trouble
+from hazelspring.lab.models.random_streams import stream
 from hazelspring.lab.plan import (
     Happening,
     Play,
@@ -28,7 +28,7 @@
     servers_of,
 )  # fmt: skip
 from hazelspring.lab.record import Arrival, Note, Recorder
-from hazelspring.lab.stands.child import Message, clock, freeze_heap, run_child, send
+from hazelspring.lab.simulators.child_process import Message, clock, freeze_heap, run_child, send
 
 LISTEN_BACKLOG = 512
 CLOCK_OFFSET_S = 1000.0  # seconds by which the clock starts below 0, until the runner sends the start time
@@ -385,7 +385,7 @@
         self.servers = {
             index: SimulatedServer(self, index, spec, racks.setdefault(spec.rack, Rack()))
             for index, spec in enumerate(servers_of(self.day, play.seed))
-            if spec.rack % play.hosts == part
+            if spec.rack % play.server_process_count == part
         }
         self.network = Network()
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,11 +17,11 @@
 from hazelspring.lab.day import Day, DayError, load_day, shipped
 from hazelspring.lab.figures import figures
 from hazelspring.lab.models.alertserver import AlertServer, Rack, ServerSpec, Verdict
-from hazelspring.lab.models.chance import stream
 from hazelspring.lab.models.counter import Counter, CounterSpec
 from hazelspring.lab.models.customers import RetryPolicy, again_after
 from hazelspring.lab.models.discovery import Discovery, Health, Host
 from hazelspring.lab.models.network import Network, Trouble
+from hazelspring.lab.models.random_streams import stream
 from hazelspring.lab.plan import arrivals_of, happenings, place_of, request_id, servers_of
 from hazelspring.lab.record import Arrival, Note, Recorder, Rude, Sample, Try, read
 from hazelspring.lab.rules import RULES, PlayRecords, judge
--- a/tests/test_lab_play.py
+++ b/tests/test_lab_play.py
@@ -38,7 +38,10 @@
             state = (path.parent / "stat").read_text().rpartition(")")[2].split()[0]
         except OSError:
             continue
-        if re.search(r"hazelspring\.lab\.st|-m hazelspring\.gateway", text) and state != "Z":
+        if (
+            re.search(r"hazelspring\.lab\.(play_runner|simulators)|-m hazelspring\.gateway", text)
+            and state != "Z"
+        ):
             found.add(f"{path.parent.name} {text}")
     return found - known
 
@@ -53,7 +56,7 @@
             "allow": {"beyond_quota": 0.01 if fault == "quotas" else 1.0},
         }
     )  # fmt: skip
-    gateway_command = (sys.executable, "-m", "hazelspring.lab.wrongdoor", fault)
+    gateway_command = (sys.executable, "-m", "hazelspring.lab.faulty_gateway", fault)
     found, breaches = play(day, 1, fault, gateway_command, quiet=True, signals=False)
     assert found["requests"]["served"] > 20
     return {name: len(listed) for name, listed in breaches.items() if listed}
