--- a/hazelspring/lab/cli.py
+++ b/hazelspring/lab/cli.py
@@ -290,7 +290,7 @@
     for name in shipped():
         day = load_day(name)
         click.echo(
-            f"{name:18} {day.length_s:4.0f} s  {day.doors:3} doors {day.servers:3} servers  {day.about}"
+            f"{name:18} {day.length_s:4.0f} s  {day.doors:3} gateways {day.servers:3} servers  {day.about}"
         )
 
 
--- a/hazelspring/lab/day.py
+++ b/hazelspring/lab/day.py
@@ -101,7 +101,7 @@
                 raise ValueError(f"faults.{number}.kind: a zone can only be lost where there are two or more")
         return self
 
-    def passed(self) -> bool:
+    def passes_listening_socket(self) -> bool:
         """Whether the platform holds the listening sockets and passes them to the gateways."""
         return any(fault.kind in SOCKET_PASSING_FAULTS for fault in self.faults)
 
--- a/hazelspring/lab/figures.py
+++ b/hazelspring/lab/figures.py
@@ -101,7 +101,7 @@
         "handshakes_per_request": records.value("handshakes") / each,
         "counter_calls_per_request": records.value("counter calls") / each,
         "probes_per_request": records.value("probes") / each,
-        "door": door_figures(records, each),
+        "door": gateway_figures(records, each),
         "load": {
             "tries": len(records.attempts), "late_share": records.value("load late") / sent,
             "most_late_ms": records.value("load most_late") * 1e3,
@@ -111,7 +111,7 @@
     }  # fmt: skip
 
 
-def door_figures(records: PlayRecords, requests: int) -> dict[str, float]:
+def gateway_figures(records: PlayRecords, requests: int) -> dict[str, float]:
     """Compute CPU time per request without that of starts, the mean CPU time of a start, and peak usage.
 
     The peaks of memory and of descriptors are those of the one gateway with the highest value.
--- a/hazelspring/lab/models/alertserver.py
+++ b/hazelspring/lab/models/alertserver.py
@@ -46,7 +46,7 @@
     FULL = "full"
     DRAINING = "draining"
     DROPPED = "dropped"  # its rack has the same key already: answered when the first request ends
-    FALLEN = "fallen"
+    OVERLOADED = "fallen"  # it has failed by overload
 
 
 @dataclass(slots=True)
@@ -91,7 +91,7 @@
         self.running: list[tuple[float, int, Work]] = []
         self.waiting: deque[Work] = deque()
         self.number = 0
-        self.draining = self.fallen = False
+        self.draining = self.overloaded = False
         self.slow = 1.0  # the share of the machine that another program leaves to it
         self.stalled = False
         self.connections = 0
@@ -109,7 +109,7 @@
     def pace(self, now: float) -> float:
         """Return the work per second that each running request receives."""
         count = len(self.running)
-        if not count or self.stalled or self.fallen:
+        if not count or self.stalled or self.overloaded:
             return 0.0
         spec = self.spec
         excess = max(0.0, count / spec.cores - spec.thrash_at)
@@ -118,7 +118,7 @@
 
     def connect(self, now: float) -> bool:
         """Accept a connection if there is room for it, and return whether it was accepted."""
-        if self.fallen or self.connections >= self.spec.connections:
+        if self.overloaded or self.connections >= self.spec.connections:
             return False
         self.connections += 1
         return True
@@ -126,15 +126,15 @@
     def begin(self, now: float, token: object, work: float, key: str = "", fresh: bool = False) -> Verdict:
         """Handle a request that was received completely; `fresh` if it is the first on its connection."""
         self.advance(now)
-        if self.fallen:
-            return Verdict.FALLEN
+        if self.overloaded:
+            return Verdict.OVERLOADED
         if self.draining:
             return Verdict.DRAINING
         item = Work(token, work + (self.spec.handshake if fresh else 0.0), key)
         if len(self.running) >= self.spec.slots and len(self.waiting) >= self.spec.queue:
             return Verdict.FULL
         if self.check_overload(now, item.needed):
-            return Verdict.FALLEN
+            return Verdict.OVERLOADED
         if key and (known := self.rack.find_or_add(now, key, item, self.spec.memory)) is not None:
             known.followers.append(token)
             return Verdict.DROPPED
@@ -165,8 +165,8 @@
             self.cold_work_sum -= self.cold_work.popleft()[1]
         capacity = spec.cores * spec.speed * self.warmth(now) * spec.fall_time
         if self.cold_work_sum > spec.fall_multiple * capacity:
-            self.fallen = True
-        return self.fallen
+            self.overloaded = True
+        return self.overloaded
 
     def due(self, now: float) -> float | None:
         """Return when to call `advance` next: at the next end of a request, or earlier while warming up."""
--- a/hazelspring/lab/models/customers.py
+++ b/hazelspring/lab/models/customers.py
@@ -90,7 +90,7 @@
     cls: np.ndarray
     work: np.ndarray  # microseconds of one core
     wait: np.ndarray  # milliseconds for which the client waits for the response to an attempt
-    door: np.ndarray  # [request, attempt] a draw below 2^32 that selects a gateway of the customer's set
+    gateway_draws: np.ndarray  # [request, attempt] below 2^32, selects a gateway of the customer's set
     customers: tuple[Customer, ...]
     tariffs: tuple[Tariff, ...]
     shifts: tuple[np.ndarray, ...]  # by customer: when its weights change, microseconds
@@ -102,26 +102,27 @@
     def digest(self) -> str:
         """Return a digest of all that the clients send; it is the same on any machine."""
         found = hashlib.sha256()
-        for array in (self.at, self.customer, self.cls, self.work, self.wait, self.door):
+        for array in (self.at, self.customer, self.cls, self.work, self.wait, self.gateway_draws):
             found.update(np.ascontiguousarray(array, dtype="<i8").tobytes())
         for shifts, weights in zip(self.shifts, self.weights, strict=True):
             found.update(shifts.astype("<i8").tobytes() + weights.astype("<i8").tobytes())
         return found.hexdigest()[:16]
 
-    def place(self, request: int, attempt: int, up: list[bool]) -> int:
-        """Return the gateway that the front sends this attempt to.
+    def gateway_for(self, request: int, attempt: int, up: list[bool]) -> int:
+        """Return the gateway that the load balancer sends this attempt to.
 
         A gateway that is down gets no attempts unless all gateways of the customer's set are down.
         """
         customer = self.customers[self.customer[request]]
         index = int(self.customer[request])
         period = int(np.searchsorted(self.shifts[index], self.at[request], side="right"))
-        draw = int(self.door[request, min(attempt, self.door.shape[1] - 1)])
-        place = int(np.searchsorted(self.weights[index][period], draw, side="right"))
-        doors = [
-            (customer.first + (place + step) % customer.spread) % len(up) for step in range(customer.spread)
+        draw = int(self.gateway_draws[request, min(attempt, self.gateway_draws.shape[1] - 1)])
+        position = int(np.searchsorted(self.weights[index][period], draw, side="right"))
+        gateways = [
+            (customer.first + (position + step) % customer.spread) % len(up)
+            for step in range(customer.spread)
         ]
-        return int(next((door for door in doors if up[door]), doors[0]))
+        return int(next((gateway for gateway in gateways if up[gateway]), gateways[0]))
 
 
 def tariffs_of(seed: int, pace: float) -> tuple[Tariff, ...]:
@@ -144,7 +145,12 @@
 
 
 def draw(
-    seed: int, length: float, doors: int, inside: float, pace: float, bursts: list[tuple[float, float, float]]
+    seed: int,
+    length: float,
+    gateway_count: int,
+    inside: float,
+    pace: float,
+    bursts: list[tuple[float, float, float]],
 ) -> Arrivals:
     """Draw the arrivals of a day.
 
@@ -180,8 +186,8 @@
                 multiple = 1.0
             excess += tariff.rate * (multiple - 1)
             number = int(who.integers(1, 2**33))
-            spread = min(doors, int(who.integers(SPREAD[0], SPREAD[1] + 1)))
-            customers.append(Customer(number, index, int(who.integers(doors)), spread))
+            spread = min(gateway_count, int(who.integers(SPREAD[0], SPREAD[1] + 1)))
+            customers.append(Customer(number, index, int(who.integers(gateway_count)), spread))
             own = stream(seed, f"customer {len(customers)}")
             times.append(
                 request_times(own, length, part * use * tariff.rate * multiple, spike * tariff.rate, bursts)
@@ -193,8 +199,8 @@
             weights.append((shares_of[:, :-1] * 2**32).astype(np.int64))
     order = np.concatenate(times) if times else np.empty(0)
     owner = np.repeat(np.arange(len(times)), [len(found) for found in times])
-    place = np.lexsort((owner, order))
-    at, owner = (order[place] * 1e6).astype(np.int64), owner[place]
+    by_time = np.lexsort((owner, order))
+    at, owner = (order[by_time] * 1e6).astype(np.int64), owner[by_time]
     what = stream(seed, "requests")
     count = len(at)
     cls = np.searchsorted(np.cumsum(shares) / shares.sum(), what.random(count), side="right")
@@ -203,9 +209,9 @@
     wait = (np.array([spec.deadline for spec in CLASSES])[cls] * what.uniform(0.5, 1.0, count) * 1e3).astype(
         np.int64
     )
-    door = what.integers(0, 2**32, size=(count, 4))
+    gateway_draws = what.integers(0, 2**32, size=(count, 4))
     return Arrivals(
-        at, owner, cls, work, wait, door, tuple(customers), tariffs, tuple(shifts), tuple(weights)
+        at, owner, cls, work, wait, gateway_draws, tuple(customers), tariffs, tuple(shifts), tuple(weights)
     )
 
 
@@ -246,7 +252,7 @@
     max_wait: float  # longest time that a client waits because of `Retry-After`
 
 
-def manners_of(seed: int, max_wait: float) -> RetryPolicy:
+def retry_policy_of(seed: int, max_wait: float) -> RetryPolicy:
     """Draw the retry policy of a seed."""
     random = stream(seed, "manners")
     retries = int(random.integers(0, 3))
@@ -254,7 +260,7 @@
     return RetryPolicy(retries, backoff, within(random, (0.62, 0.99)), max_wait)
 
 
-def again_after(policy: RetryPolicy, seed: int, request: int, tries: int, advice: float) -> float | None:
+def retry_delay(policy: RetryPolicy, seed: int, request: int, tries: int, advice: float) -> float | None:
     """Return the delay in seconds before a client retries after `tries` failed attempts; None for no retry.
 
     `advice` is the `Retry-After` of the last response in seconds, 0 if there was none.  Whether a client
--- a/hazelspring/lab/models/discovery.py
+++ b/hazelspring/lab/models/discovery.py
@@ -30,15 +30,16 @@
 class Discovery:
     """The current list, and the version of it that each gateway has received."""
 
-    def __init__(self, doors: int, hosts: list[Host], version: int = 1) -> None:
+    def __init__(self, gateway_count: int, hosts: list[Host], version: int = 1) -> None:
         self.version = version
         self.hosts = {host.name: host for host in hosts}
         self.log: list[tuple[int, Host]] = []  # changes, the oldest first
-        self.pending: list[list[tuple[float, int]]] = [[] for _ in range(doors)]  # when a version is sent
-        self.late = [0.0] * doors  # seconds after which a change is sent
-        self.sent_version = [version] * doors  # the version that was sent last
+        # by gateway: the versions that are still to be sent, with their times
+        self.pending: list[list[tuple[float, int]]] = [[] for _ in range(gateway_count)]
+        self.update_delays_s = [0.0] * gateway_count  # by gateway: time from a change until it is sent
+        self.sent_versions = [version] * gateway_count  # by gateway: the version that was sent last
         self.silent = False  # whether no version is sent at present
-        self.room = 0  # calls that are accepted per second; 0: any number
+        self.calls_per_s_limit = 0  # calls that are accepted per second; 0: no limit
         self.calls: list[float] = []  # times of the calls accepted within the last second
 
     def change(self, now: float, name: str, health: Health, born: float | None = None) -> None:
@@ -49,18 +50,18 @@
         self.version += 1
         self.hosts[name] = host
         self.log.append((self.version, host))
-        for door, late in enumerate(self.late):
-            self.pending[door].append((now + late, self.version))
+        for gateway, delay_s in enumerate(self.update_delays_s):
+            self.pending[gateway].append((now + delay_s, self.version))
 
-    def current(self, door: int, now: float) -> int:
+    def current(self, gateway: int, now: float) -> int:
         """Return the version that the agent of this gateway has received by now."""
         if not self.silent:
-            queue = self.pending[door]
+            queue = self.pending[gateway]
             while queue and queue[0][0] <= now:
-                self.sent_version[door] = max(self.sent_version[door], queue.pop(0)[1])
-        return self.sent_version[door]
+                self.sent_versions[gateway] = max(self.sent_versions[gateway], queue.pop(0)[1])
+        return self.sent_versions[gateway]
 
-    def whole(self, version: int) -> list[Host]:
+    def full_list(self, version: int) -> list[Host]:
         """Return the complete list as of that version, without hosts that were gone by then."""
         hosts = dict(self.hosts)
         for at, host in self.log:
@@ -79,10 +80,10 @@
 
     def admits(self, now: float) -> bool:
         """Whether the limit on calls per second permits a call now; a permitted call is counted."""
-        if not self.room:
+        if not self.calls_per_s_limit:
             return True
         self.calls = [at for at in self.calls if at > now - 1.0]
-        if len(self.calls) >= self.room:
+        if len(self.calls) >= self.calls_per_s_limit:
             return False
         self.calls.append(now)
         return True
--- a/hazelspring/lab/models/network.py
+++ b/hazelspring/lab/models/network.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class NetworkFault:
     """A network fault from `begin` to `end` between two sets of endpoints; an empty set means all."""
 
     kind: str  # "cut": no traffic in either direction; "reset": connections break within a response; "delay"
@@ -26,17 +26,17 @@
 class Network:
     """All network faults of a day."""
 
-    def __init__(self, troubles: list[Trouble] | None = None) -> None:
-        self.troubles = troubles or []
+    def __init__(self, faults: list[NetworkFault] | None = None) -> None:
+        self.faults = faults or []
 
     def cut(self, now: float, a: str, b: str) -> bool:
         """Whether the two endpoints are cut off from each other."""
-        return any(t.kind == "cut" and t.between(now, a, b) for t in self.troubles)
+        return any(t.kind == "cut" and t.between(now, a, b) for t in self.faults)
 
     def reset_share(self, now: float, a: str, b: str) -> float:
         """Return the share of responses that are broken off; if several faults apply, the largest one."""
-        return max((t.size for t in self.troubles if t.kind == "reset" and t.between(now, a, b)), default=0.0)
+        return max((t.size for t in self.faults if t.kind == "reset" and t.between(now, a, b)), default=0.0)
 
     def delay(self, now: float, a: str, b: str) -> float:
         """Return the added delay in seconds, as the sum over all faults that apply."""
-        return sum(t.size for t in self.troubles if t.kind == "delay" and t.between(now, a, b))
+        return sum(t.size for t in self.faults if t.kind == "delay" and t.between(now, a, b))
--- a/hazelspring/lab/plan.py
+++ b/hazelspring/lab/plan.py
@@ -21,7 +21,7 @@
 SPEEDS = ((0.85, 1.1), (0.51, 0.69))  # range of the speed of each kind
 GRACE = 0.25  # seconds after which no new request may go to a server that is draining, gone or detached
 SLACK = 0.05  # seconds that the rules add to every time limit, as the play runs on real sockets
-MOST_WAIT = 2.0  # longest `Retry-After`, seconds
+MAX_RETRY_AFTER_S = 2.0  # longest `Retry-After`
 DEDUP_SPAN = 7.5  # seconds for which a rack drops repeated requests
 MAX_ATTEMPTS = 5
 MAX_WARM_UP = 18.0  # longest time in seconds that a server takes to warm up
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Happening:
+class PlannedFault:
     """A fault with its targets, which are indices of gateways or of alert servers."""
 
     fault: Fault
@@ -96,7 +96,7 @@
     return draw(seed, day.length_s, day.doors, day.load * capacity, day.pace, bursts)
 
 
-def happenings(day: Day, seed: int) -> list[Happening]:
+def planned_faults(day: Day, seed: int) -> list[PlannedFault]:
     """Draw the targets of the day's faults.  A fault whose part rounds to no target gets one."""
     found = []
     for number, fault in enumerate(day.faults):
@@ -109,7 +109,7 @@
             total = day.doors if fault.kind in GATEWAY_FAULTS else day.servers
             count = max(1, round(total * fault.part))
             targets = tuple(sorted(int(n) for n in random.permutation(total)[:count]))
-        found.append(Happening(fault, number, targets))
+        found.append(PlannedFault(fault, number, targets))
     return found
 
 
@@ -125,7 +125,7 @@
     return f"{request:08x}{attempt:02x}{checksum:06x}"
 
 
-def place_of(seed: int, attempt_id: str) -> tuple[int, int] | None:
+def parse_request_id(seed: int, attempt_id: str) -> tuple[int, int] | None:
     """Return the request and the attempt that the id `attempt_id` names, or None if no client created it."""
     try:
         request, attempt = int(attempt_id[:8], 16), int(attempt_id[8:10], 16)
@@ -148,7 +148,7 @@
     return (unit * (size // len(unit) + 1))[:size]
 
 
-def answer_of(day: Day, secret: str, server: str, attempt_id: str, request: int) -> bytes:
+def response_body(day: Day, secret: str, server: str, attempt_id: str, request: int) -> bytes:
     """Return the response body of this alert server for the request id `attempt_id`.
 
     It is signed with the play's secret, so that nothing but the play's alert servers can create it.
@@ -158,16 +158,16 @@
     return line * (day.large_kb * 1024 // len(line)) if is_large(day, request) else line
 
 
-def is_answer(day: Day, secret: str, attempt_id: str, request: int, body: bytes) -> bool:
+def is_response_body(day: Day, secret: str, attempt_id: str, request: int, body: bytes) -> bool:
     """Whether an alert server of the play created this body for this request."""
     server = body.split(b" ", 1)[0].decode("latin-1")
-    return body == answer_of(day, secret, server, attempt_id, request)
+    return body == response_body(day, secret, server, attempt_id, request)
 
 
 # --- the settings of a gateway --------------------------------------------------------------------------
 
 
-def settings_of(day: Day, seed: int, door: int) -> dict[str, object]:
+def settings_of(day: Day, seed: int, gateway: int) -> dict[str, object]:
     """Return the settings of one gateway, in the format of the deployment's settings file."""
     classes = [
         {
@@ -187,11 +187,11 @@
         for t in tariffs_of(seed, day.pace)
     ]  # fmt: skip
     return {
-        "me": door, "peers_total": day.doors, "az": door % len(day.zones), "zones": day.zones,
+        "me": gateway, "peers_total": day.doors, "az": gateway % len(day.zones), "zones": day.zones,
         "period_s": 0.004, "host_types": list(KINDS), "membership_mode": "push", "weight_source": "rough",
         "caps": {
             "cancel": True, "conn_idle_s": 15.0, "connect_timeout_s": 0.25, "max_attempts": MAX_ATTEMPTS,
-            "max_retry_after_s": MOST_WAIT, "may_probe": True, "retry_after": True, "second_copies": True,
+            "max_retry_after_s": MAX_RETRY_AFTER_S, "may_probe": True, "retry_after": True, "second_copies": True,
         },
         "classes": classes, "tariffs": tariffs,
         "extra": {"has_counter": True, "counter_price": 0.02, "counter_timeout_s": 0.08, "settles": False},
--- a/hazelspring/lab/play_runner.py
+++ b/hazelspring/lab/play_runner.py
@@ -28,7 +28,7 @@
 from hazelspring.lab.models.counter import Counter, CounterSpec
 from hazelspring.lab.models.discovery import Discovery, Health, Host
 from hazelspring.lab.models.random_streams import stream, within
-from hazelspring.lab.plan import KINDS, Happening, Play, happenings, servers_of, settings_of
+from hazelspring.lab.plan import KINDS, PlannedFault, Play, planned_faults, servers_of, settings_of
 from hazelspring.lab.record import Note, Recorder, Sample
 from hazelspring.lab.simulators.child_process import Message, clock, run_child, send
 from hazelspring.lab.simulators.services import ServiceListeners, SimulatedAgent, SimulatedCounter
@@ -125,7 +125,7 @@
         self.shared.mkdir(parents=True)
         self.config = self.folder / "config.json"
         self.sock: socket.socket | None = None
-        if runner.day.passed():
+        if runner.day.passes_listening_socket():
             self.sock = socket.socket()
             self.sock.bind(("127.0.0.1", 0))
             self.sock.listen(512)
@@ -144,7 +144,7 @@
             "seed": f"{runner.play.seed * 1000 + self.index:016x}",
             "limits": {"cores": 1.0, "memory_mb": runner.day.memory_mb, "sockets": runner.day.sockets},
             "known": msgspec.json.decode(
-                runner.agents[self.index].line(1, True, runner.discovery.whole(1)),
+                runner.agents[self.index].line(1, True, runner.discovery.full_list(1)),
             ),
             "settings": settings_of(runner.day, runner.play.seed, self.index),
         }
@@ -375,7 +375,7 @@
         self.random = stream(play.seed, "discovery")
         hosts = [Host(s.name, self.day.zones[s.zone], KINDS[s.kind], s.rack) for s in self.specs]
         self.discovery = Discovery(self.day.doors, hosts)
-        self.discovery.late = [within(self.random, self.day.told_s) for _ in range(self.day.doors)]
+        self.discovery.update_delays_s = [within(self.random, self.day.told_s) for _ in range(self.day.doors)]
         spec = stream(play.seed, "counter")
         self.counter = SimulatedCounter(
             Counter(
@@ -426,8 +426,8 @@
         ]
         self.load = await self.start_simulator("hazelspring.lab.simulators.clients")
         ports: dict[str, list[int]] = {}
-        for host in self.server_processes:
-            ports |= await host.receive("dials")
+        for process in self.server_processes:
+            ports |= await process.receive("dials")
         for index in range(self.day.doors):
             dials = {
                 spec.name: f"127.0.0.1:{ports[str(number)][index]}" for number, spec in enumerate(self.specs)
@@ -444,21 +444,21 @@
             logs = [bytes(p.log[-300:]).decode(errors="replace") for p in self.ended if p.log]
             raise RuntimeError(f"a gateway did not become ready: {' '.join(logs[-1:])}".strip())
 
-    def schedule_faults(self, faults: list[Happening]) -> None:
+    def schedule_faults(self, faults: list[PlannedFault]) -> None:
         """Schedule all faults of the day, and what discovery reports of them."""
         loop = asyncio.get_running_loop()
 
         def at(moment: float, action: Callable[..., None], *arguments: object) -> None:
             loop.call_later(max(0.0, moment - self.now()), action, *arguments)
 
-        for happening in faults:
-            at(happening.fault.at, self.begin_fault, happening)
-            self.schedule_discovery_changes(happening, at)
+        for planned in faults:
+            at(planned.fault.at, self.begin_fault, planned)
+            self.schedule_discovery_changes(planned, at)
 
-    def begin_fault(self, happening: Happening) -> None:
+    def begin_fault(self, planned: PlannedFault) -> None:
         """Begin a fault of gateways, counter or discovery; simulated alert servers apply their own."""
-        fault, loop = happening.fault, asyncio.get_running_loop()
-        gateways = [self.gateways[n] for n in happening.targets] if fault.kind in (
+        fault, loop = planned.fault, asyncio.get_running_loop()
+        gateways = [self.gateways[n] for n in planned.targets] if fault.kind in (
             "kill_doors", "term_doors", "reload", "put", "rollback", "upgrade", "upgrade_dies"
         ) else []  # fmt: skip
         for gateway in gateways:
@@ -477,7 +477,7 @@
             case "reload":
                 self.spawn(self.retire_old_addresses(all_gateways=len(gateways) == len(self.gateways)))
             case "ban":
-                self.spawn(self.ban(happening))
+                self.spawn(self.ban(planned))
             case "counter_away":
                 self.counter.unavailable = True
                 loop.call_later(fault.lasts, self.restore_counter)
@@ -487,14 +487,14 @@
             case "counter_forget":
                 self.counter.model.lose()
             case "discovery_late":
-                before = list(self.discovery.late)
-                self.discovery.late = [late + fault.size for late in before]
-                loop.call_later(fault.lasts, self.restore_discovery_delay, before)
+                before = list(self.discovery.update_delays_s)
+                self.discovery.update_delays_s = [delay_s + fault.size for delay_s in before]
+                loop.call_later(fault.lasts, self.restore_discovery_delays, before)
             case "discovery_silent":
                 self.discovery.silent = True
                 loop.call_later(fault.lasts, self.end_discovery_silence)
             case "discovery_full":
-                self.discovery.room = round(fault.size)
+                self.discovery.calls_per_s_limit = round(fault.size)
                 loop.call_later(fault.lasts, self.lift_discovery_limit)
 
     def restore_counter(self) -> None:
@@ -508,9 +508,9 @@
         """End the fault that slows the counter down."""
         self.counter.model.slow = 1.0
 
-    def restore_discovery_delay(self, late: list[float]) -> None:
+    def restore_discovery_delays(self, delays_s: list[float]) -> None:
         """Set the seconds after which each gateway receives a change back to these values."""
-        self.discovery.late = late
+        self.discovery.update_delays_s = delays_s
 
     def end_discovery_silence(self) -> None:
         """Let discovery send updates again."""
@@ -518,7 +518,7 @@
 
     def lift_discovery_limit(self) -> None:
         """Let discovery accept any number of calls again."""
-        self.discovery.room = 0
+        self.discovery.calls_per_s_limit = 0
 
     async def retire_old_addresses(self, all_gateways: bool) -> None:
         """Stop accepting connections at the old addresses, and close the existing ones after 1.5 s."""
@@ -530,27 +530,27 @@
         for name in old:
             self.services.close_connections(name)
 
-    async def ban(self, happening: Happening) -> None:
+    async def ban(self, planned: PlannedFault) -> None:
         """Act as an operator: detach servers at all gateways, restart them, and attach them again."""
-        for index in happening.targets:
+        for index in planned.targets:
             name = self.specs[index].name
             for gateway in self.gateways:
                 if await gateway.call_management("PUT", "/_alert-servers/detach", name.encode()):
                     self.note("banned", f"{name} {gateway.index}")
         await asyncio.sleep(MANAGEMENT_CALL_LIMIT_S)
-        for host in self.server_processes:
-            host.send(restart=list(happening.targets))
-        await asyncio.sleep(max(0.0, happening.end - self.now()))
-        for index in happening.targets:
+        for process in self.server_processes:
+            process.send(restart=list(planned.targets))
+        await asyncio.sleep(max(0.0, planned.end - self.now()))
+        for index in planned.targets:
             name = self.specs[index].name
             for gateway in self.gateways:
                 self.note("called back", f"{name} {gateway.index}")
                 await gateway.call_management("PUT", "/_alert-servers/attach", name.encode())
 
-    def schedule_discovery_changes(self, happening: Happening, at: Callable[..., None]) -> None:
+    def schedule_discovery_changes(self, planned: PlannedFault, at: Callable[..., None]) -> None:
         """Schedule the changes that discovery reports because of a fault of alert servers."""
-        fault, end = happening.fault, happening.end
-        for index in happening.targets:
+        fault, end = planned.fault, planned.end
+        for index in planned.targets:
             name = self.specs[index].name
             gone_after, ready_after = (
                 within(self.random, self.day.notice_s),
@@ -621,7 +621,9 @@
     async def run(self, queue: asyncio.Queue[Message]) -> None:
         """Run the whole play, and send the folder of its records to the command line."""
         await self.start_fleet()
-        children = {"load": self.load} | {f"servers{n}": host for n, host in enumerate(self.server_processes)}
+        children = {"load": self.load} | {
+            f"servers{n}": process for n, process in enumerate(self.server_processes)
+        }
         stats_tasks = [
             asyncio.ensure_future(self.collect_stats(name, child)) for name, child in children.items()
         ]
@@ -631,7 +633,7 @@
         for child in children.values():
             child.send(start=start)
         self.counter.accepting = True
-        self.schedule_faults(happenings(self.day, self.play.seed))
+        self.schedule_faults(planned_faults(self.day, self.play.seed))
         self.record_samples()
         self.report_stats()
         send(started={gateway.name: f"127.0.0.1:{gateway.port}" for gateway in self.gateways})
@@ -644,8 +646,8 @@
         self.finished = True
         self.note("length", value=length)
         await self.terminate_gateways()
-        for host in self.server_processes:
-            host.send(stop=True)
+        for process in self.server_processes:
+            process.send(stop=True)
         await asyncio.gather(*stats_tasks[1:])
         self.note("counter calls", value=self.counter.calls)
         for key in ("handshakes", "probes"):
--- a/hazelspring/lab/report.py
+++ b/hazelspring/lab/report.py
@@ -63,10 +63,10 @@
     figure = Figure(figsize=(9, 2.8), layout="constrained")
     axes = figure.subplots()
     draw(axes)
-    for happening in records.happenings:
-        end = max(happening.end, happening.fault.at + 0.1)
-        axes.axvspan(happening.fault.at, end, color="#c60", alpha=0.12)
-        axes.annotate(happening.fault.kind, (happening.fault.at, 1.0), xycoords=("data", "axes fraction"),
+    for planned in records.planned_faults:
+        end = max(planned.end, planned.fault.at + 0.1)
+        axes.axvspan(planned.fault.at, end, color="#c60", alpha=0.12)
+        axes.annotate(planned.fault.kind, (planned.fault.at, 1.0), xycoords=("data", "axes fraction"),
                       fontsize=7, rotation=90, va="top", color="#630")  # fmt: skip
     axes.set_xlabel("seconds")
     axes.set_ylabel(label)
--- a/hazelspring/lab/rules.py
+++ b/hazelspring/lab/rules.py
@@ -18,11 +18,11 @@
     DEDUP_SPAN,
     GRACE,
     MAX_ATTEMPTS,
-    MOST_WAIT,
+    MAX_RETRY_AFTER_S,
     SLACK,
-    Happening,
+    PlannedFault,
     arrivals_of,
-    happenings,
+    planned_faults,
     servers_of,
 )
 from hazelspring.lab.record import Arrival, Note, Rude, Sample, Try, read
@@ -53,7 +53,7 @@
     seed: int
     work: Arrivals
     specs: list[ServerSpec]
-    happenings: list[Happening]
+    planned_faults: list[PlannedFault]
     attempts: list[Try]
     arrivals: list[Arrival]
     hostile_connections: list[Rude]
@@ -64,7 +64,7 @@
     def load(cls, day: Day, seed: int, folder: Path) -> PlayRecords:
         """Read the records from the folder of a play, and compute its plan from the day and the seed."""
         return cls(
-            day, seed, arrivals_of(day, seed), servers_of(day, seed), happenings(day, seed),
+            day, seed, arrivals_of(day, seed), servers_of(day, seed), planned_faults(day, seed),
             sorted(read(folder, Try), key=lambda t: (t.due, t.id)),
             sorted(read(folder, Arrival), key=lambda a: (a.received, a.id)),
             list(read(folder, Rude)),
@@ -87,9 +87,9 @@
             found[arrival.id].append(arrival)
         return found
 
-    def died(self, door: int, at: float) -> bool:
+    def died(self, gateway: int, at: float) -> bool:
         """Whether this gateway was killed, crashed or exceeded its shutdown deadline shortly before `at`."""
-        name = f"n{door}"
+        name = f"n{gateway}"
         return any(
             note.who == name and note.what in ("killed", "overdue", "new one killed", "crashed")
             and note.at - 0.05 <= at <= note.at + CRASH_WINDOW
@@ -188,8 +188,8 @@
     found: dict[tuple[str, int], list[tuple[float, bool]]] = defaultdict(list)
     for note in records.notes:
         if note.what.startswith("told "):
-            name, door = note.who.split()
-            found[name, int(door)].append((note.at, note.what != "told Ready"))
+            name, gateway = note.who.split()
+            found[name, int(gateway)].append((note.at, note.what != "told Ready"))
     return found
 
 
@@ -199,8 +199,8 @@
     bans: dict[tuple[str, int], list[tuple[float, bool]]] = defaultdict(list)
     for note in records.notes:
         if note.what in ("banned", "called back"):
-            name, door = note.who.split()
-            bans[name, int(door)].append((note.at, note.what == "banned"))
+            name, gateway = note.who.split()
+            bans[name, int(gateway)].append((note.at, note.what == "banned"))
     for arrival in records.arrivals:
         pair = records.specs[arrival.server].name, arrival.door
         for why, changes in (("reported as not ready", reported.get(pair)), ("detached", bans.get(pair))):
@@ -277,7 +277,7 @@
                 attempt.ended,
                 f"not forwarded, and answered only after {spent:.3f} s; the client waits {wait:.3f} s",
             )
-        elif attempt.status in REFUSED and not 0 < attempt.retry_after <= MOST_WAIT:
+        elif attempt.status in REFUSED and not 0 < attempt.retry_after <= MAX_RETRY_AFTER_S:
             yield Breach(
                 "refusals",
                 attempt.id,
--- a/hazelspring/lab/simulators/clients.py
+++ b/hazelspring/lab/simulators/clients.py
@@ -16,15 +16,15 @@
 
 import httptools
 
-from hazelspring.lab.models.customers import CLASSES, again_after, manners_of
+from hazelspring.lab.models.customers import CLASSES, retry_delay, retry_policy_of
 from hazelspring.lab.models.random_streams import stream
 from hazelspring.lab.plan import (
-    MOST_WAIT,
+    MAX_RETRY_AFTER_S,
     Play,
     arrivals_of,
     body_of,
-    happenings,
-    is_answer,
+    is_response_body,
+    planned_faults,
     request_id,
 )
 from hazelspring.lab.record import Recorder, Rude, Try
@@ -122,7 +122,7 @@
         self.load, self.request, self.number, self.due = load, request, number, due
         self.id = request_id(load.play.seed, request, number)
         self.started_at, self.sent, self.resent = load.now(), 0.0, False
-        self.gateway = load.work.place(request, number, load.up)
+        self.gateway = load.work.gateway_for(request, number, load.up)
         self.timeout = float(load.work.wait[request]) / 1e3
         self.connection: Connection | None = None
         self.finished = False
@@ -152,7 +152,7 @@
     def finish_with_answer(self, status: int, body: bytes, retry_after_s: float) -> None:
         """Finish with a complete answer, and check that an alert server made the body for this request."""
         load = self.load
-        genuine = status != 200 or is_answer(load.day, load.play.secret, self.id, self.request, body)
+        genuine = status != 200 or is_response_body(load.day, load.play.secret, self.id, self.request, body)
         self.finish(status, "answer", retry_after_s, genuine)
 
     def connection_ended(self, used: bool) -> None:
@@ -199,7 +199,7 @@
         self.play, self.day = play, play.parsed()
         self.loop = asyncio.get_running_loop()
         self.work = arrivals_of(self.day, play.seed)
-        self.manners = manners_of(play.seed, MOST_WAIT)
+        self.retry_policy = retry_policy_of(play.seed, MAX_RETRY_AFTER_S)
         folder = Path(play.folder)
         self.attempt_log = Recorder(folder / "load.try.jsonl")
         self.hostile_log = Recorder(folder / "load.rude.jsonl")
@@ -303,8 +303,8 @@
             self.latencies.append(self.now() - attempt.due)
             return
         self.counts["refused" if status in (429, 503) else "failed"] += 1
-        delay = again_after(
-            self.manners, self.play.seed, attempt.request, attempt.number + 1, max(0.0, retry_after_s)
+        delay = retry_delay(
+            self.retry_policy, self.play.seed, attempt.request, attempt.number + 1, max(0.0, retry_after_s)
         )
         if delay is None or self.next_request >= len(self.work.at):
             return
@@ -369,8 +369,8 @@
     def schedule_hostile_clients(self) -> None:
         """Schedule the hostile clients of this day's faults: `size` a second over all gateways together."""
         random_source = random.Random(self.play.seed)
-        for happening in happenings(self.day, self.play.seed):
-            fault = happening.fault
+        for planned in planned_faults(self.day, self.play.seed):
+            fault = planned.fault
             if fault.kind == "hostile":
                 for _ in range(round(fault.size * fault.lasts)):
                     at = fault.at + random_source.random() * fault.lasts
--- a/hazelspring/lab/simulators/servers.py
+++ b/hazelspring/lab/simulators/servers.py
@@ -15,16 +15,16 @@
 
 from hazelspring.lab.models.alertserver import AlertServer, Rack, ServerSpec, Verdict
 from hazelspring.lab.models.customers import CLASSES, Arrivals
-from hazelspring.lab.models.network import Network, Trouble
+from hazelspring.lab.models.network import Network, NetworkFault
 from hazelspring.lab.models.random_streams import stream
 from hazelspring.lab.plan import (
-    Happening,
+    PlannedFault,
     Play,
-    answer_of,
     arrivals_of,
     body_of,
-    happenings,
-    place_of,
+    parse_request_id,
+    planned_faults,
+    response_body,
     servers_of,
 )  # fmt: skip
 from hazelspring.lab.record import Arrival, Note, Recorder
@@ -33,7 +33,11 @@
 LISTEN_BACKLOG = 512
 CLOCK_OFFSET_S = 1000.0  # seconds by which the clock starts below 0, until the runner sends the start time
 STATS_PERIOD_S = 1.0  # seconds between reports to the runner
-REFUSAL_STATUSES = {Verdict.FULL: b"503 Busy", Verdict.DRAINING: b"503 Draining", Verdict.FALLEN: b"503 Down"}
+REFUSAL_STATUSES = {
+    Verdict.FULL: b"503 Busy",
+    Verdict.DRAINING: b"503 Draining",
+    Verdict.OVERLOADED: b"503 Down",
+}
 
 
 def gateway_name(gateway: int) -> str:
@@ -245,7 +249,7 @@
         process, now = self.process, self.now()
         if url in (b"/-/healthy", b"/-/load"):
             process.probes += 1
-            if self.model.fallen:
+            if self.model.overloaded:
                 return peer.abort()
             self.model.begin(now, None, self.model.spec.probe)
             self.set_timer()
@@ -253,7 +257,7 @@
         attempt_id = headers.get(b"request-id", b"").decode("latin-1")
         if not attempt_id:
             return peer.answer(b"404 Not Found")
-        known = place_of(process.play.seed, attempt_id)
+        known = parse_request_id(process.play.seed, attempt_id)
         if known is None or not process.is_client_request(known[0], method, url, headers, body):
             process.arrivals_seen.add(
                 Arrival(attempt_id, self.index, peer.gateway, began, now, "unknown", self.restarts)
@@ -262,7 +266,7 @@
         request = known[0]
         key = headers.get(b"idempotency-key", b"").decode("latin-1")
         peer.token = [attempt_id]
-        was_fallen = self.model.fallen
+        was_overloaded = self.model.overloaded
         work = float(process.work.work[request]) / 1e6
         verdict = self.model.begin(now, (peer, peer.token), work, key, peer.first_request)
         process.arrivals_seen.add(
@@ -270,15 +274,15 @@
         )
         if verdict in (Verdict.FULL, Verdict.DRAINING):
             peer.answer(REFUSAL_STATUSES[verdict], headers=b"Not-Started: 1\r\n")
-        elif verdict is Verdict.FALLEN:
-            if not was_fallen:
+        elif verdict is Verdict.OVERLOADED:
+            if not was_overloaded:
                 self.note("fell over", peer.gateway)
-                self.fall_over()
+                self.fail_by_overload()
             peer.abort()
         self.set_timer()
         return None
 
-    def fall_over(self) -> None:
+    def fail_by_overload(self) -> None:
         """Lose all requests and reset all connections."""
         self.model.kill()
         for peer in list(self.peers):
@@ -306,7 +310,7 @@
         """Send the answer of a finished request, delayed or broken off as the day's network faults say."""
         process, now = self.process, self.now()
         request = int(attempt_id[:8], 16)
-        body = answer_of(process.day, process.play.secret, self.model.spec.name, attempt_id, request)
+        body = response_body(process.day, process.play.secret, self.model.spec.name, attempt_id, request)
         ends = (gateway_name(peer.gateway), self.model.spec.name)
         share, delay = process.network.reset_share(now, *ends), process.network.delay(now, *ends)
         break_at = 0
@@ -404,18 +408,18 @@
             return False
         return body == body_of(self.day, self.play.seed, request, spec.keyed)
 
-    def schedule_faults(self, faults: list[Happening]) -> None:
+    def schedule_faults(self, faults: list[PlannedFault]) -> None:
         """Schedule the faults of the day that concern servers of this process."""
-        at, troubles = self.at, []
+        at, network_faults = self.at, []
         names = {index: server.model.spec.name for index, server in self.servers.items()}
-        for happening in faults:
-            fault, end = happening.fault, happening.end
-            affected = [self.servers[index] for index in happening.targets if index in self.servers]
+        for planned in faults:
+            fault, end = planned.fault, planned.end
+            affected = [self.servers[index] for index in planned.targets if index in self.servers]
             if fault.kind in ("reset", "delay"):
                 ends = frozenset(names[server.index] for server in affected)
                 if ends:
-                    troubles.append(
-                        Trouble(fault.kind, fault.at, end or math.inf, frozenset(), ends, fault.size)
+                    network_faults.append(
+                        NetworkFault(fault.kind, fault.at, end or math.inf, frozenset(), ends, fault.size)
                     )
                 continue
             if fault.kind not in ("kill_servers", "zone", "drain_servers", "cut_servers", "slow_servers"):
@@ -435,7 +439,7 @@
                     case "slow_servers":
                         at(fault.at, server.slow, fault.size)
                         at(end, server.slow, 1.0)
-        self.network = Network(troubles)
+        self.network = Network(network_faults)
 
     def at(self, moment: float, action: Callable[..., None], *arguments: object) -> None:
         """Call `action` at this moment of the play, or at once if that has passed."""
@@ -450,7 +454,7 @@
 async def main(play: Play, queue: asyncio.Queue[Message], part: int) -> None:
     """Simulate this part of the alert servers as the runner's messages direct, until it sends `stop`."""
     process = ServerProcess(play, part)
-    faults = happenings(process.day, play.seed)
+    faults = planned_faults(process.day, play.seed)
     send(
         dials={
             str(index): [listener.port for listener in server.listeners]
--- a/hazelspring/lab/simulators/services.py
+++ b/hazelspring/lab/simulators/services.py
@@ -212,7 +212,7 @@
         after = int(query.get(b"from") or b"0")
         whole = b"watch" not in query or not 0 < after <= version
         text = (
-            service.line(version, whole, model.whole(version) if whole else model.since(after, version))
+            service.line(version, whole, model.full_list(version) if whole else model.since(after, version))
             + b"\n"
         )
         if b"watch" not in query:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -18,11 +18,11 @@
 from hazelspring.lab.figures import figures
 from hazelspring.lab.models.alertserver import AlertServer, Rack, ServerSpec, Verdict
 from hazelspring.lab.models.counter import Counter, CounterSpec
-from hazelspring.lab.models.customers import RetryPolicy, again_after
+from hazelspring.lab.models.customers import RetryPolicy, retry_delay
 from hazelspring.lab.models.discovery import Discovery, Health, Host
-from hazelspring.lab.models.network import Network, Trouble
+from hazelspring.lab.models.network import Network, NetworkFault
 from hazelspring.lab.models.random_streams import stream
-from hazelspring.lab.plan import arrivals_of, happenings, place_of, request_id, servers_of
+from hazelspring.lab.plan import arrivals_of, parse_request_id, planned_faults, request_id, servers_of
 from hazelspring.lab.record import Arrival, Note, Recorder, Rude, Sample, Try, read
 from hazelspring.lab.rules import RULES, PlayRecords, judge
 
@@ -41,7 +41,7 @@
     assert arrivals_of(plain, 5).digest() == arrivals_of(crash, 5).digest()
     # A part that rounds to no alert server selects one.
     tiny = Day.model_validate({"about": "x", "faults": [{"kind": "kill_servers", "at": 1, "part": 0.001}]})
-    assert [len(h.targets) for h in happenings(tiny, 1)] == [1]
+    assert [len(h.targets) for h in planned_faults(tiny, 1)] == [1]
 
 
 @given(
@@ -90,7 +90,7 @@
 
     # A warm server only queues.
     assert set(verdicts_under_load(-math.inf)) == {Verdict.BEGUN} == set(verdicts_under_load(9.9))
-    assert verdicts_under_load(20.0)[-1] is Verdict.FALLEN
+    assert verdicts_under_load(20.0)[-1] is Verdict.OVERLOADED
 
 
 def test_the_counter_serves_calls_in_order_and_drops_totals_that_expired_or_were_lost() -> None:
@@ -106,28 +106,28 @@
 
 def test_discovery_sends_changes_to_each_gateway_after_its_own_delay() -> None:
     discovery = Discovery(2, [Host("a", "z", "k", 0), Host("b", "z", "k", 0)])
-    discovery.late = [0.5, 3.0]
+    discovery.update_delays_s = [0.5, 3.0]
     discovery.change(10.0, "a", Health.GONE)
     discovery.change(11.0, "a", Health.READY, born=7.0)
     assert [discovery.current(0, t) for t in (10.4, 10.6, 11.6)] == [1, 2, 3]
-    assert (discovery.current(1, 11.6), [h.name for h in discovery.whole(1)]) == (1, ["a", "b"])
+    assert (discovery.current(1, 11.6), [h.name for h in discovery.full_list(1)]) == (1, ["a", "b"])
     assert [h.health for h in discovery.since(1, 3)] == [Health.READY]
-    assert [h.name for h in discovery.whole(2)] == ["b"]
+    assert [h.name for h in discovery.full_list(2)] == ["b"]
     discovery.silent = True
     assert discovery.current(1, 99.0) == 1
-    discovery.room = 1
+    discovery.calls_per_s_limit = 1
     assert [discovery.admits(t) for t in (50.0, 50.5, 51.6)] == [True, False, True]
 
 
 def test_network_faults_end_in_time_and_clients_limit_retries_and_waits() -> None:
-    cut = Trouble("cut", 5.0, 6.0, frozenset(), frozenset({"s"}))
-    network = Network([cut, Trouble("reset", 0.0, 9.0, frozenset({"d"}), frozenset(), 0.25)])
+    cut = NetworkFault("cut", 5.0, 6.0, frozenset(), frozenset({"s"}))
+    network = Network([cut, NetworkFault("reset", 0.0, 9.0, frozenset({"d"}), frozenset(), 0.25)])
     assert [network.cut(t, "d", "s") for t in (4.9, 5.0, 5.9, 6.0)] == [False, True, True, False]
     assert not network.cut(5.5, "d", "other")
     assert (network.reset_share(1.0, "d", "s"), network.reset_share(1.0, "e", "s")) == (0.25, 0.0)
     policy = RetryPolicy(retries=1, backoff=0.2, honour_share=1.0, max_wait=2.0)
-    assert [again_after(policy, 1, 7, n, 5.0) for n in (1, 2)] == [2.0, None]
-    assert again_after(dataclasses.replace(policy, honour_share=0.0), 1, 7, 1, 5.0) == 0.2
+    assert [retry_delay(policy, 1, 7, n, 5.0) for n in (1, 2)] == [2.0, None]
+    assert retry_delay(dataclasses.replace(policy, honour_share=0.0), 1, 7, 1, 5.0) == 0.2
 
 
 @pytest.mark.parametrize(
@@ -156,9 +156,9 @@
     assert len(shipped()) >= 15
     for name in shipped():
         day = load_day(name)
-        assert len(servers_of(day, 1)) == day.servers and len(happenings(day, 1)) == len(day.faults)
-    assert place_of(3, request_id(3, 77, 2)) == (77, 2)
-    assert place_of(3, request_id(4, 77, 2)) is None and place_of(3, "zz") is None
+        assert len(servers_of(day, 1)) == day.servers and len(planned_faults(day, 1)) == len(day.faults)
+    assert parse_request_id(3, request_id(3, 77, 2)) == (77, 2)
+    assert parse_request_id(3, request_id(4, 77, 2)) is None and parse_request_id(3, "zz") is None
 
 
 # --- the rules: a change to one record breaks one rule, which reports it while no other rule does ----------
