--- a/hazelspring/lab/record.py
+++ b/hazelspring/lab/record.py
@@ -7,16 +7,17 @@
 
 from collections.abc import Iterator
 from pathlib import Path
-from typing import TypeVar
+from typing import ClassVar, TypeVar
 
 import msgspec
 
 BUFFERED_RECORDS = 2000  # a recorder writes its buffer to the file when it holds this many records
 
 
-class Try(msgspec.Struct, array_like=True):
+class AttemptRecord(msgspec.Struct, array_like=True):
     """One attempt of a client, recorded when it has ended."""
 
+    suffix: ClassVar[str] = "try"
     id: str
     request: int
     attempt: int
@@ -35,6 +36,7 @@
 class Arrival(msgspec.Struct, array_like=True):
     """A request that an alert server has received completely."""
 
+    suffix: ClassVar[str] = "arrival"
     id: str
     server: int
     door: int
@@ -44,9 +46,10 @@
     restarts: int  # of the alert server until then
 
 
-class Rude(msgspec.Struct, array_like=True):
+class HostileConnectionRecord(msgspec.Struct, array_like=True):
     """A connection of a hostile client: what the client did, and how the gateway responded."""
 
+    suffix: ClassVar[str] = "rude"
     kind: str
     door: int
     at: float
@@ -57,6 +60,7 @@
 class Note(msgspec.Struct, array_like=True):
     """An event: `what` names its kind, `who` the process, server or gateway that it concerns."""
 
+    suffix: ClassVar[str] = "note"
     at: float
     what: str
     who: str = ""
@@ -66,6 +70,7 @@
 class Sample(msgspec.Struct, array_like=True):
     """One measurement of a gateway's processes, as sums over all of them."""
 
+    suffix: ClassVar[str] = "sample"
     at: float
     door: int
     cpu: float  # seconds of CPU time since they started
@@ -74,8 +79,8 @@
     processes: int
 
 
-Any = Try | Arrival | Rude | Note | Sample
-R = TypeVar("R", Try, Arrival, Rude, Note, Sample)
+Any = AttemptRecord | Arrival | HostileConnectionRecord | Note | Sample
+R = TypeVar("R", AttemptRecord, Arrival, HostileConnectionRecord, Note, Sample)
 
 
 class Recorder:
@@ -102,5 +107,5 @@
 def read(folder: Path, kind: type[R]) -> Iterator[R]:
     """Yield all records of a type from the files of JSON lines in the folder of a play."""
     decoder = msgspec.json.Decoder(kind)
-    for path in sorted(folder.glob(f"*.{kind.__name__.lower()}.jsonl")):
+    for path in sorted(folder.glob(f"*.{kind.suffix}.jsonl")):
         yield from decoder.decode_lines(path.read_bytes())
--- a/hazelspring/lab/rules.py
+++ b/hazelspring/lab/rules.py
@@ -25,7 +25,7 @@
     planned_faults,
     servers_of,
 )
-from hazelspring.lab.record import Arrival, Note, Rude, Sample, Try, read
+from hazelspring.lab.record import Arrival, AttemptRecord, HostileConnectionRecord, Note, Sample, read
 
 HOSTILE_TIMEOUT = (
     3.0  # seconds within which a client that sends no proper request must get an error or a close
@@ -54,9 +54,9 @@
     work: Arrivals
     specs: list[ServerSpec]
     planned_faults: list[PlannedFault]
-    attempts: list[Try]
+    attempts: list[AttemptRecord]
     arrivals: list[Arrival]
-    hostile_connections: list[Rude]
+    hostile_connections: list[HostileConnectionRecord]
     notes: list[Note]
     samples: list[Sample]
 
@@ -65,9 +65,9 @@
         """Read the records from the folder of a play, and compute its plan from the day and the seed."""
         return cls(
             day, seed, arrivals_of(day, seed), servers_of(day, seed), planned_faults(day, seed),
-            sorted(read(folder, Try), key=lambda t: (t.due, t.id)),
+            sorted(read(folder, AttemptRecord), key=lambda t: (t.due, t.id)),
             sorted(read(folder, Arrival), key=lambda a: (a.received, a.id)),
-            list(read(folder, Rude)),
+            list(read(folder, HostileConnectionRecord)),
             sorted(read(folder, Note), key=lambda n: n.at),
             list(read(folder, Sample)),
         )  # fmt: skip
@@ -117,7 +117,7 @@
         )
 
 
-def killed_during(records: PlayRecords, attempt: Try) -> bool:
+def killed_during(records: PlayRecords, attempt: AttemptRecord) -> bool:
     """Whether a kill of the gateway falls between the start and the end of this attempt."""
     name = f"n{attempt.door}"
     return any(
--- a/hazelspring/lab/simulators/clients.py
+++ b/hazelspring/lab/simulators/clients.py
@@ -27,7 +27,7 @@
     planned_faults,
     request_id,
 )
-from hazelspring.lab.record import Recorder, Rude, Try
+from hazelspring.lab.record import AttemptRecord, HostileConnectionRecord, Recorder
 from hazelspring.lab.simulators.child_process import Message, clock, freeze_heap, run_child, send
 
 ANSWER_GRACE_S = 0.5  # seconds past its time-out for which an attempt still accepts an answer
@@ -184,7 +184,7 @@
         load, now = self.load, self.load.now()
         load.open_attempts -= 1
         load.attempt_log.add(
-            Try(
+            AttemptRecord(
                 self.id, self.request, self.number, self.gateway, self.due, self.started_at, self.sent, now,
                 status, outcome, retry_after_s, genuine, self.resent,
             )
@@ -357,7 +357,9 @@
         finally:
             if writer is not None:
                 writer.close()
-        self.hostile_log.add(Rude(kind, gateway, started_at, self.now() - started_at, status))
+        self.hostile_log.add(
+            HostileConnectionRecord(kind, gateway, started_at, self.now() - started_at, status)
+        )
 
     @staticmethod
     async def send_pieces(writer: asyncio.StreamWriter, pieces: tuple[bytes, ...]) -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -23,7 +23,15 @@
 from hazelspring.lab.models.network import Network, NetworkFault
 from hazelspring.lab.models.random_streams import stream
 from hazelspring.lab.plan import arrivals_of, parse_request_id, planned_faults, request_id, servers_of
-from hazelspring.lab.record import Arrival, Note, Recorder, Rude, Sample, Try, read
+from hazelspring.lab.record import (
+    Arrival,
+    AttemptRecord,
+    HostileConnectionRecord,
+    Note,
+    Recorder,
+    Sample,
+    read,
+)
 from hazelspring.lab.rules import RULES, PlayRecords, judge
 
 SPEC = ServerSpec("s", 0, 0, 0, cores=2, slots=4, queue=3, cold_share=0.25, warm_up=10.0, thrash=0.0)
@@ -173,7 +181,7 @@
     for number, request in enumerate(keyed):
         at = 1.0 + number
         found = request_id(1, request, 0)
-        attempts.append(Try(found, request, 0, 0, at, at, at + 0.001, at + 0.1, 200, "answer"))
+        attempts.append(AttemptRecord(found, request, 0, 0, at, at, at + 0.001, at + 0.1, 200, "answer"))
         arrivals.append(Arrival(found, 0, 0, at + 0.01, at + 0.01, "begun", 0))
     notes = [
         Note(5.0, "told Terminating", f"{specs[0].name} 0"), Note(9.0, "told Ready", f"{specs[0].name} 0"),
@@ -181,7 +189,10 @@
         Note(10.0, "log", "n0", 1000.0), Note(10.0, "length", "", 10.0), Note(10.0, "load sent", "", 4.0),
     ]  # fmt: skip
     samples = [Sample(1.0, 0, 0.5, 30000, 60, 1)]
-    hostile = [Rude("silent", 0, 1.0, 2.0, 0), Rude("garbled", 0, 1.0, 0.1, 400)]
+    hostile = [
+        HostileConnectionRecord("silent", 0, 1.0, 2.0, 0),
+        HostileConnectionRecord("garbled", 0, 1.0, 0.1, 400),
+    ]
     return PlayRecords(day, 1, work, specs, [], attempts, arrivals, hostile, notes, samples)
 
 
@@ -284,7 +295,7 @@
     for note in notes:
         recorder.add(note)
     recorder.flush()
-    assert list(read(tmp_path, Note)) == notes and not list(read(tmp_path, Try))
+    assert list(read(tmp_path, Note)) == notes and not list(read(tmp_path, AttemptRecord))
 
 
 def test_a_comparison_detects_a_real_difference_and_leaves_out_invalid_pairs() -> None:
