--- a/hazelspring/lab/report.py
+++ b/hazelspring/lab/report.py
@@ -63,10 +63,10 @@
     figure = Figure(figsize=(9, 2.8), layout="constrained")
     axes = figure.subplots()
     draw(axes)
-    for happening in records.happenings:
-        end = max(happening.end, happening.fault.at + 0.1)
-        axes.axvspan(happening.fault.at, end, color="#c60", alpha=0.12)
-        axes.annotate(happening.fault.kind, (happening.fault.at, 1.0), xycoords=("data", "axes fraction"),
+    for planned in records.planned_faults:
+        end = max(planned.end, planned.fault.at + 0.1)
+        axes.axvspan(planned.fault.at, end, color="#c60", alpha=0.12)
+        axes.annotate(planned.fault.kind, (planned.fault.at, 1.0), xycoords=("data", "axes fraction"),
                       fontsize=7, rotation=90, va="top", color="#630")  # fmt: skip
     axes.set_xlabel("seconds")
     axes.set_ylabel(label)
@@ -137,7 +137,7 @@
     breaches: dict[str, list[Breach]],
     raw: Path,
 ) -> Path:
-    """Write `index.html`, `series.jsonl` and copies of the stand-ins' records; return the page's path."""
+    """Write `index.html`, `series.jsonl` and copies of the play's records; return the page's path."""
     folder.mkdir(parents=True, exist_ok=True)
     rows = series(records)
     (folder / "series.jsonl").write_bytes(msgspec.json.Encoder().encode_lines(rows))
