--- a/hazelspring/admission/gateway.py
+++ b/hazelspring/admission/gateway.py
@@ -18,7 +18,7 @@
     """The decisions of one gateway process; events come in through `handle` only."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
-        self.turn = ctx = Context(settings, random.Random(seed), max(1, settings.peers))
+        self.ctx = ctx = Context(settings, random.Random(seed), max(1, settings.peers))
         self.pace = Pace(ctx)
         self.servers = Servers(ctx)
         self.choice = Choice(ctx, self.servers, {})
@@ -28,16 +28,16 @@
 
     @property
     def settings(self) -> i.Settings:
-        return self.turn.settings
+        return self.ctx.settings
 
     @property
     def actions(self) -> list[i.Action]:
         """The actions of the last event so far."""
-        return self.turn.actions
+        return self.ctx.actions
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
         """Process one event at `now`, in seconds, and return the resulting actions in order."""
-        self.turn.now, self.turn.actions = now, []
+        self.ctx.now, self.ctx.actions = now, []
         match event:
             case i.Request():
                 self.attempts.on_request(event)
@@ -68,35 +68,35 @@
                 if self.servers.on_attached(event):
                     self.attempts.send_queued()
             case i.Processes():
-                self.turn.processes = max(1, event.count)
+                self.ctx.processes = max(1, event.count)
                 self.update_peers()
             case i.Retuned():
                 self.on_retuned(event.settings)
         self.set_timer()
-        return self.turn.actions
+        return self.ctx.actions
 
     def on_retuned(self, settings: i.Settings) -> None:
         """Apply new settings.  Open jobs keep their class, plan and limits; learned values stay."""
         plans = {plan.name: plan for plan in settings.plans}
         changed = {p.name: plans[p.name] for p in self.settings.plans if plans.get(p.name, p) != p}
-        self.turn.retune(settings)
+        self.ctx.retune(settings)
         self.quotas.retune(changed)
         self.pace.retune()
         self.update_peers()
 
     def update_peers(self) -> None:
         """Recompute the peer count, each process as one gateway, and rescale what peers share."""
-        before, self.turn.peers = self.turn.peers, max(1, self.settings.peers) * self.turn.processes
-        self.pace.rescale(before / self.turn.peers)
-        self.choice.room *= before / self.turn.peers
+        before, self.ctx.peers = self.ctx.peers, max(1, self.settings.peers) * self.ctx.processes
+        self.pace.rescale(before / self.ctx.peers)
+        self.choice.limit *= before / self.ctx.peers
 
     def set_timer(self) -> None:
         """Set a timer if jobs are open or credit may have to be returned; an idle gateway sets none."""
-        attempts, now = self.attempts, self.turn.now
+        attempts, now = self.attempts, self.ctx.now
         if not attempts.jobs and not self.quotas.returnable:
             return
         queued = attempts.queue or any(not job.in_flight for job in attempts.jobs.values())
         due = now + TICK * (1 if queued else WATCH_TICKS)
         if not now + EPS < self.timer_at <= due:  # the host may fire a timer slightly early
             self.timer_at = due
-            self.turn.actions.append(i.SetTimer(due, 1))
+            self.ctx.actions.append(i.SetTimer(due, 1))
--- a/hazelspring/admission/policy/choice.py
+++ b/hazelspring/admission/policy/choice.py
@@ -21,7 +21,7 @@
 class Choice:
     def __init__(self, ctx: Context, servers: Servers, jobs: dict[int, Job]) -> None:
         self.ctx, self.servers, self.jobs = ctx, servers, jobs  # `jobs` is only read
-        self.room = FIRST_LIMIT / ctx.peers  # limit of attempts at a mean backend, this gateway's part
+        self.limit = FIRST_LIMIT / ctx.peers  # limit of attempts at a mean backend, this gateway's part
         self.lowered_at = 0.0  # time of the last decrease of `room`
         self.probe_at = 0.0
 
@@ -29,11 +29,11 @@
         """Adapt the limit, one for all backends, by additive increase and multiplicative decrease."""
         servers = self.servers
         if servers.late_share < MAX_LATE_SHARE:
-            if not late and servers.in_flight + 2 >= self.room * servers.capacity():
-                self.room += 1 / (self.room * max(1, len(servers.live))) / self.ctx.peers
+            if not late and servers.in_flight + 2 >= self.limit * servers.capacity():
+                self.limit += 1 / (self.limit * max(1, len(servers.live))) / self.ctx.peers
         elif self.ctx.now - self.lowered_at > servers.latency:
             self.lowered_at = self.ctx.now
-            self.room = max(MIN_LIMIT / self.ctx.peers, self.room * BACKOFF)
+            self.limit = max(MIN_LIMIT / self.ctx.peers, self.limit * BACKOFF)
 
     def allowed_backends(self, job: Job) -> list[Backend]:
         """List the backends that the rules allow for the job's next attempt."""
@@ -63,7 +63,7 @@
         # Each gateway sheds its part at random; with few attempts in flight, the reported load is outdated.
         if fleet.in_flight * ctx.peers >= len(fleet.live) and ctx.random.random() > 2 - fleet.overload():
             return False
-        mean = self.room * fleet.capacity()
+        mean = self.limit * fleet.capacity()
         most = mean + LIMIT_DEVIATIONS * math.sqrt(mean)
         slow = ctx.now - SUSPECT * fleet.latency  # older attempts must not use up the limit
         jobs = (job for job in self.jobs.values() if job.complete and not job.answering)
@@ -99,4 +99,4 @@
         if self.ctx.now - backend.drawn_at > 2 * self.servers.latency:
             backend.draw, backend.drawn_at = self.ctx.random.random(), self.ctx.now
         part = min(1.0, 1.5 * self.servers.latency / expected)
-        return len(backend.in_flight) + backend.draw < 2 * self.room * part
+        return len(backend.in_flight) + backend.draw < 2 * self.limit * part
--- a/hazelspring/admission/wire.py
+++ b/hazelspring/admission/wire.py
@@ -278,16 +278,16 @@
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self.values = values
-        self.read: set[str] = set()  # keys that were looked up
+        self.used_keys: set[str] = set()  # keys that were looked up
         self.problems: list[str] = []
 
-    def wrong(self, key: str, why: str) -> None:
+    def add_problem(self, key: str, why: str) -> None:
         """Add a problem with the key's value, which must be present."""
         self.problems.append(f"{key}: {why}: {self.values[key][:80]}")
 
     def text(self, key: str, absent: str | None = None) -> str:
         """Return the value as it is."""
-        self.read.add(key)
+        self.used_keys.add(key)
         value = self.values.get(key, absent)
         if value is None:
             self.problems.append(f"{key}: missing")
@@ -296,7 +296,7 @@
 
     def number(self, key: str, absent: float | None = None) -> float:
         """Return a finite number, which is zero or of a magnitude between 1e-9 and 1e12."""
-        self.read.add(key)
+        self.used_keys.add(key)
         if key not in self.values:
             if absent is None:
                 self.problems.append(f"{key}: missing")
@@ -306,9 +306,9 @@
         except ValueError:
             number = float("nan")
         if not abs(number) < float("inf"):
-            self.wrong(key, "not a number")
+            self.add_problem(key, "not a number")
         elif number and not _MIN_MAGNITUDE <= abs(number) <= _MAX_MAGNITUDE:
-            self.wrong(key, "out of range")
+            self.add_problem(key, "out of range")
         else:
             return number
         return 1.0
@@ -317,48 +317,48 @@
         """Return a number above zero."""
         if (number := self.number(key)) > 0:
             return number
-        self.wrong(key, "not above zero")
+        self.add_problem(key, "not above zero")
         return 1.0
 
     def amount(self, key: str, absent: float | None = None) -> float:
         """Return a number that is not negative."""
         if (number := self.number(key, absent)) >= 0:
             return number
-        self.wrong(key, "below zero")
+        self.add_problem(key, "below zero")
         return 1.0
 
     def share(self, key: str) -> float:
         """Return a number between 0 and 1."""
         if (number := self.amount(key)) <= 1:
             return number
-        self.wrong(key, "above one")
+        self.add_problem(key, "above one")
         return 1.0
 
-    def whole(self, key: str, absent: int | None = None) -> int:
+    def non_negative_integer(self, key: str, absent: int | None = None) -> int:
         """Return an integer that is not negative."""
         number = self.amount(key, absent)
         if number != int(number):
-            self.wrong(key, "not a whole number")
+            self.add_problem(key, "not a whole number")
         return int(number)
 
     def count(self, key: str) -> int:
         """Return an integer above zero."""
-        if (number := self.whole(key)) > 0:
+        if (number := self.non_negative_integer(key)) > 0:
             return number
         if self.values.get(key) is not None:
-            self.wrong(key, "not above zero")
+            self.add_problem(key, "not above zero")
         return 1
 
     def flag(self, key: str, absent: bool | None = None) -> bool:
         """Return whether the value is `true`; it must be `true` or `false`."""
         value = self.text(key, None if absent is None else str(absent).lower())
         if value not in ("true", "false") and key in self.values:
-            self.wrong(key, "neither true nor false")
+            self.add_problem(key, "neither true nor false")
         return value == "true"
 
     def listed(self, key: str) -> tuple[str, ...]:
         """Return the non-empty parts of a comma-separated list, none if it is missing."""
-        self.read.add(key)
+        self.used_keys.add(key)
         return tuple(part for part in self.values.get(key, "").split(",") if part)
 
     def effect(self, key: str) -> i.Effect:
@@ -367,7 +367,7 @@
         if value in _EFFECTS:
             return _EFFECTS[value]
         if key in self.values:
-            self.wrong(key, "no effect")
+            self.add_problem(key, "no effect")
         return i.Effect.UNSAFE
 
     def scope(self, key: str) -> i.Scope:
@@ -375,7 +375,7 @@
         value = self.text(key, "all")
         if value in _SCOPES:
             return _SCOPES[value]
-        self.wrong(key, "not a deduplication scope")
+        self.add_problem(key, "not a deduplication scope")
         return i.Scope.ALL
 
 
@@ -402,7 +402,7 @@
         name=r.text(p + "name"),
         rate=r.amount(p + "quota_rate", 0.0),
         burst=r.amount(p + "peak_units", 0.0),
-        parallel=r.whole(p + "parallel", 0),
+        parallel=r.non_negative_integer(p + "parallel", 0),
         price=r.amount(p + "pays"),
         over_cost=r.amount(p + "over_cost", 0.0),
         over_worth=r.amount(p + "beyond_earns", 0.0),
@@ -444,15 +444,15 @@
     )
     prices = {k.removeprefix("penalties."): r.number(k) for k in r.values if k.startswith("penalties.")}
     has_counter = r.flag("extra.has_counter", False)
-    r.read.add("extra.counter_timeout_s")  # accepted, but not used without a counter
+    r.used_keys.add("extra.counter_timeout_s")  # accepted, but not used without a counter
     return i.Settings(
-        me=r.whole("me"),
+        me=r.non_negative_integer("me"),
         peers=r.count("peers_total"),
-        zone=r.whole("az"),
+        zone=r.non_negative_integer("az"),
         zones=r.listed("zones"),
         period=r.number("period_s"),
-        classes=tuple(_class(r, f"classes.{n}.") for n in range(r.whole("classes.count"))),
-        plans=tuple(_plan(r, f"tariffs.{n}.") for n in range(r.whole("tariffs.count", 0))),
+        classes=tuple(_class(r, f"classes.{n}.") for n in range(r.non_negative_integer("classes.count"))),
+        plans=tuple(_plan(r, f"tariffs.{n}.") for n in range(r.non_negative_integer("tariffs.count", 0))),
         rules=rules,
         limits=limits,
         has_counter=has_counter,
--- a/hazelspring/daemon/__main__.py
+++ b/hazelspring/daemon/__main__.py
@@ -92,7 +92,7 @@
         loop,
         SETTINGS_CHECK_INTERVAL,
         watcher.check,
-        lambda error: process.supervisor.failed("look at the settings", error),
+        lambda error: process.supervisor.record_failure("look at the settings", error),
     )
     gc.collect()
     gc.freeze()  # objects that live as long as the process need not be scanned again
--- a/hazelspring/daemon/client_listener.py
+++ b/hazelspring/daemon/client_listener.py
@@ -30,11 +30,18 @@
     client_status,
     status_line,
 )
-from hazelspring.gateway.caller import LEAST_ADVICE, MOST_HELD, BadRequest, Client, Exchange, Listener
+from hazelspring.gateway.client_connection import (
+    MAX_BUFFERED_BYTES,
+    MIN_RETRY_AFTER,
+    BadRequest,
+    Client,
+    Exchange,
+    Listener,
+)
 from hazelspring.gateway.config import Address
-from hazelspring.gateway.host import Answer, Host, Open
-from hazelspring.gateway.link import Attempt, Flow, Result, Sink
+from hazelspring.gateway.host import Answer, Host, OpenRequest
 from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.server_connection import Attempt, Result, Sink, StreamedAnswer
 from hazelspring.quota.credits import CounterCall
 from hazelspring.routing.events import AbandonAttempt, LeaseCredits, RejectOverQuota, RequestArrived
 from hazelspring.routing.request_router import RequestRouter
@@ -59,18 +66,18 @@
     if isinstance(answer, FinalAnswer):
         head += answer.headers
     if answer.retry_after > 0:
-        head += b"Retry-After: %.3f\r\n" % max(answer.retry_after, LEAST_ADVICE)
+        head += b"Retry-After: %.3f\r\n" % max(answer.retry_after, MIN_RETRY_AFTER)
     if close:
         head += b"Connection: close\r\n"
     return head + b"\r\n" + answer.body
 
 
-def flow_head(flow: Flow, chunked: bool, close: bool) -> bytes:
+def stream_head(stream: StreamedAnswer, chunked: bool, close: bool) -> bytes:
     """Return the head of an answer whose body is streamed; `close`: the connection is closed after it."""
-    stream = cast(UpstreamStream, flow)
-    head = status_line(stream.status) + stream.headers
-    if flow.length is not None:
-        head += b"Content-Length: %d\r\n" % flow.length
+    upstream = cast(UpstreamStream, stream)
+    head = status_line(upstream.status) + upstream.headers
+    if stream.length is not None:
+        head += b"Content-Length: %d\r\n" % stream.length
     elif chunked:
         head += b"Transfer-Encoding: chunked\r\n"
     return head + (b"Connection: close\r\n\r\n" if close else b"\r\n")
@@ -79,7 +86,7 @@
 class RouterHost(Host[RequestRouter]):
     """Executes the actions of the request router, and passes it the events of clients and servers."""
 
-    held_by = (RequestArrived, Finished)
+    answered_on_error = (RequestArrived, Finished)
 
     def __init__(
         self,
@@ -96,7 +103,7 @@
         self.now = time.monotonic()
         return self.now
 
-    def carry_out(self, action: Any) -> None:
+    def execute(self, action: Any) -> None:
         """Execute one action of the router."""
         match action:
             case LeaseCredits():
@@ -104,20 +111,23 @@
             case RejectOverQuota():
                 self.end(action.request, FinalAnswer(429, retry_after=action.retry_after))
             case AbandonAttempt():
-                request = self.table.get(action.request)
-                if request is not None and (attempt := request.out.get(action.attempt)) is not None:
+                request = self.open_requests.get(action.request)
+                if (
+                    request is not None
+                    and (attempt := request.running_attempts.get(action.attempt)) is not None
+                ):
                     attempt.give_up(Outcome.TIMEOUT)
             case Fail():
                 self.fail(action.request)
             case _:
-                super().carry_out(action)
+                super().execute(action)
 
     def fail(self, number: int) -> None:
         """Answer a failed request with its server's answer, or else with a 502.
 
         A 502 leaves open whether the request ran.
         """
-        request = self.table.get(number)
+        request = self.open_requests.get(number)
         reply = request.last if request is not None else None
         if isinstance(reply, UpstreamReply):
             self.end(number, FinalAnswer(client_status(reply), reply.body, headers=reply.headers))
@@ -126,10 +136,10 @@
 
     def attempt(
         self,
-        request: Open,
+        request: OpenRequest,
         payload: bytes,
         done: Callable[[Result], None],
-        begun: Callable[[Flow], Sink | None],
+        begun: Callable[[StreamedAnswer], Sink | None],
     ) -> Attempt:
         """Return a new attempt of a request; an error answer from the server is stored for the client."""
 
@@ -138,14 +148,14 @@
                 request.last = result
             done(result)
 
-        return UpstreamAttempt(request.mark, payload, on_result, begun, request.upload)
+        return UpstreamAttempt(request.attempt_id, payload, on_result, begun, request.upload)
 
     def answer_all(self) -> None:
         """Answer every open request when the process ends.
 
         A request that was not sent to any server gets a 503, which states that it has not run.
         """
-        for request in list(self.table.values()):
+        for request in list(self.open_requests.values()):
             if not request.settled and not request.sent:
                 self.end(request.number, FinalAnswer(503, retry_after=NOT_READY_RETRY_AFTER))
                 self.post(Left(request.number))
@@ -221,17 +231,17 @@
         super().reject(error)
 
     def submit(self, exchange: Exchange, listener: ClientListener, terms: RequestTerms) -> None:
-        """Pass a request to the router; refuse it if the buffered bodies would exceed `MOST_HELD` bytes."""
+        """Pass a request to the router; refuse it if the buffered bodies would exceed `MAX_BUFFERED_BYTES`."""
         method, body, upload = self.parser.get_method(), b"".join(self.body), exchange.upload
-        if listener.held + len(body) > MOST_HELD:
+        if listener.buffered_bytes + len(body) > MAX_BUFFERED_BYTES:
             refuse(exchange)
             return
-        exchange.held = len(body)
-        listener.held += len(body)
+        exchange.buffered_bytes = len(body)
+        listener.buffered_bytes += len(body)
         route, tenant, timeout = terms.route, terms.tenant, terms.timeout
         head = forwarded_head(method, self.url, self.headers, tenant.name if tenant is not None else None)
         head += upload.framing() if upload is not None else body_framing(method, body)
-        servers = listener.host.gateway.fleet.servers
+        servers = listener.host.gateway.endpoints.servers
 
         def payload(remaining: float, number: int) -> bytes:
             server = servers.get(number)
@@ -302,7 +312,7 @@
     """Listens for clients, and holds the configuration by which their requests are served."""
 
     encode = staticmethod(encode)
-    flow_head = staticmethod(flow_head)
+    stream_head = staticmethod(stream_head)
     head_status = 431
     host: RouterHost
 
@@ -319,5 +329,5 @@
         """Use a configuration and its limits for requests from now on."""
         self.configuration = configuration
         limits = configuration.limits
-        self.most_head, self.most_body = limits.max_head_bytes, limits.max_body_bytes
+        self.max_head, self.max_body = limits.max_head_bytes, limits.max_body_bytes
         self.head_timeout, self.idle_timeout = limits.head_timeout, limits.idle_timeout
--- a/hazelspring/daemon/disk_worker.py
+++ b/hazelspring/daemon/disk_worker.py
@@ -34,7 +34,7 @@
             log.write("control", "cannot read the disk, continues without it", error=error)
             return None
         except Exception as error:  # the caller retries
-            self.supervisor.failed("read the disk", error)
+            self.supervisor.record_failure("read the disk", error)
             return None
         while self.store.quarantined:
             log.write("control", "put aside what could not be read", what=self.store.quarantined.pop())
@@ -47,7 +47,7 @@
         except StoreError as error:
             log.write("control", "could not save", records=",".join(records), error=error)
         except Exception as error:  # the node waits for every save to end, so no error may escape
-            self.supervisor.failed("save", error)
+            self.supervisor.record_failure("save", error)
         else:
             return True
         return False
--- a/hazelspring/daemon/http_api.py
+++ b/hazelspring/daemon/http_api.py
@@ -16,9 +16,9 @@
 from hazelspring.daemon.client_listener import FinalAnswer, encode
 from hazelspring.daemon.operator_calls import CommandResult, OperatorCalls
 from hazelspring.daemon.structured_log import log
-from hazelspring.gateway.caller import BadRequest, Client, Exchange, Listener
+from hazelspring.gateway.client_connection import BadRequest, Client, Exchange, Listener
 from hazelspring.gateway.config import Address
-from hazelspring.gateway.host import Answer, Open
+from hazelspring.gateway.host import Answer, OpenRequest
 from hazelspring.gateway.metrics import Counts
 
 MAX_BODY_BYTES = 8 << 20  # of a configuration
@@ -112,7 +112,7 @@
     def on_body(self, body: bytes) -> None:
         """Collect a part of the body.  Raises BadRequest if it becomes too large."""
         self.size += len(body)
-        if self.size > self.server.most_body:
+        if self.size > self.server.max_body:
             raise BadRequest("body too large", 413)
         self.body.append(body)
 
@@ -132,7 +132,7 @@
     """One listening address of the API; `roles` decide which calls it answers."""
 
     encode = staticmethod(encode)
-    most_body = MAX_BODY_BYTES
+    max_body = MAX_BODY_BYTES
     head_timeout, idle_timeout = HEAD_TIMEOUT, IDLE_TIMEOUT
 
     def __init__(self, listen: Address, node: NodeInterface, roles: frozenset[ApiRole]) -> None:
@@ -146,10 +146,10 @@
         """The process's counters."""
         return self.node.counts
 
-    def left(self, request: Open) -> None:
+    def on_client_disconnected(self, request: OpenRequest) -> None:
         """Ignore that a caller has disconnected: its command continues, and the caller may send it again."""
 
-    def whole(self, request: Open) -> None:
+    def on_body_complete(self, request: OpenRequest) -> None:
         """Ignore the end of a body: `ApiConnection.take` dispatches a call with its complete body."""
 
     def dispatch(self, method: str, segments: list[str], query: str, body: bytes, reply: Reply) -> None:
--- a/hazelspring/daemon/message_transport.py
+++ b/hazelspring/daemon/message_transport.py
@@ -101,7 +101,7 @@
             try:
                 await self.open_socket()
             except Exception as error:
-                self.supervisor.failed(OPEN_SOCKET, error)
+                self.supervisor.record_failure(OPEN_SOCKET, error)
                 await asyncio.sleep(REOPEN_INTERVAL)
 
     def send(self, to: str, message: Message) -> None:
--- a/hazelspring/daemon/node_metrics.py
+++ b/hazelspring/daemon/node_metrics.py
@@ -51,11 +51,11 @@
         count = process.node.invariants.violations[name]
         yield Sample("invariant_violations_total", count, (("name", name),))
     yield Sample("requests_on_old_list_total", process.router.requests_on_stale_list)
-    yield Sample("requests_after_leave_total", process.servers.late_requests)
-    yield Sample("request_after_leave_max_seconds", process.servers.latest_request)
+    yield Sample("requests_after_leave_total", process.servers.requests_after_leave)
+    yield Sample("request_after_leave_max_seconds", process.servers.max_delay_after_leave)
     yield Sample("roster_age_seconds", now - process.node.peers.roster_confirmed_at)
     yield Sample("nodes_in_roster", len(process.node.peers.roster_rows))
-    for reason, count in process.router.ends.items():
+    for reason, count in process.router.unserved_counts.items():
         yield Sample("requests_not_served_total", count, (("reason", reason),))
     for kind, count in process.node.dropped.items():
         yield Sample("messages_dropped_total", count, (("kind", kind),))
--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -152,7 +152,10 @@
         log.write("daemon", "started", name=settings.name, disk=has_disk, first=first, **versions)
         self.tick()
         self.ticker = Periodic(
-            self.loop, self.time_until_tick, self.tick, lambda error: self.supervisor.failed("tick", error)
+            self.loop,
+            self.time_until_tick,
+            self.tick,
+            lambda error: self.supervisor.record_failure("tick", error),
         )
 
     async def start_metrics(self) -> None:
@@ -203,9 +206,9 @@
             self.node_ticked_at = now
             self.supervisor.guard("core tick", lambda: self.tick_node(now))
         self.router_host.post(TimerTick())  # type: ignore[arg-type]
-        fleet = self.router.fleet
+        endpoints = self.router.endpoints
         self.execute_all(
-            self.node.disseminator.report_load(now, fleet.in_flight_by_tag(), fleet.load_reports)
+            self.node.disseminator.report_load(now, endpoints.in_flight_by_tag(), endpoints.load_reports)
         )
 
     def tick_interval(self) -> float:
@@ -225,10 +228,10 @@
         self.node.ready = self.is_ready()
         self.execute_all(self.node.tick(now))
         self.router.node_count = self.node.peers.max_node_count
-        self.router.list_known = LIST_KNOWN not in self.node.invariants.violated
+        self.router.server_list_is_fresh = LIST_KNOWN not in self.node.invariants.violated
         self.servers.per_backend = connections_per_server(self.configuration, self.router.node_count)
         self.list_reader.log_role(self.node.list_reader_role.holds(now))
-        self.unserved_log.write(now, self.router.ends)
+        self.unserved_log.write(now, self.router.unserved_counts)
 
     def reload(self, settings: Settings) -> None:
         """Apply new settings: the seeds, the platform, the revocation time and the grace period.
@@ -278,7 +281,7 @@
             try:
                 self.execute(action)
             except Exception as error:
-                self.supervisor.failed(type(action).__name__, error)
+                self.supervisor.record_failure(type(action).__name__, error)
 
     def execute(self, action: Action) -> None:
         """Execute one action of the node."""
@@ -296,7 +299,7 @@
             case ProposalOutcome():
                 self.operator_calls.on_outcome(action)
             case LoadReported():
-                self.router.fleet.on_load_report(self.loop.time(), action.node, action.in_flight_by_tag)
+                self.router.endpoints.on_load_report(self.loop.time(), action.node, action.in_flight_by_tag)
             case InvariantViolated():
                 log.write("daemon", "an invariant is violated", name=action.name)
 
@@ -344,13 +347,13 @@
         now, table = self.loop.time(), self.node.registry.tables[service]
         servers = table.servers.values()
         log_table(service, table)
-        leaving = self.router.fleet.leaving(service, servers)
+        leaving = self.router.endpoints.newly_draining(service, servers)
         log_leaving(now, leaving, self.node.freshness.age(now))
         for server in self.router.update_endpoints(now, service, servers):
             self.servers.remove(server.number)
         for server in leaving:
             self.servers.leave(server.number)
-        for server in self.router.fleet.services[service].values():
+        for server in self.router.endpoints.services[service].values():
             self.servers.place(server.number, parse_address(server.address), 0.0)
             if server.accepting:
                 self.servers.accept(server.number)
--- a/hazelspring/daemon/readiness.py
+++ b/hazelspring/daemon/readiness.py
@@ -10,15 +10,15 @@
 import math
 
 NEVER = -math.inf  # the time of an event that has not happened
-STALE_PART = 0.9  # fraction of the revocation time after which keyed requests are refused
-UNREADY_PART = 0.5  # fraction of the revocation time after which clients are sent to other nodes
+STALE_FRACTION = 0.9  # fraction of the revocation time after which keyed requests are refused
+UNREADY_FRACTION = 0.5  # fraction of the revocation time after which clients are sent to other nodes
 
 
 def fresh_until(confirmed_at: float, revocation_time: float) -> float:
     """Return the time until which keyed requests are served; all in seconds."""
-    return confirmed_at + STALE_PART * revocation_time
+    return confirmed_at + STALE_FRACTION * revocation_time
 
 
 def ready_until(confirmed_at: float, revocation_time: float) -> float:
     """Return the time until which clients may be sent to this node; all in seconds."""
-    return confirmed_at + UNREADY_PART * revocation_time
+    return confirmed_at + UNREADY_FRACTION * revocation_time
--- a/hazelspring/daemon/request_head.py
+++ b/hazelspring/daemon/request_head.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from hazelspring.daemon.upstream_servers import ATTEMPT_ID_HEADER
-from hazelspring.gateway.caller import HOP_BY_HOP
+from hazelspring.gateway.client_connection import HOP_BY_HOP
 
 REMAINING_TIME_HEADER = b"x-hazelspring-remaining-milliseconds"
 TENANT_HEADER = b"x-hazelspring-tenant-name"
--- a/hazelspring/daemon/shutdown.py
+++ b/hazelspring/daemon/shutdown.py
@@ -19,7 +19,7 @@
 async def drain(process: NodeProcess) -> None:
     """Drain within the grace period of the settings, and then close everything that the process has open."""
     began = process.loop.time()
-    process.draining = process.router.leaving = True
+    process.draining = process.router.shutting_down = True
     process.supervisor.guard("give duties up", lambda: process.execute_all(process.node.drain(began)))
     log.write("daemon", "drains", open=process.router_host.waiting)
     await asyncio.sleep(LINGER_TIME)
@@ -36,7 +36,9 @@
 def has_open_work(process: NodeProcess) -> bool:
     """Return whether requests or unsent answers are open, or the control replicas still need this node."""
     return bool(
-        process.router_host.waiting or process.client_listener.owes() or process.node.control.must_stay_up()
+        process.router_host.waiting
+        or process.client_listener.has_unfinished_exchanges()
+        or process.node.control.must_stay_up()
     )
 
 
--- a/hazelspring/daemon/status.py
+++ b/hazelspring/daemon/status.py
@@ -35,7 +35,7 @@
         "member": node.control.is_member(),
         "dropped": dict(node.dropped),
         "doors": [row[ADDRESS_COLUMN] for row in node.peers.roster_rows if row[READY_COLUMN]],
-        "notServed": dict(process.router.ends),
+        "notServed": dict(process.router.unserved_counts),
         "freshForS": round(process.router.fresh_until - now, 2),
         "servers": {service: len(table.servers) for service, table in node.registry.tables.items()},
     }
--- a/hazelspring/daemon/supervisor.py
+++ b/hazelspring/daemon/supervisor.py
@@ -35,9 +35,9 @@
         try:
             call()
         except Exception as error:
-            self.failed(name, error)
+            self.record_failure(name, error)
 
-    def failed(self, name: str, error: BaseException) -> None:
+    def record_failure(self, name: str, error: BaseException) -> None:
         """Count and log an unexpected error."""
         self.failures[name] += 1
         log.write_failure("daemon", "failed", error, what=name)
@@ -51,13 +51,13 @@
         """Remove a task that has ended, and count its error."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.failed(task.get_name(), error)
+            self.record_failure(task.get_name(), error)
 
     def _callback_failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """Handle an error of the event loop: in a callback, or of a task that was never awaited."""
         error = context.get("exception")
         if isinstance(error, BaseException):
-            self.failed(CALLBACK, error)
+            self.record_failure(CALLBACK, error)
         else:
             self.failures[CALLBACK] += 1
             log.write("daemon", "failed", what=CALLBACK, error=context.get("message", ""))
--- a/hazelspring/daemon/upstream_servers.py
+++ b/hazelspring/daemon/upstream_servers.py
@@ -14,10 +14,10 @@
 
 from hazelspring.admission.interface import Outcome
 from hazelspring.errors import HazelspringError
-from hazelspring.gateway.caller import REASONS
-from hazelspring.gateway.link import SMALL, Attempt, Flow, Link, Result
+from hazelspring.gateway.client_connection import REASONS
 from hazelspring.gateway.metrics import Counts
 from hazelspring.gateway.pool import Pool
+from hazelspring.gateway.server_connection import MAX_BUFFERED_BODY, Attempt, Link, Result, StreamedAnswer
 from hazelspring.gateway.upstream import IDLE_PART, Upstream
 
 ATTEMPT_ID_HEADER = b"x-hazelspring-attempt-id"
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class UpstreamStream(Flow):
+class UpstreamStream(StreamedAnswer):
     """A large answer whose body is still to come; `headers` are those that are forwarded to the client."""
 
     headers: bytes = b""
@@ -85,7 +85,7 @@
 
     def carry(self, attempt: Attempt) -> None:
         """Send an attempt, and count it if its server is already known to be leaving."""
-        cast(UpstreamServers, self.pool.owner).count_late_request(self.pool.name)
+        cast(UpstreamServers, self.pool.owner).count_request_after_leave(self.pool.name)
         super().carry(attempt)
 
     def clear(self) -> None:
@@ -144,10 +144,10 @@
     def on_body(self, body: bytes) -> None:
         """Add a part of the body, unless the answer belongs to another request."""
         if not self.foreign:
-            self.body_truncated = self.body_truncated or len(self.body) + len(body) > SMALL
+            self.body_truncated = self.body_truncated or len(self.body) + len(body) > MAX_BUFFERED_BODY
             super().on_body(body)
 
-    def flow(self) -> Flow:
+    def describe_stream(self) -> StreamedAnswer:
         """Return an answer that is too large to buffer, and whose body is still arriving."""
         return UpstreamStream(
             self.length, self.content_type, self, self.forwarded_headers, self.parser.get_status_code()
@@ -181,7 +181,7 @@
         Without framing the end of the late answer is unknown, so the connection is ended.
         """
         if not self.framed:
-            self.spoilt("foreign")
+            self.end_as_malformed("foreign")
             return
         self.clear()
         self.foreign, self.received_foreign = False, True
@@ -200,8 +200,8 @@
     def connection_lost(self, error: Exception | None) -> None:
         """End the attempt; one sent in part never ends as CANCELLED, as its server may have executed it."""
         attempt = self.attempt
-        if attempt is not None and attempt.verdict in (None, Outcome.CANCELLED) and self.sending():
-            attempt.verdict = Outcome.RESET
+        if attempt is not None and attempt.give_up_reason in (None, Outcome.CANCELLED) and self.sending():
+            attempt.give_up_reason = Outcome.RESET
         super().connection_lost(error)
 
 
@@ -210,12 +210,12 @@
 
     link = UpstreamConnection
 
-    def __init__(self, connect_timeout: float, idle: float, most_open: int, counts: Counts) -> None:
-        super().__init__(connect_timeout, idle, (), most_open, counts)
+    def __init__(self, connect_timeout: float, idle: float, max_open: int, counts: Counts) -> None:
+        super().__init__(connect_timeout, idle, (), max_open, counts)
         # by server number: when this node learned that the server leaves, in monotonic seconds
         self.left_at: dict[int, float] = {}
-        self.late_requests = 0  # requests sent to servers that were known to be leaving
-        self.latest_request = 0.0  # most seconds from learning that a server leaves to such a request
+        self.requests_after_leave = 0  # requests sent to servers that were known to be leaving
+        self.max_delay_after_leave = 0.0  # most seconds from learning that a server leaves to such a request
 
     def leave(self, number: int) -> None:
         """Send no further requests to a server that is leaving; requests already sent there continue."""
@@ -238,11 +238,11 @@
         for attempt in list(pool.waiting) if pool is not None else ():
             attempt.give_up(Outcome.CANCELLED)
 
-    def count_late_request(self, number: int) -> None:
+    def count_request_after_leave(self, number: int) -> None:
         """Count a request that is sent now, if its server is known to be leaving."""
         if (left_at := self.left_at.get(number)) is not None:
-            self.late_requests += 1
-            self.latest_request = max(self.latest_request, time.monotonic() - left_at)
+            self.requests_after_leave += 1
+            self.max_delay_after_leave = max(self.max_delay_after_leave, time.monotonic() - left_at)
 
     def report(self, text: bytes) -> tuple[float, ...]:
         """Return the running, waiting and slot counts of a Server-Load header; () if it is malformed."""
--- a/hazelspring/gateway/__main__.py
+++ b/hazelspring/gateway/__main__.py
@@ -26,17 +26,17 @@
     parse_address,
     read,
 )
-from hazelspring.gateway.frontdoor import FrontDoor
+from hazelspring.gateway.gateway_process import GatewayProcess
 from hazelspring.gateway.generations import inherit
 from hazelspring.gateway.metrics import Counts
 
 DIFF_TIMEOUT = 5.0  # seconds for the gateway's response
 
 
-class Steady(logging.Filter):
+class LogRateLimit(logging.Filter):
     """Limits the log lines per second: an error that occurs with every request must not fill the log."""
 
-    MOST = 50
+    MAX_LINES_PER_SECOND = 50
 
     def __init__(self, counts: Counts) -> None:
         super().__init__()
@@ -49,7 +49,7 @@
         if second != self.second:
             self.second, self.seen = second, 0
         self.seen += 1
-        if self.seen <= self.MOST:
+        if self.seen <= self.MAX_LINES_PER_SECOND:
             return True
         self.counts.log_dropped += 1
         return False
@@ -64,7 +64,7 @@
     terminated = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, terminated.set)
-    gateway = FrontDoor(*inherit(config, os.environ), counts)
+    gateway = GatewayProcess(*inherit(config, os.environ), counts)
     loop.add_signal_handler(signal.SIGHUP, gateway.reload)
     try:
         await gateway.start()
@@ -125,7 +125,7 @@
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     counts = Counts()
     for handler in logging.getLogger().handlers:
-        handler.addFilter(Steady(counts))
+        handler.addFilter(LogRateLimit(counts))
     try:
         uvloop.run(serve(load(os.environ), counts))
     except ConfigError as error:
--- a/hazelspring/gateway/caller.py
+++ b/hazelspring/gateway/client_connection.py
@@ -13,25 +13,25 @@
 import httptools
 
 from hazelspring.gateway.config import Address
-from hazelspring.gateway.host import Answer, Open
-from hazelspring.gateway.link import READ, SMALL, Flow, Link
+from hazelspring.gateway.host import Answer, OpenRequest
 from hazelspring.gateway.metrics import Counts
 from hazelspring.gateway.periodic import Periodic
+from hazelspring.gateway.server_connection import MAX_BUFFERED_BODY, READ_BUFFER, Link, StreamedAnswer
 from hazelspring.gateway.upstream import STALL_TIMEOUT
 
-MOST_BODY = 40 << 20  # maximum bytes of a request's body; bodies of 32 MB are in use
-MOST_HEAD = 16 * 1024  # maximum bytes of a request's head
-MOST_HELD = 12 << 20  # maximum bytes of all buffered bodies; beyond it requests are refused
-REPLAY_LIMIT = 2 * SMALL  # bytes up to which a streamed body is kept, so that it can be sent again
-MOST_PIPELINED = 4  # maximum requests on one connection that wait for their answers
+MAX_BODY = 40 << 20  # maximum bytes of a request's body; bodies of 32 MB are in use
+MAX_HEAD = 16 * 1024  # maximum bytes of a request's head
+MAX_BUFFERED_BYTES = 12 << 20  # maximum bytes of all buffered bodies; beyond it requests are refused
+REPLAY_LIMIT = 2 * MAX_BUFFERED_BODY  # bytes up to which a streamed body is kept, so that it can be resent
+MAX_PIPELINED = 4  # maximum requests on one connection that wait for their answers
 HEAD_TIMEOUT = 2.45  # seconds for a request's head; on a new connection counted from its start
 BODY_GRACE = 1.5  # seconds that a body may be behind the minimum rate
 MIN_BODY_RATE = 32 * 1024  # bytes per second of a body that is arriving
 IDLE_TIMEOUT = 75.0  # seconds that a connection may be idle
-LEAST_ADVICE = 0.001  # minimum seconds of Retry-After: a value rounded to 0 would be no advice
+MIN_RETRY_AFTER = 0.001  # minimum seconds of Retry-After: a value rounded to 0 would be no advice
 LINGER = 2.0  # seconds that a client has to read the last answer on its connection
 SURPLUS = 32  # connections above the limit whose requests are still answered, with a refusal
-CROWDED = 0.5  # fraction of the connection limit above which connections are closed after an answer
+KEEP_ALIVE_FRACTION = 0.5  # of the connection limit; above it, connections are closed after an answer
 SWEEP = 0.25  # seconds between checks of the time-outs of connections
 
 REASONS = {
@@ -60,7 +60,7 @@
     """Encode a complete answer; `close` announces the end of the connection."""
     head = f"HTTP/1.1 {answer.status} {REASONS[answer.status]}\r\nContent-Length: {len(answer.body)}\r\n"
     if answer.retry_after > 0:
-        head += f"Retry-After: {max(answer.retry_after, LEAST_ADVICE):.3f}\r\n"
+        head += f"Retry-After: {max(answer.retry_after, MIN_RETRY_AFTER):.3f}\r\n"
     if close:
         head += "Connection: close\r\n"
     if answer.content_type:
@@ -68,17 +68,17 @@
     return head.encode() + b"\r\n" + answer.body
 
 
-def flow_head(flow: Flow, chunked: bool, close: bool) -> bytes:
+def stream_head(stream: StreamedAnswer, chunked: bool, close: bool) -> bytes:
     """Encode the head of a streamed answer; `close` announces the end of the connection."""
     head = b"HTTP/1.1 200 OK\r\n"
-    if flow.length is not None:
-        head += b"Content-Length: %d\r\n" % flow.length
+    if stream.length is not None:
+        head += b"Content-Length: %d\r\n" % stream.length
     elif chunked:
         head += b"Transfer-Encoding: chunked\r\n"
     if close:
         head += b"Connection: close\r\n"
-    if flow.content_type:
-        head += b"Content-Type: " + flow.content_type + b"\r\n"
+    if stream.content_type:
+        head += b"Content-Type: " + stream.content_type + b"\r\n"
     return head + b"\r\n"
 
 
@@ -90,11 +90,11 @@
         """The counters of events, as metrics show them."""
         ...
 
-    def left(self, request: Open) -> None:
+    def on_client_disconnected(self, request: OpenRequest) -> None:
         """Note that the client of a request has disconnected."""
         ...
 
-    def whole(self, request: Open) -> None:
+    def on_body_complete(self, request: OpenRequest) -> None:
         """Note that the last byte of a streamed request body has arrived."""
         ...
 
@@ -103,17 +103,17 @@
     """A request on a client's connection, and its answer, which is sent after those to earlier requests."""
 
     __slots__ = (
-        "answer", "chunked", "client", "early", "flow", "held", "keep_alive", "live", "over", "request",
-        "upload", "whole",
+        "answer", "buffered_bytes", "chunked", "client", "early", "keep_alive", "live", "over", "request",
+        "stream", "upload", "whole",
     )  # fmt: skip
 
     def __init__(self, client: Client, keep_alive: bool) -> None:
         self.client, self.keep_alive = client, keep_alive
         self.answer: Answer | None = None
-        self.request: Open | None = None
-        self.held = 0  # bytes of its body that are buffered, except by `upload`
+        self.request: OpenRequest | None = None
+        self.buffered_bytes = 0  # bytes of its body that are buffered, except by `upload`
         self.upload: Upload | None = None  # the body of the request, if it is streamed
-        self.flow: Flow | None = None  # the answer, if it is streamed
+        self.stream: StreamedAnswer | None = None  # the answer, if it is streamed
         self.live = self.over = self.whole = self.chunked = False
         self.early = b""  # the part of a streamed answer that arrived before earlier answers were sent
 
@@ -123,9 +123,9 @@
         self.release()
         self.client.flush()
 
-    def begin(self, flow: Flow) -> None:
+    def begin(self, stream: StreamedAnswer) -> None:
         """Take the head of a streamed answer, and send it after the answers to earlier requests."""
-        self.flow = flow
+        self.stream = stream
         self.release()
         self.client.flush()
 
@@ -133,9 +133,9 @@
         """Send the next part of a streamed answer, or buffer it and pause its source until its turn."""
         if self.live:
             self.client.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
-        elif self.flow is not None:
+        elif self.stream is not None:
             self.early += data
-            self.flow.source.pause()  # an earlier answer on the client's connection has not been sent yet
+            self.stream.source.pause()  # an earlier answer on the client's connection has not been sent yet
 
     def finish(self, whole: bool) -> None:
         """Note the end of a streamed answer; `whole` is False if it was cut short."""
@@ -144,8 +144,8 @@
 
     def release(self) -> None:
         """Free the buffered body of the request, which has been settled."""
-        self.client.server.held -= self.held
-        self.held = 0
+        self.client.server.buffered_bytes -= self.buffered_bytes
+        self.buffered_bytes = 0
         if self.upload is not None:
             self.upload.drop()
 
@@ -155,10 +155,10 @@
 
     def __init__(self, client: Client, first: bytes, length: int | None) -> None:
         self.client, self.length = client, length
-        self.held = bytearray(first)  # all bytes so far, while the body can be sent again
+        self.buffered = bytearray(first)  # all bytes so far, while the body can be sent again
         self.again, self.whole, self.dropped = True, False, False
         self.link: Link | None = None
-        client.server.held += len(first)
+        client.server.buffered_bytes += len(first)
         client.hold("no alert server")
 
     def framing(self) -> bytes:
@@ -174,7 +174,7 @@
     def attach(self, link: Link) -> None:
         """Send the body on this connection from now on, starting with the part that is buffered."""
         self.link = link
-        link.write(self.encode(bytes(self.held)))
+        link.write(self.encode(bytes(self.buffered)))
         if self.whole:
             self.end()
         self.room(link)
@@ -195,9 +195,9 @@
         """Send the next part of the body, and buffer it while the body can be sent again."""
         if self.dropped:
             return
-        if self.link is None or (self.again and len(self.held) + len(data) <= REPLAY_LIMIT):
-            self.held += data
-            self.client.server.held += len(data)
+        if self.link is None or (self.again and len(self.buffered) + len(data) <= REPLAY_LIMIT):
+            self.buffered += data
+            self.client.server.buffered_bytes += len(data)
         elif self.again:
             self.again = False
             self.forget()
@@ -218,8 +218,8 @@
 
     def forget(self) -> None:
         """Free the buffered part of the body."""
-        self.client.server.held -= len(self.held)
-        self.held.clear()
+        self.client.server.buffered_bytes -= len(self.buffered)
+        self.buffered.clear()
 
     def drop(self) -> None:
         """Discard the body, including the rest that is still read from the client."""
@@ -281,7 +281,7 @@
         for exchange in pending:
             exchange.release()
             if exchange.request is not None:
-                self.server.host.left(exchange.request)
+                self.server.host.on_client_disconnected(exchange.request)
         if self.exchange is not None and self.exchange.upload is not None:
             self.exchange.upload.drop()
 
@@ -289,14 +289,14 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return the shared read buffer."""
-        return READ
+        return READ_BUFFER
 
     def buffer_updated(self, count: int) -> None:
         """Parse the bytes just read; a request that is not valid HTTP is answered with 400."""
         if self.broken:
             return
         try:
-            self.parser.feed_data(READ[:count])
+            self.parser.feed_data(READ_BUFFER[:count])
         except httptools.HttpParserUpgrade:
             self.reject(BadRequest("no upgrades here"))
         except httptools.HttpParserError as error:
@@ -327,7 +327,7 @@
     def count(self, size: int) -> None:
         """Add to the size of the head; raises `BadRequest` if it becomes too large."""
         self.head += size
-        if self.head > self.server.most_head:
+        if self.head > self.server.max_head:
             raise BadRequest("header too large", self.server.head_status)
 
     def on_url(self, url: bytes) -> None:
@@ -349,7 +349,7 @@
         for name, value in self.headers:
             if name == b"content-length":
                 self.length = int(value)
-                if self.length > self.server.most_body:
+                if self.length > self.server.max_body:
                     raise BadRequest("body too large", 413)
             elif name == b"expect":
                 if value.lower() != b"100-continue":
@@ -358,16 +358,16 @@
                     self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Buffer a part of the body, or stream it once the body is larger than `SMALL`."""
+        """Buffer a part of the body, or stream it once the body is larger than `MAX_BUFFERED_BODY`."""
         self.size += len(body)
-        if self.size > self.server.most_body:
+        if self.size > self.server.max_body:
             raise BadRequest("body too large", 413)
         if self.exchange is not None:
             if self.exchange.upload is not None:
                 self.exchange.upload.feed(body)
             return
         self.body.append(body)
-        if self.size > SMALL:
+        if self.size > MAX_BUFFERED_BODY:
             self.exchange = Exchange(self, self.parser.should_keep_alive())
             self.exchange.upload = Upload(self, b"".join(self.body), self.length)
             self.body.clear()
@@ -387,13 +387,13 @@
         if self.closing:
             self.end()
         elif exchange.request is not None:
-            self.server.host.whole(exchange.request)
+            self.server.host.on_body_complete(exchange.request)
         self.since = time.monotonic()
 
     def accept(self, exchange: Exchange) -> None:
-        """Queue and process a request; errors and requests beyond `MOST_PIPELINED` are answered here."""
+        """Queue and process a request; errors and requests beyond `MAX_PIPELINED` are answered here."""
         self.pending.append(exchange)
-        if len(self.pending) > MOST_PIPELINED:
+        if len(self.pending) > MAX_PIPELINED:
             # One read may contain hundreds of requests, each with an answer of 64 KiB that waits to be sent.
             self.server.host.counts.rejected[503] += 1
             exchange.reply(Answer(503, retry_after=1.0))
@@ -434,8 +434,8 @@
         """Send the answers that are ready, in the order of their requests."""
         while self.pending:
             exchange = self.pending[0]
-            if exchange.flow is not None:
-                if not self.pass_on(exchange, exchange.flow):
+            if exchange.stream is not None:
+                if not self.pass_on(exchange, exchange.stream):
                     return
             elif exchange.answer is None:
                 break
@@ -444,7 +444,7 @@
                 continue
             close = not exchange.keep_alive
             if exchange.answer is not None:
-                close = close or (self.server.keeps_none() and not self.pending)
+                close = close or (self.server.closes_after_answer() and not self.pending)
                 self.transport.write(self.server.encode(exchange.answer, close))
             if close and exchange is self.exchange:
                 # Its body is still arriving, and ending now could make the client lose the answer.
@@ -456,21 +456,21 @@
         if not self.arriving:
             self.since = time.monotonic()
 
-    def pass_on(self, exchange: Exchange, flow: Flow) -> bool:
+    def pass_on(self, exchange: Exchange, stream: StreamedAnswer) -> bool:
         """Stream the answer that is next; returns whether it has been sent to its end."""
         if not exchange.live:
             # HTTP/1.0 has no chunks, so that the end of the connection is the end of the answer.
-            ends_by_close = flow.length is None and self.parser.get_http_version() == "1.0"
-            exchange.chunked = flow.length is None and not ends_by_close
-            last = self.server.keeps_none() and len(self.pending) == 1
+            ends_by_close = stream.length is None and self.parser.get_http_version() == "1.0"
+            exchange.chunked = stream.length is None and not ends_by_close
+            last = self.server.closes_after_answer() and len(self.pending) == 1
             exchange.keep_alive = exchange.keep_alive and not ends_by_close and not last
-            self.write(self.server.flow_head(flow, exchange.chunked, not exchange.keep_alive))
+            self.write(self.server.stream_head(stream, exchange.chunked, not exchange.keep_alive))
             exchange.live = True
             early, exchange.early = exchange.early, b""
             if early:
                 exchange.feed(early)
             if not self.full:
-                flow.source.resume()
+                stream.source.resume()
         if not exchange.over:
             return False
         if not exchange.whole and self.transport is not None:
@@ -483,15 +483,15 @@
         """Read no further requests until the client reads its answers, which must not accumulate here."""
         self.full, self.last_progress_at = True, time.monotonic()
         self.hold("unread answers")
-        if self.pending and (flow := self.pending[0].flow) is not None:
-            flow.source.pause()
+        if self.pending and (stream := self.pending[0].stream) is not None:
+            stream.source.pause()
 
     def resume_writing(self) -> None:
         """Read requests again, as the client has read its answers."""
         self.full = False
         self.unhold("unread answers")
-        if self.pending and (flow := self.pending[0].flow) is not None and self.pending[0].live:
-            flow.source.resume()
+        if self.pending and (stream := self.pending[0].stream) is not None and self.pending[0].live:
+            stream.source.resume()
 
     def reject(self, error: BadRequest) -> None:
         """Answer a request that cannot be read, after those before it, and end the connection."""
@@ -504,9 +504,9 @@
             exchange = Exchange(self, keep_alive=False)
             self.pending.append(exchange)
         elif exchange.request is not None:
-            self.server.host.left(exchange.request)  # its body will never be complete
+            self.server.host.on_client_disconnected(exchange.request)  # its body will never be complete
         exchange.keep_alive = False
-        if exchange in self.pending and exchange.flow is None and exchange.answer is None:
+        if exchange in self.pending and exchange.stream is None and exchange.answer is None:
             exchange.reply(Answer(error.status, f"{error}\n".encode()))
         elif exchange not in self.pending:
             self.end()  # it has already been answered
@@ -521,7 +521,7 @@
             self.transport.write_eof()
             self.server.loop.call_later(LINGER, self.transport.abort)
 
-    def look(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """Apply the time-outs of the connection at the monotonic time `now`."""
         if self.transport is None:
             return
@@ -555,16 +555,16 @@
     """A listening socket and the connections of its clients."""
 
     make: Callable[[Listener], Client]
-    most_head, most_body, head_timeout, idle_timeout = MOST_HEAD, MOST_BODY, HEAD_TIMEOUT, IDLE_TIMEOUT
+    max_head, max_body, head_timeout, idle_timeout = MAX_HEAD, MAX_BODY, HEAD_TIMEOUT, IDLE_TIMEOUT
     head_status = 400  # the answer to a head that is too large
     encode = staticmethod(encode)
-    flow_head = staticmethod(flow_head)
+    stream_head = staticmethod(stream_head)
 
-    def __init__(self, listen: Address, passed: int | None, host: RequestHost, most_clients: int) -> None:
-        self.listen, self.passed, self.host, self.most_clients = listen, passed, host, most_clients
+    def __init__(self, listen: Address, passed: int | None, host: RequestHost, max_clients: int) -> None:
+        self.listen, self.passed, self.host, self.max_clients = listen, passed, host, max_clients
         self.loop = asyncio.get_running_loop()
         self.clients: set[Client] = set()
-        self.held = 0
+        self.buffered_bytes = 0
         self.stopping = False
         self.server: asyncio.Server | None = None
         self.sweeper = Periodic(self.loop, SWEEP, self.sweep, self.sweep_failed)
@@ -581,19 +581,19 @@
         sock.setblocking(False)
         self.server = await self.loop.create_server(lambda: self.make(self), sock=sock, backlog=1024)
 
-    def keeps_none(self) -> bool:
+    def closes_after_answer(self) -> bool:
         """Whether connections are closed after an answer.
 
         The number of connections is limited.  With many clients that each have their own connection, idle
         connections would keep other clients from sending requests.
         """
-        return self.stopping or len(self.clients) > CROWDED * self.most_clients
+        return self.stopping or len(self.clients) > KEEP_ALIVE_FRACTION * self.max_clients
 
     def add(self, client: Client) -> None:
         """Register a new connection; above the limit an idle one is closed, or else this one is refused."""
         self.clients.add(client)
         self.host.counts.clients_opened += 1
-        if len(self.clients) <= self.most_clients:
+        if len(self.clients) <= self.max_clients:
             return
         # Descriptors are bounded.  A connection that has ended or has never had a request is closed first,
         # else the one that has been idle longest.  If none is idle, the new one is answered with a refusal,
@@ -602,7 +602,7 @@
         to_close = min(idle, key=lambda c: (not c.broken, c.proven, c.since), default=None)
         client.surplus = to_close is None
         self.host.counts.clients_refused += client.surplus
-        if to_close is None and len(self.clients) > self.most_clients + SURPLUS:
+        if to_close is None and len(self.clients) > self.max_clients + SURPLUS:
             to_close = client
         if to_close is not None and to_close.transport is not None:
             self.clients.discard(to_close)  # at once, so that it is not chosen again before it is closed
@@ -611,14 +611,14 @@
             else:
                 to_close.transport.close()
 
-    def limit(self, most_clients: int) -> None:
+    def limit(self, max_clients: int) -> None:
         """Change the limit on connections.
 
         Idle connections above it are closed at once, longest idle first; those with an open request are
         closed after their answer.
         """
-        self.most_clients = most_clients
-        surplus = len(self.clients) - most_clients
+        self.max_clients = max_clients
+        surplus = len(self.clients) - max_clients
         if surplus <= 0:
             return
         idle = [c for c in self.clients if not c.pending and not c.arriving and c.transport is not None]
@@ -632,13 +632,13 @@
         now = time.monotonic()
         for client in list(self.clients):
             try:
-                client.look(now)
+                client.check_timeouts(now)
             except Exception as error:  # the other connections must still be checked
                 self.sweep_failed(error)
 
     def sweep_failed(self, error: Exception) -> None:
         """Log and count an error in a sweep."""
-        self.host.counts.failed("sweep of clients", error)
+        self.host.counts.count_failure("sweep of clients", error)
 
     def stop_listening(self) -> None:
         """Accept no new connections; open ones are closed after their next answer."""
@@ -650,7 +650,7 @@
         """Whether a client may still send a request on a connection, or waits for an answer."""
         return any(not client.broken for client in self.clients)
 
-    def owes(self) -> bool:
+    def has_unfinished_exchanges(self) -> bool:
         """Whether a request is arriving, or part of an answer has yet to be sent."""
         return any(
             client.pending or client.arriving or client.transport.get_write_buffer_size()
--- a/hazelspring/gateway/config.py
+++ b/hazelspring/gateway/config.py
@@ -96,7 +96,7 @@
     return Address(host, int(port))
 
 
-def plain(value: object) -> str:
+def format_setting(value: object) -> str:
     """Format a value for the settings text, which allows neither spaces nor commas in a value."""
     if isinstance(value, bool):
         return "true" if value else "false"
@@ -113,9 +113,9 @@
         for number, inner in enumerate(value):
             yield from flatten(inner, f"{path}.{number}")
     elif isinstance(value, list):
-        yield path, ",".join(map(plain, value))
+        yield path, ",".join(map(format_setting, value))
     elif value is not None:
-        yield path, plain(value)
+        yield path, format_setting(value)
 
 
 @dataclass(slots=True, frozen=True)
@@ -208,14 +208,14 @@
     kinds = own.listed("host_types")
     sockets = top.count("limits.sockets")
     if not any(problem.startswith("limits.sockets:") for problem in top.problems) and sockets < 64:
-        top.wrong("limits.sockets", "too few to serve with")
+        top.add_problem("limits.sockets", "too few to serve with")
     name = env.get("NODE_NAME") or top.text("name")
     seed, passed = top.text("seed"), env.get("NODE_PASSED_SOCKET") or ""
     try:
         number = int(seed, 16) if seed else 0
     except ValueError:
         number = 0
-        top.wrong("seed", "not a number in hexadecimal")
+        top.add_problem("seed", "not a number in hexadecimal")
     addresses = Addresses(raw, env, top.problems)
     discovery, listen = addresses.get("discovery"), addresses.get("listen")
     counter, management = addresses.get("counter", needed=False), addresses.get("management", needed=False)
@@ -237,10 +237,10 @@
         problems.append(f"{path}: missing or no number, and was there before")
     problems += top.problems
     problems += [f"settings.{problem}" for problem in own.problems]
-    top.read |= {*ADDRESSES, "limits.cores", "limits.memory_mb"}
+    top.used_keys |= {*ADDRESSES, "limits.cores", "limits.memory_mb"}
     counts = {"classes.count", "tariffs.count"}
-    unknown = sorted(top.values.keys() - top.read)
-    unknown += sorted(f"settings.{key}" for key in own.values.keys() - own.read - counts)
+    unknown = sorted(top.values.keys() - top.used_keys)
+    unknown += sorted(f"settings.{key}" for key in own.values.keys() - own.used_keys - counts)
     if problems or discovery is None or listen is None:
         return CheckResult(None, tuple(dict.fromkeys(problems)), tuple(unknown))
     config = Config(
--- a/hazelspring/gateway/counter.py
+++ b/hazelspring/gateway/counter.py
@@ -19,7 +19,7 @@
 from hazelspring.gateway.metrics import Counts
 from hazelspring.gateway.periodic import Periodic
 
-LINES = 4  # connections to the counter, which allows 32 from one gateway
+CONNECTIONS = 4  # connections to the counter, which allows 32 from one gateway
 MAX_PENDING = 1000  # calls on one connection without a reply yet
 PING_AFTER = 2.0  # seconds without a call after which a PING keeps the connection from being idle
 DEAD_AFTER = 2.0  # seconds with calls pending and no byte received: the remote machine has vanished
@@ -131,7 +131,7 @@
                 await self.owner.loop.create_connection(lambda: self, address.host, address.port)
         except Exception as error:
             if not isinstance(error, OSError | TimeoutError):
-                self.owner.counts.failed("connect to the counter", error)
+                self.owner.counts.count_failure("connect to the counter", error)
             self.connecting = False
             self.fail_queued()
             self.owner.loop.call_later(jittered(self.retry_delay), self.connect)
@@ -244,7 +244,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
         self.ready = self.loop.create_future()  # done once a first connection attempt has ended
-        self.connections = [Connection(self) for _ in range(LINES)]
+        self.connections = [Connection(self) for _ in range(CONNECTIONS)]
         for connection in self.connections:
             connection.connect()
         self.liveness_check = Periodic(self.loop, PING_AFTER / 2, self.check_liveness, self.check_failed)
@@ -256,7 +256,7 @@
 
     def add(self, count: Count) -> None:
         """Submit a call; its outcome is passed to `done`, at the latest after the time-out."""
-        self.connections[count.name % LINES].submit(count, time.monotonic())
+        self.connections[count.name % CONNECTIONS].submit(count, time.monotonic())
         if self.timer is None and self.expiring:
             self.timer = self.loop.call_later(self.timeout, self.expire)
 
@@ -272,7 +272,7 @@
                 try:
                     connection.expire(call)
                 except Exception as error:  # the calls after it must still expire
-                    self.counts.failed("expiry of a counter call", error)
+                    self.counts.count_failure("expiry of a counter call", error)
             self.expiring.popleft()
         self.timer = None
 
@@ -297,7 +297,7 @@
 
     def check_failed(self, error: Exception) -> None:
         """Count and log an unexpected error of the liveness check."""
-        self.counts.failed("watch of the counter", error)
+        self.counts.count_failure("watch of the counter", error)
 
     def close(self) -> None:
         """Fail the queued calls and abort all connections; nothing reconnects afterwards."""
--- a/hazelspring/gateway/discovery.py
+++ b/hazelspring/gateway/discovery.py
@@ -15,7 +15,7 @@
 import httptools
 
 from hazelspring.admission.interface import Entry, Listing, Members, State
-from hazelspring.gateway.config import Address, parse_address, plain
+from hazelspring.gateway.config import Address, format_setting, parse_address
 from hazelspring.gateway.metrics import Counts
 
 MAX_LINE = 4 << 20  # bytes in one line; a longer line ends the watch
@@ -54,7 +54,7 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
-class Names:
+class MembersParser:
     """Converts lines from discovery into the lists that the admission module takes."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
@@ -86,10 +86,10 @@
         try:
             entry = Entry(
                 backend=number,
-                zone=self.zones[plain(raw["site"])],
+                zone=self.zones[format_setting(raw["site"])],
                 started=float(raw.get("born_ms") or 0) / 1000,
                 state=state,
-                kind=self.kinds.get(plain(raw.get("class")), 0),
+                kind=self.kinds.get(format_setting(raw.get("class")), 0),
                 cell=int(raw["block"]),
                 weight=float(raw.get("share") or 1),
             )
@@ -192,27 +192,32 @@
     def __init__(
         self,
         address: Address,
-        names: Names,
+        members_parser: MembersParser,
         seq: int,
         on_members: MembersHandler,
-        askers: int = 1,
-        ask_within: float = 0.0,
+        gateways: int = 1,
+        call_within: float = 0.0,
         counts: Counts | None = None,
     ) -> None:
-        self.address, self.names, self.seq, self.on_members = address, names, seq, on_members
+        self.address, self.members_parser, self.seq, self.on_members = (
+            address,
+            members_parser,
+            seq,
+            on_members,
+        )
         self.counts = counts or Counts()
-        self.set_askers(askers, ask_within)
+        self.set_gateways(gateways, call_within)
         self.loop = asyncio.get_running_loop()
         self.received_at = 0.0
         self.task = self.loop.create_task(self.run())
 
-    def set_askers(self, askers: int, ask_within: float) -> None:
+    def set_gateways(self, gateways: int, call_within: float) -> None:
         """Set how many gateways share one discovery, and within how many seconds each has to call it.
 
-        Discovery assumes that a gateway knows of all changes once it has not called for `ask_within`
+        Discovery assumes that a gateway knows of all changes once it has not called for `call_within`
         seconds, or four times as long after a refusal.  Every delay must therefore stay well below that.
         """
-        self.askers, self.ask_within = askers, ask_within
+        self.gateways, self.call_within = gateways, call_within
 
     async def run(self, moved: bool = False) -> None:
         """Watch discovery until cancelled, with backoff between attempts.
@@ -221,22 +226,22 @@
         another.  Gateways start or lose their watches at the same time, so they spread their calls.
         """
         bound = FIRST_RETRY_DELAY
-        if self.names.entries and not moved and self.askers > 1:  # a known list serves until then
-            await asyncio.sleep(jittered(min(bound * self.askers, self.ask_within / 2)))
+        if self.members_parser.entries and not moved and self.gateways > 1:  # a known list serves until then
+            await asyncio.sleep(jittered(min(bound * self.gateways, self.call_within / 2)))
         while True:
             began, status = time.monotonic(), 0
             try:
                 status = await self.watch()
             except Exception as error:  # any error ends only this watch, not the retries
                 if not isinstance(error, OSError | TimeoutError):
-                    self.counts.failed("watch of discovery", error)
+                    self.counts.count_failure("watch of discovery", error)
             self.counts.watches[status] += 1
             # A refusal means too many calls, so it does not reset the backoff, however late it comes.
             healthy = status == 200 and time.monotonic() - began > HEALTHY_AFTER
             bound = FIRST_RETRY_DELAY if healthy else min(MAX_RETRY_DELAY, 2 * bound)
             # The agent runs on this machine: while it is unreachable, calls cost other gateways nothing.
             shared = (
-                min(bound * self.askers, self.ask_within * (0.5 if status == 200 else 2)) if status else 0
+                min(bound * self.gateways, self.call_within * (0.5 if status == 200 else 2)) if status else 0
             )
             await asyncio.sleep(jittered(max(bound, shared)))
 
@@ -262,7 +267,7 @@
     def handle_line(self, line: bytes) -> None:
         """Pass on the list or change in a line; count and skip malformed lines and known changes."""
         try:
-            members, addresses = self.names.parse_members(json.loads(line))
+            members, addresses = self.members_parser.parse_members(json.loads(line))
         except (*MALFORMED, RecursionError) as error:
             log.warning("discovery: line skipped: %s: %s", type(error).__name__, error)
             self.counts.lists["skipped"] += 1
--- a/hazelspring/gateway/frontdoor.py
+++ b/hazelspring/gateway/gateway_process.py
@@ -9,16 +9,16 @@
 
 from hazelspring.admission.gateway import Gateway
 from hazelspring.admission.interface import Settings
-from hazelspring.gateway.caller import SURPLUS
+from hazelspring.gateway.client_connection import SURPLUS
 from hazelspring.gateway.config import Config, ConfigError
 from hazelspring.gateway.counter import Counter
-from hazelspring.gateway.discovery import Discovery, Names
-from hazelspring.gateway.generations import Generations, Kept, Step, state_path
-from hazelspring.gateway.handover import Handover
+from hazelspring.gateway.discovery import Discovery, MembersParser
+from hazelspring.gateway.generations import Generations, StateFile, Step, state_path
 from hazelspring.gateway.host import Host
-from hazelspring.gateway.management import MOST_CALLERS, Management
+from hazelspring.gateway.management import MAX_CONNECTIONS, Management
 from hazelspring.gateway.metrics import Counts, Metrics, open_descriptors
 from hazelspring.gateway.server import Server
+from hazelspring.gateway.shared_folder import SharedFolder
 from hazelspring.gateway.upstream import Upstream
 
 COUNTER_START_TIMEOUT = 0.3  # seconds for which the start waits for a connection to the counter
@@ -28,53 +28,55 @@
 # with requests, and more clients may connect without sending any.
 CLIENT_SHARE = 0.6
 # Descriptors reserved for operators, discovery, the counter, the event loop and the log.
-OTHER_SOCKETS = SURPLUS + MOST_CALLERS + 40
+OTHER_SOCKETS = SURPLUS + MAX_CONNECTIONS + 40
 
 log = logging.getLogger(__name__)
 
 
-class FrontDoor:
+class GatewayProcess:
     """The parts of one gateway process and how they are connected."""
 
-    def __init__(self, config: Config, kept: Kept | None = None, counts: Counts | None = None) -> None:
+    def __init__(
+        self, config: Config, state_file: StateFile | None = None, counts: Counts | None = None
+    ) -> None:
         settings = config.settings
         self.began = time.monotonic()
         counts = self.counts = counts or Counts()
         self.metrics = Metrics(counts)
-        self.most_clients, self.most_upstream = self.descriptor_shares(config)
+        self.max_clients, self.max_upstream = self.descriptor_shares(config)
         upstream = Upstream(
             settings.limits.connect_timeout,
             config.conn_idle,
             settings.report_columns,
-            self.most_upstream,
+            self.max_upstream,
             counts,
         )
         host = self.host = Host(Gateway(settings, config.seed), upstream, counts)
         if settings.has_counter and config.counter is not None:
             host.counter = Counter(config.counter, settings.counter_timeout, host.post, counts)
-        names = self.names = Names(settings.zones, config.kinds)
+        members_parser = self.members_parser = MembersParser(settings.zones, config.kinds)
         seq = 0
         if config.known:
             try:
-                members, addresses = names.parse_members(config.known, cached=True)
+                members, addresses = members_parser.parse_members(config.known, cached=True)
             except (KeyError, TypeError, ValueError) as error:
                 raise ConfigError(f"known: {type(error).__name__}: {error}") from None
             seq = members.version
             host.members(members, addresses)
         self.discovery = Discovery(
-            config.discovery, names, seq, host.members, *self.discovery_sharing(settings), counts
+            config.discovery, members_parser, seq, host.members, *self.discovery_sharing(settings), counts
         )
-        self.server = Server(config, host, self.most_clients)
+        self.server = Server(config, host, self.max_clients)
         self.inherited_socket = config.passed is not None
-        self.handover = Handover(config.shared, host.post, self.limit_descriptors)
+        self.shared_folder = SharedFolder(config.shared, host.post, self.limit_descriptors)
         self.drain_time = self.drain_time_for(config)
         parts = (
-            self.prepare_names, self.prepare_upstream, self.prepare_server, self.prepare_host,
+            self.prepare_members_parser, self.prepare_upstream, self.prepare_server, self.prepare_host,
             self.prepare_discovery, self.prepare_counter, self.prepare_limits, self.prepare_management,
         )  # fmt: skip
         self.generations = Generations(config, os.environ, parts)
         if (path := state_path(config)) is not None:
-            self.generations.share(path, kept)
+            self.generations.share(path, state_file)
         self.management = self.make_management(config)
         self.register_gauges()
 
@@ -115,7 +117,7 @@
             "descriptors_most",
             "The most there may be.",
             "owner",
-            lambda: {"clients": self.server.most_clients, "alert_servers": host.upstream.most_open},
+            lambda: {"clients": self.server.max_clients, "alert_servers": host.upstream.max_open},
         )
         gauge(
             "connections_idle",
@@ -125,13 +127,15 @@
         )
         gauge("requests_open", "Requests without their whole answer.", "", lambda: {"": host.waiting})
         gauge("alert_servers", "Alert servers listed.", "", lambda: {"": len(host.upstream.pools)})
-        gauge("processes", "Processes that serve as this one.", "", lambda: {"": self.handover.processes})
+        gauge(
+            "processes", "Processes that serve as this one.", "", lambda: {"": self.shared_folder.processes}
+        )
         gauge("generation", "The running configuration.", "", lambda: {"": self.generations.running.number})
         gauge(
             "generation_take_most_seconds",
             "The longest time for which a change has held the loop.",
             "",
-            lambda: {"": self.generations.longest},
+            lambda: {"": self.generations.longest_apply_seconds},
         )
 
     def descriptors_by_owner(self) -> dict[str, float]:
@@ -141,7 +145,7 @@
             "clients": len(self.server.clients),
             "alert_servers": self.host.upstream.open,
             "counter": sum(link.transport is not None for link in counter.connections) if counter else 0,
-            "management": len(self.management.callers) if self.management is not None else 0,
+            "management": len(self.management.connections) if self.management is not None else 0,
             "all": open_descriptors(),
         }
 
@@ -154,12 +158,12 @@
         if self.host.counter is not None:
             await asyncio.wait([self.host.counter.ready], timeout=COUNTER_START_TIMEOUT)
         await self.server.start()
-        self.handover.join()
+        self.shared_folder.register()
 
     def limit_descriptors(self, processes: int) -> None:
         """Divide the limit on descriptors, which holds for all processes of this gateway together."""
-        self.server.limit(self.most_clients // processes)
-        self.host.upstream.limit(self.most_upstream // processes)
+        self.server.limit(self.max_clients // processes)
+        self.host.upstream.limit(self.max_upstream // processes)
 
     def reload(self) -> None:
         """Apply the configuration that the platform has replaced, either completely or not at all."""
@@ -167,9 +171,9 @@
 
     # --- steps of a configuration change: nothing is changed before all steps are prepared ----------
 
-    def prepare_names(self, before: Config, after: Config) -> Step:
+    def prepare_members_parser(self, before: Config, after: Config) -> Step:
         """Number the new zones and kinds at commit."""
-        return Step(lambda: self.names.set_zones_and_kinds(after.settings.zones, after.kinds))
+        return Step(lambda: self.members_parser.set_zones_and_kinds(after.settings.zones, after.kinds))
 
     def prepare_upstream(self, before: Config, after: Config) -> Step:
         """Apply the new limits to connections to alert servers at commit."""
@@ -193,7 +197,7 @@
         """Apply the new call rate at commit, and watch another agent if its address has changed."""
 
         def commit() -> None:
-            self.discovery.set_askers(*self.discovery_sharing(after.settings))
+            self.discovery.set_gateways(*self.discovery_sharing(after.settings))
             if after.discovery != self.discovery.address:
                 self.discovery.move(after.discovery)
 
@@ -221,8 +225,8 @@
         """Apply the new limits on descriptors at commit."""
 
         def commit() -> None:
-            self.most_clients, self.most_upstream = self.descriptor_shares(after)
-            self.limit_descriptors(self.handover.processes)
+            self.max_clients, self.max_upstream = self.descriptor_shares(after)
+            self.limit_descriptors(self.shared_folder.processes)
 
         return Step(commit)
 
@@ -242,7 +246,7 @@
             else:
                 self.metrics.stop()
             if old is not None:
-                old.leave()
+                old.stop_accepting()
 
         return Step(commit, new.close if new is not None else lambda: None)
 
@@ -251,7 +255,12 @@
         if config.management is None:
             return None
         return Management(
-            config.management, self.ready, self.names.seen, self.handover, self.generations, self.metrics
+            config.management,
+            self.ready,
+            self.members_parser.seen,
+            self.shared_folder,
+            self.generations,
+            self.metrics,
         )
 
     async def drain(self) -> None:
@@ -262,8 +271,8 @@
         """
         began = time.monotonic()
         self.generations.stop()
-        self.handover.look()
-        upgraded = self.inherited_socket and self.handover.processes > 1
+        self.shared_folder.scan()
+        upgraded = self.inherited_socket and self.shared_folder.processes > 1
         if not upgraded:
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM)
         self.server.stop_listening()
@@ -287,7 +296,7 @@
         await asyncio.sleep(0.05)  # time for the last answers to be sent
         if self.management is not None:
             self.management.close()
-        self.handover.close()
+        self.shared_folder.close()
         self.discovery.close()
         if self.host.counter is not None:
             self.host.counter.close()
--- a/hazelspring/gateway/generations.py
+++ b/hazelspring/gateway/generations.py
@@ -112,7 +112,7 @@
         self.closed = False  # the process is about to end: no further change is applied
         self.checking = False
         self.executor: ThreadPoolExecutor | None = None
-        self.longest = 0.0  # seconds; the longest time for which a change has blocked the loop
+        self.longest_apply_seconds = 0.0  # seconds; the longest time for which a change has blocked the loop
         self.basis = ""  # `Config.basis` of the platform's file that was last applied, if state is shared
         self.path: Path | None = None
         self.last_file_identity: tuple[int, int, int, int] | None = None
@@ -138,7 +138,7 @@
         try:
             for preparer in self.preparers:
                 steps.append(preparer(before, config))
-            self.keep(applied, config, earlier, confirm_by)
+            self.write_state_file(applied, config, earlier, confirm_by)
         except Exception as error:
             for step in reversed(steps):
                 with contextlib.suppress(Exception):
@@ -156,7 +156,7 @@
         if self.path is None and (path := state_path(config)) is not None and source == "SIGHUP":
             self.share(path, None)  # this change has added a management address
         pause = time.perf_counter() - began
-        self.longest = max(self.longest, pause)
+        self.longest_apply_seconds = max(self.longest_apply_seconds, pause)
         log.info("generation %d (%s, %s) applied in %.1f ms", number, source, applied.digest, 1000 * pause)
         return applied
 
@@ -287,7 +287,7 @@
         if self.confirm_by is None:
             raise RefusedError(409, "nothing is to be confirmed")
         try:
-            self.keep(self.running, self.config, self.earlier, None)
+            self.write_state_file(self.running, self.config, self.earlier, None)
         except OSError as error:
             raise RefusedError(500, f"not confirmed: {error}") from None
         self.set_confirm(None)
@@ -321,19 +321,19 @@
 
     # --- state shared with other processes -----------------------------------------------------------
 
-    def share(self, path: Path, kept: Kept | None) -> None:
+    def share(self, path: Path, state_file: StateFile | None) -> None:
         """Share the state with other processes of this gateway through a file.
 
-        `kept` is the state in that file if this process has started with it.
+        `state_file` is the state in that file if this process has started with it.
         """
-        self.path, self.basis = path, self.config.basis if kept is None else kept.basis
-        if kept is not None:
-            self.running, self.earlier = kept.running, deque(kept.earlier)
-            self.last_file_identity = kept.last_file_identity
-            self.set_confirm(kept.confirm_by)
+        self.path, self.basis = path, self.config.basis if state_file is None else state_file.basis
+        if state_file is not None:
+            self.running, self.earlier = state_file.running, deque(state_file.earlier)
+            self.last_file_identity = state_file.last_file_identity
+            self.set_confirm(state_file.confirm_by)
         self.poll_timer = self.loop.call_later(POLL_INTERVAL, self.poll_state_file)
 
-    def keep(
+    def write_state_file(
         self, running: Generation, config: Config, earlier: Sequence[Generation], confirm_by: Confirm | None
     ) -> None:
         """Replace the state file atomically, if state is shared.  Raises OSError.
@@ -343,11 +343,11 @@
         if self.path is None:
             return
         basis = config.basis if running.source == "SIGHUP" else self.basis
-        kept = [*earlier, replace(running, packed=zlib.compress(config.text, 1))]
+        generations = [*earlier, replace(running, packed=zlib.compress(config.text, 1))]
         state = {
             "version": STATE_FORMAT_VERSION,
             "basis": basis,
-            "generations": [g.facts() | {"text": base64.b64encode(g.packed).decode()} for g in kept],
+            "generations": [g.facts() | {"text": base64.b64encode(g.packed).decode()} for g in generations],
             "confirm": confirm_by
             and [confirm_by.number, confirm_by.back_to, confirm_by.until, confirm_by.within],
         }
@@ -374,29 +374,31 @@
         if found == self.last_file_identity:
             return
         self.last_file_identity = found
-        kept = read_kept(self.path)
-        if kept is None or kept.basis != self.basis:
+        state_file = read_state_file(self.path)
+        if state_file is None or state_file.basis != self.basis:
             return
         try:
-            self.apply_shared_state(kept)
+            self.apply_shared_state(state_file)
         except RefusedError as error:
-            log.warning("generation %d of another process was not applied: %s", kept.running.number, error)
+            log.warning(
+                "generation %d of another process was not applied: %s", state_file.running.number, error
+            )
 
-    def apply_shared_state(self, kept: Kept) -> None:
+    def apply_shared_state(self, state_file: StateFile) -> None:
         """Apply the running generation, history and pending confirmation of another process.
 
         Raises RefusedError.
         """
-        if kept.running.digest != self.running.digest:
+        if state_file.running.digest != self.running.digest:
             # This process keeps its own management address: two processes cannot listen on one address.
-            config = replace(self.restore_config(kept.running), management=self.config.management)
+            config = replace(self.restore_config(state_file.running), management=self.config.management)
             path, self.path = self.path, None  # the state file has this generation already
             try:
-                self.apply(config, kept.running.source)
+                self.apply(config, state_file.running.source)
             finally:
                 self.path = path
-        self.running, self.earlier = replace(kept.running, packed=b""), deque(kept.earlier)
-        self.set_confirm(kept.confirm_by)
+        self.running, self.earlier = replace(state_file.running, packed=b""), deque(state_file.earlier)
+        self.set_confirm(state_file.confirm_by)
 
     # --- reporting ---------------------------------------------------------------------------------
 
@@ -410,7 +412,7 @@
         return {
             "running": self.running.number,
             "confirm": confirm_by,
-            "longest_take_ms": round(1000 * self.longest, 1),
+            "longest_take_ms": round(1000 * self.longest_apply_seconds, 1),
             "generations": [g.facts() for g in (*self.earlier, self.running)],
         }
 
@@ -425,7 +427,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kept:
+class StateFile:
     """The content of the state file."""
 
     basis: str
@@ -435,7 +437,7 @@
     last_file_identity: tuple[int, int, int, int]
 
 
-def read_kept(path: Path) -> Kept | None:
+def read_state_file(path: Path) -> StateFile | None:
     """Read the state file.  Returns None if it is missing, damaged, or of another format."""
     try:
         with path.open("rb") as source:
@@ -463,7 +465,7 @@
         if state["confirm"]:
             number, back_to, until, within = state["confirm"]
             confirm_by = Confirm(int(number), int(back_to), float(until), float(within))
-        return Kept(str(state["basis"]), found[-1], tuple(found[:-1]), confirm_by, last_file_identity)
+        return StateFile(str(state["basis"]), found[-1], tuple(found[:-1]), confirm_by, last_file_identity)
     except FileNotFoundError:
         return None
     except (OSError, ValueError, TypeError, LookupError, RecursionError, zlib.error) as error:
@@ -481,23 +483,29 @@
     return config.shared / "ivymux" / "generations"
 
 
-def inherit(config: Config, env: Mapping[str, str]) -> tuple[Config, Kept | None]:
+def inherit(config: Config, env: Mapping[str, str]) -> tuple[Config, StateFile | None]:
     """Return the configuration to start with, and the shared state that it came from, if any.
 
     The running generation of the other process is used if it is based on the same settings of the platform.
     """
     path = state_path(config)
-    kept = read_kept(path) if path is not None else None
-    if kept is None or kept.basis != config.basis:
+    state_file = read_state_file(path) if path is not None else None
+    if state_file is None or state_file.basis != config.basis:
         return config, None
     env = {name: value for name, value in env.items() if name != "NODE_DISCOVERY"}
-    found = check(zlib.decompress(kept.running.packed), env)
+    found = check(zlib.decompress(state_file.running.packed), env)
     if found.config is None:
         log.warning(
-            "generation %d of the state file not used: %s", kept.running.number, ConfigError(*found.problems)
+            "generation %d of the state file not used: %s",
+            state_file.running.number,
+            ConfigError(*found.problems),
         )
         return config, None
-    log.info("starting with generation %d (%s) of the state file", kept.running.number, kept.running.source)
-    kept = replace(kept, running=replace(kept.running, packed=b""))
+    log.info(
+        "starting with generation %d (%s) of the state file",
+        state_file.running.number,
+        state_file.running.source,
+    )
+    state_file = replace(state_file, running=replace(state_file.running, packed=b""))
     own = replace(found.config, name=config.name, listen=config.listen, seed=config.seed, known=config.known)
-    return own, kept
+    return own, state_file
--- a/hazelspring/gateway/host.py
+++ b/hazelspring/gateway/host.py
@@ -14,8 +14,8 @@
 from hazelspring.admission import interface as i
 from hazelspring.admission.interface import Outcome, State
 from hazelspring.gateway.config import Address
-from hazelspring.gateway.link import Attempt, Body, Flow, Result, Sink
 from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.server_connection import Attempt, Body, Result, Sink, StreamedAnswer
 from hazelspring.gateway.upstream import Upstream
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
         """Take a complete answer."""
         ...
 
-    def begin(self, flow: Flow) -> None:
+    def begin(self, stream: StreamedAnswer) -> None:
         """Take the head of an answer that is streamed; its body follows by `feed`."""
         ...
 
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Open:
+class OpenRequest:
     """A request that has not been answered yet or has attempts that have not ended."""
 
     number: int
@@ -67,12 +67,14 @@
     limits: i.Limits  # those in force when it arrived
     upload: Upload | None
     label: str  # its class, as a label of metrics
-    mark: bytes = b""  # the attempt id that an answer must bear, where that is checked
+    attempt_id: bytes = b""  # the attempt id that an answer must bear, where that is checked
     last: Result | None = None  # the last unsuccessful answer of a server, if it is kept
     end: float = math.inf  # monotonic time of its client's deadline; inf until its last byte has arrived
     guard: asyncio.TimerHandle | None = None
-    flow: Flow | None = None  # the answer that is being streamed
-    out: dict[int, Attempt] = field(default_factory=dict)  # attempts that have not ended, by number
+    stream: StreamedAnswer | None = None  # the answer that is being streamed
+    running_attempts: dict[int, Attempt] = field(
+        default_factory=dict
+    )  # attempts that have not ended, by number
     sent: int = 0  # attempts that the module has requested
     may_have_run: bool = False
     settled: bool = False  # it has been answered, or its client has gone
@@ -110,17 +112,17 @@
 class Host(Generic[M]):
     """Passes events to the decision module, carries out its actions and keeps the open requests.
 
-    `held_by` lists the types of event whose request nothing else would end if the module failed on them.
+    `answered_on_error` lists the types of event whose request nothing else would end if the module failed on them.
     """
 
-    held_by: tuple[type, ...] = (i.Request, i.Finished)
+    answered_on_error: tuple[type, ...] = (i.Request, i.Finished)
 
     def __init__(self, gateway: M, upstream: Upstream, counts: Counts) -> None:
         self.gateway, self.upstream, self.counts = gateway, upstream, counts
         self.counter: Counter | None = None
         self.limits = gateway.settings.limits
         self.loop = asyncio.get_running_loop()
-        self.table: dict[int, Open] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
         self.events: deque[i.Event] = deque()
         self.busy = False
         self.now = 0.0
@@ -159,18 +161,18 @@
             actions, failed = gateway.actions, True
         for action in actions:
             try:
-                self.carry_out(action)
+                self.execute(action)
             except Exception:
                 log.exception("could not carry out the action %s", type(action).__name__)
                 if isinstance(action, i.Send | i.Refuse | i.Fail):
                     self.give_up(action.request)
-        if failed and isinstance(event, self.held_by):
+        if failed and isinstance(event, self.answered_on_error):
             self.give_up(event.request)  # type: ignore[union-attr]
 
     def give_up(self, number: int) -> None:
         """Answer a request that an error has left without one: 502 if it may have run, 503 if not."""
-        request = self.table.get(number)
-        if request is not None and not request.settled and not request.out:
+        request = self.open_requests.get(number)
+        if request is not None and not request.settled and not request.running_attempts:
             self.settle(request, Answer(502 if request.may_have_run else 503))
             self.events.append(i.Left(number))
             self.drop(request)
@@ -183,57 +185,57 @@
         payload: Callable[[float, int], bytes],
         caller: Caller,
         upload: Upload | None = None,
-        mark: bytes = b"",
-    ) -> Open:
+        attempt_id: bytes = b"",
+    ) -> OpenRequest:
         """Register a request and pass it to the module as the event that `make` creates for its number."""
         self.number += 1
         event = make(self.number)
-        request = Open(
-            self.number, payload, caller, timeout, self.limits, upload, self.counts.label(name), mark
+        request = OpenRequest(
+            self.number, payload, caller, timeout, self.limits, upload, self.counts.label(name), attempt_id
         )
-        self.table[request.number] = request
+        self.open_requests[request.number] = request
         self.waiting += 1
         if upload is None:
             self.start_deadline(request)
         self.post(event)
         return request
 
-    def start_deadline(self, request: Open) -> None:
+    def start_deadline(self, request: OpenRequest) -> None:
         """Start the client's time-out, as the last byte of the request has arrived."""
         request.end = time.monotonic() + request.timeout
         left = max(0.0, request.timeout - GUARD_MARGIN)
         request.guard = self.loop.call_later(left, self.overdue, request)
 
-    def whole(self, request: Open) -> None:
+    def on_body_complete(self, request: OpenRequest) -> None:
         """Note that the last byte of a streamed request body has arrived."""
         if request.settled:
             return
         self.start_deadline(request)
-        for attempt in request.out.values():
+        for attempt in request.running_attempts.values():
             self.upstream.expire(attempt, max(0.0, request.timeout - ATTEMPT_MARGIN))
         self.post(i.Whole(request.number, request.timeout))
 
-    def left(self, request: Open) -> None:
+    def on_client_disconnected(self, request: OpenRequest) -> None:
         """Note that the client has disconnected.
 
         Attempts that have been sent continue, except those of a request that did not arrive completely.  The
         connection of an answer that is being streamed is aborted, as nobody receives the answer.
         """
-        if request.flow is not None:
-            request.flow.source.abort()
+        if request.stream is not None:
+            request.stream.source.abort()
         if not request.settled:
             self.settle(request, None)
             if request.upload is not None and not request.upload.whole:
-                for attempt in list(request.out.values()):
+                for attempt in list(request.running_attempts.values()):
                     attempt.give_up(Outcome.CANCELLED)
             self.post(i.Left(request.number))
             self.drop(request)
 
-    def overdue(self, request: Open) -> None:
+    def overdue(self, request: OpenRequest) -> None:
         """Answer a request that is still open shortly before its client's deadline, so that none is lost."""
         if request.settled:
             return
-        for attempt in list(request.out.values()):
+        for attempt in list(request.running_attempts.values()):
             attempt.give_up(Outcome.TIMEOUT)
         if not request.settled:  # ending an attempt that never ran may just have answered the request
             self.settle(request, Answer(504))
@@ -242,7 +244,7 @@
 
     def answer_all(self) -> None:
         """Answer all open requests, because the process is about to end."""
-        for request in list(self.table.values()):
+        for request in list(self.open_requests.values()):
             self.overdue(request)
 
     def retune(self, settings: i.Settings) -> None:
@@ -264,7 +266,7 @@
 
     # --- actions out -------------------------------------------------------------------------------
 
-    def carry_out(self, action: i.Action) -> None:
+    def execute(self, action: i.Action) -> None:
         """Carry out one action of the module; one that is not supported is logged once a type."""
         match action:
             case i.Send():
@@ -281,8 +283,11 @@
             case i.Fail():
                 self.end(action.request, Answer(502))
             case i.Cancel():
-                request = self.table.get(action.request)
-                if request is not None and (attempt := request.out.get(action.attempt)) is not None:
+                request = self.open_requests.get(action.request)
+                if (
+                    request is not None
+                    and (attempt := request.running_attempts.get(action.attempt)) is not None
+                ):
                     attempt.give_up(Outcome.CANCELLED)
             case i.Probe():
                 backend = action.backend
@@ -300,7 +305,7 @@
 
     def send(self, action: i.Send) -> None:
         """Start an attempt; one that is of no use or not allowed ends at once as `Outcome.MOOT`."""
-        request = self.table.get(action.request)
+        request = self.open_requests.get(action.request)
         number = request.sent if request is not None else 0
         if request is not None:
             request.sent += 1
@@ -311,7 +316,7 @@
             or left <= 0
             or number >= request.limits.max_attempts
             or (request.upload is not None and not request.upload.again)
-            or (request.out and not request.limits.second_copies)
+            or (request.running_attempts and not request.limits.second_copies)
         ):
             closed = request is None or request.settled
             again = request is None or request.upload is None or request.upload.again
@@ -324,50 +329,50 @@
         def done(result: Result) -> None:
             self.finished(request, number, action.backend, result)
 
-        def begun(flow: Flow) -> Sink | None:
-            return self.begun(request, number, action.backend, flow)
+        def begun(stream: StreamedAnswer) -> Sink | None:
+            return self.begun(request, number, action.backend, stream)
 
         attempt = self.attempt(request, request.payload(timeout, action.backend), done, begun)
         self.upstream.start(action.backend, timeout, attempt)
         if not attempt.over:
-            request.out[number] = attempt
+            request.running_attempts[number] = attempt
 
     def attempt(
         self,
-        request: Open,
+        request: OpenRequest,
         payload: bytes,
         done: Callable[[Result], None],
-        begun: Callable[[Flow], Sink | None],
+        begun: Callable[[StreamedAnswer], Sink | None],
     ) -> Attempt:
         """Create an attempt of a request."""
         return Attempt(payload, done, begun, request.upload)
 
-    def time_left(self, request: Open) -> float:
+    def time_left(self, request: OpenRequest) -> float:
         """Return the seconds that an attempt may take."""
         if request.upload is not None and not request.upload.whole:
             return request.timeout - ATTEMPT_MARGIN
         return request.end - ATTEMPT_MARGIN - time.monotonic()
 
-    def begun(self, request: Open, number: int, backend: int, flow: Flow) -> Sink | None:
+    def begun(self, request: OpenRequest, number: int, backend: int, stream: StreamedAnswer) -> Sink | None:
         """Stream an answer that is too large to buffer; its client gets no other answer.
 
         Returns None if the request needs no answer any more.
         """
         if request.settled:
             return None
-        request.flow = flow
+        request.stream = stream
         self.settle(request, None)
         self.waiting += 1  # until the last byte of the answer
         self.post(i.UnderWay(request.number, number, backend, 0.0))
-        request.caller.begin(flow)
+        request.caller.begin(stream)
         return request.caller
 
-    def finished(self, request: Open, number: int, backend: int, result: Result) -> None:
+    def finished(self, request: OpenRequest, number: int, backend: int, result: Result) -> None:
         """Count the end of an attempt, answer its request if it succeeded, and post `Finished`."""
-        attempt = request.out.pop(number, None)
+        attempt = request.running_attempts.pop(number, None)
         self.counts.attempts[result.outcome.name.lower()] += 1
-        if attempt is not None and attempt.flowing:
-            request.flow = None
+        if attempt is not None and attempt.streaming:
+            request.stream = None
             self.waiting -= 1
         if not result.outcome.never_ran:
             request.may_have_run = True
@@ -386,12 +391,12 @@
 
     def end(self, number: int, answer: Answer) -> None:
         """Answer an open request by its number, unless it has been answered."""
-        request = self.table.get(number)
+        request = self.open_requests.get(number)
         if request is not None and not request.settled:
             self.settle(request, answer)
             self.drop(request)
 
-    def settle(self, request: Open, answer: Answer | None) -> None:
+    def settle(self, request: OpenRequest, answer: Answer | None) -> None:
         """Mark a request as settled, count it, and send its answer.
 
         `answer` is None if the answer is streamed or the client has gone.
@@ -401,21 +406,21 @@
         if answer is not None:
             outcome = OUTCOMES.get(answer.status, "failed")
         else:
-            outcome = "served" if request.flow is not None else "left"
+            outcome = "served" if request.stream is not None else "left"
         self.counts.requests[request.label, outcome] += 1
         if request.guard is not None:
             request.guard.cancel()
         if answer is not None:
             request.caller.reply(answer)
         if request.upload is not None:
-            for attempt in list(request.out.values()):
+            for attempt in list(request.running_attempts.values()):
                 if attempt.link is None:  # not sent yet, and its body has just been dropped
                     attempt.give_up(Outcome.CANCELLED)
 
-    def drop(self, request: Open) -> None:
+    def drop(self, request: OpenRequest) -> None:
         """Remove a request once it is settled and all its attempts have ended."""
-        if request.settled and not request.out:
-            self.table.pop(request.number, None)
+        if request.settled and not request.running_attempts:
+            self.open_requests.pop(request.number, None)
 
     def set_timer(self, at: float, token: int) -> None:
         """Post `Fired` with this token once `clock` has reached `at`."""
--- a/hazelspring/gateway/management.py
+++ b/hazelspring/gateway/management.py
@@ -21,10 +21,10 @@
 from hazelspring.gateway.config import Address
 from hazelspring.gateway.discovery import backend_id
 from hazelspring.gateway.generations import MAX_CONFIRM_TIMEOUT, Generation, Generations, RefusedError
-from hazelspring.gateway.handover import Handover
 from hazelspring.gateway.metrics import CONTENT_TYPE, Metrics
+from hazelspring.gateway.shared_folder import SharedFolder
 
-MOST_CALLERS = 24  # open connections; beyond it the oldest one is closed
+MAX_CONNECTIONS = 24  # open connections; beyond it the oldest one is closed
 MAX_CALL_BYTES = 8 * 1024  # of one call without a configuration
 MAX_CONFIGURATION_BYTES = 256 << 10  # of one configuration in a call: parsing it blocks the other threads
 MAX_BUFFERED_BYTES = 1 << 20  # of the configurations of all calls that are being received
@@ -77,7 +77,7 @@
     if_match: str | None
 
 
-class Caller(asyncio.Protocol):
+class ManagementConnection(asyncio.Protocol):
     """A connection to the management address.  It is closed after one call."""
 
     def __init__(self, management: Management) -> None:
@@ -106,7 +106,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Free what the connection takes up."""
         self.transport = None
-        self.management.callers.pop(self, None)
+        self.management.connections.pop(self, None)
         self.release()
         if self.timer is not None:
             self.timer.cancel()
@@ -202,7 +202,7 @@
 class Management:
     """The listener of the management address.
 
-    A caller that keeps its connection open takes up one of MOST_CALLERS places and a timer.
+    A client that keeps its connection open takes up one of MAX_CONNECTIONS places and a timer.
     """
 
     def __init__(
@@ -210,15 +210,20 @@
         address: Address,
         ready: Callable[[], bool],
         backend_ids: dict[str, int],
-        handover: Handover,
+        shared_folder: SharedFolder,
         generations: Generations,
         metrics: Metrics,
     ) -> None:
-        self.address, self.ready, self.backend_ids, self.handover = address, ready, backend_ids, handover
+        self.address, self.ready, self.backend_ids, self.shared_folder = (
+            address,
+            ready,
+            backend_ids,
+            shared_folder,
+        )
         self.generations, self.metrics = generations, metrics
         self.scrape_running = False
         self.loop = asyncio.get_running_loop()
-        self.callers: dict[Caller, float] = {}  # oldest first
+        self.connections: dict[ManagementConnection, float] = {}  # oldest first
         self.buffered = 0  # bytes of the configurations that are being received
         self.sock: socket.socket | None = None
         self.server: asyncio.Server | None = None
@@ -236,11 +241,13 @@
 
     async def serve(self) -> None:
         """Create the server on the bound socket."""
-        self.server = await self.loop.create_server(lambda: Caller(self), sock=self.sock, backlog=BACKLOG)
+        self.server = await self.loop.create_server(
+            lambda: ManagementConnection(self), sock=self.sock, backlog=BACKLOG
+        )
         if self.closed:
             self.server.close()
 
-    def leave(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no further connections.  Calls on open connections are still answered."""
         self.closed = True
         if self.server is not None:
@@ -248,12 +255,12 @@
         elif self.sock is not None and self.serve_task is None:
             self.sock.close()
 
-    def add(self, caller: Caller) -> None:
-        """Add a connection.  Beyond MOST_CALLERS, abort the oldest, or an answered one if there is any."""
-        self.callers[caller] = time.monotonic()
-        if len(self.callers) > MOST_CALLERS:
-            oldest = next((c for c in self.callers if c.answered), None) or next(iter(self.callers))
-            del self.callers[oldest]
+    def add(self, connection: ManagementConnection) -> None:
+        """Add a connection.  Beyond MAX_CONNECTIONS, abort the oldest, or an answered one if there is any."""
+        self.connections[connection] = time.monotonic()
+        if len(self.connections) > MAX_CONNECTIONS:
+            oldest = next((c for c in self.connections if c.answered), None) or next(iter(self.connections))
+            del self.connections[oldest]
             if oldest.transport is not None:
                 oldest.transport.abort()
 
@@ -274,12 +281,12 @@
         """Detach or attach the alert server that the body names."""
         name = call.body.strip().decode("latin-1")
         backend = self.backend_ids.get(name)
-        if backend is None and backend_id(name) in self.handover.detached:
+        if backend is None and backend_id(name) in self.shared_folder.detached:
             backend = backend_id(name)  # detached before discovery listed it to this process
         if backend is None:
             return text_reply(404, "no such alert server")
         try:
-            (self.handover.detach if call.path == DETACH else self.handover.attach)(backend)
+            (self.shared_folder.detach if call.path == DETACH else self.shared_folder.attach)(backend)
         except OSError as error:
             log.warning("management: cannot write to the shared folder: %s", error)
             return text_reply(500, "could not be put on file")
@@ -319,12 +326,12 @@
 
     def close(self) -> None:
         """Stop listening and abort all connections."""
-        self.leave()
-        for caller in list(self.callers):
-            if caller.task is not None:
-                caller.task.cancel()
-            if caller.transport is not None:
-                caller.transport.abort()
+        self.stop_accepting()
+        for connection in list(self.connections):
+            if connection.task is not None:
+                connection.task.cancel()
+            if connection.transport is not None:
+                connection.transport.abort()
 
 
 def parse_generation(text: str) -> int | None:
--- a/hazelspring/gateway/metrics.py
+++ b/hazelspring/gateway/metrics.py
@@ -38,9 +38,10 @@
         self.probes: CountsByName = defaultdict(int)  # by outcome
         self.counter_calls: CountsByName = defaultdict(int)  # by outcome
         self.counter_opened = 0
-        self.opened = self.reused = self.stale = 0  # connections to alert servers
-        self.closed: CountsByName = defaultdict(int)  # closed connections to alert servers, by reason
-        self.broken: CountsByName = defaultdict(int)  # invalid answers of alert servers, by reason
+        # Connections to alert servers.
+        self.connections_opened = self.connections_reused = self.connections_stale = 0
+        self.connections_closed: CountsByName = defaultdict(int)  # by reason
+        self.answers_broken: CountsByName = defaultdict(int)  # invalid answers of alert servers, by reason
         self.lists: CountsByName = defaultdict(int)  # lists and changes from discovery, by kind
         # ended watches, by HTTP status; 0 without a response
         self.watches: defaultdict[int, int] = defaultdict(int)
@@ -57,7 +58,7 @@
             self.classes.add(name)
         return name
 
-    def failed(self, name: str, error: BaseException) -> None:
+    def count_failure(self, name: str, error: BaseException) -> None:
         """Count and log an unexpected error that ended one run of an activity; it will run again."""
         self.failures[name] += 1
         log.error("%s failed", name, exc_info=error)
@@ -157,11 +158,24 @@
         yield total("client_connections_refused", "Those beyond the most there may be.", c.clients_refused)
         yield counter("attempts", "Attempts at alert servers by how they ended.", ("outcome",), c.attempts)
         yield counter("probes", "Probes of alert servers by how they ended.", ("outcome",), c.probes)
-        yield total("connections_opened", "Connections opened to alert servers: handshakes.", c.opened)
-        yield total("connections_reused", "Attempts that rode on a connection that was there.", c.reused)
-        yield total("connections_stale", "Kept connections found closed or with unasked bytes.", c.stale)
-        yield counter("connections_closed", "Connections to alert servers that ended.", ("reason",), c.closed)
-        yield counter("answers_broken", "Answers of alert servers that were none.", ("reason",), c.broken)
+        yield total(
+            "connections_opened", "Connections opened to alert servers: handshakes.", c.connections_opened
+        )
+        yield total(
+            "connections_reused", "Attempts that rode on a connection that was there.", c.connections_reused
+        )
+        yield total(
+            "connections_stale", "Kept connections found closed or with unasked bytes.", c.connections_stale
+        )
+        yield counter(
+            "connections_closed",
+            "Connections to alert servers that ended.",
+            ("reason",),
+            c.connections_closed,
+        )
+        yield counter(
+            "answers_broken", "Answers of alert servers that were none.", ("reason",), c.answers_broken
+        )
         yield counter("counter_calls", "Counter calls by how they ended.", ("outcome",), c.counter_calls)
         yield total("counter_connections_opened", "Connections opened to the counter.", c.counter_opened)
         yield counter("lists", "Lists and changes heard from discovery.", ("kind",), c.lists)
@@ -190,7 +204,7 @@
         calls, probes = sum(c.counter_calls.values()), sum(c.probes.values())
         return (
             f"{answered} requests in {time.monotonic() - began:.0f} s; for each CPU"
-            f" {1e6 * time.process_time() / divisor:.0f} us, handshakes {c.opened / divisor:.3f}, counter"
+            f" {1e6 * time.process_time() / divisor:.0f} us, handshakes {c.connections_opened / divisor:.3f}, counter"
             f" calls {calls / divisor:.3f}, probes {probes / divisor:.3f}, memory"
             f" {memory / divisor:.0f} bytes, descriptors {open_descriptors() / divisor:.4f}; in all"
             f" {memory >> 10} kB, {open_descriptors()} descriptors"
--- a/hazelspring/gateway/pool.py
+++ b/hazelspring/gateway/pool.py
@@ -10,18 +10,18 @@
 
 from hazelspring.admission.interface import Outcome
 from hazelspring.gateway.config import Address
-from hazelspring.gateway.link import Attempt, Link
-from hazelspring.gateway.link import Owner as LinkOwner
+from hazelspring.gateway.server_connection import Attempt, Link
+from hazelspring.gateway.server_connection import Owner as LinkOwner
 
 PER_BACKEND = 128  # maximum connections to one backend
-MOST_CONNECTS = 16  # maximum of these being opened at once, so that a starting server is not flooded
+MAX_CONNECTS = 16  # maximum of these being opened at once, so that a starting server is not flooded
 
 
 class Owner(LinkOwner, Protocol):
     """The owner of the pools, as a pool uses it."""
 
     open: int  # connections and attempts to connect, of all pools
-    most_open: int  # limit of these
+    max_open: int  # limit of these
     per_backend: int  # limit of one pool's
     connect_timeout: float  # seconds
     tasks: set[asyncio.Task[None]]
@@ -56,16 +56,16 @@
         while self.idle:
             link = self.idle.pop()
             if link.transport is not None and not link.transport.is_closing():
-                self.owner.counts.reused += 1
+                self.owner.counts.connections_reused += 1
                 link.carry(attempt)
                 return
-            self.owner.counts.stale += 1
+            self.owner.counts.connections_stale += 1
         if self.connecting + len(self.links) >= self.owner.per_backend or not self.owner.make_room():
             # Nothing was sent.  The outcome is not CONNECT_FAILED, as the backend is not at fault.
             self.owner.loop.call_soon(attempt.fail, Outcome.FULL)
             return
         self.waiting.append(attempt)
-        if self.connecting < MOST_CONNECTS:
+        if self.connecting < MAX_CONNECTS:
             self.open()
         else:  # waits for one that is already being opened, but no longer than one of its own could take
             self.owner.loop.call_later(self.owner.connect_timeout, self.late, attempt)
@@ -87,14 +87,14 @@
                 )
         except Exception as error:
             if not isinstance(error, OSError | TimeoutError):
-                self.owner.counts.failed("connect to a server", error)
+                self.owner.counts.count_failure("connect to a server", error)
             self.connecting -= 1
             self.owner.open -= 1
             self.failed()
             return
         self.connecting -= 1
         self.links.add(link)
-        self.owner.counts.opened += 1
+        self.owner.counts.connections_opened += 1
         if link.transport is None or link.transport.is_closing():
             self.forget(link)
             self.failed()
@@ -121,7 +121,7 @@
             self.waiting.popleft().fail(Outcome.CONNECT_FAILED)
         current = self.owner.pools.get(self.name) is self
         while len(self.waiting) > self.connecting:
-            if self.connecting >= MOST_CONNECTS:
+            if self.connecting >= MAX_CONNECTS:
                 return
             if current and self.owner.make_room():
                 self.open()
@@ -140,9 +140,9 @@
             link.end("moved")  # the backend has another address, has restarted or is gone
             return
         if self.give(link):
-            self.owner.counts.reused += 1
+            self.owner.counts.connections_reused += 1
             return
-        if self.owner.open > self.owner.most_open:
+        if self.owner.open > self.owner.max_open:
             link.end("limit")  # the limit has been lowered meanwhile
             return
         link.idle_since = time.monotonic()
--- a/hazelspring/gateway/server.py
+++ b/hazelspring/gateway/server.py
@@ -12,11 +12,18 @@
 from hazelspring.admission import interface as i
 from hazelspring.admission.gateway import Gateway
 from hazelspring.admission.interface import Effect
-from hazelspring.gateway.caller import HOP_BY_HOP, MOST_HELD, BadRequest, Client, Exchange, Listener
+from hazelspring.gateway.client_connection import (
+    HOP_BY_HOP,
+    MAX_BUFFERED_BYTES,
+    BadRequest,
+    Client,
+    Exchange,
+    Listener,
+)
 from hazelspring.gateway.config import Config
 from hazelspring.gateway.host import Answer, Host
 
-MOST_TIMEOUT = 600.0  # maximum seconds that a request is kept open, even if its client would wait longer
+MAX_TIMEOUT = 600.0  # maximum seconds that a request is kept open, even if its client would wait longer
 RELOAD_GRACE = 2.0  # seconds after a reload in which the previous classes and tariffs are also accepted
 NOT_FORWARDED = HOP_BY_HOP | {b"request-timeout"}  # headers that are not forwarded unchanged
 SINGLE_HEADERS = frozenset(  # headers that must not be repeated
@@ -42,15 +49,15 @@
 
 
 def parse_timeout(text: bytes) -> float:
-    """Parse Request-Timeout into seconds, at most `MOST_TIMEOUT`; raises `BadRequest`."""
+    """Parse Request-Timeout into seconds, at most `MAX_TIMEOUT`; raises `BadRequest`."""
     found = TIMEOUT.fullmatch(text)
     if found is None:
         raise BadRequest("malformed Request-Timeout")
     number = float(found[1] + b"." + (found[2] or b"0"))
-    return min(MOST_TIMEOUT, number / (1e3 if found[3] == b"m" else 1e6))
+    return min(MAX_TIMEOUT, number / (1e3 if found[3] == b"m" else 1e6))
 
 
-class Caller(Client):
+class ClientConnection(Client):
     """A client's connection to the gateway."""
 
     __slots__ = ()
@@ -95,12 +102,12 @@
         customer = int(customers[0], 16)
         body, upload = b"".join(self.body), exchange.upload
         streams = upload is not None
-        if server.held + len(body) > MOST_HELD:
+        if server.buffered_bytes + len(body) > MAX_BUFFERED_BYTES:
             server.host.counts.rejected[503] += 1
             exchange.reply(Answer(503, retry_after=1.0))  # nothing has run; memory is bounded
             return
-        exchange.held = len(body)
-        server.held += len(body)
+        exchange.buffered_bytes = len(body)
+        server.buffered_bytes += len(body)
         head = b"%s %s HTTP/1.1\r\n" % (method, self.url) + b"".join(
             b"%s: %s\r\n" % pair for pair in self.headers if pair[0] not in NOT_FORWARDED
         )
@@ -138,9 +145,9 @@
 
     host: Host[Gateway]
 
-    def __init__(self, config: Config, host: Host[Gateway], most_clients: int) -> None:
-        super().__init__(config.listen, config.passed, host, most_clients)
-        self.make = Caller
+    def __init__(self, config: Config, host: Host[Gateway], max_clients: int) -> None:
+        super().__init__(config.listen, config.passed, host, max_clients)
+        self.make = ClientConnection
         self.classes: dict[bytes, tuple[int, i.RequestClass]] = {}
         self.plans: dict[bytes, tuple[int, i.Plan]] = {}
         self.retune(config.settings)
--- a/hazelspring/gateway/link.py
+++ b/hazelspring/gateway/server_connection.py
@@ -15,13 +15,14 @@
 from hazelspring.admission.interface import Outcome
 from hazelspring.gateway.metrics import Counts
 
-SMALL = 64 * 1024  # bytes up to which a body is buffered completely; a larger one is streamed
+MAX_BUFFERED_BODY = 64 * 1024  # bytes up to which a body is buffered completely; a larger one is streamed
 STREAM_AFTER_BYTES = 16 * 1024  # an answer of unknown length is streamed once more than this has arrived
 STREAM_AFTER_S = 0.1  # or once this time has passed since its head, however little has arrived
-MOST_HEAD = 16 * 1024  # maximum bytes of an answer's head
+MAX_HEAD = 16 * 1024  # maximum bytes of an answer's head
 IDLE_AGE_SPREAD = 0.25  # relative range of the maximum idle ages, as gateways must not close in step
 
-READ = memoryview(bytearray(SMALL))  # shared by all reads, one after another; limits the bytes of each
+# Shared by all reads, one after another; limits the bytes of each.
+READ_BUFFER = memoryview(bytearray(MAX_BUFFERED_BODY))
 
 log = logging.getLogger(__name__)
 
@@ -101,7 +102,7 @@
 
 
 @dataclass(slots=True)
-class Flow:
+class StreamedAnswer:
     """A large answer that is about to be streamed: its length, if known, and the connection it comes on."""
 
     length: int | None
@@ -127,21 +128,23 @@
     called before that, when the answer begins.
     """
 
-    __slots__ = ("began", "begun", "body", "done", "flowing", "link", "over", "payload", "timer", "verdict")
+    __slots__ = (
+        "began", "begun", "body", "done", "give_up_reason", "link", "over", "payload", "streaming", "timer",
+    )  # fmt: skip
 
     def __init__(
         self,
         payload: bytes,
         done: Callable[[Result], None],
-        begun: Callable[[Flow], Sink | None] | None = None,
+        begun: Callable[[StreamedAnswer], Sink | None] | None = None,
         body: Body | None = None,
     ) -> None:
         self.payload, self.done, self.begun, self.body = payload, done, begun, body
-        self.flowing = False
+        self.streaming = False
         self.began = time.perf_counter()
         self.link: Link | None = None  # set once the first byte may have been written
         self.timer: asyncio.TimerHandle | None = None
-        self.verdict: Outcome | None = None  # why this process gave the attempt up
+        self.give_up_reason: Outcome | None = None  # why this process gave the attempt up
         self.over = False
 
     def finish(self, result: Result) -> None:
@@ -166,13 +169,13 @@
         A request that has been written may run until its connection has ended.  So the connection is ended
         first, and `done` is called after that; otherwise a further attempt could run at the same time.
         """
-        if self.over or self.verdict is not None or self.flowing:
+        if self.over or self.give_up_reason is not None or self.streaming:
             return
         if self.link is None:
             # Nothing was written, so the request never ran, whatever the reason for giving the attempt up.
             self.fail(Outcome.MOOT if why is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
         else:
-            self.verdict = why
+            self.give_up_reason = why
             if why is Outcome.TIMEOUT and not self.link.head:
                 self.link.pool.suspect(self.link.request_sent_at)
             self.link.end("given_up")
@@ -269,25 +272,25 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return the shared read buffer."""
-        return READ
+        return READ_BUFFER
 
     def buffer_updated(self, count: int) -> None:
         """Parse the bytes just read; ends the connection if they are not part of an expected answer."""
         if self.attempt is None:
-            self.pool.owner.counts.stale += 1
+            self.pool.owner.counts.connections_stale += 1
             self.end("unasked_bytes")  # bytes without a request: the framing is lost
             return
         self.head += count
         self.last_byte_at = self.last_progress_at = time.monotonic()
         try:
-            self.parser.feed_data(READ[:count])
+            self.parser.feed_data(READ_BUFFER[:count])
         except httptools.HttpParserUpgrade:
-            self.spoilt("malformed")
+            self.end_as_malformed("malformed")
         except httptools.HttpParserError as error:
             log.warning("backend %s: %s", self.pool.name, error)
-            self.spoilt("malformed")
-        if not self.headed_at and self.head > MOST_HEAD:
-            self.spoilt("endless_head")  # otherwise the attempt would last until its deadline
+            self.end_as_malformed("malformed")
+        if not self.headed_at and self.head > MAX_HEAD:
+            self.end_as_malformed("endless_head")  # otherwise the attempt would last until its deadline
         # Not from within a parser callback: the rest of these bytes must not be read as the answer to a
         # request that is sent now.
         if self.result is not None:
@@ -338,9 +341,9 @@
             return
         self.body += body
         if not self.serves(self.parser.get_status_code()):
-            del self.body[SMALL:]  # this body is not passed to a client
+            del self.body[MAX_BUFFERED_BODY:]  # this body is not passed to a client
         elif self.length is not None:
-            if self.length > SMALL:
+            if self.length > MAX_BUFFERED_BODY:
                 self.begin()
         elif len(self.body) > STREAM_AFTER_BYTES or self.last_progress_at > self.headed_at + STREAM_AFTER_S:
             self.begin()
@@ -348,22 +351,22 @@
     def begin(self) -> None:
         """Stream the answer from here on, or end the connection if no client waits for the answer."""
         attempt = self.attempt
-        if attempt is None or attempt.verdict is not None or self.result is not None:
+        if attempt is None or attempt.give_up_reason is not None or self.result is not None:
             return
         if attempt.begun is not None:
-            self.sink = attempt.begun(self.flow())
+            self.sink = attempt.begun(self.describe_stream())
         if self.sink is None:
-            attempt.verdict = Outcome.CANCELLED
+            attempt.give_up_reason = Outcome.CANCELLED
             self.end("given_up")
             return
-        attempt.flowing = True
+        attempt.streaming = True
         attempt.stop_timer()
         self.sink.feed(bytes(self.body))
         self.body.clear()
 
-    def flow(self) -> Flow:
+    def describe_stream(self) -> StreamedAnswer:
         """Describe the answer that is about to be streamed."""
-        return Flow(self.length, self.content_type, self)
+        return StreamedAnswer(self.length, self.content_type, self)
 
     def on_message_complete(self) -> None:
         """Set the result of the attempt from the complete answer; interim responses are skipped."""
@@ -400,7 +403,7 @@
             attempt.body.detach(self)
         self.resume()
         if self.surplus:
-            self.spoilt("surplus_bytes")
+            self.end_as_malformed("surplus_bytes")
         elif self.unsent:
             self.end("early_answer")
         elif self.keep:
@@ -422,12 +425,12 @@
         self.why = self.why or why
         self.abort()
 
-    def spoilt(self, how: str) -> None:
+    def end_as_malformed(self, how: str) -> None:
         """End the connection because it received something other than exactly one valid answer."""
-        self.pool.owner.counts.broken[how] += 1
+        self.pool.owner.counts.answers_broken[how] += 1
         self.end("spoilt")
 
-    def look(self, before: float) -> None:
+    def end_if_stalled(self, before: float) -> None:
         """End the connection if its body has made no progress since the time `before`.
 
         Otherwise the transfer could stall forever, as neither its client nor another limit need ever end it.
@@ -442,14 +445,16 @@
     def connection_lost(self, error: Exception | None) -> None:
         """End the attempt, with an outcome that says whether the request may have run."""
         self.pool.forget(self)
-        self.pool.owner.counts.closed[self.why or ("broke_off" if self.attempt else "by_server")] += 1
+        self.pool.owner.counts.connections_closed[
+            self.why or ("broke_off" if self.attempt else "by_server")
+        ] += 1
         if (attempt := self.attempt) is not None:
             sending = self.sending()
             self.attempt = None
             if attempt.body is not None:
                 attempt.body.detach(self)
-            outcome = attempt.verdict or (Outcome.CONNECT_FAILED if sending else Outcome.RESET)
-            if sending and attempt.verdict is Outcome.CANCELLED:
+            outcome = attempt.give_up_reason or (Outcome.CONNECT_FAILED if sending else Outcome.RESET)
+            if sending and attempt.give_up_reason is Outcome.CANCELLED:
                 outcome = Outcome.MOOT
             if self.sink is not None:
                 self.sink.finish(whole=False)
--- a/hazelspring/gateway/handover.py
+++ b/hazelspring/gateway/shared_folder.py
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 
-class Handover:
+class SharedFolder:
     """The files through which the processes of one gateway share state.
 
     A detached alert server has an empty file: creating and renaming it is atomic, and it has no content that
@@ -53,8 +53,8 @@
             except OSError as error:
                 log.warning("handover: cannot create the shared folder: %s", error)
         self.replay_attachments()
-        self.look()
-        self.timer = Periodic(self.loop, POLL_INTERVAL, self.look, self.poll_failed)
+        self.scan()
+        self.timer = Periodic(self.loop, POLL_INTERVAL, self.scan, self.poll_failed)
 
     def marker_file(self, kind: str, backend: int) -> Path | None:
         """Return the path of the `out` or `back` file of a server, or None without a shared folder."""
@@ -67,7 +67,7 @@
         """
         if (path := self.marker_file("out", backend)) is not None:
             path.touch()
-            self.look()
+            self.scan()
         else:
             self.set_detached({*self.detached, backend})
 
@@ -78,7 +78,7 @@
             if path.exists():
                 path.touch()  # the modification time becomes the time of the attach
                 path.replace(back)
-            self.look()
+            self.scan()
         else:
             self.set_detached(self.detached - {backend})
 
@@ -97,7 +97,7 @@
         """Log an error of a scan, which is repeated after POLL_INTERVAL."""
         log.error("handover: scanning the shared folder failed", exc_info=error)
 
-    def look(self) -> None:
+    def scan(self) -> None:
         """Read from the shared folder which alert servers are detached and how many processes serve."""
         if self.folder is None:
             return
@@ -116,7 +116,7 @@
             self.post(Processes(processes))
             self.on_process_count(processes)
 
-    def join(self) -> None:
+    def register(self) -> None:
         """Add this process to those that serve."""
         if self.folder is None:
             return
@@ -134,7 +134,7 @@
             )
             return
         self.own_file = path, descriptor
-        self.look()
+        self.scan()
 
     def is_serving(self, path: Path) -> bool:
         """Return whether the process that owns a file is alive.  Removes the file if it is not."""
@@ -151,7 +151,7 @@
             os.close(descriptor)
         return False
 
-    def leave(self) -> None:
+    def unregister(self) -> None:
         """Remove this process from those that serve."""
         if self.own_file is not None:
             path, descriptor = self.own_file
@@ -178,6 +178,6 @@
             return time.time()
 
     def close(self) -> None:
-        """Stop scanning the folder, and leave."""
+        """Stop scanning the folder, and unregister this process."""
         self.timer.cancel()
-        self.leave()
+        self.unregister()
--- a/hazelspring/gateway/upstream.py
+++ b/hazelspring/gateway/upstream.py
@@ -8,10 +8,10 @@
 
 from hazelspring.admission.interface import Outcome
 from hazelspring.gateway.config import Address
-from hazelspring.gateway.link import Attempt, Link, Result
 from hazelspring.gateway.metrics import Counts
 from hazelspring.gateway.periodic import Periodic
 from hazelspring.gateway.pool import PER_BACKEND, Pool
+from hazelspring.gateway.server_connection import Attempt, Link, Result
 
 STALL_TIMEOUT = 20.0  # seconds without a byte received or accepted by the peer, after which a transfer ends
 IDLE_PART = 0.5  # fraction of the backend's idle time after which an idle connection is closed here
@@ -28,10 +28,10 @@
         connect_timeout: float,
         conn_idle: float,
         columns: tuple[str, ...],
-        most_open: int,
+        max_open: int,
         counts: Counts,
     ) -> None:
-        self.most_open, self.counts = most_open, counts
+        self.max_open, self.counts = max_open, counts
         self.per_backend = PER_BACKEND
         self.retune(connect_timeout, conn_idle, columns)
         self.loop = asyncio.get_running_loop()
@@ -111,7 +111,7 @@
 
     def make_room(self) -> bool:
         """Whether a connection may be opened; at the limit, the longest idle one is ended to allow it."""
-        return self.open < self.most_open or self.retire_oldest()
+        return self.open < self.max_open or self.retire_oldest()
 
     def retire_oldest(self) -> bool:
         """End the connection that has been idle longest, of all pools; False if none is idle."""
@@ -121,10 +121,10 @@
         min(idle, key=lambda pool: pool.idle[0].idle_since).idle.popleft().end("room")
         return True
 
-    def limit(self, most_open: int) -> None:
+    def limit(self, max_open: int) -> None:
         """Change the limit on connections, and end idle ones above it at once."""
-        self.most_open = most_open
-        for _ in range(self.open - most_open):
+        self.max_open = max_open
+        for _ in range(self.open - max_open):
             if not self.retire_oldest():
                 return
 
@@ -136,14 +136,14 @@
         for pool in list(self.pools.values()):
             try:
                 for link in list(pool.links):
-                    link.look(time.monotonic() - STALL_TIMEOUT)
+                    link.end_if_stalled(time.monotonic() - STALL_TIMEOUT)
                 pool.retire(time.monotonic(), self.keep_idle)
             except Exception as error:  # the other pools must still be checked
                 self.sweep_failed(error)
 
     def sweep_failed(self, error: Exception) -> None:
         """Log and count an error in a sweep."""
-        self.counts.failed("sweep of connections", error)
+        self.counts.count_failure("sweep of connections", error)
 
     def close(self) -> None:
         """Cancel all tasks and end all connections."""
--- a/hazelspring/routing/endpoint_set.py
+++ b/hazelspring/routing/endpoint_set.py
@@ -102,7 +102,7 @@
             self.remove(server)
         return gone
 
-    def leaving(self, service: str, entries: Iterable[ServerEntry]) -> list[Endpoint]:
+    def newly_draining(self, service: str, entries: Iterable[ServerEntry]) -> list[Endpoint]:
         """Return the servers of a service that accept requests so far, but not by the new ``entries``."""
         known = self.services.get(service, {})
         drained = (known.get(entry.id) for entry in entries if not entry.accepting)
--- a/hazelspring/routing/request_router.py
+++ b/hazelspring/routing/request_router.py
@@ -70,15 +70,15 @@
     ----------
     limits : SharedLimits
         Limits that hold over all nodes together.
-    fleet : EndpointSet
+    endpoints : EndpointSet
         The servers that this node knows.
     seed : int
         The seed of the random split of a route's requests between services.
     """
 
-    def __init__(self, limits: SharedLimits, fleet: EndpointSet, seed: int) -> None:
+    def __init__(self, limits: SharedLimits, endpoints: EndpointSet, seed: int) -> None:
         self.limits = limits
-        self.fleet = fleet
+        self.endpoints = endpoints
         self.random = Random(seed)
         self.credits = CreditLeases(limits.quota)
         self.retry_budgets: dict[str, RetryBudget] = {}  # by service
@@ -89,10 +89,10 @@
         # Time from which the configuration is too old to admit requests with access keys.
         self.fresh_until = 0.0
         self.node_count = 1  # number of nodes that share the limits; 0 if it is not known
-        self.leaving = False  # whether this node shuts down soon: it then waits for attempts in flight
-        self.list_known = True  # whether the server list is as recent as the limits require
+        self.shutting_down = False  # whether this node shuts down soon: it then waits for attempts in flight
+        self.server_list_is_fresh = True  # whether the server list is as recent as the limits require
         self.requests_on_stale_list = 0  # attempts sent while ``list_known`` was false
-        self.ends: Counter[str] = Counter()  # number of requests not served, by UnservedReason
+        self.unserved_counts: Counter[str] = Counter()  # number of requests not served, by UnservedReason
         self.settings = RouterSettings(ROUTER_LIMITS)
         self.now = 0.0
 
@@ -105,8 +105,8 @@
         """
         self.configuration = configuration
         names = {route.name for routes in configuration.routes_by_host.values() for route in routes}
-        for name in self.fleet.route_latencies.keys() - names:
-            del self.fleet.route_latencies[name]
+        for name in self.endpoints.route_latencies.keys() - names:
+            del self.endpoints.route_latencies[name]
         for service in self.retry_budgets.keys() - configuration.services.keys():
             del self.retry_budgets[service]
 
@@ -117,7 +117,9 @@
 
     def update_endpoints(self, now: float, service: str, servers: Iterable[ServerEntry]) -> list[Endpoint]:
         """Replace the servers of a service; return those that are no longer listed."""
-        return self.fleet.update_endpoints(now, service, servers, self.slow_start_times().get(service, 0.0))
+        return self.endpoints.update_endpoints(
+            now, service, servers, self.slow_start_times().get(service, 0.0)
+        )
 
     def set_evacuated_zones(self, now: float, zones: frozenset[str]) -> None:
         """Send no requests to servers in these zones.
@@ -125,7 +127,7 @@
         The servers of zones that are no longer evacuated begin a slow start.
         """
         for zone in self.evacuated_zones - zones:
-            self.fleet.begin_slow_start(now, zone, self.slow_start_times())
+            self.endpoints.begin_slow_start(now, zone, self.slow_start_times())
         self.evacuated_zones = zones
 
     # Events.
@@ -169,7 +171,7 @@
     def on_attempt_finished(self, event: Finished) -> None:
         """Record an attempt's outcome; retry or end its request if that still waits for a response."""
         pending = self.pending.get(event.request)
-        server = self.fleet.servers.get(event.backend)
+        server = self.endpoints.servers.get(event.backend)
         if server is not None:
             self.record_outcome(server, pending, event)
         if pending is None:
@@ -194,7 +196,7 @@
     def on_tick(self) -> None:
         """Check time-outs of counter calls and slow attempts, and lifetimes of credits and load reports."""
         self.credits.tick(self.now)
-        self.fleet.expire_load_reports(self.now)
+        self.endpoints.expire_load_reports(self.now)
         self.abandon_slow_attempts()
 
     # Admission.
@@ -247,14 +249,14 @@
 
     def has_candidate(self, pending: PendingRequest) -> bool:
         """Return whether there is any server to which a request may be sent."""
-        candidates = self.fleet.candidates(
+        candidates = self.endpoints.candidates(
             self.now, pending.service, pending.home_regions(), self.evacuated_zones, pending.tried_servers
         )
         return next(candidates, None) is not None
 
     def choose_endpoint(self, pending: PendingRequest) -> tuple[Endpoint | None, float]:
         """Return the best server for a request, if there is any, and its expected duration in seconds."""
-        return self.fleet.choose(
+        return self.endpoints.choose(
             self.now,
             pending.service,
             pending.route.name,
@@ -272,7 +274,7 @@
         if server is None or time_left < MIN_TIME_LEFT or expected > time_left:
             self.give_up(pending)
             return
-        if not self.list_known:
+        if not self.server_list_is_fresh:
             self.requests_on_stale_list += 1
         pending.tried_servers.add(server.number)
         pending.attempts_sent += 1
@@ -289,11 +291,11 @@
         """
         server.in_flight = max(0, server.in_flight - 1)
         if event.outcome is Outcome.OK and pending is not None:
-            self.fleet.on_success(self.now, server, pending.route.name, event.spent, event.report)
+            self.endpoints.on_success(self.now, server, pending.route.name, event.spent, event.report)
         elif event.outcome is Outcome.FULL:
-            self.fleet.on_overloaded(self.now, server)
+            self.endpoints.on_overloaded(self.now, server)
         elif event.outcome in FAILURES:
-            self.fleet.on_failure(self.now, server)
+            self.endpoints.on_failure(self.now, server)
 
     # Retries and hedging.
 
@@ -339,7 +341,7 @@
         Otherwise the node keeps waiting for it, as abandoning it would leave the request without any
         response. For the same reason no attempt is abandoned once this node is shutting down.
         """
-        if self.leaving:
+        if self.shutting_down:
             return
         due = [pending for pending in self.pending.values() if pending.hedge_check_at <= self.now]
         for pending in due:
@@ -378,7 +380,7 @@
 
     def end(self, pending: PendingRequest, reason: UnservedReason) -> None:
         """Remove a request that is not served, and count the reason."""
-        self.ends[reason] += 1
+        self.unserved_counts[reason] += 1
         self.pending.pop(pending.request, None)
 
     def instruct(self, instruction: RouterInstruction) -> None:
--- a/tests/behaviour_runs.py
+++ b/tests/behaviour_runs.py
@@ -315,7 +315,7 @@
         elif kind == 1:
             router.set_evacuated_zones(now, frozenset(rng.sample(["a1", "a2", "b1"], rng.randrange(2))))
         elif kind == 2:
-            router.node_count, router.leaving = rng.choice([1, 4, 31]), rng.random() < 0.2
+            router.node_count, router.shutting_down = rng.choice([1, 4, 31]), rng.random() < 0.2
             router.fresh_until = rng.choice([1e9, 1e9, 1e9, now])
         else:
             in_flight = {server_tag(f"shop-{n}"): rng.randrange(4) for n in rng.sample(SERVERS, 3)}
@@ -343,7 +343,7 @@
             change(rng.randrange(12))
         else:
             deliver(TimerTick())
-    recorder.add(list(router.ends.values()), router.requests_on_stale_list)
+    recorder.add(list(router.unserved_counts.values()), router.requests_on_stale_list)
     return recorder.hexdigest()
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -11,13 +11,13 @@
 
 from hazelspring.admission import interface as i
 from hazelspring.admission.interface import Outcome
-from hazelspring.gateway import link
-from hazelspring.gateway.caller import BODY_GRACE, HEAD_TIMEOUT, REPLAY_LIMIT
-from hazelspring.gateway.link import SMALL
+from hazelspring.gateway import server_connection
+from hazelspring.gateway.client_connection import BODY_GRACE, HEAD_TIMEOUT, REPLAY_LIMIT
+from hazelspring.gateway.server_connection import MAX_BUFFERED_BODY
 from hazelspring.gateway.upstream import STALL_TIMEOUT
 
 from .sockets import Backend, Client, http_answer, listening, read_message, run, until
-from .test_frontdoor import FIRST, front_door, send_on
+from .test_gateway_process import FIRST, running_gateway, send_on
 
 LARGE = bytes(range(256)) * 4096  # 1 MiB
 HUGE = 32 << 20
@@ -69,7 +69,7 @@
         half = len(body) // 2
         async with (
             listening(answering(head + body[:half], body[half:], gate=gate)) as address,
-            front_door(address, react=send_on) as (gateway, script),
+            running_gateway(address, react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             client.writer.write(client.request())
@@ -84,13 +84,17 @@
             else:
                 assert b"chunked" in lines and await read_chunked(client.reader) == LARGE
             await until(lambda: script.outcomes() == [Outcome.OK])
-            assert gateway.host.waiting == 0 and not gateway.host.table and gateway.server.held == 0
+            assert (
+                gateway.host.waiting == 0
+                and not gateway.host.open_requests
+                and gateway.server.buffered_bytes == 0
+            )
 
     run(test())
 
 
 def test_a_small_answer_of_every_form_is_buffered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(link, "STREAM_AFTER_S", 60.0)  # so that a slow machine changes nothing
+    monkeypatch.setattr(server_connection, "STREAM_AFTER_S", 60.0)  # so that a slow machine changes nothing
     forms = [HEAD + b"\r\nsmall", CHUNKS + chunked(b"small", 2), http_answer(body=b"small")]
     forms.append(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + forms[1])
 
@@ -99,7 +103,7 @@
             in_pieces = [form[at : at + 1] for at in range(len(form))]
             async with (
                 listening(answering(*in_pieces)) as address,
-                front_door(address, react=send_on) as (gateway, script),
+                running_gateway(address, react=send_on) as (gateway, script),
                 Client(gateway.server) as client,
             ):
                 answer = await client.ask()
@@ -112,13 +116,13 @@
 def test_a_slow_answer_of_unknown_length_is_streamed_before_it_is_large(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(link, "STREAM_AFTER_S", -1.0)
+    monkeypatch.setattr(server_connection, "STREAM_AFTER_S", -1.0)
 
     async def test() -> None:
         gate = asyncio.Event()
         async with (
             listening(answering(CHUNKS + b"5\r\nsmall\r\n", b"0\r\n\r\n", gate=gate)) as address,
-            front_door(address, react=send_on) as (gateway, script),
+            running_gateway(address, react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             client.writer.write(client.request())
@@ -137,7 +141,7 @@
         head, body = (SIZED, LARGE) if form == "sized" else (CHUNKS, chunked(LARGE))
         async with (
             listening(answering(head + body[:200_000], b"", gate=gate)) as address,
-            front_door(address, react=send_on) as (gateway, script),
+            running_gateway(address, react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             client.writer.write(client.request())
@@ -149,7 +153,7 @@
                 else:
                     await read_chunked(client.reader)
             await until(lambda: script.outcomes() == [Outcome.RESET])
-            assert gateway.host.waiting == 0 and not gateway.host.table
+            assert gateway.host.waiting == 0 and not gateway.host.open_requests
 
     run(test())
 
@@ -158,13 +162,17 @@
     async def test() -> None:
         async with (
             listening(answering(SIZED + LARGE[:200_000], keep=True)) as address,
-            front_door(address, react=send_on) as (gateway, script),
+            running_gateway(address, react=send_on) as (gateway, script),
         ):
             async with Client(gateway.server) as client:
                 client.writer.write(client.request())
                 await client.reader.readuntil(b"\r\n\r\n")
             await until(lambda: script.outcomes() == [Outcome.RESET])
-            assert gateway.host.upstream.open == 0 and not gateway.host.table and gateway.host.waiting == 0
+            assert (
+                gateway.host.upstream.open == 0
+                and not gateway.host.open_requests
+                and gateway.host.waiting == 0
+            )
 
     run(test())
 
@@ -184,7 +192,7 @@
 
         async with (
             listening(pour) as address,
-            front_door(address, react=send_on) as (gateway, script),
+            running_gateway(address, react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             client.writer.write(client.request())
@@ -192,7 +200,10 @@
             (link,) = gateway.host.upstream.pools[FIRST].links
             assert link.paused and sent < HUGE  # the rest stays at the backend
             (served,) = gateway.server.clients
-            assert served.transport is not None and served.transport.get_write_buffer_size() <= 3 * SMALL
+            assert (
+                served.transport is not None
+                and served.transport.get_write_buffer_size() <= 3 * MAX_BUFFERED_BODY
+            )
             await client.reader.readuntil(b"\r\n\r\n")
             assert len(await client.reader.readexactly(HUGE)) == HUGE
             await until(lambda: script.outcomes() == [Outcome.OK])
@@ -204,16 +215,16 @@
     async def test() -> None:
         async with (
             listening(answering(HEAD + b"Content-Length: %d\r\n\r\n" % HUGE, bytes(HUGE))) as address,
-            front_door(address, react=send_on) as (gateway, script),
+            running_gateway(address, react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             client.writer.write(client.request())
             await until(lambda: any(c.full for c in gateway.server.clients))
             (served,) = gateway.server.clients
-            served.look(time.monotonic() + STALL_TIMEOUT - 1)  # the client may just be slow
-            served.look(time.monotonic() + STALL_TIMEOUT - 1)
+            served.check_timeouts(time.monotonic() + STALL_TIMEOUT - 1)  # the client may just be slow
+            served.check_timeouts(time.monotonic() + STALL_TIMEOUT - 1)
             assert served.transport is not None and not served.transport.is_closing()
-            served.look(time.monotonic() + 3 * STALL_TIMEOUT)
+            served.check_timeouts(time.monotonic() + 3 * STALL_TIMEOUT)
             await until(lambda: script.outcomes() == [Outcome.RESET])
             assert not gateway.server.clients
 
@@ -248,22 +259,22 @@
         body = chunked(LARGE) if form == "chunked" else LARGE
         async with (
             listening(take) as address,
-            front_door(address, react=send_on) as (gateway, script),
+            running_gateway(address, react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             half = len(body) // 2
             client.writer.write(head_of(client, form, len(LARGE)) + body[:half])
-            await until(lambda: len(got) > SMALL / 2)
+            await until(lambda: len(got) > MAX_BUFFERED_BODY / 2)
             (received,) = script.of(i.Request)
             assert received.streams and not script.of(i.Whole)
-            (opened,) = gateway.host.table.values()
+            (opened,) = gateway.host.open_requests.values()
             assert opened.guard is None  # its time-out has not started
             client.writer.write(body[half:])
             answer = await read_message(client.reader)
             assert (answer.status, answer.body, bytes(got)) == (200, b"thanks", LARGE)
             (completed,) = script.of(i.Whole)
             assert completed.left == 4.0 and script.outcomes() == [Outcome.OK]
-            assert (gateway.server.held, gateway.host.waiting) == (0, 0)
+            assert (gateway.server.buffered_bytes, gateway.host.waiting) == (0, 0)
 
     run(test())
 
@@ -283,7 +294,7 @@
 
         async with (
             listening(slow) as address,
-            front_door(address, react=send_on) as (gateway, _),
+            running_gateway(address, react=send_on) as (gateway, _),
             Client(gateway.server) as client,
         ):
             client.writer.write(client.request(1, Content_Length=str(HUGE)))
@@ -291,8 +302,10 @@
             await until(lambda: any(c.holds for c in gateway.server.clients) and gateway.host.upstream.open)
             await until(lambda: [link for link in gateway.host.upstream.pools[FIRST].links if link.unsent])
             (link,) = gateway.host.upstream.pools[FIRST].links
-            assert link.transport is not None and link.transport.get_write_buffer_size() <= 3 * SMALL
-            assert gateway.server.held <= 2 * REPLAY_LIMIT and not sending.done()
+            assert (
+                link.transport is not None and link.transport.get_write_buffer_size() <= 3 * MAX_BUFFERED_BODY
+            )
+            assert gateway.server.buffered_bytes <= 2 * REPLAY_LIMIT and not sending.done()
             go.set()
             assert (await read_message(client.reader)).body == b"thanks"
             await sending
@@ -314,7 +327,7 @@
     async def test() -> None:
         async def turn_away(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            await reader.readexactly(SMALL if buffered else 3 * REPLAY_LIMIT)
+            await reader.readexactly(MAX_BUFFERED_BODY if buffered else 3 * REPLAY_LIMIT)
             writer.write(http_answer(503, Not_Started="1", Connection="close"))
             await writer.drain()
 
@@ -335,7 +348,7 @@
         async with (
             listening(turn_away) as first,
             listening(take) as second,
-            front_door(first, second, react=react) as (gateway, script),
+            running_gateway(first, second, react=react) as (gateway, script),
             Client(gateway.server) as client,
         ):
             client.writer.write(client.request(1, Content_Length=str(size)) + LARGE[:size])
@@ -345,7 +358,7 @@
                 assert script.outcomes() == [Outcome.FULL, Outcome.OK]
             else:
                 assert answer.status == 503 and script.outcomes() == [Outcome.FULL]
-            await until(lambda: not gateway.host.table and gateway.server.held == 0)
+            await until(lambda: not gateway.host.open_requests and gateway.server.buffered_bytes == 0)
 
     run(test())
 
@@ -356,14 +369,16 @@
             return [i.Refuse(event.request, 0.5)] if isinstance(event, i.Request) else []
 
         async with (
-            front_door("127.0.0.1:1", react=react) as (gateway, script),
+            running_gateway("127.0.0.1:1", react=react) as (gateway, script),
             Client(gateway.server) as client,
         ):
-            client.writer.write(client.request(1, Content_Length=str(len(LARGE))) + LARGE[: 2 * SMALL])
+            client.writer.write(
+                client.request(1, Content_Length=str(len(LARGE))) + LARGE[: 2 * MAX_BUFFERED_BODY]
+            )
             assert (await read_message(client.reader)).status == 503  # long before the last byte
-            client.writer.write(LARGE[2 * SMALL :])
+            client.writer.write(LARGE[2 * MAX_BUFFERED_BODY :])
             assert (await client.ask()).status == 503  # the next request on the connection
-            assert len(script.of(i.Request)) == 2 and gateway.server.held == 0
+            assert len(script.of(i.Request)) == 2 and gateway.server.buffered_bytes == 0
 
     run(test())
 
@@ -381,13 +396,13 @@
             assert not body.endswith(b"0\r\n\r\n")
             ended.set()
 
-        async with listening(take) as address, front_door(address, react=send_on) as (gateway, script):
+        async with listening(take) as address, running_gateway(address, react=send_on) as (gateway, script):
             async with Client(gateway.server) as client:
-                client.writer.write(head_of(client, "chunked", 0) + chunked(LARGE)[: 2 * SMALL])
+                client.writer.write(head_of(client, "chunked", 0) + chunked(LARGE)[: 2 * MAX_BUFFERED_BODY])
                 await started.wait()
                 (served,) = gateway.server.clients
                 if how == "stalls":
-                    served.look(time.monotonic() + BODY_GRACE + 10)
+                    served.check_timeouts(time.monotonic() + BODY_GRACE + 10)
                 if how == "breaks":
                     client.writer.write(b"no chunk" * 4096)
                 if how != "leaves":
@@ -395,7 +410,11 @@
                     assert answer.status == (408 if how == "stalls" else 400)
             await ended.wait()
             await until(lambda: script.outcomes() == [Outcome.MOOT])
-            assert len(script.of(i.Left)) == 1 and not gateway.host.table and gateway.server.held == 0
+            assert (
+                len(script.of(i.Left)) == 1
+                and not gateway.host.open_requests
+                and gateway.server.buffered_bytes == 0
+            )
 
     run(test())
 
@@ -404,25 +423,25 @@
     async def test() -> None:
         async with (
             listening(Backend().handle) as address,
-            front_door(address, react=send_on) as (gateway, _),
+            running_gateway(address, react=send_on) as (gateway, _),
             Client(gateway.server) as client,
         ):
             await until(lambda: gateway.server.clients)
             (served,) = gateway.server.clients
-            request = client.request(1, body=b"x" * SMALL)
-            head, body = request[:-SMALL], request[-SMALL:]
+            request = client.request(1, body=b"x" * MAX_BUFFERED_BODY)
+            head, body = request[:-MAX_BUFFERED_BODY], request[-MAX_BUFFERED_BODY:]
             client.writer.write(head[:50])
             await until(lambda: served.arriving)
-            served.look(served.opened + 2.2)  # a client may take 2 s for the head
-            client.writer.write(head[50:] + body[: SMALL // 2])
-            await until(lambda: served.size == SMALL // 2)
+            served.check_timeouts(served.opened + 2.2)  # a client may take 2 s for the head
+            client.writer.write(head[50:] + body[: MAX_BUFFERED_BODY // 2])
+            await until(lambda: served.size == MAX_BUFFERED_BODY // 2)
             # A body at half of 64 kB per second or more may continue, however old the connection is.
-            served.look(served.body_since + 1.0 + BODY_GRACE / 2)
-            client.writer.write(body[SMALL // 2 :])
+            served.check_timeouts(served.body_since + 1.0 + BODY_GRACE / 2)
+            client.writer.write(body[MAX_BUFFERED_BODY // 2 :])
             assert (await read_message(client.reader)).status == 200
             client.writer.write(head + b"x")
             await until(lambda: served.size == 1)
-            served.look(served.body_since + BODY_GRACE + 0.5)
+            served.check_timeouts(served.body_since + BODY_GRACE + 0.5)
             assert (await read_message(client.reader)).status == 408
 
     assert HEAD_TIMEOUT > 2.2
@@ -436,7 +455,7 @@
         backend = Backend(lambda message: http_answer(body=message.body))
         async with (
             listening(backend.handle) as address,
-            front_door(address, react=send_on) as (gateway, _),
+            running_gateway(address, react=send_on) as (gateway, _),
             Client(gateway.server) as client,
         ):
             text = (
--- a/tests/test_client_listener_stress.py
+++ b/tests/test_client_listener_stress.py
@@ -22,10 +22,10 @@
 from hazelspring.daemon import client_listener
 from hazelspring.daemon.client_listener import ClientConnection, ClientListener, RouterHost
 from hazelspring.daemon.upstream_servers import UpstreamConnection, UpstreamServers
-from hazelspring.gateway.caller import Client, Exchange
+from hazelspring.gateway.client_connection import Client, Exchange
 from hazelspring.gateway.config import Address, parse_address
-from hazelspring.gateway.link import Link
 from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.server_connection import Link
 from hazelspring.quota.credits import CounterCall, CounterUnavailable, CreditsGranted
 from hazelspring.registry.tables import ServerEntry
 from hazelspring.routing.endpoint_set import EndpointSet
@@ -79,8 +79,8 @@
         for server in self.servers if behaviours else ():
             server.behaviours = {name: server.behaviours[name] for name in behaviours}
         counts = Counts()
-        fleet = EndpointSet("a1", "a", {"a1": "a", "a2": "a"}, random.Random(seed))
-        self.router = RequestRouter(SharedLimits(retry_ratio=1.0, retry_slack=1e6), fleet, 1)
+        endpoints = EndpointSet("a1", "a", {"a1": "a", "a2": "a"}, random.Random(seed))
+        self.router = RequestRouter(SharedLimits(retry_ratio=1.0, retry_slack=1e6), endpoints, 1)
         self.upstream = UpstreamServers(1.0, pick.choice((0.4, 9.0)), 800, counts)
         self.upstream.per_backend = pick.choice((12, 60))
         self.host = RouterHost(self.router, self.upstream, counts, self.lease)
@@ -110,7 +110,7 @@
         ]
         for removed in self.router.update_endpoints(now, "shop", listed):
             self.upstream.remove(removed.number)
-        for server in self.router.fleet.services["shop"].values():
+        for server in self.router.endpoints.services["shop"].values():
             self.upstream.place(server.number, parse_address(server.address), 0.0)
 
     async def tick(self) -> None:
@@ -149,18 +149,18 @@
                 await server.close()
             self.upstream.close()
         self.ledger.occurrences.update(
-            {f"ended {reason}": count for reason, count in self.router.ends.items()}
+            {f"ended {reason}": count for reason, count in self.router.unserved_counts.items()}
         )
         return self.ledger
 
     async def stop(self, clients: HostileClients) -> None:
         """Stop as `shutdown.drain` does, with little time: requests still open then end by `answer_all`."""
         await asyncio.sleep(0.3 + self.ledger.random.random())
-        clients.gateway_stopping = self.router.leaving = True
+        clients.gateway_stopping = self.router.shutting_down = True
         self.listener.stop_listening()
         self.listener.close_idle()
         end = self.host.clock() + self.ledger.random.choice((0.0, 0.1, 0.4))
-        while (self.host.waiting or self.listener.owes()) and self.host.clock() < end:
+        while (self.host.waiting or self.listener.has_unfinished_exchanges()) and self.host.clock() < end:
             await asyncio.sleep(0.02)
         self.host.answer_all()
         self.listener.close()
@@ -180,10 +180,10 @@
     def remaining(self) -> dict[str, Any]:
         pools = self.upstream.pools.values()
         found = {
-            "open requests": len(self.host.table), "waiting": self.host.waiting,
-            "buffered bytes": self.listener.held, "pending": len(self.router.pending),
+            "open requests": len(self.host.open_requests), "waiting": self.host.waiting,
+            "buffered bytes": self.listener.buffered_bytes, "pending": len(self.router.pending),
             "clients": len(self.listener.clients),
-            "in flight": sum(server.in_flight for server in self.router.fleet.servers.values()),
+            "in flight": sum(server.in_flight for server in self.router.endpoints.servers.values()),
             "busy connections": sum(link.attempt is not None for pool in pools for link in pool.links),
             "waiting attempts": sum(not attempt.over for pool in pools for attempt in pool.waiting),
         }  # fmt: skip
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -21,7 +21,7 @@
 
 from hazelspring.admission import interface as i
 from hazelspring.gateway.config import parse
-from hazelspring.gateway.frontdoor import FrontDoor
+from hazelspring.gateway.gateway_process import GatewayProcess
 
 from .helpers import START, Counter, done, gateway, play, request, sends
 from .sockets import Agent, Backend, Client, Tally, config_text, host_line, listening, run, until
@@ -32,12 +32,12 @@
 
 
 @contextlib.asynccontextmanager
-async def running_gateway(backend: Backend, counter: Tally) -> AsyncIterator[FrontDoor]:
+async def running_gateway(backend: Backend, counter: Tally) -> AsyncIterator[GatewayProcess]:
     """A running gateway with a counter, whose customers have ample quota."""
     async with listening(backend.handle) as dial, listening(counter.handle) as tally:
         raw = json.loads(config_text([host_line("s-00000001", dial)], tally))
         raw["settings"]["tariffs"][0] |= {"quota_rate": 1e6, "peak_units": 1e6}
-        running = FrontDoor(parse(json.dumps(raw), {}))
+        running = GatewayProcess(parse(json.dumps(raw), {}))
         await running.start()
         try:
             yield running
@@ -66,31 +66,35 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     from hazelspring.gateway.host import Host
-    from hazelspring.gateway.link import Link
-    from hazelspring.gateway.server import Caller
+    from hazelspring.gateway.server import ClientConnection
+    from hazelspring.gateway.server_connection import Link
 
     async def test() -> None:
         calls = Calls(monkeypatch)  # before the event loop stores a connection's methods
         calls.replace(Host, "step", by_type=True)
         calls.replace(Link, "carry")
         calls.replace(Link, "buffer_updated")
-        calls.replace(Caller, "buffer_updated")
-        calls.replace(Caller, "flush")
+        calls.replace(ClientConnection, "buffer_updated")
+        calls.replace(ClientConnection, "flush")
         async with running_gateway(Backend(), Tally()) as running, Client(running.server) as client:
             text = [client.request() for _ in range(REQUESTS + 20)]
             for one in text[:20]:
                 assert (await client.send(one)).status == 200
             calls.count.clear()
-            opened, counted = running.counts.opened, sum(running.counts.counter_calls.values())
+            opened, counted = running.counts.connections_opened, sum(running.counts.counter_calls.values())
             for one in text[20:]:
                 assert (await client.send(one)).status == 200
             count = calls.count
             assert count.pop("Request") == count.pop("Finished") == REQUESTS  # events passed on
             assert count.pop("Link.carry") == count.pop("Link.buffer_updated") == REQUESTS  # a write, a read
-            assert count.pop("Caller.buffer_updated") == count.pop("Caller.flush") == REQUESTS
+            assert (
+                count.pop("ClientConnection.buffer_updated")
+                == count.pop("ClientConnection.flush")
+                == REQUESTS
+            )
             count.pop("Fired", 0)  # depends on elapsed time, not on the number of requests
             assert sum(count.values()) <= REQUESTS * 0.1  # events with results of counter calls
-            assert running.counts.opened == opened  # no handshake
+            assert running.counts.connections_opened == opened  # no handshake
             assert sum(running.counts.counter_calls.values()) - counted <= REQUESTS * 0.1
 
     run(test())
@@ -112,7 +116,7 @@
             before = await blocks(text[:REQUESTS])
             after = await blocks(text[REQUESTS:])
             assert after - before <= REQUESTS  # for 400 requests, so no object per request remains
-            assert not running.host.table and not running.host.gateway.attempts.jobs
+            assert not running.host.open_requests and not running.host.gateway.attempts.jobs
 
     run(test())
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -10,7 +10,7 @@
 from hazelspring.admission.interface import Count, Counted, Outcome
 from hazelspring.gateway import counter as counter_module
 from hazelspring.gateway.config import parse_address
-from hazelspring.gateway.counter import DEAD_AFTER, LINES, MAX_PENDING, Counter
+from hazelspring.gateway.counter import CONNECTIONS, DEAD_AFTER, MAX_PENDING, Counter
 from hazelspring.gateway.metrics import Counts
 
 from .sockets import Tally, listening, run, until
@@ -80,7 +80,7 @@
             counter.add(Count(8, 1.0, 4.0))
             await until(lambda: len(received) == 2)
             assert [c.outcome for c in received] == [Outcome.TIMEOUT, Outcome.OK]
-            assert tally.opened == LINES + 1
+            assert tally.opened == CONNECTIONS + 1
             counter.close()
 
     run(test())
@@ -196,14 +196,14 @@
 
         async with listening(silent) as dial:
             counter, received = start(dial, timeout=0.02)
-            await until(lambda: len(opened) == LINES)
+            await until(lambda: len(opened) == CONNECTIONS)
             counter.add(Count(8, 1.0, 4.0))
             await until(lambda: received)
             connection = counter.connections[0]
             connection.check_liveness(time.monotonic() + DEAD_AFTER / 2)
             assert connection.transport is not None and not connection.transport.is_closing()
             connection.check_liveness(time.monotonic() + DEAD_AFTER + 0.1)
-            await until(lambda: len(opened) == LINES + 1)
+            await until(lambda: len(opened) == CONNECTIONS + 1)
             counter.close()
 
     run(test())
@@ -221,18 +221,18 @@
 
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             tally.opened += 1
-            if tally.opened > LINES:
+            if tally.opened > CONNECTIONS:
                 await tally.handle(reader, writer)
             silent.append(1)
             await asyncio.sleep(30)
 
         async with listening(handle) as dial:
             counter, received = start(dial, timeout=0.02)
-            await until(lambda: len(silent) == LINES)
+            await until(lambda: len(silent) == CONNECTIONS)
             while not received or received[-1].outcome is not Outcome.OK:
                 counter.add(Count(8, 1.0, 4.0))
                 await asyncio.sleep(0.02)
-            assert received[0].outcome is Outcome.TIMEOUT and tally.opened > LINES
+            assert received[0].outcome is Outcome.TIMEOUT and tally.opened > CONNECTIONS
             counter.close()
 
     run(test())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 from hazelspring.admission.interface import Listing, Members, State
 from hazelspring.gateway import discovery
 from hazelspring.gateway.config import Address, parse_address
-from hazelspring.gateway.discovery import Discovery, Names, backend_id
+from hazelspring.gateway.discovery import Discovery, MembersParser, backend_id
 
 from .sockets import Agent, host_line, listening, run, until
 
@@ -21,11 +21,11 @@
     return json.dumps({"seq": seq, "whole": whole, "hosts": hosts}).encode()
 
 
-def start(dial: str, seq: int = 41, askers: int = 1) -> tuple[Discovery, Received]:
+def start(dial: str, seq: int = 41, gateways: int = 1) -> tuple[Discovery, Received]:
     received: Received = []
-    names = Names(("a", "b"), ("m1", "m2"))
+    parser = MembersParser(("a", "b"), ("m1", "m2"))
     return Discovery(
-        parse_address(dial), names, seq, lambda *update: received.append(update), askers, 10.0
+        parse_address(dial), parser, seq, lambda *update: received.append(update), gateways, 10.0
     ), received
 
 
@@ -74,17 +74,17 @@
 
 @pytest.mark.parametrize(("health", "state"), [("Gone", State.GONE), ("Terminating", State.DRAINING)])
 def test_an_incomplete_entry_still_reports_a_backend_as_draining_or_gone(health: str, state: State) -> None:
-    names = Names(("a",), ("m2",))
+    parser = MembersParser(("a",), ("m2",))
     ready = {"host": "s-00000007", "dial": "127.0.0.1:81", "site": "a", "block": 3, "health": "Ready"}
-    members, addresses = names.parse_members({"seq": 1, "whole": True, "hosts": [ready]})
+    members, addresses = parser.parse_members({"seq": 1, "whole": True, "hosts": [ready]})
     assert [(e.backend, e.started, e.cell) for e in members.entries] == [(7, 0.0, 3)] and set(addresses) == {
         7
     }
     change = {"host": "s-00000007", "health": health}
-    members, addresses = names.parse_members({"seq": 2, "whole": False, "hosts": [change]})
+    members, addresses = parser.parse_members({"seq": 2, "whole": False, "hosts": [change]})
     # Its cell (a rack) stays known: repeats of keyed requests that it may have run must stay in that cell.
     assert [(e.backend, e.state, e.cell) for e in members.entries] == [(7, state, 3)] and not addresses
-    assert (7 in names.hosts) == (state is not State.GONE)
+    assert (7 in parser.hosts) == (state is not State.GONE)
 
 
 @pytest.mark.parametrize(
@@ -150,9 +150,9 @@
     run(test())
 
 
-@pytest.mark.parametrize(("askers", "last"), [(1, 0.5), (2, 1.0), (40, 20.0), (400, 20.0)])
+@pytest.mark.parametrize(("gateways", "last"), [(1, 0.5), (2, 1.0), (40, 20.0), (400, 20.0)])
 def test_the_backoff_after_refusals_grows_with_the_number_of_gateways(
-    askers: int, last: float, monkeypatch: pytest.MonkeyPatch
+    gateways: int, last: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An overloaded discovery refuses late; the time until the refusal must not reset the backoff."""
     monkeypatch.setattr(discovery, "HEALTHY_AFTER", 0.0)
@@ -171,7 +171,7 @@
 
     async def test() -> None:
         async with listening(refuse) as dial:
-            watch, _ = start(dial, askers=askers)
+            watch, _ = start(dial, gateways=gateways)
             await until(lambda: len(bounds) > 5)
             watch.close()
 
@@ -192,23 +192,23 @@
     async def test() -> None:
         agent = Agent([change(42, host_line("s-00000007", "127.0.0.1:81"), whole=True)])
         async with listening(agent.handle) as dial:
-            names = Names(("a", "b"), ("m1", "m2"))
-            without = Discovery(parse_address(dial), names, 41, lambda *_: None, 40, 10.0)
-            await until(lambda: names.entries)
+            parser = MembersParser(("a", "b"), ("m1", "m2"))
+            without = Discovery(parse_address(dial), parser, 41, lambda *_: None, 40, 10.0)
+            await until(lambda: parser.entries)
             assert not waits
-            with_list = Discovery(parse_address(dial), names, 42, lambda *_: None, 40, 10.0)
+            with_list = Discovery(parse_address(dial), parser, 42, lambda *_: None, 40, 10.0)
             await until(lambda: len(agent.targets) == 2)
             assert waits == [4.0]
             with_list.move(parse_address(dial))
             await until(lambda: len(agent.targets) == 3)
             assert waits == [4.0]
-            for askers, wait in (
+            for gateways, wait in (
                 (400, [5.0]),
                 (1, []),
             ):  # in time for the rule on drains; no delay where changes are pushed
                 waits.clear()
                 agent.targets.clear()
-                other = Discovery(parse_address(dial), names, 42, lambda *_: None, askers, 10.0)
+                other = Discovery(parse_address(dial), parser, 42, lambda *_: None, gateways, 10.0)
                 await until(lambda: agent.targets)
                 assert waits == wait
                 other.close()
@@ -243,5 +243,7 @@
 def test_a_second_name_with_the_same_id_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "backend_id", lambda name: 7)
     hosts = [host_line("one", "127.0.0.1:81"), host_line("two", "127.0.0.1:82")]
-    members, addresses = Names(("a",), ("m2",)).parse_members({"seq": 1, "whole": True, "hosts": hosts})
+    members, addresses = MembersParser(("a",), ("m2",)).parse_members(
+        {"seq": 1, "whole": True, "hosts": hosts}
+    )
     assert len(members.entries) == 1 and addresses == {7: Address("127.0.0.1", 81)}
--- a/tests/test_ill_servers.py
+++ b/tests/test_faulty_servers.py
@@ -104,7 +104,7 @@
         self.requested[n] += 1
         route = CONFIGURATION.find_route("h", "/r/1" if number % 2 else "/w/1")
         assert route is not None
-        self.carry_out(
+        self.execute(
             n,
             self.routers[n].handle(
                 self.now, RequestArrived(number, route, CONFIGURATION.tenants["free"], 4.0)
@@ -112,17 +112,17 @@
         )
 
     def tick(self, n: int) -> None:
-        in_flight = self.routers[n].fleet.in_flight_by_tag()
+        in_flight = self.routers[n].endpoints.in_flight_by_tag()
         for other in self.routers:
             if other is not self.routers[n]:
-                other.fleet.on_load_report(self.now, f"d{n}", in_flight)
-        self.carry_out(n, self.routers[n].handle(self.now, TimerTick()))
+                other.endpoints.on_load_report(self.now, f"d{n}", in_flight)
+        self.execute(n, self.routers[n].handle(self.now, TimerTick()))
         self.schedule(self.now + TICK, "tick", n)
 
-    def carry_out(self, n: int, actions: list[Any]) -> None:
+    def execute(self, n: int, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, i.Send):
-                name = self.routers[n].fleet.servers[action.backend].id
+                name = self.routers[n].endpoints.servers[action.backend].id
                 self.sent[n][name] += 1
                 self.in_flight[name] += 1
                 self.peak_in_flight[name] = max(self.peak_in_flight[name], self.in_flight[name])
@@ -136,7 +136,7 @@
                 )
             elif isinstance(action, AbandonAttempt):
                 name, sent_at = self.open_attempts[n, action.request]
-                backend = self.routers[n].fleet.servers_by_tag[server_tag(name)].number
+                backend = self.routers[n].endpoints.servers_by_tag[server_tag(name)].number
                 self.finish(n, action.request, backend, sent_at, Outcome.TIMEOUT)
 
     def finish(self, n: int, request: int, backend: int, sent_at: float, outcome: Outcome) -> None:
@@ -148,7 +148,7 @@
         self.served[n] += outcome is Outcome.OK
         closed = outcome is Outcome.OK
         spent = self.now - sent_at
-        self.carry_out(n, self.routers[n].handle(
+        self.execute(n, self.routers[n].handle(
             self.now, i.Finished(request, 0, backend, outcome, closed, spent, 0, 0, ())
         ))  # fmt: skip
 
@@ -272,7 +272,7 @@
         found = route
 
         def payload(left: float, backend: int) -> bytes:
-            instance = self.router.fleet.servers[backend].id
+            instance = self.router.endpoints.servers[backend].id
             head = f"{method} {path} HTTP/1.1\r\nX-Hazelspring-Attempt-Id: {name}\r\n"
             return f"{head}X-Hazelspring-Expected-Instance: {instance}\r\nContent-Length: 0\r\n\r\n".encode()
 
@@ -283,7 +283,7 @@
             return RequestArrived(request, found, CONFIGURATION.tenants["free"], 4.0)
 
         caller = cast(Any, SimpleNamespace(reply=reply))
-        self.host.request(make_event, route.kind, 4.0, payload, caller, mark=name.encode())
+        self.host.request(make_event, route.kind, 4.0, payload, caller, attempt_id=name.encode())
         await until(lambda: name in self.statuses)
         return self.statuses[name]
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -80,7 +80,7 @@
     serve_all(made, counter, START, 1)
     lease = only_lease(made)
     lease.credits = 3.0
-    made.turn.now = START + lease.length
+    made.ctx.now = START + lease.length
     made.quotas.roll_window(lease)
     assert lease.credits == 0.0
 
@@ -216,12 +216,12 @@
 
 def test_credit_of_a_queued_request_under_a_ceiling_expires_with_its_window() -> None:
     counter, made = Counter(), gateway()
-    made.servers.late_share, made.choice.room = 1.0, 0.0
+    made.servers.late_share, made.choice.limit = 1.0, 0.0
     made.servers.backends.clear()
     made.servers.live.clear()
     play(made, counter, START, request(1, plan=1))
     calls, (lease,) = counter.calls, made.quotas.leases.values()
-    later, made.choice.room = START + lease.length + 0.01, 4.0
+    later, made.choice.limit = START + lease.length + 0.01, 4.0
     found = play(made, counter, later, i.Members(i.Listing.FULL, 2, (entry(1),)))
     assert counter.calls == calls + 1 and not [a for a in found if isinstance(a, i.Fail)]
 
@@ -258,7 +258,7 @@
 def test_idle_leases_are_dropped() -> None:
     counter, made = Counter(), gateway()
     serve_all(made, counter, START, 1)
-    made.turn.now = START + FORGET + 1
+    made.ctx.now = START + FORGET + 1
     made.quotas.sweep()
     assert not made.quotas.leases
 
@@ -450,7 +450,7 @@
     for send in sent:  # attempts at backend 1 stay in flight
         if send.backend == 2:
             made.handle(START + 0.1, done(send.request, send, i.Outcome.OK, closed=True))
-    made.turn.now = START + 1.5
+    made.ctx.now = START + 1.5
     hanging = len(made.servers.backends[1].in_flight)
     assert hanging >= 1 and made.choice.below_fleet_limit()
     assert {s.backend for s in sends(made.handle(START + 1.5, request(99)))} == {2}
@@ -462,9 +462,9 @@
     made.handle(START + 0.25, done(1, sent, i.Outcome.CONNECT_FAILED))
     backend = made.servers.backends[sent.backend]
     at_once = made.servers.expected(backend)
-    made.turn.now = START + 30
+    made.ctx.now = START + 30
     assert at_once > 5 * made.servers.latency and made.servers.expected(backend) < 1.1 * made.servers.latency
-    assert made.choice.room == pytest.approx(12 / 3)
+    assert made.choice.limit == pytest.approx(12 / 3)
 
 
 def test_the_call_rate_falls_while_the_counter_fails_and_rises_again() -> None:
@@ -569,7 +569,7 @@
     backend = made.servers.backends[sent.backend]
     made.handle(START + 1.0, i.Fired(1))
     backend.answered = backend.seen = START + 1.0
-    made.turn.now = START + 1.0
+    made.ctx.now = START + 1.0
     assert set(backend.unanswered) == {"class-0"}
     (again,) = sends(made.handle(START + 1.5, request(2)))
     assert again.backend != sent.backend
@@ -687,13 +687,13 @@
     made, counter = gateway(caps__max_attempts="1"), Counter()
     (first,) = sends(play(made, counter, START, request(1, cls=1)))
     old = made.attempts.jobs[1].cls
-    limit, latency, leases = made.choice.room, made.servers.latency, dict(made.quotas.leases)
+    limit, latency, leases = made.choice.limit, made.servers.latency, dict(made.quotas.leases)
     changed = text(
         classes__count="2", classes__1__name="fresh", classes__1__effect="unsafe", caps__max_attempts="3"
     )
     made.handle(START + 0.01, i.Retuned(parse_settings(changed)))
     assert made.attempts.jobs[1].cls is old and old.name == "class-1"
-    assert (made.choice.room, made.servers.latency, made.quotas.leases) == (limit, latency, leases)
+    assert (made.choice.limit, made.servers.latency, made.quotas.leases) == (limit, latency, leases)
     play(made, counter, START + 0.02, request(2, cls=1))
     assert made.attempts.jobs[2].cls.name == "fresh"
     assert made.quotas.leases == leases  # the plan is the same, so the leases stay
@@ -854,7 +854,7 @@
 def test_gateways_with_a_limit_below_one_do_not_all_send_to_each_server() -> None:
     """With a fractional limit at each of 40 gateways, only that fraction of them may send an attempt."""
     gateways = [gateway((), seed, peers_total="40") for seed in range(40)]
-    part = 2 * gateways[0].choice.room
+    part = 2 * gateways[0].choice.limit
     allowed = sum(
         made.choice.below_backend_limit(made.servers.backends[1], made.servers.latency) for made in gateways
     )
@@ -869,9 +869,9 @@
     listed = made.servers.capacity()
     (send,) = sends(made.handle(START, request(1)))
     made.handle(START + 0.25, done(1, send, i.Outcome.CONNECT_FAILED))
-    made.turn.now = START + 8
+    made.ctx.now = START + 8
     assert made.servers.capacity() == listed - 1
-    made.turn.now = START + 60
+    made.ctx.now = START + 60
     assert made.servers.capacity() == listed  # and is tried again
 
 
@@ -883,7 +883,7 @@
         made = gateway(peers_total="40")
         before = made.pace.rate
         for _ in range(20):
-            made.pace.calls_left, made.pace.calls_at = 0.0, made.turn.now
+            made.pace.calls_left, made.pace.calls_at = 0.0, made.ctx.now
             made.pace.on_answer(i.Counted(1, i.Outcome.OK, 1.0, spent), good=True)
         growths.append(made.pace.rate / before)
     assert growths[0] > 3 and 1 < growths[1] < 1.2
@@ -918,7 +918,7 @@
     gateways = [gateway((), seed, me=str(seed), peers_total="100") for seed in range(4)]
     for n in range(16 * windows):  # 8 a second of a quota of 4, in windows of 2 s
         now, made = START + n / 8, gateways[n % 4]
-        made.pace.calls_left, made.pace.calls_at = float(made.turn.random.random() < calls) * 8, now
+        made.pace.calls_left, made.pace.calls_at = float(made.ctx.random.random() < calls) * 8, now
         made.quotas.leases.clear()
         found = play(made, counter, now, dataclasses.replace(request(n), width=100))
         admitted += not any(isinstance(a, i.Refuse) for a in found)
