--- a/tests/test_frontdoor.py
+++ b/tests/test_gateway_process.py
@@ -15,19 +15,19 @@
 from hazelspring.admission import interface as i
 from hazelspring.admission.interface import Outcome
 from hazelspring.admission.policy.turn import mix
-from hazelspring.gateway import caller
-from hazelspring.gateway.caller import (
+from hazelspring.gateway import client_connection
+from hazelspring.gateway.client_connection import (
     HEAD_TIMEOUT,
     IDLE_TIMEOUT,
-    MOST_BODY,
-    MOST_HEAD,
-    MOST_PIPELINED,
+    MAX_BODY,
+    MAX_HEAD,
+    MAX_PIPELINED,
     SWEEP,
     encode,
 )
-from hazelspring.gateway.frontdoor import OTHER_SOCKETS, FrontDoor
+from hazelspring.gateway.gateway_process import OTHER_SOCKETS, GatewayProcess
 from hazelspring.gateway.host import Answer
-from hazelspring.gateway.link import SMALL
+from hazelspring.gateway.server_connection import MAX_BUFFERED_BODY
 
 from .sockets import (
     Backend,
@@ -69,11 +69,11 @@
 
 
 @contextlib.asynccontextmanager
-async def front_door(
+async def running_gateway(
     *dials: str, react: Callable[[Any], list[i.Action]] | None = None, counter: str = "", **changes: str
-) -> AsyncIterator[tuple[FrontDoor, Script]]:
+) -> AsyncIterator[tuple[GatewayProcess, Script]]:
     known = [host_line(f"s-{n:08x}", dial) for n, dial in enumerate(dials, 1)]
-    gateway = FrontDoor(config(known, counter, **changes))
+    gateway = GatewayProcess(config(known, counter, **changes))
     script = Script(react or (lambda event: []))
     if react is not None:
         gateway.host.gateway = script  # type: ignore[assignment]
@@ -98,7 +98,7 @@
         backend = Backend(lambda message: http_answer(body=b"got " + message.body))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial) as (gateway, _),
+            running_gateway(dial) as (gateway, _),
             Client(gateway.server) as client,
         ):
             ready = await client.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -122,7 +122,7 @@
             return [i.Refuse(event.request, 0.25)] if isinstance(event, i.Request) else []
 
         async with (
-            front_door("127.0.0.1:1", react=react) as (gateway, script),
+            running_gateway("127.0.0.1:1", react=react) as (gateway, script),
             Client(gateway.server) as client,
         ):
             answer = await client.ask(
@@ -149,8 +149,8 @@
         (0, "X-Call-Terms", "units=nan,spread=1,first=0", 400),
         (1, "Idempotency-Key", "", 400),  # keyed, but without the key by which repeats are recognised
         (2, "Idempotency-Key", "5c0f", 400),
-        (0, "X-Pad", "x" * MOST_HEAD, 400),
-        (2, "Content-Length", str(MOST_BODY + 1), 413),
+        (0, "X-Pad", "x" * MAX_HEAD, 400),
+        (2, "Content-Length", str(MAX_BODY + 1), 413),
         (2, "Content-Length", "x", 400),
     ],
 )
@@ -161,7 +161,7 @@
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, script),
+            running_gateway(dial, react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             bad = client.request(cls, 4000, b"", **{header: value})
@@ -174,7 +174,7 @@
 def test_bytes_that_are_not_http_get_an_error_answer_and_close_the_connection() -> None:
     async def test() -> None:
         async with (
-            front_door("127.0.0.1:1", react=send_on) as (gateway, script),
+            running_gateway("127.0.0.1:1", react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             assert (await client.send(b"\x00\x01 nonsense\r\n\r\n")).status == 400
@@ -188,7 +188,7 @@
 def test_a_malformed_target_gets_a_client_error(target: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with (
-            front_door("127.0.0.1:1", react=send_on) as (gateway, script),
+            running_gateway("127.0.0.1:1", react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             answer = await client.send(b"GET " + target + b" HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -201,7 +201,7 @@
 def test_a_trailer_does_not_replace_a_missing_header() -> None:
     async def test() -> None:
         async with (
-            front_door("127.0.0.1:1", react=send_on) as (gateway, script),
+            running_gateway("127.0.0.1:1", react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             head = client.request(2, Request_Id="", Content_Length="", Transfer_Encoding="chunked")
@@ -213,15 +213,15 @@
 
 def test_pipelined_requests_are_bounded() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * SMALL))
+        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BUFFERED_BODY))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, script),
+            running_gateway(dial, react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             client.writer.write(b"".join(client.request() for _ in range(100)))
             answers = [await read_message(client.reader) for _ in range(100)]
-            assert [a.status for a in answers[:MOST_PIPELINED]] == [200] * MOST_PIPELINED
+            assert [a.status for a in answers[:MAX_PIPELINED]] == [200] * MAX_PIPELINED
             refused = [a for a in answers if a.status == 503]
             assert refused and all("retry-after" in a.headers for a in refused)
             assert len(script.of(i.Request)) == 100 - len(refused)
@@ -237,16 +237,16 @@
 
     async def test() -> None:
         async with (
-            front_door("127.0.0.1:1", react=send_on) as (gateway, script),
+            running_gateway("127.0.0.1:1", react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             await until(lambda: gateway.server.clients)
             (connection,) = gateway.server.clients
             client.writer.write(part)
             await until(lambda: connection.arriving or not part)
-            connection.look(connection.opened + HEAD_TIMEOUT - 0.1)
+            connection.check_timeouts(connection.opened + HEAD_TIMEOUT - 0.1)
             assert connection.transport is not None and not connection.transport.is_closing()
-            connection.look(connection.opened + HEAD_TIMEOUT + 0.1)
+            connection.check_timeouts(connection.opened + HEAD_TIMEOUT + 0.1)
             assert (await client.reader.read()).startswith(b"HTTP/1.1 408" if part else b"")
             assert not script.events
 
@@ -257,12 +257,12 @@
 def test_an_idle_connection_is_kept_after_its_first_request() -> None:
     async def test() -> None:
         async with (
-            front_door("127.0.0.1:1", react=send_on) as (gateway, _),
+            running_gateway("127.0.0.1:1", react=send_on) as (gateway, _),
             Client(gateway.server) as client,
         ):
             assert (await client.ask(2)).status == 502
             (connection,) = gateway.server.clients
-            connection.look(connection.since + HEAD_TIMEOUT + SWEEP)
+            connection.check_timeouts(connection.since + HEAD_TIMEOUT + SWEEP)
             assert (await client.ask(2)).status == 502
 
     run(test())
@@ -273,7 +273,7 @@
 ) -> None:
     async def test() -> None:
         async with (
-            front_door("127.0.0.1:1", react=send_on) as (gateway, script),
+            running_gateway("127.0.0.1:1", react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             await until(lambda: gateway.server.clients)
@@ -289,10 +289,10 @@
 
 def test_reading_from_a_client_that_does_not_read_its_answers_is_paused() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * SMALL))
+        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BUFFERED_BODY))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, _),
+            running_gateway(dial, react=send_on) as (gateway, _),
             Client(gateway.server) as client,
         ):
             (connection,) = gateway.server.clients
@@ -307,17 +307,17 @@
             client.writer.write(client.request())
             for _ in range(requests + 1):  # all answers arrive once it reads
                 answer = await read_message(client.reader)
-                assert (answer.status, len(answer.body)) == (200, SMALL)
+                assert (answer.status, len(answer.body)) == (200, MAX_BUFFERED_BODY)
 
     run(test())
 
 
 def test_a_client_that_never_reads_is_disconnected() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * SMALL))
+        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BUFFERED_BODY))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, _),
+            running_gateway(dial, react=send_on) as (gateway, _),
             Client(gateway.server) as client,
         ):
             (connection,) = gateway.server.clients
@@ -327,9 +327,9 @@
                 seen = len(backend.seen)
                 client.writer.write(client.request())
                 await until(lambda seen=seen: len(backend.seen) > seen and not connection.pending)  # type: ignore[misc]
-            connection.look(time.monotonic() + IDLE_TIMEOUT / 2)
+            connection.check_timeouts(time.monotonic() + IDLE_TIMEOUT / 2)
             assert not transport.is_closing()
-            connection.look(time.monotonic() + IDLE_TIMEOUT + 1)
+            connection.check_timeouts(time.monotonic() + IDLE_TIMEOUT + 1)
             await until(lambda: not gateway.server.clients)
 
     run(test())
@@ -346,9 +346,12 @@
                     return [i.Refuse(requests[1].request, 0.0), i.Fail(requests[0].request)]
             return []
 
-        async with front_door("127.0.0.1:1", react=react) as (gateway, _), Client(gateway.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=react) as (gateway, _),
+            Client(gateway.server) as client,
+        ):
             first = await client.send(client.request() + client.request())
-            assert MOST_PIPELINED >= 2
+            assert MAX_PIPELINED >= 2
             assert [first.status, int((await client.reader.readline()).split()[1])] == [502, 503]
 
     run(test())
@@ -357,12 +360,15 @@
 def test_a_clients_disconnect_is_reported_to_the_admission_module_and_its_attempt_continues() -> None:
     async def test() -> None:
         backend = Backend(lambda message: None)
-        async with listening(backend.handle) as dial, front_door(dial, react=send_on) as (gateway, script):
+        async with (
+            listening(backend.handle) as dial,
+            running_gateway(dial, react=send_on) as (gateway, script),
+        ):
             async with Client(gateway.server) as client:
                 client.writer.write(client.request())
                 await until(lambda: backend.seen)
             await until(lambda: script.of(i.Left))
-            assert backend.open == 1 and not script.outcomes() and gateway.host.table
+            assert backend.open == 1 and not script.outcomes() and gateway.host.open_requests
 
     run(test())
 
@@ -384,7 +390,7 @@
             backend = Backend(lambda message, reply=reply: reply)  # type: ignore[misc]
             async with (
                 listening(backend.handle) as dial,
-                front_door(dial, react=send_on) as (gateway, script),
+                running_gateway(dial, react=send_on) as (gateway, script),
                 Client(gateway.server) as client,
             ):
                 assert (await client.ask(2)).status == 502
@@ -412,7 +418,7 @@
 
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=one_at_a_time) as (gateway, script),
+            running_gateway(dial, react=one_at_a_time) as (gateway, script),
             Client(gateway.server) as one,
             Client(gateway.server) as two,
         ):
@@ -434,7 +440,7 @@
         backend = Backend(lambda message: None)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, script),
+            running_gateway(dial, react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             waiting = asyncio.create_task(client.ask(2))
@@ -453,7 +459,10 @@
     async def test() -> None:
         async with listening(Backend().handle) as dial:
             pass
-        async with front_door(dial, react=send_on) as (gateway, script), Client(gateway.server) as client:
+        async with (
+            running_gateway(dial, react=send_on) as (gateway, script),
+            Client(gateway.server) as client,
+        ):
             assert (await client.ask(2)).status == 502
             assert script.outcomes() == [Outcome.CONNECT_FAILED]
 
@@ -474,7 +483,7 @@
                     filler.connect(silent.getsockname())
             dial = f"127.0.0.1:{silent.getsockname()[1]}"
             async with (
-                front_door(dial, react=send_on) as (gateway, script),
+                running_gateway(dial, react=send_on) as (gateway, script),
                 Client(gateway.server) as client,
             ):
                 began = time.monotonic()
@@ -490,7 +499,7 @@
         backend = Backend(lambda message: http_answer(body=b"x") if len(backend.seen) < 2 else b"")
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, script),
+            running_gateway(dial, react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             assert (await client.ask(2)).status == 200
@@ -507,7 +516,7 @@
         backend = Backend(lambda message: answers[len(backend.seen) - 1])
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, _),
+            running_gateway(dial, react=send_on) as (gateway, _),
             Client(gateway.server) as client,
         ):
             for opened in (1, 1, 2):
@@ -524,11 +533,11 @@
     """Each connection is kept up to its own maximum age and retired after it, at both ends of the range."""
 
     async def test() -> None:
-        monkeypatch.setattr("hazelspring.gateway.link.random.random", lambda: drawn)
+        monkeypatch.setattr("hazelspring.gateway.server_connection.random.random", lambda: drawn)
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, _),
+            running_gateway(dial, react=send_on) as (gateway, _),
             Client(gateway.server) as client,
         ):
             assert (await client.ask()).status == 200
@@ -554,7 +563,7 @@
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, _),
+            running_gateway(dial, react=send_on) as (gateway, _),
             Client(gateway.server) as client,
         ):
             assert (await client.ask()).status == 200
@@ -574,7 +583,7 @@
         backend = Backend(lambda message: http_answer(Server_Load=loads[len(backend.seen) - 1]))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, script),
+            running_gateway(dial, react=send_on) as (gateway, script),
             Client(gateway.server) as client,
         ):
             for _ in loads:
@@ -593,7 +602,7 @@
         backend = Backend(lambda message: http_answer(body=b"TEXT latency_ms=9, util=0.5, queue=1"))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react) as (gateway, script),
+            running_gateway(dial, react=react) as (gateway, script),
             Client(gateway.server) as client,
         ):
             assert (await client.ask()).status == 503
@@ -630,7 +639,7 @@
         async with (
             listening(silent.handle) as first,
             listening(Backend(serve).handle) as second,
-            front_door(first, second, react=react, caps__second_copies="false") as (gateway, script),
+            running_gateway(first, second, react=react, caps__second_copies="false") as (gateway, script),
             Client(gateway.server) as client,
         ):
             answer = await client.ask()
@@ -651,7 +660,7 @@
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react, caps__second_copies="false") as (gateway, script),
+            running_gateway(dial, react=react, caps__second_copies="false") as (gateway, script),
             Client(gateway.server) as client,
         ):
             assert (await client.ask()).status == 200
@@ -668,7 +677,7 @@
         backend = Backend(lambda message: None)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react) as (gateway, script),
+            running_gateway(dial, react=react) as (gateway, script),
             Client(gateway.server) as client,
         ):
             began = time.monotonic()
@@ -676,7 +685,7 @@
             assert time.monotonic() - began < 0.35  # its deadline plus the 50 ms that the rule allows
             # The attempt was abandoned before the deadline, and no state is left.
             assert script.outcomes() == [Outcome.TIMEOUT] and len(script.of(i.Left)) == 1
-            assert not gateway.host.table and gateway.host.waiting == 0
+            assert not gateway.host.open_requests and gateway.host.waiting == 0
 
     run(test())
 
@@ -695,13 +704,13 @@
         backend = Backend(lambda message: http_answer(500 if len(backend.seen) == 1 else 200))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react) as (gateway, _),
+            running_gateway(dial, react=react) as (gateway, _),
             Client(gateway.server) as client,
         ):
             assert (await client.ask(0)).status == 503  # it never ran, as 503 states
             assert (await client.ask(2)).status == 502  # it may have run
             assert (await client.ask(2)).status == 200
-            assert not gateway.host.table
+            assert not gateway.host.open_requests
 
     run(test())
     assert "the module failed on Request" in caplog.text and "the module failed on Finished" in caplog.text
@@ -722,7 +731,10 @@
                 fired.append((event.token, gateway.host.now))
             return []
 
-        async with front_door("127.0.0.1:1", react=react) as (gateway, _), Client(gateway.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=react) as (gateway, _),
+            Client(gateway.server) as client,
+        ):
             client.writer.write(client.request())
             await until(lambda: len(fired) == 40)
             assert all(at >= due[n] for n, at in fired)
@@ -733,11 +745,11 @@
 @pytest.mark.parametrize("sockets", [256, 384, 1024])
 def test_clients_may_use_a_third_of_the_descriptors(sockets: int) -> None:
     async def test() -> None:
-        gateway = FrontDoor(
+        gateway = GatewayProcess(
             dataclasses.replace(config([host_line("s-00000001", "127.0.0.1:1")]), sockets=sockets)
         )
-        most = gateway.server.most_clients
-        assert most >= sockets / 3 and most + gateway.host.upstream.most_open + OTHER_SOCKETS <= sockets
+        most = gateway.server.max_clients
+        assert most >= sockets / 3 and most + gateway.host.upstream.max_open + OTHER_SOCKETS <= sockets
         await gateway.close()
 
     run(test())
@@ -747,9 +759,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr(caller, "CROWDED", 2.0)  # otherwise no connection would be kept
-        async with front_door("127.0.0.1:1", react=send_on) as (gateway, _):
-            gateway.server.most_clients = 2
+        monkeypatch.setattr(
+            client_connection, "KEEP_ALIVE_FRACTION", 2.0
+        )  # otherwise no connection would be kept
+        async with running_gateway("127.0.0.1:1", react=send_on) as (gateway, _):
+            gateway.server.max_clients = 2
             async with Client(gateway.server) as active, Client(gateway.server) as silent:
                 assert (await active.ask(2)).status == 502
                 await until(lambda: len(gateway.server.clients) == 2)
@@ -768,12 +782,12 @@
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, _),
+            running_gateway(dial, react=send_on) as (gateway, _),
             Client(gateway.server) as one,
             Client(gateway.server) as two,
         ):
             await until(lambda: len(gateway.server.clients) == 2)
-            gateway.server.most_clients = 1
+            gateway.server.max_clients = 1
             for connection in gateway.server.clients:
                 connection.arriving = True  # so that none of them may be closed
             async with Client(gateway.server) as three:
@@ -785,8 +799,8 @@
 
 def test_clients_beyond_the_limit_on_descriptors_are_refused() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=lambda event: []) as (gateway, script):
-            gateway.server.most_clients = 2
+        async with running_gateway("127.0.0.1:1", react=lambda event: []) as (gateway, script):
+            gateway.server.max_clients = 2
             async with Client(gateway.server) as one, Client(gateway.server) as two:
                 for busy in (one, two):
                     busy.writer.write(busy.request())
@@ -810,11 +824,11 @@
         async with (
             listening(one.handle) as first,
             listening(two.handle) as second,
-            front_door(first, second, second, react=react) as (gateway, script),
+            running_gateway(first, second, second, react=react) as (gateway, script),
             Client(gateway.server) as client,
             Client(gateway.server) as other,
         ):
-            gateway.host.upstream.most_open = 1
+            gateway.host.upstream.max_open = 1
             assert (await client.ask(0)).status == 200
             client.writer.write(client.request(1))  # closes the idle connection to the first backend
             await until(lambda: two.seen)
@@ -845,7 +859,7 @@
         async with (
             listening(backend.handle) as first,
             listening(slow) as second,
-            front_door(first, second, react=react) as (gateway, script),
+            running_gateway(first, second, react=react) as (gateway, script),
             Client(gateway.server) as waiting_client,
             Client(gateway.server) as client,
         ):
@@ -870,7 +884,10 @@
         backend = Backend(lambda message: None)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=lambda e: send_on(e) if isinstance(e, i.Request) else []) as (gateway, _),
+            running_gateway(dial, react=lambda e: send_on(e) if isinstance(e, i.Request) else []) as (
+                gateway,
+                _,
+            ),
             Client(gateway.server) as client,
         ):
             waiting = asyncio.create_task(client.ask(2, 60_000))
@@ -890,8 +907,8 @@
         async with (
             listening(tally.handle) as counter,
             listening(backend.handle) as dial,
-            front_door(dial, counter=counter) as (gateway, _),
-            front_door(dial, counter=counter) as (other, _),
+            running_gateway(dial, counter=counter) as (gateway, _),
+            running_gateway(dial, counter=counter) as (other, _),
             Client(gateway.server) as client,
             Client(other.server) as second,
         ):
@@ -914,11 +931,11 @@
         backend = Backend()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (gateway, _),
+            running_gateway(dial, react=send_on) as (gateway, _),
             Client(gateway.server) as one,
             Client(gateway.server) as two,
         ):
-            gateway.server.most_clients = 4
+            gateway.server.max_clients = 4
             assert "connection" not in (await one.ask()).headers
             async with Client(gateway.server) as three:
                 answer = await three.ask()
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -23,8 +23,8 @@
 from hazelspring.gateway import generations as module
 from hazelspring.gateway.__main__ import main
 from hazelspring.gateway.config import Address, Config, ConfigError, check, parse
-from hazelspring.gateway.frontdoor import FrontDoor
-from hazelspring.gateway.generations import MAX_GENERATIONS, RefusedError, Step, inherit, read_kept
+from hazelspring.gateway.gateway_process import GatewayProcess
+from hazelspring.gateway.generations import MAX_GENERATIONS, RefusedError, Step, inherit, read_state_file
 from hazelspring.gateway.management import MAX_CONFIGURATION_BYTES
 
 from .sockets import (
@@ -49,14 +49,14 @@
 @contextlib.asynccontextmanager
 async def gateway_from(
     path: Path, monkeypatch: pytest.MonkeyPatch, raw: Raw | None = None, management: str = "127.0.0.1:0"
-) -> AsyncIterator[FrontDoor]:
+) -> AsyncIterator[GatewayProcess]:
     """A gateway started from a file as `serve` does it, with a management address and a shared folder."""
     if raw is not None:
         path.write_text(json.dumps(raw | {"management": management}))
     env = {"NODE_CONFIG": str(path), "TMPDIR": str(path.parent)}
     for key, value in env.items():
         monkeypatch.setenv(key, value)
-    gateway = FrontDoor(*inherit(parse(path.read_text(), env), env))
+    gateway = GatewayProcess(*inherit(parse(path.read_text(), env), env))
     await gateway.start()
     await until(lambda: gateway.management is None or gateway.management.server is not None)
     try:
@@ -76,16 +76,18 @@
     return changed
 
 
-def max_attempts(gateway: FrontDoor) -> int:
+def max_attempts(gateway: GatewayProcess) -> int:
     return gateway.host.gateway.settings.limits.max_attempts
 
 
-async def put(gateway: FrontDoor, raw: Raw | str, query: str = "", if_match: str = "") -> Message:
+async def put(gateway: GatewayProcess, raw: Raw | str, query: str = "", if_match: str = "") -> Message:
     text = raw if isinstance(raw, str) else json.dumps(raw)
     return await exchange(gateway, "PUT", f"/_configuration{query}", text, if_match)
 
 
-async def exchange(gateway: FrontDoor, method: str, path: str, body: str = "", if_match: str = "") -> Message:
+async def exchange(
+    gateway: GatewayProcess, method: str, path: str, body: str = "", if_match: str = ""
+) -> Message:
     reader, writer = await connect(gateway)
     try:
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n"
@@ -96,14 +98,14 @@
         writer.close()
 
 
-async def get_configuration(gateway: FrontDoor) -> Raw:
+async def get_configuration(gateway: GatewayProcess) -> Raw:
     answer = await call(gateway, "GET", "/_configuration")
     assert answer.status == 200
     raw: Raw = json.loads(answer.body)
     return raw
 
 
-def active_settings(gateway: FrontDoor) -> dict[str, object]:
+def active_settings(gateway: GatewayProcess) -> dict[str, object]:
     """Everything in a running gateway that the configuration determines."""
     host, server, upstream, counter = (
         gateway.host,
@@ -113,15 +115,15 @@
     )
     return {
         "module": host.gateway.settings,
-        "aim": host.gateway.turn.aim,
-        "peers": host.gateway.turn.peers,
+        "aim": host.gateway.ctx.aim,
+        "peers": host.gateway.ctx.peers,
         "limits": host.limits,
         "classes": server.classes,
         "plans": server.plans,
-        "clients": (server.most_clients, gateway.most_clients),
-        "upstream": (upstream.connect_timeout, upstream.columns, upstream.keep_idle, upstream.most_open),
-        "discovery": (gateway.discovery.address, gateway.discovery.askers, gateway.discovery.ask_within),
-        "names": (gateway.names.zones, gateway.names.kinds),
+        "clients": (server.max_clients, gateway.max_clients),
+        "upstream": (upstream.connect_timeout, upstream.columns, upstream.keep_idle, upstream.max_open),
+        "discovery": (gateway.discovery.address, gateway.discovery.gateways, gateway.discovery.call_within),
+        "names": (gateway.members_parser.zones, gateway.members_parser.kinds),
         "counter": None if counter is None else (counter.address, counter.timeout),
         "management": None if gateway.management is None else gateway.management.address,
         "drain": gateway.drain_time,
@@ -385,7 +387,7 @@
                 reader, writer = await connect(gateway)
                 writer.write(head + b" " * 199_000)
                 connections.append((reader, writer))
-                await until(lambda: management.buffered or management.callers)
+                await until(lambda: management.buffered or management.connections)
             statuses = [asyncio.create_task(read_message(reader)) for reader, _ in connections]
             done, _ = await asyncio.wait(statuses, return_when=asyncio.FIRST_COMPLETED)
             assert {task.result().status for task in done} == {503}
@@ -505,7 +507,7 @@
             async with gateway_from(path, monkeypatch) as new:
                 assert max_attempts(new) == 2 and new.generations.running.number == 2
                 assert new.generations.confirm_by == old.generations.confirm_by is not None
-                assert new.host.gateway.turn.random.getstate() != old.host.gateway.turn.random.getstate()
+                assert new.host.gateway.ctx.random.getstate() != old.host.gateway.ctx.random.getstate()
                 assert (await exchange(new, "PUT", "/_configuration/confirm")).status == 200
                 await until(lambda: old.generations.confirm_by is None)
                 assert (await put(new, with_max_attempts(raw, 3))).status == 200
@@ -592,17 +594,17 @@
         (tmp_path / "ivymux").mkdir()
         state = tmp_path / "ivymux" / "generations"
         state.write_bytes(content)
-        assert read_kept(state) is None
+        assert read_state_file(state) is None
         async with gateway_from(tmp_path / "config.json", monkeypatch, raw_config()) as gateway:
             assert gateway.generations.running.number == 1
             raw = await get_configuration(gateway)
             assert (await put(gateway, with_max_attempts(raw, 2))).status == 200
-            kept = read_kept(state)
+            kept = read_state_file(state)
             assert kept is not None and kept.running.number == 2
             whole = state.read_bytes()
             for cut in range(0, len(whole), max(1, len(whole) // 40)):
                 state.write_bytes(whole[:cut])
-                assert read_kept(state) is None
+                assert read_state_file(state) is None
 
     run(test())
 
@@ -655,7 +657,7 @@
                 lower = json.loads(json.dumps(raw))
                 lower["limits"]["sockets"] = 112  # leaves 9 for clients
                 assert (await put(gateway, lower)).status == 200
-                assert gateway.server.most_clients == 9 and pools.most_open == 7
+                assert gateway.server.max_clients == 9 and pools.max_open == 7
                 await until(lambda: len(gateway.server.clients) == 9)
                 busy = [c for c in gateway.server.clients if c.pending]
                 assert len(busy) == 1 and not released.is_set()
@@ -674,7 +676,7 @@
     async def test() -> None:
         backend = Backend()
         async with listening(backend.handle) as dial:
-            gateway = FrontDoor(parse(json.dumps(raw_config(dial)), {}))
+            gateway = GatewayProcess(parse(json.dumps(raw_config(dial)), {}))
             await gateway.start()
             upstream = gateway.host.upstream
             async with Client(gateway.server) as client:
@@ -870,7 +872,7 @@
 ) -> None:
     async def test() -> None:
         text = config_text([host_line("s-00000001", "127.0.0.1:9")], "127.0.0.1:2", "127.0.0.1:1")
-        gateway = FrontDoor(parse(text, {}))
+        gateway = GatewayProcess(parse(text, {}))
         generations = gateway.generations
         generations.env = {}
         raw = json.loads(text)
@@ -889,7 +891,7 @@
                     generations.apply(config, "put", 60.0 if kind == "trial" else 0.0)
             except (RefusedError, ConfigError):
                 assert active_settings(gateway) == before and generations.running.number == number
-        fresh = FrontDoor(parse(generations.config.text.decode(), {}))
+        fresh = GatewayProcess(parse(generations.config.text.decode(), {}))
         assert active_settings(gateway) == active_settings(fresh)
         assert json.loads(generations.config.text)["seed"] == raw["seed"]
         await gateway.close()
--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -34,7 +34,7 @@
     ClientListener,
     FinalAnswer,
     encode,
-    flow_head,
+    stream_head,
 )
 from hazelspring.daemon.http_api import ApiConnection, ApiRole, HttpApi
 from hazelspring.daemon.instance_list_client import InstanceListClient
@@ -42,16 +42,16 @@
 from hazelspring.daemon.operator_calls import OperatorCalls
 from hazelspring.daemon.settings import Settings, SettingsError, load_settings, parse_settings
 from hazelspring.daemon.upstream_servers import UpstreamStream
-from hazelspring.gateway.caller import Client
+from hazelspring.gateway.client_connection import Client
 from hazelspring.gateway.config import Address
 from hazelspring.gateway.config import parse as parse_gateway_config
-from hazelspring.gateway.generations import Confirm, Generation, Generations, read_kept
-from hazelspring.gateway.handover import Handover
+from hazelspring.gateway.generations import Confirm, Generation, Generations, read_state_file
 from hazelspring.gateway.host import Answer
 from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.shared_folder import SharedFolder
 from hazelspring.registry.tables import ServerEntry, ServiceTable
 
-from .test_uploads import PausableTransport, feed
+from .test_large_bodies import PausableTransport, feed
 
 FOLDER = Path(__file__).parent / "golden_edges"
 Record = dict[str, Any]
@@ -165,7 +165,9 @@
         results[name] = response_to(case["request"], case["roles"], case.get("end", {}))
     results["orders"] = node_calls
     process.is_ready = lambda: False
-    process.router.ends["quota"] = process.node.dropped["dance"] = process.supervisor.failures["tick"] = 1
+    process.router.unserved_counts["quota"] = process.node.dropped["dance"] = process.supervisor.failures[
+        "tick"
+    ] = 1
     process.list_reader.read_at = 0.0
     server = ServerEntry("s-1", "10.1.0.9:80", "nitra-hall", True, 4, "v1")
     process.node.registry.tables["shop"] = ServiceTable(3, {"s-1": server})
@@ -211,9 +213,11 @@
         response = exchange(ClientConnection(listener), text.encode()).sent.decode()
         return [message.replace("y" * 1000, "<1000>") for message in (*sent, response)]
 
-    fleet = SimpleNamespace(servers={1: SimpleNamespace(id="shop-7")})
-    host: Any = SimpleNamespace(counts=Counts(), request=request, gateway=SimpleNamespace(fleet=fleet))
-    host.whole = host.left = lambda request: None
+    endpoints = SimpleNamespace(servers={1: SimpleNamespace(id="shop-7")})
+    host: Any = SimpleNamespace(
+        counts=Counts(), request=request, gateway=SimpleNamespace(endpoints=endpoints)
+    )
+    host.on_body_complete = host.on_client_disconnected = lambda request: None
     fresh = True
     listener = ClientListener(Address("127.0.0.1", 0), host, 999, lambda: fresh)
     results: Record = {"list": await list_requests(), "no configuration": exchange_case("keyed get")}
@@ -245,7 +249,7 @@
         }
         for length, chunked in ((70000, False), (None, True), (None, False)):
             stream = UpstreamStream(length, b"", cast(Any, None), served, 200)
-            results[f"flow {length} {chunked}, closes {close}"] = flow_head(stream, chunked, close).decode()
+            results[f"flow {length} {chunked}, closes {close}"] = stream_head(stream, chunked, close).decode()
     return results
 
 
@@ -260,7 +264,7 @@
         results: Record = {"digest": config.digest, "basis": config.basis}
         for source, confirm in (("put", Confirm(7, 6, 1700000090.5, 30.0)), ("SIGHUP", None)):
             running = Generation(7, config.digest, 1700000060.5, source)
-            generations.keep(running, config, [earlier], confirm)
+            generations.write_state_file(running, config, [earlier], confirm)
             written = path.read_text()
             # another version of zlib may compress these texts differently
             for number, body in enumerate((b"{}", config.text)):
@@ -268,18 +272,18 @@
                 written = written.replace(packed, f"<text {number}>")
             results[f"{source}, written"] = written
         generations.stop()
-        stored = read_kept(FOLDER / "generations")
+        stored = read_state_file(FOLDER / "generations")
         assert stored is not None and stored.confirm_by is not None
         both = stored.running, *stored.earlier
         results["read"] = [
             [*astuple(generation)[:4], zlib.decompress(generation.packed).decode()] for generation in both
         ]
         results["read"] += [stored.basis, astuple(stored.confirm_by), stored.running.facts()]
-        results["handover"] = handover(Path(folder))
+        results["handover"] = shared_folder(Path(folder))
     return results
 
 
-def handover(folder: Path) -> list[Any]:
+def shared_folder(folder: Path) -> list[Any]:
     """Return the steps of a process that runs beside another one, and the file names after each step."""
     steps: list[Any] = []
     shared = folder / "ivymux"
@@ -300,8 +304,8 @@
 
     descriptor = os.open(shared / "node-0123456789abcdef", os.O_RDWR)
     fcntl.flock(descriptor, fcntl.LOCK_EX)
-    process = Handover(folder, post, lambda count: None)
-    for step in (process.join, lambda: process.detach(12), lambda: process.attach(10), process.close):
+    process = SharedFolder(folder, post, lambda count: None)
+    for step in (process.register, lambda: process.detach(12), lambda: process.attach(10), process.close):
         step()
         note_files()
     os.close(descriptor)
--- a/tests/test_uploads.py
+++ b/tests/test_large_bodies.py
@@ -13,8 +13,8 @@
 from hazelspring.daemon.client_listener import ClientConnection, ClientListener, RouterHost
 from hazelspring.daemon.upstream_servers import UpstreamConnection, UpstreamServers
 from hazelspring.gateway.config import Address
-from hazelspring.gateway.link import READ, SMALL
 from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.server_connection import MAX_BUFFERED_BODY, READ_BUFFER
 from hazelspring.routing.endpoint_set import EndpointSet
 from hazelspring.routing.request_router import RequestRouter
 from hazelspring.routing.shared_limits import SharedLimits
@@ -24,7 +24,7 @@
 
 CONFIGURATION = parse_configuration(json.dumps(document()).encode())
 HEAD = b"POST /w/1 HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer k2\r\nX-Hazelspring-Attempt-Id: me\r\n"
-BODY = b"y" * (SMALL + 9)
+BODY = b"y" * (MAX_BUFFERED_BODY + 9)
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(BODY), BODY)
 SIZED = HEAD + b"Content-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
 
@@ -54,9 +54,9 @@
 
 
 def feed(client: ClientConnection, data: bytes) -> None:
-    for n in range(0, len(data), SMALL):
-        piece = data[n : n + SMALL]
-        READ[: len(piece)] = piece
+    for n in range(0, len(data), MAX_BUFFERED_BODY):
+        piece = data[n : n + MAX_BUFFERED_BODY]
+        READ_BUFFER[: len(piece)] = piece
         client.buffer_updated(len(piece))
 
 
@@ -82,9 +82,9 @@
         client, transport = ClientConnection(cast(Any, listener)), PausableTransport()
         client.connection_made(transport)
         feed(client, data)
-        (request,) = listener.host.table.values()
+        (request,) = listener.host.open_requests.values()
         # The attempt waits for a connection.
-        assert [attempt.link for attempt in request.out.values()] == [None]
+        assert [attempt.link for attempt in request.running_attempts.values()] == [None]
         if end == "client disconnects":
             client.connection_lost(None)
         else:
@@ -92,8 +92,8 @@
             assert transport.sent.startswith(b"HTTP/1.1 504 ")
         assert connect(listener) == []
         await asyncio.sleep(0)
-        assert not listener.host.table and listener.host.waiting == 0 and listener.held == 0
-        assert [server.in_flight for server in listener.host.gateway.fleet.servers.values()] == [0, 0]
+        assert not listener.host.open_requests and listener.host.waiting == 0 and listener.buffered_bytes == 0
+        assert [server.in_flight for server in listener.host.gateway.endpoints.servers.values()] == [0, 0]
         listener.close()
         cast(UpstreamServers, listener.host.upstream).close()
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -12,8 +12,8 @@
 import pytest
 
 from hazelspring.gateway.config import parse
-from hazelspring.gateway.frontdoor import FrontDoor
-from hazelspring.gateway.management import CALL_TIMEOUT, MOST_CALLERS
+from hazelspring.gateway.gateway_process import GatewayProcess
+from hazelspring.gateway.management import CALL_TIMEOUT, MAX_CONNECTIONS
 
 from .sockets import Backend, Client, Message, config_text, host_line, listening, read_message, run, until
 
@@ -21,11 +21,11 @@
 
 
 @contextlib.asynccontextmanager
-async def managed(shared: Path, *dials: str, listed: int = 9) -> AsyncIterator[FrontDoor]:
+async def managed(shared: Path, *dials: str, listed: int = 9) -> AsyncIterator[GatewayProcess]:
     """A gateway with a management address and a folder that it can share with another process."""
     known = [host_line(f"s-{n:08x}", dial) for n, dial in enumerate(dials, 1)][:listed]
     raw = json.loads(config_text(known)) | {"management": "127.0.0.1:0"}
-    gateway = FrontDoor(parse(json.dumps(raw), {"TMPDIR": str(shared)}))
+    gateway = GatewayProcess(parse(json.dumps(raw), {"TMPDIR": str(shared)}))
     await gateway.start()
     try:
         yield gateway
@@ -33,13 +33,13 @@
         await gateway.close()
 
 
-async def connect(gateway: FrontDoor) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def connect(gateway: GatewayProcess) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     assert gateway.management is not None and gateway.management.server is not None
     port = gateway.management.server.sockets[0].getsockname()[1]
     return await asyncio.open_connection("127.0.0.1", port)
 
 
-async def call(gateway: FrontDoor, method: str, path: str, body: str = "") -> Message:
+async def call(gateway: GatewayProcess, method: str, path: str, body: str = "") -> Message:
     reader, writer = await connect(gateway)
     try:
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -51,15 +51,15 @@
         writer.close()
 
 
-async def detach(gateway: FrontDoor, name: str) -> int:
+async def detach(gateway: GatewayProcess, name: str) -> int:
     return (await call(gateway, "PUT", "/_alert-servers/detach", name)).status
 
 
-async def attach(gateway: FrontDoor, name: str) -> int:
+async def attach(gateway: GatewayProcess, name: str) -> int:
     return (await call(gateway, "PUT", "/_alert-servers/attach", name)).status
 
 
-async def served_by(gateway: FrontDoor, *backends: Backend) -> list[int]:
+async def served_by(gateway: GatewayProcess, *backends: Backend) -> list[int]:
     """Send eight requests and return how many each backend received."""
     before = [len(b.seen) for b in backends]
     async with Client(gateway.server) as client:
@@ -98,7 +98,7 @@
 
 def test_without_a_management_address_there_is_no_listener() -> None:
     async def test() -> None:
-        gateway = FrontDoor(parse(config_text([]), {}))
+        gateway = GatewayProcess(parse(config_text([]), {}))
         assert gateway.management is None
         await gateway.close()
 
@@ -108,16 +108,16 @@
 def test_callers_that_keep_their_connection_open_do_not_delay_the_next_one(tmp_path: Path) -> None:
     async def test() -> None:
         async with listening(Backend().handle) as dial, managed(tmp_path, dial) as gateway:
-            connections = [await connect(gateway) for _ in range(2 * MOST_CALLERS)]
+            connections = [await connect(gateway) for _ in range(2 * MAX_CONNECTIONS)]
             for _, writer in connections:
                 writer.write(b"GET /_rea")
             assert (await call(gateway, "GET", "/_ready")).status == 200
-            assert gateway.management is not None and len(gateway.management.callers) <= MOST_CALLERS
+            assert gateway.management is not None and len(gateway.management.connections) <= MAX_CONNECTIONS
             assert CALL_TIMEOUT < 3.0  # seconds within which each of them must get an error or a close
-            (caller, *_) = gateway.management.callers
+            (connection, *_) = gateway.management.connections
             assert (
-                caller.timer is not None
-                and caller.timer.when() - gateway.server.loop.time() < CALL_TIMEOUT + 0.01
+                connection.timer is not None
+                and connection.timer.when() - gateway.server.loop.time() < CALL_TIMEOUT + 0.01
             )
             for _, writer in connections:
                 writer.close()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -13,9 +13,9 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from hazelspring.gateway.__main__ import Steady
+from hazelspring.gateway.__main__ import LogRateLimit
 from hazelspring.gateway.config import parse
-from hazelspring.gateway.frontdoor import FrontDoor
+from hazelspring.gateway.gateway_process import GatewayProcess
 from hazelspring.gateway.metrics import LAG_BUCKETS, MAX_CLASS_LABELS, SAMPLE_INTERVAL, Counts, Metrics
 
 from .sockets import (
@@ -43,7 +43,7 @@
     }
 
 
-async def scrape(gateway: FrontDoor) -> Samples:
+async def scrape(gateway: GatewayProcess) -> Samples:
     answer = await call(gateway, "GET", "/_metrics")
     assert answer.status == 200 and answer.headers["content-type"].startswith("text/plain; version=0.0.4")
     return parsed(answer.body.decode())
@@ -113,8 +113,8 @@
             Client(gateway.server) as client,
         ):
             counted = {
-                "answers_broken": gateway.counts.broken,
-                "connections_closed": gateway.counts.closed,
+                "answers_broken": gateway.counts.answers_broken,
+                "connections_closed": gateway.counts.connections_closed,
             }[name]
             for customer in range(1000):  # each has a local share of its quota
                 text = client.request().replace(b"=0000000000000005", b"=%016x" % customer)
@@ -148,7 +148,7 @@
         backend, tally = Backend(), Tally()
         async with listening(backend.handle) as dial, listening(tally.handle) as counter:
             raw = json.loads(config_text([host_line("s-00000001", dial)], counter))
-            gateway = FrontDoor(parse(json.dumps(raw | {"management": "127.0.0.1:0"}), {}))
+            gateway = GatewayProcess(parse(json.dumps(raw | {"management": "127.0.0.1:0"}), {}))
             await gateway.start()
             async with Client(gateway.server) as client:
                 await client.ask()
@@ -177,7 +177,7 @@
 
 def test_nothing_is_sampled_without_a_management_address() -> None:
     async def test() -> None:
-        gateway = FrontDoor(parse(config_text([]), {}))
+        gateway = GatewayProcess(parse(config_text([]), {}))
         await gateway.start()
         assert gateway.metrics.timer is None and gateway.metrics.registry is None
         await gateway.close()
@@ -210,12 +210,12 @@
 
 def test_dropped_log_lines_are_counted() -> None:
     counts = Counts()
-    steady = Steady(counts)
-    steady.MOST = 3
+    rate_limit = LogRateLimit(counts)
+    rate_limit.MAX_LINES_PER_SECOND = 3
     record = logging.LogRecord("x", logging.INFO, "", 0, "y", (), None)
-    steady.second, now = int(time.monotonic()), time.monotonic
-    passed = [steady.filter(record) for _ in range(5)]
-    assert sum(passed) + counts.log_dropped == 5 and (counts.log_dropped or now() - steady.second >= 1)
+    rate_limit.second, now = int(time.monotonic()), time.monotonic
+    passed = [rate_limit.filter(record) for _ in range(5)]
+    assert sum(passed) + counts.log_dropped == 5 and (counts.log_dropped or now() - rate_limit.second >= 1)
 
 
 def test_many_or_hanging_scrapes_do_not_block_requests_or_other_scrapes(tmp_path: Path) -> None:
@@ -229,7 +229,7 @@
                 assert (await client.ask()).status == 200
             answers = await asyncio.gather(*(call(gateway, "GET", "/_metrics") for _ in range(5)))
             assert {a.status for a in answers} <= {200, 503}
-            assert gateway.management is not None and len(gateway.management.callers) <= 24
+            assert gateway.management is not None and len(gateway.management.connections) <= 24
             for _, writer in hanging:
                 writer.close()
 
@@ -243,7 +243,7 @@
         backend = Backend()
         async with listening(backend.handle) as dial:
             raw = json.loads(config_text([host_line("s-00000001", dial)])) | {"management": "127.0.0.1:0"}
-            gateway = FrontDoor(parse(json.dumps(raw), {}))
+            gateway = GatewayProcess(parse(json.dumps(raw), {}))
             await gateway.start()
             async with Client(gateway.server) as client:
                 await client.ask()
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -12,9 +12,9 @@
 
 from hazelspring.admission.interface import Outcome
 from hazelspring.gateway.config import parse_address
-from hazelspring.gateway.link import IDLE_AGE_SPREAD, Attempt, Link, Result
 from hazelspring.gateway.metrics import Counts
-from hazelspring.gateway.pool import MOST_CONNECTS, Pool
+from hazelspring.gateway.pool import MAX_CONNECTS, Pool
+from hazelspring.gateway.server_connection import IDLE_AGE_SPREAD, Attempt, Link, Result
 from hazelspring.gateway.upstream import Upstream
 
 from .sockets import Backend, Message, http_answer, listening, run, until
@@ -65,7 +65,7 @@
             assert silent[0].outcome is Outcome.TIMEOUT
             assert list(pool.idle) == [second]  # it received an answer meanwhile
             await until(lambda: pool.links == {second})
-            assert servers.counts.closed == {"suspect": 1, "given_up": 1}
+            assert servers.counts.connections_closed == {"suspect": 1, "given_up": 1}
             # No new connection is opened before it is needed.
             assert first not in pool.links and backend.opened == 3
 
@@ -93,7 +93,7 @@
 ) -> None:
     async def test() -> None:
         draws = iter([0.0, 0.5, 1.0])
-        monkeypatch.setattr("hazelspring.gateway.link.random.random", lambda: next(draws))
+        monkeypatch.setattr("hazelspring.gateway.server_connection.random.random", lambda: next(draws))
         backend = Backend()
         async with listening(backend.handle) as address, upstream(address) as (servers, pool):
             links = await three_idle(servers, pool)
@@ -124,7 +124,7 @@
                 results = start(servers)
                 await until(results.copy)
                 assert pool.idle[-1] is last
-            assert (servers.counts.opened, servers.counts.reused) == (3, 5)
+            assert (servers.counts.connections_opened, servers.counts.connections_reused) == (3, 5)
 
     run(test())
 
@@ -171,13 +171,13 @@
         async with listening(backend.handle) as address, upstream(address) as (servers, pool):
             loop = ManualLoop(servers)
             servers.connect_timeout = 10.0
-            results = [start(servers) for _ in range(MOST_CONNECTS + 10)]
-            await until(lambda: len(loop.pending) == MOST_CONNECTS)
-            assert (pool.connecting, servers.open) == (MOST_CONNECTS, MOST_CONNECTS)
+            results = [start(servers) for _ in range(MAX_CONNECTS + 10)]
+            await until(lambda: len(loop.pending) == MAX_CONNECTS)
+            assert (pool.connecting, servers.open) == (MAX_CONNECTS, MAX_CONNECTS)
             loop.pending[0].set_result(None)  # one connection that opens serves many attempts
-            await until(lambda: sum(map(len, results)) == MOST_CONNECTS + 10)
+            await until(lambda: sum(map(len, results)) == MAX_CONNECTS + 10)
             assert {r[0].outcome for r in results} == {Outcome.OK} and backend.opened == 1
-            assert len(loop.pending) == MOST_CONNECTS
+            assert len(loop.pending) == MAX_CONNECTS
 
     run(test())
 
@@ -188,19 +188,19 @@
         async with listening(backend.handle) as address, upstream(address) as (servers, pool):
             loop = ManualLoop(servers)
             servers.connect_timeout = 10.0
-            results = [start(servers) for _ in range(MOST_CONNECTS + 2)]
-            await until(lambda: len(loop.pending) == MOST_CONNECTS)
+            results = [start(servers) for _ in range(MAX_CONNECTS + 2)]
+            await until(lambda: len(loop.pending) == MAX_CONNECTS)
             loop.pending[0].set_exception(ConnectionRefusedError())
             await until(lambda: results[0])  # the attempt that has waited longest
             assert results[0][0].outcome is Outcome.CONNECT_FAILED
-            await until(lambda: len(loop.pending) == MOST_CONNECTS + 1)  # another is opened in its place
+            await until(lambda: len(loop.pending) == MAX_CONNECTS + 1)  # another is opened in its place
             assert sum(map(len, results)) == 1
             servers.remove(1)  # no new connections are opened to a removed backend
             for future in loop.pending[1:]:
                 future.set_exception(ConnectionRefusedError())
             await until(lambda: all(results))
             assert {r[0].outcome for r in results} == {Outcome.CONNECT_FAILED}
-            assert (pool.connecting, servers.open, len(loop.pending)) == (0, 0, MOST_CONNECTS + 1)
+            assert (pool.connecting, servers.open, len(loop.pending)) == (0, 0, MAX_CONNECTS + 1)
 
     run(test())
 
@@ -210,13 +210,13 @@
         async with listening(Backend().handle) as address, upstream(address) as (servers, pool):
             loop = ManualLoop(servers)
             servers.connect_timeout = 10.0
-            for _ in range(MOST_CONNECTS):
+            for _ in range(MAX_CONNECTS):
                 start(servers)
-            await until(lambda: len(loop.pending) == MOST_CONNECTS)
+            await until(lambda: len(loop.pending) == MAX_CONNECTS)
             servers.connect_timeout = 0.01
             last = start(servers)
             await until(lambda: last)
-            assert last[0].outcome is Outcome.CONNECT_FAILED and len(pool.waiting) == MOST_CONNECTS
+            assert last[0].outcome is Outcome.CONNECT_FAILED and len(pool.waiting) == MAX_CONNECTS
 
     run(test())
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -15,7 +15,7 @@
 
 from hazelspring.admission import interface as i
 from hazelspring.gateway.config import ConfigError, load, missing_keys, parse
-from hazelspring.gateway.frontdoor import FrontDoor
+from hazelspring.gateway.gateway_process import GatewayProcess
 
 from .helpers import entry
 from .sockets import Agent, Backend, Client, config_text, host_line, listening, run, until
@@ -26,14 +26,16 @@
 
 
 @contextlib.asynccontextmanager
-async def reloadable(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[tuple[FrontDoor, Raw]]:
+async def reloadable(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> AsyncIterator[tuple[GatewayProcess, Raw]]:
     """A gateway started from a file, and the content of the file."""
     agent = Agent()
     async with listening(Backend().handle) as dial, listening(agent.handle) as discovery:
         path = tmp_path / "config.json"
         path.write_text(config_text([host_line("s-00000001", dial)], discovery=discovery))
         monkeypatch.setenv("NODE_CONFIG", str(path))
-        gateway = FrontDoor(load({"NODE_CONFIG": str(path)}))
+        gateway = GatewayProcess(load({"NODE_CONFIG": str(path)}))
         await gateway.start()
         await until(lambda: agent.targets)
         try:
@@ -46,7 +48,7 @@
     (tmp_path / "config.json").write_text(json.dumps(raw))
 
 
-async def ask(gateway: FrontDoor, name: str, keyed: bool = False) -> int:
+async def ask(gateway: GatewayProcess, name: str, keyed: bool = False) -> int:
     async with Client(gateway.server) as client:
         key = {"Idempotency_Key": "5c0f"} if keyed else {}
         text = client.request(1 if keyed else 0, Request_Class=name, **key)  # type: ignore[arg-type]
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -102,7 +102,7 @@
         return self.handle(i.Finished(send.request, 0, send.backend, outcome, False, spent, 0, 0, ()))
 
     def server_of(self, send: i.Send) -> str:
-        return self.router.fleet.servers[send.backend].id
+        return self.router.endpoints.servers[send.backend].id
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR, Outcome.TIMEOUT])
@@ -165,10 +165,10 @@
     harness = RouterHarness("a1-0", *(["a1-1"] if reason != "no other server" else []))
     if reason == "no retry budget":
         harness.router.node_count = 1000
-    harness.router.leaving = reason == "the node is leaving"
+    harness.router.shutting_down = reason == "the node is leaving"
     (send,) = harness.request("/r/1", time_left=1.3 if reason == "no time" else 4.0)
     if reason == "no time":
-        harness.router.fleet.route_latencies["reads"] = RouteLatency(1.5)
+        harness.router.endpoints.route_latencies["reads"] = RouteLatency(1.5)
     assert isinstance(send, i.Send) and send.timeout == 0 and tick_without_answers(harness, 3.5) == []
 
 
@@ -182,7 +182,7 @@
     (retry,) = harness.finish(read, Outcome.RESET)
     assert harness.handle(i.Left(retry.request)) == [i.Cancel(retry.request, 1)]
     harness.finish(retry, Outcome.CANCELLED)
-    marked = [server.failures or server.in_flight for server in harness.router.fleet.servers.values()]
+    marked = [server.failures or server.in_flight for server in harness.router.endpoints.servers.values()]
     assert sum(marked) == 1  # only the reset counts: nothing is in flight, and a cancellation is no failure
     assert isinstance(harness.request("/r/3")[0], i.Send)
 
@@ -216,7 +216,7 @@
 
 def test_load_reports_of_other_nodes_move_requests_to_other_servers() -> None:
     harness = RouterHarness("a1-0", "a1-1")
-    harness.router.fleet.on_load_report(harness.now, "d2", {server_tag("a1-0"): 6})
+    harness.router.endpoints.on_load_report(harness.now, "d2", {server_tag("a1-0"): 6})
     assert {harness.server_of(harness.request("/r/1")[0]) for _ in range(3)} == {"a1-1"}
     harness.now += 2.0
     harness.handle(TimerTick())
@@ -233,18 +233,18 @@
             {server_tag(n): rng.randrange(4) for n in rng.sample(names, 3)},
         )
         reports[node] = (harness.now, in_flight)
-        harness.router.fleet.on_load_report(harness.now, node, in_flight)
+        harness.router.endpoints.on_load_report(harness.now, node, in_flight)
         if rng.random() < 0.2:
             harness.router.update_endpoints(harness.now, "shop", servers(*rng.sample(names, 4)))
         if rng.random() < 0.5:
             with pytest.raises((AttributeError, TypeError)):
-                harness.router.fleet.on_load_report(
+                harness.router.endpoints.on_load_report(
                     harness.now,
                     node,
                     {server_tag(names[0]): "x"},  # type: ignore[dict-item]
                 )
         harness.handle(TimerTick())
-        for server in harness.router.fleet.servers.values():
+        for server in harness.router.endpoints.servers.values():
             recent = [counts for at, counts in reports.values() if harness.now - at <= LOAD_REPORT_LIFETIME]
             assert server.in_flight_elsewhere == sum(
                 counts.get(server_tag(server.id), 0) for counts in recent
--- a/tests/test_table_log.py
+++ b/tests/test_table_log.py
@@ -35,7 +35,7 @@
     eliot.add_destinations(lines.append)
     try:
         for _ in range(2):  # in the second round they have left already
-            log_leaving(10.0, servers.leaving("shop", listed), 0.25)
+            log_leaving(10.0, servers.newly_draining("shop", listed), 0.25)
             servers.update_endpoints(10.0, "shop", listed, 0.0)
     finally:
         eliot.remove_destination(lines.append)
--- a/tests/test_unforeseen_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -16,13 +16,13 @@
 from hazelspring.daemon.__main__ import SettingsWatcher
 from hazelspring.daemon.node_process import NodeProcess
 from hazelspring.daemon.settings import Settings, load_settings
-from hazelspring.gateway.caller import Client, Listener
+from hazelspring.gateway.client_connection import Client, Listener
 from hazelspring.gateway.config import parse_address
-from hazelspring.gateway.counter import LINES, Counter
-from hazelspring.gateway.discovery import Discovery, Names
-from hazelspring.gateway.link import Attempt, Result
+from hazelspring.gateway.counter import CONNECTIONS, Counter
+from hazelspring.gateway.discovery import Discovery, MembersParser
 from hazelspring.gateway.metrics import Counts
 from hazelspring.gateway.periodic import Periodic
+from hazelspring.gateway.server_connection import Attempt, Result
 from hazelspring.gateway.upstream import Upstream
 from hazelspring.localfleet.fleet import LocalFleet, configuration
 from hazelspring.localfleet.stand_ins import StandIns
@@ -89,14 +89,14 @@
     class CheckedClient:
         checks = 0
 
-        def look(self, now: float) -> None:
+        def check_timeouts(self, now: float) -> None:
             self.checks += 1
 
     class FailingClient:
-        look = fail
+        check_timeouts = fail
 
     async def test() -> None:
-        monkeypatch.setattr("hazelspring.gateway.caller.SWEEP", 0.001)
+        monkeypatch.setattr("hazelspring.gateway.client_connection.SWEEP", 0.001)
         listener = Listener(parse_address("127.0.0.1:1"), None, cast(Any, Api()), 10)
         good = [CheckedClient() for _ in range(4)]
         listener.clients = cast("set[Client]", {*good, FailingClient()})
@@ -139,8 +139,8 @@
             with monkeypatch.context() as patch:
                 patch.setattr(asyncio.get_running_loop(), "create_connection", fail)
                 counter = Counter(parse_address(dial), 5.0, outcomes.append, counts)
-                await until(lambda: counts.failures["connect to the counter"] >= LINES)
-            await until(lambda: counts.counter_opened == LINES)
+                await until(lambda: counts.failures["connect to the counter"] >= CONNECTIONS)
+            await until(lambda: counts.counter_opened == CONNECTIONS)
             counter.add(Count(8, 1.0, 4.0))
             await until(lambda: outcomes)
             assert outcomes[0].outcome is Outcome.OK
@@ -160,7 +160,7 @@
         async with listening(agent) as dial:
             with monkeypatch.context() as patch:
                 patch.setattr(asyncio.get_running_loop(), "create_connection", fail)
-                discovery = Discovery(parse_address(dial), Names(ZONES, KINDS), 0, lambda *_: None)
+                discovery = Discovery(parse_address(dial), MembersParser(ZONES, KINDS), 0, lambda *_: None)
                 await until(lambda: discovery.counts.failures["watch of discovery"])
             await until(lambda: requests)
             discovery.close()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from hazelspring.admission.interface import Attached, Detached, Processes
-from hazelspring.gateway.handover import Handover
+from hazelspring.gateway.shared_folder import SharedFolder
 
 from .sockets import Agent, Backend, Message, config_text, host_line, listening, read_message, run, until
 from .test_start import free_port
@@ -158,15 +158,15 @@
         (tmp_path / "ivymux").mkdir()
         stale = tmp_path / "ivymux" / "node-0123456789abcdef"
         stale.touch()
-        one = Handover(tmp_path, posted.append, process_counts.append)
-        one.join()
+        one = SharedFolder(tmp_path, posted.append, process_counts.append)
+        one.register()
         assert not stale.exists() and not posted
-        two = Handover(tmp_path, lambda event: None, lambda count: None)
+        two = SharedFolder(tmp_path, lambda event: None, lambda count: None)
         assert two.processes == 2  # `one` serves, and `two` counts itself before it has joined
-        two.join()
-        one.look()
+        two.register()
+        one.scan()
         two.close()
-        one.look()
+        one.scan()
         assert posted == [Processes(2), Processes(1)] and process_counts == [2, 1]
         one.close()
         assert not list((tmp_path / "ivymux").iterdir())
@@ -179,17 +179,17 @@
         from .test_management import managed
 
         async with listening(Backend().handle) as dial, managed(tmp_path, dial) as one:
-            clients, upstream = one.server.most_clients, one.host.upstream.most_open
+            clients, upstream = one.server.max_clients, one.host.upstream.max_open
             gateway = one.host.gateway
-            room, peers = gateway.choice.room, gateway.turn.peers
+            room, peers = gateway.choice.limit, gateway.ctx.peers
             async with managed(tmp_path, dial) as two:
-                one.handover.look()
-                assert (one.server.most_clients, two.server.most_clients) == (clients // 2, clients // 2)
-                assert one.host.upstream.most_open == upstream // 2
-                assert (gateway.turn.peers, gateway.choice.room) == (2 * peers, room / 2)
-                assert two.host.gateway.turn.peers == 2 * peers
-            one.handover.look()
-            assert (one.server.most_clients, gateway.turn.peers, gateway.choice.room) == (
+                one.shared_folder.scan()
+                assert (one.server.max_clients, two.server.max_clients) == (clients // 2, clients // 2)
+                assert one.host.upstream.max_open == upstream // 2
+                assert (gateway.ctx.peers, gateway.choice.limit) == (2 * peers, room / 2)
+                assert two.host.gateway.ctx.peers == 2 * peers
+            one.shared_folder.scan()
+            assert (one.server.max_clients, gateway.ctx.peers, gateway.choice.limit) == (
                 clients,
                 peers,
                 room,
--- a/tests/test_upstream_servers.py
+++ b/tests/test_upstream_servers.py
@@ -13,7 +13,13 @@
 from hazelspring.admission import interface as i
 from hazelspring.admission.interface import Outcome
 from hazelspring.configuration.model import Route, parse_configuration
-from hazelspring.daemon.client_listener import ClientConnection, ClientListener, RouterHost, encode, flow_head
+from hazelspring.daemon.client_listener import (
+    ClientConnection,
+    ClientListener,
+    RouterHost,
+    encode,
+    stream_head,
+)
 from hazelspring.daemon.upstream_servers import (
     UpstreamAttempt,
     UpstreamConnection,
@@ -21,11 +27,11 @@
     UpstreamServers,
     client_status,
 )
-from hazelspring.gateway.caller import BadRequest, Exchange
+from hazelspring.gateway.client_connection import BadRequest, Exchange
 from hazelspring.gateway.config import Address, parse_address
 from hazelspring.gateway.host import Answer
-from hazelspring.gateway.link import READ, SMALL, Flow, Result
 from hazelspring.gateway.metrics import Counts
+from hazelspring.gateway.server_connection import MAX_BUFFERED_BODY, READ_BUFFER, Result, StreamedAnswer
 from hazelspring.routing.events import RequestArrived
 from hazelspring.routing.request_router import RequestRouter
 from hazelspring.routing.shared_limits import RouterSettings
@@ -62,7 +68,7 @@
     """Records an answer that is streamed to it."""
 
     def __init__(self) -> None:
-        self.flow: Flow | None = None
+        self.stream: StreamedAnswer | None = None
         self.data, self.whole = b"", False
 
     def feed(self, data: bytes) -> None:
@@ -89,8 +95,8 @@
     With an `end_reason` the attempt is ended after that.
     """
 
-    def begun(flow: Flow) -> Any:
-        sink.flow = flow
+    def begun(stream: StreamedAnswer) -> Any:
+        sink.stream = stream
         return sink
 
     async def run() -> tuple[list[Result], Wire]:
@@ -104,7 +110,7 @@
             connection.pause_writing()
         for piece in pieces:
             if not wire.closed:
-                READ[: len(piece)] = piece
+                READ_BUFFER[: len(piece)] = piece
                 connection.buffer_updated(len(piece))
         if end_reason is not None:
             attempt.give_up(end_reason)
@@ -182,21 +188,23 @@
 
 def pieces(data: bytes) -> list[bytes]:
     """Split data into pieces as large as one read returns at most."""
-    return [data[n : n + SMALL] for n in range(0, len(data), SMALL)]
+    return [data[n : n + MAX_BUFFERED_BODY] for n in range(0, len(data), MAX_BUFFERED_BODY)]
 
 
 @pytest.mark.parametrize("status", [200, 201])
 def test_data_after_a_large_answer_is_not_forwarded_to_its_client(status: int) -> None:
-    body, sink = b"y" * (SMALL + 5000), RecordingSink()
+    body, sink = b"y" * (MAX_BUFFERED_BODY + 5000), RecordingSink()
     whole = answer(status, body=body)
     (result,), wire = run_attempt(*pieces(whole + answer(200, body=b"more")), sink=sink)
     assert result.outcome is Outcome.OK and wire.closed
     assert (sink.data == body, sink.whole) == (True, True)
-    assert sink.flow is not None and flow_head(sink.flow, False, False).startswith(b"HTTP/1.1 %d" % status)
+    assert sink.stream is not None and stream_head(sink.stream, False, False).startswith(
+        b"HTTP/1.1 %d" % status
+    )
 
 
 def test_a_failure_too_large_to_buffer_is_not_forwarded_as_complete() -> None:
-    (result,), _ = run_attempt(*pieces(answer(500, body=b"y" * (SMALL + 1))))
+    (result,), _ = run_attempt(*pieces(answer(500, body=b"y" * (MAX_BUFFERED_BODY + 1))))
     assert result.outcome is Outcome.ERROR and not isinstance(result, UpstreamReply)
 
 
@@ -223,9 +231,11 @@
 def test_an_incomplete_body_is_answered_with_502_once_a_part_was_sent_to_a_server(
     attempts_sent: int, status: int
 ) -> None:
-    host = SimpleNamespace(left=lambda request: None, counts=Counts())
+    host = SimpleNamespace(on_client_disconnected=lambda request: None, counts=Counts())
     loop = SimpleNamespace(call_later=lambda *_: None)
-    listener = SimpleNamespace(held=0, host=host, loop=loop, encode=encode, keeps_none=lambda: False)
+    listener = SimpleNamespace(
+        buffered_bytes=0, host=host, loop=loop, encode=encode, closes_after_answer=lambda: False
+    )
     connection, wire = ClientConnection(cast(Any, listener)), Wire()
     connection.transport = wire
     exchange = connection.exchange = Exchange(connection, keep_alive=True)
@@ -248,7 +258,7 @@
     )
 
     async def respond(confirmed: bool) -> bytes:
-        host = SimpleNamespace(left=lambda request: None, counts=Counts())
+        host = SimpleNamespace(on_client_disconnected=lambda request: None, counts=Counts())
         listener = ClientListener(Address("127.0.0.1", 0), cast(Any, host), 9, lambda: confirmed)
         listener.use_configuration(
             parse_configuration(json.dumps({"versionNumber": "r1", "resourceList": rows}).encode())
@@ -300,7 +310,7 @@
             return RequestArrived(request, cast(Route, None), None, 9.0)
 
         host.request(make, "read_only", 9.0, lambda left, backend: b"", cast(Any, RecordingCaller()))
-        assert [answer.status for answer in answers] == [503] and not host.table
+        assert [answer.status for answer in answers] == [503] and not host.open_requests
         servers.close()
 
     asyncio.run(run())
@@ -363,7 +373,7 @@
             await until(lambda: pool.connecting == 0)
             assert waiting.link is None and waiting.over and results[0].outcome.never_ran
             assert sent.link is not None and not sent.over
-            assert servers.late_requests == 0
+            assert servers.requests_after_leave == 0
             servers.close()
 
     run(test())
