--- a/hazelspring/admission/gateway.py
+++ b/hazelspring/admission/gateway.py
@@ -7,11 +7,11 @@
 
 from hazelspring.admission import interface as i
 from hazelspring.admission.policy.attempts import Attempts
-from hazelspring.admission.policy.choice import Choice
-from hazelspring.admission.policy.pace import Pace
+from hazelspring.admission.policy.backend_selection import BackendSelection
+from hazelspring.admission.policy.call_rate import CallRate
+from hazelspring.admission.policy.context import EPS, TICK, WATCH_TICKS, Context
 from hazelspring.admission.policy.quotas import Quotas
 from hazelspring.admission.policy.servers import Servers
-from hazelspring.admission.policy.turn import EPS, TICK, WATCH_TICKS, Context
 
 
 class Gateway:
@@ -19,10 +19,10 @@
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         self.ctx = ctx = Context(settings, random.Random(seed), max(1, settings.peers))
-        self.pace = Pace(ctx)
+        self.call_rate = CallRate(ctx)
         self.servers = Servers(ctx)
-        self.choice = Choice(ctx, self.servers, {})
-        self.quotas = Quotas(ctx, self.pace, self.servers)
+        self.choice = BackendSelection(ctx, self.servers, {})
+        self.quotas = Quotas(ctx, self.call_rate, self.servers)
         self.attempts = self.quotas.dispatcher = Attempts(ctx, self.servers, self.choice, self.quotas)
         self.timer_at, self.sweep_at = -math.inf, 0.0  # when the timer that is set is due; next sweep
 
@@ -81,13 +81,13 @@
         changed = {p.name: plans[p.name] for p in self.settings.plans if plans.get(p.name, p) != p}
         self.ctx.retune(settings)
         self.quotas.retune(changed)
-        self.pace.retune()
+        self.call_rate.retune()
         self.update_peers()
 
     def update_peers(self) -> None:
         """Recompute the peer count, each process as one gateway, and rescale what peers share."""
         before, self.ctx.peers = self.ctx.peers, max(1, self.settings.peers) * self.ctx.processes
-        self.pace.rescale(before / self.ctx.peers)
+        self.call_rate.rescale(before / self.ctx.peers)
         self.choice.limit *= before / self.ctx.peers
 
     def set_timer(self) -> None:
--- a/hazelspring/admission/policy/attempts.py
+++ b/hazelspring/admission/policy/attempts.py
@@ -4,17 +4,17 @@
 
 from hazelspring.admission import interface as i
 from hazelspring.admission.interface import Effect, Outcome, Scope
-from hazelspring.admission.policy.choice import Choice
+from hazelspring.admission.policy.backend_selection import BackendSelection
+from hazelspring.admission.policy.context import MARGIN, SUSPECT, TICK, Context
 from hazelspring.admission.policy.quotas import Quotas
 from hazelspring.admission.policy.records import Backend, Job
 from hazelspring.admission.policy.servers import MAX_LATE_SHARE, Servers
-from hazelspring.admission.policy.turn import MARGIN, SUSPECT, TICK, Context
 
 RESEND_BUDGET = 0.1  # attempts for requests without a timely answer, per first attempt
 
 
 class Attempts:
-    def __init__(self, ctx: Context, servers: Servers, choice: Choice, quotas: Quotas) -> None:
+    def __init__(self, ctx: Context, servers: Servers, choice: BackendSelection, quotas: Quotas) -> None:
         self.ctx, self.servers, self.choice, self.quotas = ctx, servers, choice, quotas
         self.jobs = choice.jobs
         self.queue: list[Job] = []
--- a/hazelspring/admission/policy/choice.py
+++ b/hazelspring/admission/policy/backend_selection.py
@@ -6,9 +6,9 @@
 
 from hazelspring.admission import interface as i
 from hazelspring.admission.interface import Effect, Scope
+from hazelspring.admission.policy.context import DECAY_TIME, EJECT, MARGIN, NEWEST, SUSPECT, Context
 from hazelspring.admission.policy.records import Backend, Job
 from hazelspring.admission.policy.servers import MAX_LATE_SHARE, MIN_LIMIT, REPORT_AGE, Servers
-from hazelspring.admission.policy.turn import DECAY_TIME, EJECT, MARGIN, NEWEST, SUSPECT, Context
 
 FIRST_LIMIT = 12.0  # initial limit of attempts in flight at a mean backend, all gateways together
 LIMIT_DEVIATIONS = 0.7  # standard deviations allowed above the mean: a gateway's load is uneven
@@ -18,11 +18,11 @@
 MAX_PROBERS = 4  # gateways that may each probe for such a pool; more gateways share this probe rate
 
 
-class Choice:
+class BackendSelection:
     def __init__(self, ctx: Context, servers: Servers, jobs: dict[int, Job]) -> None:
         self.ctx, self.servers, self.jobs = ctx, servers, jobs  # `jobs` is only read
         self.limit = FIRST_LIMIT / ctx.peers  # limit of attempts at a mean backend, this gateway's part
-        self.lowered_at = 0.0  # time of the last decrease of `room`
+        self.lowered_at = 0.0  # time of the last decrease of `limit`
         self.probe_at = 0.0
 
     def adapt_limit(self, late: bool) -> None:
--- a/hazelspring/admission/policy/pace.py
+++ b/hazelspring/admission/policy/call_rate.py
@@ -4,7 +4,7 @@
 
 from hazelspring.admission import interface as i
 from hazelspring.admission.interface import Outcome
-from hazelspring.admission.policy.turn import SMOOTHING, TICK, Context
+from hazelspring.admission.policy.context import SMOOTHING, TICK, Context
 
 INITIAL_CALLS = 400.0  # initial counter calls of all gateways within the shortest aim
 MIN_CALLS = 60.0  # calls a second of all gateways at least: enough to detect that the counter answers again
@@ -12,7 +12,7 @@
 DECREASE = 0.88  # factor for a call that fails or takes at least half of its time-out
 
 
-class Pace:
+class CallRate:
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         self.rate = self.initial_rate()  # calls a second
--- a/hazelspring/admission/policy/quotas.py
+++ b/hazelspring/admission/policy/quotas.py
@@ -8,11 +8,11 @@
 
 from hazelspring.admission import interface as i
 from hazelspring.admission.interface import Outcome
-from hazelspring.admission.policy.pace import Pace
+from hazelspring.admission.policy.call_rate import CallRate
+from hazelspring.admission.policy.context import DECAY_TIME, EPS, FORGET, NEWEST, TICK, Context, mix
 from hazelspring.admission.policy.records import Job, Lease
 from hazelspring.admission.policy.servers import Servers
 from hazelspring.admission.policy.sizing import step
-from hazelspring.admission.policy.turn import DECAY_TIME, EPS, FORGET, NEWEST, TICK, Context, mix
 
 IDLE_SHARE = 0.25  # part of a window after which idle credit is returned to the counter
 STRICT_OVERLOAD = 0.8  # load ratio above which only credit granted by the counter is used
@@ -31,8 +31,8 @@
 
     dispatcher: Dispatcher
 
-    def __init__(self, ctx: Context, pace: Pace, servers: Servers) -> None:
-        self.ctx, self.pace, self.servers = ctx, pace, servers
+    def __init__(self, ctx: Context, call_rate: CallRate, servers: Servers) -> None:
+        self.ctx, self.call_rate, self.servers = ctx, call_rate, servers
         self.leases: dict[tuple[int, bool], Lease] = {}
         self.calls: dict[int, deque[tuple[Lease, int, float, bool]]] = {}  # counter calls in flight, by name
         self.returnable: dict[tuple[int, bool], Lease] = {}  # leases with credit or slots to return
@@ -102,7 +102,7 @@
         self.dispatcher.dispatch(job)
 
     def may_call_for(self, job: Job) -> bool:
-        return self.pace.has_spare() if job.req.is_retry else self.pace.may_call()
+        return self.call_rate.has_spare() if job.req.is_retry else self.call_rate.may_call()
 
     def take_credit(self, lease: Lease, job: Job, units: float) -> None:
         lease.credits -= units
@@ -160,7 +160,7 @@
         name = mix(lease.customer, lease.window, lease.slots)
         self.calls.setdefault(name, deque()).append((lease, lease.window, amount, gives))
         self.ctx.actions.append(i.Count(name, amount, min(60.0, 4 * lease.length)))
-        self.pace.on_call()
+        self.call_rate.on_call()
 
     def on_counted(self, event: i.Counted) -> None:
         pending = self.calls.get(event.name)
@@ -170,7 +170,7 @@
         if not pending:
             del self.calls[event.name]
         good = event.outcome is Outcome.OK
-        self.pace.on_answer(event, good)
+        self.call_rate.on_answer(event, good)
         self.roll_window(lease)
         current = window == lease.window
         if good and current:
@@ -240,7 +240,7 @@
 
     def may_report_later(self, lease: Lease, units: float) -> bool:
         """Whether calls are short and the local share suffices; the next lease call adds these units."""
-        return not self.pace.has_spare() and self.within_local_share(lease, units)
+        return not self.call_rate.has_spare() and self.within_local_share(lease, units)
 
     def share(self, lease: Lease) -> float:
         """The part of a quota to use without a call, 1/width to all: by the critical ratio of `over_cost`
@@ -262,7 +262,7 @@
     def within_local_share(self, lease: Lease, units: float) -> bool:
         """Whether the local share covers the units.  While the fleet is overloaded and the counter
         answers, it doesn't: then only credit granted by the counter is used."""
-        overloaded = self.pace.failing < 0.5 and self.servers.overload() > STRICT_OVERLOAD
+        overloaded = self.call_rate.failing < 0.5 and self.servers.overload() > STRICT_OVERLOAD
         return not overloaded and self.refill(lease) + EPS >= units
 
     def admit_by_local_share(self, lease: Lease, job: Job, units: float) -> None:
@@ -270,7 +270,7 @@
         if self.within_local_share(lease, units):
             lease.credits += units
             lease.unreported += units
-            if not lease.slots and self.pace.failing < 0.5:
+            if not lease.slots and self.call_rate.failing < 0.5:
                 self.track_unreported(0.0, units)
             self.take_credit(lease, job, units)
         else:
@@ -300,7 +300,7 @@
             lease.in_use -= 1
             if not lease.slots:
                 lease.credits += job.req.units if unsent else 0.0
-            elif not self.pace.may_call() or lease.unreported > 0:
+            elif not self.call_rate.may_call() or lease.unreported > 0:
                 lease.unreported -= 1
             else:
                 self.give_back(lease, 1.0)
@@ -309,13 +309,13 @@
         """Return idle credit of customers near their limit, and unused slots; drop idle leases."""
         for key, lease in list(self.returnable.items()):
             self.roll_window(lease)
-            if lease.waiting or not self.pace.may_call():
+            if lease.waiting or not self.call_rate.may_call():
                 continue
             if lease.slots and lease.unreported > 0:
                 unreported, lease.unreported = lease.unreported, 0.0
                 self.call_counter(lease, unreported, gives=True)
             idle = self.ctx.now - lease.touched > IDLE_SHARE * lease.length and not lease.slots
-            if idle and lease.total > lease.base / 2 and self.pace.has_spare():  # else no gateway lacks it
+            if idle and lease.total > lease.base / 2 and self.call_rate.has_spare():  # others may lack it
                 units, lease.credits = lease.credits, 0.0
                 self.give_back(lease, units)
             if lease.credits <= EPS and not lease.in_use:
--- a/hazelspring/admission/policy/records.py
+++ b/hazelspring/admission/policy/records.py
@@ -1,6 +1,6 @@
 """The records of the policy: `quotas` owns leases, `servers` owns backends, `attempts` owns jobs.
 
-Fields that other modules write: `choice` writes a backend's `draw` and `drawn_at`, `attempts` also its
+Fields that other modules write: `backend_selection` writes a backend's `draw` and `drawn_at`, `attempts` also its
 `unanswered`; `quotas` writes a job's `taken_from` and `window`.
 """
 
--- a/hazelspring/admission/policy/servers.py
+++ b/hazelspring/admission/policy/servers.py
@@ -6,8 +6,7 @@
 
 from hazelspring.admission import interface as i
 from hazelspring.admission.interface import Outcome, State
-from hazelspring.admission.policy.records import FIRST_LATENCY, Backend, Job
-from hazelspring.admission.policy.turn import (
+from hazelspring.admission.policy.context import (
     DECAY_TIME,
     EJECT,
     EPS,
@@ -18,6 +17,7 @@
     TARGET_SHARE,
     Context,
 )
+from hazelspring.admission.policy.records import FIRST_LATENCY, Backend, Job
 
 REPORT_AGE = 1.5  # seconds for which a load report is used; after that the fleet's mean is
 SAMPLES = 2.0  # requests to a mean backend, during which a gateway at least remembers a backend's errors
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -16,8 +16,8 @@
 
 from hazelspring.admission import interface as i
 from hazelspring.admission.gateway import Gateway
+from hazelspring.admission.policy.context import FORGET, TICK, mix
 from hazelspring.admission.policy.records import FIRST_LATENCY, Lease
-from hazelspring.admission.policy.turn import FORGET, TICK, mix
 from hazelspring.admission.wire import parse_settings
 
 from .helpers import START, Counter, done, entry, gateway, play, request, sends, text
@@ -54,7 +54,7 @@
     for rid, (gap, who) in enumerate(steps):
         now += gap
         made = gateways[who]
-        made.pace.calls_left, made.pace.calls_at = 8.0, now
+        made.call_rate.calls_left, made.call_rate.calls_at = 8.0, now
         for lease in made.quotas.leases.values():
             lease.size = sizes[who]
         if serve_all(made, counter, now, rid):
@@ -472,12 +472,12 @@
     counter.outcome = i.Outcome.TIMEOUT
     for rid in range(200):
         serve_all(made, counter, START + rid / 50, rid, customer=rid)
-    low = made.pace.rate
+    low = made.call_rate.rate
     assert low <= 20 and counter.calls < 150
     counter.outcome = i.Outcome.OK
     for rid in range(200):
         serve_all(made, counter, START + 4 + rid / 50, 1000 + rid, customer=1000 + rid)
-    assert made.pace.rate > 2 * low
+    assert made.call_rate.rate > 2 * low
 
 
 def test_calls_that_break_off_early_do_not_lower_the_call_rate() -> None:
@@ -488,16 +488,16 @@
             if isinstance(call, i.Count):
                 outcome = i.Outcome.TIMEOUT if rid % 4 == 0 else i.Outcome.OK
                 made.handle(START + rid / 50, i.Counted(call.name, outcome, call.amount, 0.001))
-    assert made.pace.rate >= gateway().pace.rate
+    assert made.call_rate.rate >= gateway().call_rate.rate
 
 
 def test_a_call_rate_that_is_too_low_rises_again() -> None:
     """Customers within their local share make no calls, so a rate that is too low is never reached."""
     counter, made = Counter(), gateway()
-    made.pace.rate = made.pace.normal_rate = 20.0
+    made.call_rate.rate = made.call_rate.normal_rate = 20.0
     for rid in range(1500):
         serve_all(made, counter, START + rid / 150, rid, customer=rid)
-    assert made.pace.rate > 60
+    assert made.call_rate.rate > 60
 
 
 # --- same events, same actions ---
@@ -543,7 +543,7 @@
         made.handle(START, i.Probed(1, i.Outcome.OK, 0.01, (40.0,)))
     made.handle(START, request(1))
     assert not made.quotas.within_local_share(only_lease(made), 1.0)
-    made.pace.failing = 1.0
+    made.call_rate.failing = 1.0
     assert made.quotas.within_local_share(only_lease(made), 1.0)
 
 
@@ -877,15 +877,15 @@
 
 def test_the_call_rate_starts_by_the_aims_and_grows_while_answers_are_quick() -> None:
     slow, fast = (gateway(**{f"classes__{n}__goal_time_s": aim for n in range(3)}) for aim in ("4.0", "1.0"))
-    assert fast.pace.rate == pytest.approx(4 * slow.pace.rate)
+    assert fast.call_rate.rate == pytest.approx(4 * slow.call_rate.rate)
     growths = []
     for spent in (0.001, 0.02):  # of a time-out of 0.05
         made = gateway(peers_total="40")
-        before = made.pace.rate
+        before = made.call_rate.rate
         for _ in range(20):
-            made.pace.calls_left, made.pace.calls_at = 0.0, made.ctx.now
-            made.pace.on_answer(i.Counted(1, i.Outcome.OK, 1.0, spent), good=True)
-        growths.append(made.pace.rate / before)
+            made.call_rate.calls_left, made.call_rate.calls_at = 0.0, made.ctx.now
+            made.call_rate.on_answer(i.Counted(1, i.Outcome.OK, 1.0, spent), good=True)
+        growths.append(made.call_rate.rate / before)
     assert growths[0] > 3 and 1 < growths[1] < 1.2
 
 
@@ -918,7 +918,7 @@
     gateways = [gateway((), seed, me=str(seed), peers_total="100") for seed in range(4)]
     for n in range(16 * windows):  # 8 a second of a quota of 4, in windows of 2 s
         now, made = START + n / 8, gateways[n % 4]
-        made.pace.calls_left, made.pace.calls_at = float(made.ctx.random.random() < calls) * 8, now
+        made.call_rate.calls_left, made.call_rate.calls_at = float(made.ctx.random.random() < calls) * 8, now
         made.quotas.leases.clear()
         found = play(made, counter, now, dataclasses.replace(request(n), width=100))
         admitted += not any(isinstance(a, i.Refuse) for a in found)
@@ -930,7 +930,7 @@
     counts = []
     for left in (1.5, 8.0):  # of a budget of 8 calls
         made = gateway()
-        made.pace.calls_left, made.pace.calls_at = left, START
+        made.call_rate.calls_left, made.call_rate.calls_at = left, START
         again = dataclasses.replace(request(1, customer=7), is_retry=True)
         counts.append(sum(isinstance(a, i.Count) for a in made.handle(START, again)))
         first = made.handle(START, request(2)) + made.handle(START, request(3))  # the second beyond its share
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -14,7 +14,7 @@
 
 from hazelspring.admission import interface as i
 from hazelspring.admission.interface import Outcome
-from hazelspring.admission.policy.turn import mix
+from hazelspring.admission.policy.context import mix
 from hazelspring.gateway import client_connection
 from hazelspring.gateway.client_connection import (
     HEAD_TIMEOUT,
@@ -759,9 +759,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr(
-            client_connection, "KEEP_ALIVE_FRACTION", 2.0
-        )  # otherwise no connection would be kept
+        # Otherwise no connection would be kept.
+        monkeypatch.setattr(client_connection, "KEEP_ALIVE_FRACTION", 2.0)
         async with running_gateway("127.0.0.1:1", react=send_on) as (gateway, _):
             gateway.server.max_clients = 2
             async with Client(gateway.server) as active, Client(gateway.server) as silent:
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -723,7 +723,7 @@
                 gone = json.loads(json.dumps(moved))
                 gone["settings"]["extra"]["has_counter"] = "false"
                 assert (await put(gateway, gone)).status == 200
-                assert gateway.host.counter is None and not gateway.host.gateway.pace.may_call()
+                assert gateway.host.counter is None and not gateway.host.gateway.call_rate.may_call()
                 assert (await task).status in (200, 503)
                 assert len(other.calls) <= calls + 1
                 assert (await put(gateway, moved)).status == 200
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -47,8 +47,8 @@
         elif isinstance(node, ast.ImportFrom):
             names.add(node.module or "")
     outside = {n for n in names if n.split(".")[0] not in sys.stdlib_module_names and n != "__future__"}
-    rooms = {f"hazelspring.admission.policy.{path.stem}" for path in POLICY[1:]}
-    assert outside <= {"hazelspring.admission", "hazelspring.admission.interface", *rooms}
+    modules = {f"hazelspring.admission.policy.{path.stem}" for path in POLICY[1:]}
+    assert outside <= {"hazelspring.admission", "hazelspring.admission.interface", *modules}
     assert not names & {"time", "datetime", "os", "socket", "threading", "asyncio"}
 
 
@@ -68,18 +68,18 @@
 def test_the_deploy_file_names_the_module() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert deploy["policy"] == [str(path.relative_to(ROOT)) for path in POLICY]
-    assert "hazelspring.admission.benchlink" in deploy["sim"]
+    assert "hazelspring.admission.simulator_adapter" in deploy["sim"]
 
 
-def test_rooms_import_in_one_direction() -> None:
-    """The table in hazelspring/admission/policy/__init__.py lists the rooms so that each asks only those below it."""
-    order = re.findall(r"^    ([a-z]+)  +\w", POLICY[1].read_text(), re.M)
-    assert len(order) == len(set(order)) and {"attempts", "quotas", "turn"} <= set(order)
+def test_policy_modules_import_in_one_direction() -> None:
+    """The table in hazelspring/admission/policy/__init__.py lists the modules so that each imports only those below."""
+    order = re.findall(r"^    ([a-z_]+)  +\w", POLICY[1].read_text(), re.M)
+    assert len(order) == len(set(order)) and {"attempts", "quotas", "context"} <= set(order)
     assert set(order) == {path.stem for path in POLICY[2:]}
-    for at, room in enumerate(order):
-        tree = ast.parse((POLICY[1].parent / f"{room}.py").read_text())
-        asked = {n.module for n in ast.walk(tree) if isinstance(n, ast.ImportFrom) and n.module}
-        assert {m.split(".")[-1] for m in asked if m.startswith("hazelspring.admission.policy.")} <= set(
+    for at, module in enumerate(order):
+        tree = ast.parse((POLICY[1].parent / f"{module}.py").read_text())
+        imported = {n.module for n in ast.walk(tree) if isinstance(n, ast.ImportFrom) and n.module}
+        assert {m.split(".")[-1] for m in imported if m.startswith("hazelspring.admission.policy.")} <= set(
             order[at + 1 :]
         )
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -181,18 +181,18 @@
         async with listening(Backend().handle) as dial, managed(tmp_path, dial) as one:
             clients, upstream = one.server.max_clients, one.host.upstream.max_open
             gateway = one.host.gateway
-            room, peers = gateway.choice.limit, gateway.ctx.peers
+            limit, peers = gateway.choice.limit, gateway.ctx.peers
             async with managed(tmp_path, dial) as two:
                 one.shared_folder.scan()
                 assert (one.server.max_clients, two.server.max_clients) == (clients // 2, clients // 2)
                 assert one.host.upstream.max_open == upstream // 2
-                assert (gateway.ctx.peers, gateway.choice.limit) == (2 * peers, room / 2)
+                assert (gateway.ctx.peers, gateway.choice.limit) == (2 * peers, limit / 2)
                 assert two.host.gateway.ctx.peers == 2 * peers
             one.shared_folder.scan()
             assert (one.server.max_clients, gateway.ctx.peers, gateway.choice.limit) == (
                 clients,
                 peers,
-                room,
+                limit,
             )
 
     run(test())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from hazelspring.admission import benchlink, wire
 from hazelspring.admission import interface as i
+from hazelspring.admission import simulator_adapter, wire
 
 from .helpers import text
 
@@ -132,7 +132,7 @@
 )
 def test_malformed_frames_end_the_adapter_with_one_error_line(hexed: str) -> None:
     run = subprocess.run(
-        [sys.executable, "-m", "hazelspring.admission.benchlink"],
+        [sys.executable, "-m", "hazelspring.admission.simulator_adapter"],
         input=bytes.fromhex(hexed),
         capture_output=True,
         check=False,
@@ -142,9 +142,9 @@
 
 
 def test_input_may_end_between_batches_but_not_inside_one() -> None:
-    assert benchlink.read_batch(io.BytesIO(b"")) is None
+    assert simulator_adapter.read_batch(io.BytesIO(b"")) is None
     with pytest.raises(wire.WireError, match="header"):
-        benchlink.read_batch(io.BytesIO(b"\0" * 7))
+        simulator_adapter.read_batch(io.BytesIO(b"\0" * 7))
 
 
 @pytest.mark.parametrize(
@@ -168,5 +168,5 @@
 
 
 def test_an_exception_in_a_gateway_is_reported_as_a_fault() -> None:
-    reply = benchlink.answer({}, wire.Batch(1.0, 9, [(3, wire.Configure(1, "me=0"))]))
+    reply = simulator_adapter.answer({}, wire.Batch(1.0, 9, [(3, wire.Configure(1, "me=0"))]))
     assert b"SettingsError: setting rules.answer_slack_s: missing; " in reply and reply[17] == 10
