--- a/hazelspring/daemon/disk_worker.py
+++ b/hazelspring/daemon/disk_worker.py
@@ -31,13 +31,13 @@
         try:
             records = await self.loop.run_in_executor(self.thread, self.store.load)
         except StoreError as error:
-            log.write("control", "cannot read the disk, continues without it", error=error)
+            log.write("control", "cannot read the disk, continuing without it", error=error)
             return None
         except Exception as error:  # the caller retries
             self.supervisor.record_failure("read the disk", error)
             return None
         while self.store.quarantined:
-            log.write("control", "put aside what could not be read", what=self.store.quarantined.pop())
+            log.write("control", "moved unreadable data aside", what=self.store.quarantined.pop())
         return records
 
     async def save(self, records: Mapping[str, bytes | None]) -> bool:
@@ -54,7 +54,7 @@
 
     def discard(self, reason: str) -> None:
         """Move the records on disk to another file, because their content is invalid."""
-        log.write("control", "put aside what could not be read", what=reason)
+        log.write("control", "moved unreadable data aside", what=reason)
         self.store.discard(reason)
 
     def close(self) -> None:
--- a/hazelspring/daemon/list_reader.py
+++ b/hazelspring/daemon/list_reader.py
@@ -72,7 +72,7 @@
         """Log the ids of malformed entries, where they differ from those of the read before."""
         if malformed != self.malformed:
             ids = ",".join(malformed[:MAX_LOGGED_IDS])
-            log.write("registry", "passed over entries of the list", count=len(malformed), ids=ids)
+            log.write("registry", "skipped malformed list entries", count=len(malformed), ids=ids)
         self.malformed = malformed
 
     def log_role(self, is_reader: bool) -> None:
@@ -80,7 +80,9 @@
         if is_reader != self.is_reader:
             self.is_reader = is_reader
             log.write(
-                "registry", "reads the list" if is_reader else "reads the list no more", reads=self.reads
+                "registry",
+                "started reading the list" if is_reader else "stopped reading the list",
+                reads=self.reads,
             )
 
     def close(self) -> None:
--- a/hazelspring/daemon/message_transport.py
+++ b/hazelspring/daemon/message_transport.py
@@ -92,7 +92,7 @@
         """
         self.transport = None
         if not self.closed:
-            log.write("transport", "lost its socket, opens another", error=error)
+            log.write("transport", "datagram socket closed, opening another", error=error)
             self.supervisor.start(OPEN_SOCKET, self.reopen_socket())
 
     async def reopen_socket(self) -> None:
@@ -122,7 +122,7 @@
             self.deliveries_in_flight += 1
             self.supervisor.start("deliver a message", self.deliver(to, data))
         else:
-            log.write("transport", "too many large messages are on their way", peer=to)
+            log.write("transport", "dropped a large message: too many deliveries in progress", peer=to)
 
     async def deliver(self, to: str, data: bytes) -> None:
         """Send a message over a TCP connection of its own; a failure is logged and not raised."""
@@ -136,7 +136,7 @@
                 finally:
                     writer.transport.abort()
         except Exception as error:  # writing to a connection that was reset raises no specific type
-            log.write("transport", "a message did not arrive", peer=to, error=type(error).__name__)
+            log.write("transport", "message delivery failed", peer=to, error=type(error).__name__)
         finally:
             self.deliveries_in_flight -= 1
 
@@ -161,7 +161,7 @@
         except Exception as error:  # whatever another process sends must not end this one
             log.write(
                 "transport",
-                "a message could not be taken",
+                "message could not be decoded or handled",
                 peer=source,
                 error=f"{type(error).__name__}: {error}",
             )
--- a/hazelspring/daemon/node_process.py
+++ b/hazelspring/daemon/node_process.py
@@ -182,7 +182,7 @@
         while records is None:
             await asyncio.sleep(DISK_RETRY_INTERVAL)
             records = await self.read_disk()
-        self.operator_calls.fail_all("the node was replaced because its disk can be read again")
+        self.operator_calls.fail_all("the disk was taken up")
         self.incarnation += 1
         self.node = self.make_node(records, False)
         self.apply_current_configuration()
--- a/hazelspring/daemon/unserved_log.py
+++ b/hazelspring/daemon/unserved_log.py
@@ -22,6 +22,6 @@
             return
         new = counts - self.logged
         if new:
-            log.write("routing", "did not serve", **new)
+            log.write("routing", "requests not served", **new)
         self.logged = counts.copy()
         self.logged_at = now
