--- a/hazelspring/lab/__init__.py
+++ b/hazelspring/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A test lab: gateways, model servers and load on one machine."""
+"""Test lab: runs gateways, simulated alert servers and simulated clients on one machine."""
--- a/hazelspring/lab/cli.py
+++ b/hazelspring/lab/cli.py
@@ -1,4 +1,4 @@
-"""The `hazelspring` command: plays days of the lab and prints the results, live on a terminal."""
+"""The `hazelspring` command: plays the lab's scenarios, which are called days, and prints the results."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class RunnerProcess:
-    """The command's connection to the runner process.  The folder of the play exists until `close`."""
+    """The runner process of one play, and the pipes to it.  The folder of the play exists until `close`."""
 
     def __init__(
         self, day: Day, seed: int, gateway_command: tuple[str, ...] = (), gateway_root: str = ""
@@ -85,7 +85,7 @@
 
 
 class View:
-    """Shows progress: a live table on a terminal, else a line every `PLAIN_INTERVAL_S` seconds."""
+    """Shows the progress of a play: as a live table on a terminal, else as a line every 5 s."""
 
     def __init__(self, day: Day, title: str) -> None:
         self.day, self.title = day, title
@@ -164,9 +164,9 @@
 ) -> tuple[dict[str, Any], dict[str, Any]]:
     """Play a day; return its figures and the breaches of each rule.  Raises PlayError.
 
-    `gateway_command` and `gateway_root` are the command and the folder of another gateway, used instead of
-    this checkout's.  `signals` says whether SIGINT ends the play early; only the main thread can handle
-    signals.
+    `gateway_command` and `gateway_root` are the command of another gateway and the folder to run it in; if
+    they are empty, the gateway of this checkout is used.  `signals` says whether SIGINT ends the play early;
+    only the main thread can handle signals.
     """
     from hazelspring.lab.figures import figures
     from hazelspring.lab.rules import PlayRecords, judge
@@ -195,7 +195,7 @@
                     found = figures(data, breaches, revision())
                     if report is not None:
                         from hazelspring.lab.report import (
-                            write as write_page,  # this import takes 0.5 s, needed only for a report
+                            write as write_page,  # takes 0.5 s, and is needed only for a report
                         )
 
                         click.echo(
@@ -226,16 +226,17 @@
     click.echo(
         f"{requests['asked']} requests: {requests['served']} served, {requests['refused']} refused, "
         f"{requests['failed']} failed, {requests['lost']} lost, {requests['twice']} run twice; "
-        f"worth {found['worth_share']:.3f}, worst 10 s {found['worst_10s_worth_share']:.3f}, "
-        f"beyond quotas {found['beyond_quota_share']:.3f}"
+        f"share of the worth served in time {found['worth_share']:.3f}, "
+        f"in the worst 10 s {found['worst_10s_worth_share']:.3f}; "
+        f"share of the admitted units beyond quotas {found['beyond_quota_share']:.3f}"
     )
     click.echo(
         f"latency p50 {latency['p50']:.0f}, p99 {latency['p99']:.0f}, p999 {latency['p999']:.0f} ms; "
         f"per request: handshakes {found['handshakes_per_request']:.3f}, counter calls "
         f"{found['counter_calls_per_request']:.3f}, probes {found['probes_per_request']:.3f}, "
-        f"CPU {found['door']['cpu_us_per_request']:.0f} us; CPU per gateway start "
-        f"{found['door']['start_cpu_s']:.2f} s, "
-        f"{found['door']['memory_kb']} kB, {found['door']['descriptors_most']} descriptors"
+        f"CPU time {found['door']['cpu_us_per_request']:.0f} us; CPU time per gateway start "
+        f"{found['door']['start_cpu_s']:.2f} s; peak usage of one gateway: "
+        f"{found['door']['memory_kb']} kB of memory, {found['door']['descriptors_most']} file descriptors"
     )
     broken = {name: breach for name, breach in breaches.items() if breach}
     for name, listed in broken.items():
@@ -246,7 +247,7 @@
     if not found["valid"]:
         load = found["load"]
         click.echo(
-            f"NOT VALID: the load generator sent {load['late_share']:.1%} of the attempts late, "
+            f"NOT VALID: the load generator started {load['late_share']:.1%} of the attempts late, "
             f"by up to {load['most_late_ms']:.0f} ms"
         )
     click.echo("all rules kept" if not broken else f"rules broken: {', '.join(broken)}")
@@ -254,14 +255,14 @@
 
 
 def finish_run(found: dict[str, Any], breaches: dict[str, Any], path: Path | None) -> int:
-    """Write the figures to `path` as JSON, if one is given, and print the result; return the exit status."""
+    """Write the figures as JSON to `path` unless it is None, print the result and return the exit status."""
     if path is not None:
         write(path, json.dumps(found, indent=1, sort_keys=True) + "\n")
     return print_result(found, breaches)
 
 
 def write(path: Path, text: str) -> None:
-    """Write the text to a temporary file and rename that, so that `path` never holds a part of the text."""
+    """Write the text to a temporary file and rename it to `path`, which thus never holds a partial text."""
     with tempfile.NamedTemporaryFile("w", dir=path.parent, delete=False) as out:
         out.write(text)
     os.replace(out.name, path)
@@ -300,7 +301,7 @@
 @click.option("--servers", type=click.IntRange(1, 200), help="Number of alert servers; 12 by default.")
 @click.option("--seed", type=int, default=1, show_default=True)
 def up(length: float | None, doors: int | None, servers: int | None, seed: int) -> None:
-    """Start a fleet with steady load; Ctrl-C drains it and checks the rules."""
+    """Start a fleet under steady load; Ctrl-C ends the load, stops the fleet and checks the rules."""
     sys.exit(run_day("calm", seed, length or 3600.0, doors, servers, None))
 
 
@@ -313,7 +314,9 @@
 @click.option("--doors", type=click.IntRange(1, 100))
 @click.option("--servers", type=click.IntRange(1, 200))
 @click.option("--json", "path", type=click.Path(dir_okay=False, writable=True, path_type=Path))
-@click.option("--report", type=click.Path(file_okay=False, path_type=Path), help="A folder for a report.")
+@click.option(
+    "--report", type=click.Path(file_okay=False, path_type=Path), help="Folder to which a report is written."
+)
 def run(
     day: str,
     seed: int,
@@ -325,7 +328,8 @@
 ) -> None:
     """Play DAY, the name of a shipped day or the path of a TOML file.
 
-    Exit status 0: all rules kept; 1: a rule broken; 2: a bad day file or bad arguments.
+    Exit status 0: all rules were kept; 1: a rule was broken; 2: the day file or the arguments are invalid,
+    or the play failed.
     """
     sys.exit(run_day(day, seed, length, doors, servers, path, report))
 
@@ -351,7 +355,7 @@
     servers: int | None,
     path: Path | None,
 ) -> None:
-    """Play DAY with two revisions in turn, on the same seeds, and print the differences of the figures."""
+    """Play DAY with two revisions in turn, with the same seeds, and print the differences of the figures."""
     from hazelspring.lab.compare import CompareError, build, collect, differences
 
     try:
@@ -367,7 +371,9 @@
     except (DayError, PlayError, CompareError) as error:
         sys.exit(print_error(error))
     if len(ours) < 2:
-        sys.exit(print_error(PlayError("fewer than two valid pairs of plays: nothing to compare")))
+        sys.exit(
+            print_error(PlayError("fewer than two pairs of valid plays: a comparison needs at least two"))
+        )
     found = differences(ours, theirs)
     click.echo(f"{'figure':28} {'A ' + sides[0].commit:>14} {'B ' + sides[1].commit:>14}  B - A, interval")
     for each in found:
--- a/hazelspring/lab/compare.py
+++ b/hazelspring/lab/compare.py
@@ -1,4 +1,4 @@
-"""Compares two revisions of this repository, played in turn on the same seeds, by their figures."""
+"""Compares the figures of two revisions of this repository, which are played in turn with the same seeds."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 ROOT = Path(__file__).parent.parent.parent
 BUILDS = ROOT / ".lab"  # worktrees and virtual environments, kept for reuse
-RESAMPLES = 10_000
+RESAMPLES = 10_000  # number of bootstrap samples
 FAMILY_CONFIDENCE = 0.95  # probability that all intervals of a comparison contain the true differences
-MAX_REPLAYS = 2  # how often a play that was not valid is repeated
+MAX_REPLAYS = 2  # how many times a play that was not valid is repeated
 FIGURES = (
     "worth_share", "worst_10s_worth_share", "latency_ms.p50", "latency_ms.p90", "latency_ms.p99",
     "beyond_quota_share", "handshakes_per_request", "counter_calls_per_request", "probes_per_request",
@@ -46,9 +46,9 @@
 
 
 def build(revision: str) -> Built:
-    """Return the revision with its worktree and virtual environment; missing ones are created.
+    """Return the revision with its worktree and virtual environment, and create those that are missing.
 
-    Raises CompareError.
+    Raises CompareError if git or pip fails.
     """
     commit = run_command("git", "rev-parse", "--verify", "--short=12", f"{revision}^{{commit}}")
     root = BUILDS / commit
@@ -79,7 +79,7 @@
 
 
 def value(found: dict[str, Any], key: str) -> float:
-    """Return the figure at a dotted path of keys."""
+    """Return the figure at a path of keys that are separated by dots."""
     node: Any = found
     for part in key.split("."):
         node = node[part]
@@ -103,9 +103,10 @@
 
 
 def interval(differences: list[float], confidence: float) -> tuple[float, float]:
-    """Return a bootstrap interval of the mean of paired differences.
+    """Return a bootstrap confidence interval of the mean of paired differences.
 
-    It is studentized because there are few differences.
+    The bootstrap is studentized because there are few differences.  A single difference gives an infinite
+    interval.
     """
     found = np.array(differences)
     if len(found) < 2 or not np.ptp(found):
@@ -114,6 +115,7 @@
     mean, error = found.mean(), found.std(ddof=1) / np.sqrt(len(found))
     indices = stream(0, "bootstrap").integers(0, len(found), size=(RESAMPLES, len(found)))
     drawn = found[indices]
+    # The lower bound avoids a division by zero: a resample may consist of equal values.
     errors = np.maximum(drawn.std(axis=1, ddof=1) / np.sqrt(len(found)), error / 100)
     scores = (drawn.mean(axis=1) - mean) / errors
     low, high = np.quantile(scores, [(1 - confidence) / 2, (1 + confidence) / 2])
@@ -152,12 +154,12 @@
                 f"{'AB'[side]} seed {number}: worth {found['worth_share']:.3f}, "
                 f"p99 {found['latency_ms']['p99']:.0f} ms, "
                 f"{'rules broken: ' + ', '.join(broken) if broken else 'all rules kept'}"
-                f"{'' if found['valid'] else ', NOT VALID: the load generator was late'}"
+                f"{'' if found['valid'] else ', NOT VALID: too many attempts started late'}"
             )
             if found["valid"]:
                 sides[side][number] = found
                 break
     common = sorted(sides[0].keys() & sides[1].keys())
     if len(common) < plays:
-        print_line(f"{plays - len(common)} pairs left out: no valid play of one side")
+        print_line(f"{plays - len(common)} pairs of plays left out, as a revision had no valid play")
     return [sides[0][n] for n in common], [sides[1][n] for n in common]
--- a/hazelspring/lab/day.py
+++ b/hazelspring/lab/day.py
@@ -1,4 +1,7 @@
-"""The schema of a day file: sizes, load and faults.  Errors name each wrong key with its path and value."""
+"""The schema of a day file, which describes a scenario for the lab: sizes, load and faults.
+
+Errors name each invalid key with its path and value.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,8 @@
 FAULTS_WITH_SIZE = {
     "slow_servers", "reset", "delay", "counter_slow", "discovery_late", "discovery_full", "burst", "hostile",
 }  # fmt: skip
-# On a day with one of these, the platform holds the clients' listening sockets and passes them to gateways.
+# On a day with one of these faults, the platform holds the clients' listening sockets and passes them to the
+# gateways.
 SOCKET_PASSING_FAULTS = {"upgrade", "upgrade_dies"}
 
 
@@ -37,7 +41,10 @@
 class Fault(BaseModel):
     """One fault: its time, its duration (`for`), the share of the targets that it affects, and its size.
 
-    Times are in seconds.  What the size means depends on the kind.
+    Times are in seconds.  The size is, for `slow_servers`, the remaining share of the speed; for `reset`,
+    the share of the responses that are broken off; for `delay` and `discovery_late`, the added seconds; for
+    `counter_slow` and `burst`, the factor of the service time and of the request rate; for `discovery_full`,
+    the calls accepted per second; and for `hostile`, the hostile clients per second.  Other kinds ignore it.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -69,7 +76,7 @@
 
 
 class Day(BaseModel):
-    """A day to be played.  Times are in seconds since its start."""
+    """A day: the scenario that a play runs.  Times are in seconds since its start."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -80,9 +87,9 @@
     zones: list[str] = Field(default=["ba-petrzalka"], min_length=1, max_length=8)
     load: float = Field(default=0.5, gt=0, le=3)  # work within quotas / capacity of the servers
     pace: float = Field(default=1.0, gt=0, le=100)  # multiplies the number of requests, divides their work
-    notice_s: tuple[float, float] = (2.0, 4.9)  # delay until discovery sees that a process has died
+    notice_s: tuple[float, float] = (2.0, 4.9)  # delay until discovery detects that a process has ended
     told_s: tuple[float, float] = (0.2, 0.9)  # delay until discovery reports a change to a gateway
-    large_share: float = Field(default=0.0, ge=0, le=1)  # of the requests; large bodies in both directions
+    large_share: float = Field(default=0.0, ge=0, le=1)  # of requests with large bodies in both directions
     large_kb: int = Field(default=1024, gt=64, le=32768)
     memory_mb: int = Field(default=128, ge=32)
     sockets: int = Field(default=1024, ge=256)
--- a/hazelspring/lab/faulty_gateway.py
+++ b/hazelspring/lab/faulty_gateway.py
@@ -1,7 +1,8 @@
 """A minimal gateway with a deliberate fault, to prove that the lab's rules detect it.
 
-It forwards requests and does nothing else.  `python -m hazelspring.lab.faulty_gateway [FAULT]` takes the same
-environment as a real gateway.  FAULT names the one rule that it breaks; without it, it breaks none.
+The gateway forwards requests and does nothing else.  `python -m hazelspring.lab.faulty_gateway [FAULT]`
+takes the same environment as a real gateway.  FAULT is the name of the one rule to break, or `log`, which
+breaks the rule `limits` by writing too much log.  Without FAULT, the gateway breaks no rule.
 """
 
 from __future__ import annotations
@@ -46,7 +47,8 @@
     def pick(self, excluded_rack: str = "") -> dict[str, Any] | None:
         """Return a random ready server outside `excluded_rack`, or None.
 
-        With the fault `cold`, it is the one that started last during the play, in order to overload it.
+        With the fault `drained`, the server need not be ready.  With the fault `cold`, it is the one that
+        started last during the play, in order to overload it.
         """
         attached: list[dict[str, Any]] = [h for h in self.servers.values() if h["host"] not in self.detached]
         ready = [h for h in attached if h["health"] == "Ready" or self.fault == "drained"]
@@ -94,7 +96,7 @@
             writer.close()
 
     async def serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the requests of a connection in turn.  Raises ValueError if one has no `Request-Id`."""
+        """Answer a connection's requests in turn.  Raises ValueError if a request has no `Request-Id`."""
         timeout: float | None = HEAD_TIMEOUT_S
         while True:
             async with asyncio.timeout(timeout):
@@ -148,7 +150,7 @@
         return ("502", b"") if status not in ("200",) else (status, found)
 
     async def apply_fault(self) -> None:
-        """Apply a fault of the process: leak 8 MiB, write 64 KiB to the log, or exit from request 50 on."""
+        """Apply a process fault: leak 8 MiB, write 64 KiB to the log, or exit at request 50 or later."""
         if self.fault == "limits":
             self.leaked_memory.append(bytearray(b"x" * 2**23))
         elif self.fault == "log":
@@ -157,7 +159,10 @@
             os._exit(3)
 
     async def serve_management(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one management call: detach or attach a server; other calls have no effect and succeed."""
+        """Serve one management call: detach or attach a server; other calls have no effect and succeed.
+
+        With the fault `calls`, every call is answered with status 500.
+        """
         with contextlib.suppress(OSError, ValueError, asyncio.IncompleteReadError):
             head, headers = await read_head(reader)
             name = (await reader.readexactly(int(headers.get("content-length", 0)))).decode()
--- a/hazelspring/lab/figures.py
+++ b/hazelspring/lab/figures.py
@@ -11,7 +11,7 @@
 from hazelspring.lab.rules import RAN, REFUSED, Breach, PlayRecords, admitted
 
 MAX_LATE_SHARE = 0.01  # largest share of attempts that may start late in a valid play
-WINDOW = 10  # seconds, the length of the windows of which the worst is reported
+WINDOW = 10  # seconds; the worst window of this length is reported
 PERCENTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
 
 
@@ -26,14 +26,14 @@
 
 
 def worth_of(records: PlayRecords, request: int) -> float:
-    """Return the worth of a request that is served in time: that of its class times what its tariff pays."""
+    """Return the worth of a request served in time: the worth of its class times its tariff's `pays`."""
     customer = records.work.customers[int(records.work.customer[request])]
     return CLASSES[int(records.work.cls[request])].worth * records.work.tariffs[customer.tariff].pays
 
 
 def in_quota(records: PlayRecords) -> list[bool]:
-    """Return for each request whether one gateway that received all of them would have had a unit for it."""
-    buckets: dict[int, tuple[float, float]] = {}  # tokens, and the time of the last update
+    """Return for each request whether a token bucket shared by all gateways would have admitted it."""
+    buckets: dict[int, tuple[float, float]] = {}  # by customer: tokens, and the time of the last update
     found = []
     for request in range(len(records.work)):
         customer = int(records.work.customer[request])
@@ -59,21 +59,21 @@
     windows: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
     spans: dict[str, list[float]] = defaultdict(list)
     for request, attempts in by_request.items():
-        good = next((attempt for attempt in attempts if attempt.status == 200), None)
+        first_served = next((attempt for attempt in attempts if attempt.status == 200), None)
         spec, start = CLASSES[int(records.work.cls[request])], float(records.work.at[request]) / 1e6
-        served += good is not None
-        refused += good is None and attempts[-1].status in REFUSED
-        failed += good is None and attempts[-1].status not in REFUSED
-        if good is not None:
-            spans[spec.name].append(good.ended - good.due)
+        served += first_served is not None
+        refused += first_served is None and attempts[-1].status in REFUSED
+        failed += first_served is None and attempts[-1].status not in REFUSED
+        if first_served is not None:
+            spans[spec.name].append(first_served.ended - first_served.due)
         if inside[request]:
-            one = worth_of(records, request)
-            in_time = good is not None and good.ended - good.due <= spec.goal_time
+            request_worth = worth_of(records, request)
+            in_time = first_served is not None and first_served.ended - first_served.due <= spec.goal_time
             for second in range(max(0, int(start) - WINDOW + 1), int(start) + 1):
-                windows[second][0] += one * in_time
-                windows[second][1] += one
-            worth[0] += one * in_time
-            worth[1] += one
+                windows[second][0] += request_worth * in_time
+                windows[second][1] += request_worth
+            worth[0] += request_worth * in_time
+            worth[1] += request_worth
     full = [w for second, w in windows.items() if second + WINDOW <= max(WINDOW, length)]
     twice = 0
     for arrivals in records.arrivals_by_attempt().values():
@@ -82,8 +82,8 @@
             twice += keyed and sum(a.verdict == "begun" for a in arrivals) > 1
     total, beyond, _ = admitted(records)
     sent = max(1.0, records.value("load sent"))
-    each = max(1, len(by_request))
-    every = [span for found in spans.values() for span in found]
+    request_count = max(1, len(by_request))
+    latencies = [span for found in spans.values() for span in found]
     ran = {a.id for a in records.arrivals if a.verdict in RAN}
     return {
         "seed": records.seed,
@@ -96,12 +96,13 @@
         },
         "worth_share": worth[0] / max(1e-9, worth[1]),
         "worst_10s_worth_share": min((a / b for a, b in full if b), default=worth[0] / max(1e-9, worth[1])),
-        "latency_ms": histogram(every) | {"by_class": {n: histogram(s) for n, s in sorted(spans.items())}},
+        "latency_ms": histogram(latencies)
+        | {"by_class": {n: histogram(s) for n, s in sorted(spans.items())}},
         "beyond_quota_share": beyond / max(1.0, total),
-        "handshakes_per_request": records.value("handshakes") / each,
-        "counter_calls_per_request": records.value("counter calls") / each,
-        "probes_per_request": records.value("probes") / each,
-        "door": gateway_figures(records, each),
+        "handshakes_per_request": records.value("handshakes") / request_count,
+        "counter_calls_per_request": records.value("counter calls") / request_count,
+        "probes_per_request": records.value("probes") / request_count,
+        "door": gateway_figures(records, request_count),
         "load": {
             "tries": len(records.attempts), "late_share": records.value("load late") / sent,
             "most_late_ms": records.value("load most_late") * 1e3,
@@ -112,13 +113,13 @@
 
 
 def gateway_figures(records: PlayRecords, requests: int) -> dict[str, float]:
-    """Compute CPU time per request without that of starts, the mean CPU time of a start, and peak usage.
+    """Compute the CPU time per request (without starts), the mean CPU time of a start, and the peak usage.
 
     The peaks of memory and of descriptors are those of the one gateway with the highest value.
     """
     starts = [note.value for note in records.notes_of("start cpu")]
     spent = sum(note.value for note in records.notes_of("cpu"))
-    # CPU time of a process that died during the play is counted up to the last sample of it.
+    # The CPU time of a process that ended during the play is counted up to its last sample.
     last: dict[int, float] = {}
     for sample in records.samples:
         spent += last[sample.door] if sample.cpu < last.get(sample.door, 0.0) else 0.0
--- a/hazelspring/lab/models/__init__.py
+++ b/hazelspring/lab/models/__init__.py
@@ -1,1 +1,1 @@
-"""Models of what surrounds a gateway, as state machines: time is an argument, and there are no sockets."""
+"""Models of the environment of a gateway, as state machines without sockets; time is an argument."""
--- a/hazelspring/lab/models/alertserver.py
+++ b/hazelspring/lab/models/alertserver.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-EPS = 1e-9  # seconds of work, tolerance for rounding errors
+EPS = 1e-9  # seconds of work by which two amounts may differ because of rounding
 STEP = 0.1  # seconds for which the capacity of a server that is warming up is taken as constant
 
 
@@ -25,16 +25,16 @@
     slots: int = 8
     queue: int = 50
     thrash_at: float = 5.0  # running requests per core, above which they slow each other down
-    thrash: float = 0.1  # slowdown for each running request per core above that
+    thrash: float = 0.1  # relative slowdown for each running request per core above `thrash_at`
     cold_share: float = 0.3  # share of its capacity just after its start
     warm_up: float = 10.0  # seconds after its start until it has its full capacity
     fall_multiple: float = 3.0  # a cold server fails when it is sent more than this many times its capacity
-    fall_time: float = 2.0  # seconds over which that work is summed
+    fall_time: float = 2.0  # seconds over which the work sent to a cold server is summed
     connections: int = 1000  # largest number of open connections
     handshake: float = 0.0012  # work of a new connection
     probe: float = 0.0003  # work of a probe
     idle: float = 15.0  # seconds after which it closes an idle connection
-    memory: float = 7.5  # seconds for which its rack remembers a key
+    memory: float = 7.5  # seconds for which its rack keeps an idempotency key
     refresh: float = 0.5  # seconds between updates of its load report
     noise: float = 0.05  # relative standard deviation of the reported utilization
 
@@ -45,7 +45,7 @@
     BEGUN = "begun"
     FULL = "full"
     DRAINING = "draining"
-    DROPPED = "dropped"  # its rack has the same key already: answered when the first request ends
+    DROPPED = "dropped"  # its rack already has a request with this key: answered when that request ends
     OVERLOADED = "fallen"  # it has failed by overload
 
 
@@ -57,7 +57,7 @@
     needed: float  # work, in seconds of one core
     key: str
     goal: float = 0.0  # the value of the server's `attained` at which it is done
-    followers: list[object] = field(default_factory=list)  # tokens of its repeats
+    followers: list[object] = field(default_factory=list)  # tokens of repeated requests with the same key
     lost: bool = False  # whether its server died before it was done
 
 
@@ -65,11 +65,11 @@
     """The idempotency keys that the servers of one rack share."""
 
     def __init__(self) -> None:
-        self.keys: dict[str, tuple[float, Work]] = {}
-        self.order: deque[tuple[float, str]] = deque()
+        self.keys: dict[str, tuple[float, Work]] = {}  # by key: when it expires, and its work
+        self.order: deque[tuple[float, str]] = deque()  # expiry times and keys, the earliest first
 
     def find_or_add(self, now: float, key: str, work: Work, span: float) -> Work | None:
-        """Return the work that has this key already; if there is none, store `work` for `span` seconds."""
+        """Return the work stored under this key; if there is none, store `work` for `span` seconds."""
         while self.order and self.order[0][0] <= now:
             at, old = self.order.popleft()
             if (found := self.keys.get(old)) is not None and found[0] <= at:
@@ -92,7 +92,7 @@
         self.waiting: deque[Work] = deque()
         self.number = 0
         self.draining = self.overloaded = False
-        self.slow = 1.0  # the share of the machine that another program leaves to it
+        self.slow = 1.0  # share of its full speed at which it runs, below 1 if it shares the machine
         self.stalled = False
         self.connections = 0
         self.cold_work: deque[tuple[float, float]] = deque()  # times and work that it was sent while cold
@@ -101,7 +101,7 @@
         self.last_report: tuple[float, float, int] = (-math.inf, 0.0, 0)  # time, utilization, requests
 
     def warmth(self, now: float) -> float:
-        """Return the share of its capacity that the server has so long after its start."""
+        """Return the share of its full capacity that the server has now; it grows during warm-up."""
         age = max(0.0, now - self.started)
         part = min(1.0, age / self.spec.warm_up) if self.spec.warm_up > 0 else 1.0
         return self.spec.cold_share + (1 - self.spec.cold_share) * part
@@ -124,7 +124,7 @@
         return True
 
     def begin(self, now: float, token: object, work: float, key: str = "", fresh: bool = False) -> Verdict:
-        """Handle a request that was received completely; `fresh` if it is the first on its connection."""
+        """Handle a complete request; `fresh` says that it is the first on its connection."""
         self.advance(now)
         if self.overloaded:
             return Verdict.OVERLOADED
@@ -153,8 +153,8 @@
     def check_overload(self, now: float, work: float) -> bool:
         """Count the work against the capacity of a cold server; return whether the server has failed.
 
-        A cold server fails, and stays so, once it is sent more than `fall_multiple` times its capacity within
-        `fall_time`.
+        A cold server fails, and does not recover, once it is sent more than `fall_multiple` times its
+        capacity within `fall_time`.
         """
         spec = self.spec
         if now >= self.started + spec.warm_up:
@@ -169,7 +169,10 @@
         return self.overloaded
 
     def due(self, now: float) -> float | None:
-        """Return when to call `advance` next: at the next end of a request, or earlier while warming up."""
+        """Return when to call `advance` next: at the next end of a request, or earlier during warm-up.
+
+        Returns None if no request is being processed.
+        """
         pace = self.pace(now)
         if not pace:
             return None
@@ -202,7 +205,7 @@
         return ended
 
     def kill(self) -> list[object]:
-        """Drop all requests and connections, as when the server dies; return the tokens of the requests."""
+        """Drop all requests and connections, like a process that ends; return the tokens of the requests."""
         lost = [item for _, _, item in self.running] + list(self.waiting)
         self.running.clear()
         self.waiting.clear()
--- a/hazelspring/lab/models/counter.py
+++ b/hazelspring/lab/models/counter.py
@@ -5,7 +5,7 @@
 import zlib
 from dataclasses import dataclass
 
-MAX_LIFE = 60.0  # seconds for which a total is kept at most
+MAX_LIFE = 60.0  # largest number of seconds for which a total is kept
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
 
 class Counter:
-    """A call takes effect at once, and its reply is due when its partition has served it."""
+    """The counter.  A call takes effect at once; its reply is due when its partition has served the call."""
 
     def __init__(self, spec: CounterSpec) -> None:
         self.spec = spec
@@ -37,7 +37,7 @@
         self.sweep_at = 0.0  # when expired totals are removed next
 
     def call(self, now: float, name: bytes, amount: float, life: float) -> Reply:
-        """Add the amount to the total of that name; a total that starts here is kept for `life` seconds."""
+        """Add the amount to the total of that name; a new total is kept for `life` seconds, 60 at most."""
         if now >= self.sweep_at:
             self.sweep_at = now + 5.0
             self.totals = {k: v for k, v in self.totals.items() if v[1] > now}
--- a/hazelspring/lab/models/customers.py
+++ b/hazelspring/lab/models/customers.py
@@ -13,19 +13,23 @@
 CALM_USE = (0.15, 0.5)  # requested share of the quota rate, unless a customer is in FULL or HEAVY
 FULL = (0.088, 0.22)  # share of the customers that use nearly all of their quota
 HEAVY = (0.066, 0.12)  # share of the customers that request a multiple of their quota all the time
-SPIKY = (0.12, 0.2)  # share of the customers that do so from time to time
+SPIKY = (0.12, 0.2)  # share of the customers that request a multiple of their quota from time to time
 HEAVY_MULTIPLE = (1.6, 4.4)  # request rate of those in HEAVY / quota rate
 SPIKE_MULTIPLE = (2.0, 5.9)  # request rate of those in SPIKY during a spike / quota rate
-SPIKE_S = (1.9, 5.0)  # length of a spike
-SPIKE_INTERVAL_S = (10.0, 25.0)  # from the end of a spike to the next one
-SHIFT_S = (3.4, 8.6)  # from one change of a customer's weights of its gateways to the next
+SPIKE_S = (1.9, 5.0)  # seconds that a spike lasts
+SPIKE_INTERVAL_S = (10.0, 25.0)  # seconds from the end of a spike to the start of the next one
+SHIFT_S = (3.4, 8.6)  # seconds between changes of the weights with which a customer uses its gateways
 SPREAD = (2, 4)  # number of gateways that a customer uses
 MAX_EXCESS = 0.9  # requests beyond quotas / requests within quotas
 
 
 @dataclass(frozen=True, slots=True)
 class ClassSpec:
-    """A class of requests; `work` is the range of its mean work in seconds of one core."""
+    """A class of requests; `work` is the range of its mean work in seconds of one core.
+
+    `goal_time` and `deadline` are in seconds.  `worth` is the value of a request that is served within
+    `goal_time`.  Requests of a `keyed` class carry an idempotency key.
+    """
 
     name: str
     share: float
@@ -66,14 +70,14 @@
 
     name: str
     rate: float  # requests per second
-    units: float  # that may be used at once, the size of the token bucket
+    units: float  # units that may be used at once: the size of the token bucket
     pays: float
     over_cost: float
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer and its set of gateways, which are `spread` consecutive ones from `first`, modulo all."""
+    """A customer and its set of gateways: the `spread` gateways from index `first` on, with wrap-around."""
 
     number: int
     tariff: int  # index into the tariffs
@@ -90,7 +94,7 @@
     cls: np.ndarray
     work: np.ndarray  # microseconds of one core
     wait: np.ndarray  # milliseconds for which the client waits for the response to an attempt
-    gateway_draws: np.ndarray  # [request, attempt] below 2^32, selects a gateway of the customer's set
+    gateway_draws: np.ndarray  # [request, attempt]: number below 2^32 that selects a gateway of the set
     customers: tuple[Customer, ...]
     tariffs: tuple[Tariff, ...]
     shifts: tuple[np.ndarray, ...]  # by customer: when its weights change, microseconds
@@ -161,8 +165,8 @@
     shares = np.array([spec.share for spec in CLASSES])
     per_request = float(np.dot(shares, works)) / pace
     total = inside / per_request  # requests per second
-    who = stream(seed, "customers")
-    full, heavy, spiky = (within(who, span) for span in (FULL, HEAVY, SPIKY))
+    customer_random = stream(seed, "customers")
+    full, heavy, spiky = (within(customer_random, span) for span in (FULL, HEAVY, SPIKY))
     customers: list[Customer] = []
     times: list[np.ndarray] = []
     shifts: list[np.ndarray] = []
@@ -171,29 +175,31 @@
     for index, (spec, tariff) in enumerate(zip(TARIFFS, tariffs, strict=True)):
         requested = 0.0
         while requested < spec.share * total:
-            kind = who.random()
-            use = within(who, CALM_USE)
+            kind = customer_random.random()
+            use = within(customer_random, CALM_USE)
             multiple, spike = 1.0, 0.0
             if kind < full:
-                use = within(who, (0.9, 1.0))
+                use = within(customer_random, (0.9, 1.0))
             elif kind < full + heavy:
-                use, multiple = 1.0, within(who, HEAVY_MULTIPLE)
+                use, multiple = 1.0, within(customer_random, HEAVY_MULTIPLE)
             elif kind < full + heavy + spiky:
-                spike = within(who, SPIKE_MULTIPLE)
+                spike = within(customer_random, SPIKE_MULTIPLE)
             part = min(1.0, (spec.share * total - requested) / (use * tariff.rate))
             requested += use * tariff.rate
             if (excess + tariff.rate * (multiple - 1)) > MAX_EXCESS * total:
                 multiple = 1.0
             excess += tariff.rate * (multiple - 1)
-            number = int(who.integers(1, 2**33))
-            spread = min(gateway_count, int(who.integers(SPREAD[0], SPREAD[1] + 1)))
-            customers.append(Customer(number, index, int(who.integers(gateway_count)), spread))
-            own = stream(seed, f"customer {len(customers)}")
+            number = int(customer_random.integers(1, 2**33))
+            spread = min(gateway_count, int(customer_random.integers(SPREAD[0], SPREAD[1] + 1)))
+            customers.append(Customer(number, index, int(customer_random.integers(gateway_count)), spread))
+            own_random = stream(seed, f"customer {len(customers)}")
             times.append(
-                request_times(own, length, part * use * tariff.rate * multiple, spike * tariff.rate, bursts)
+                request_times(
+                    own_random, length, part * use * tariff.rate * multiple, spike * tariff.rate, bursts
+                )
             )
-            edges = np.cumsum(own.uniform(*SHIFT_S, size=math.ceil(length / SHIFT_S[0]) + 1))
-            drawn = own.gamma(1.0, size=(len(edges) + 1, spread)) + 0.05
+            edges = np.cumsum(own_random.uniform(*SHIFT_S, size=math.ceil(length / SHIFT_S[0]) + 1))
+            drawn = own_random.gamma(1.0, size=(len(edges) + 1, spread)) + 0.05
             shares_of = np.cumsum(drawn, axis=1) / drawn.sum(axis=1, keepdims=True)
             shifts.append((edges * 1e6).astype(np.int64))
             weights.append((shares_of[:, :-1] * 2**32).astype(np.int64))
@@ -201,15 +207,15 @@
     owner = np.repeat(np.arange(len(times)), [len(found) for found in times])
     by_time = np.lexsort((owner, order))
     at, owner = (order[by_time] * 1e6).astype(np.int64), owner[by_time]
-    what = stream(seed, "requests")
+    request_random = stream(seed, "requests")
     count = len(at)
-    cls = np.searchsorted(np.cumsum(shares) / shares.sum(), what.random(count), side="right")
-    spread_of = np.clip(what.gamma(4.0, 0.25, size=count), 0.1, 5.0)
+    cls = np.searchsorted(np.cumsum(shares) / shares.sum(), request_random.random(count), side="right")
+    spread_of = np.clip(request_random.gamma(4.0, 0.25, size=count), 0.1, 5.0)
     work = (np.array(works)[cls] / pace * spread_of * 1e6).astype(np.int64)
-    wait = (np.array([spec.deadline for spec in CLASSES])[cls] * what.uniform(0.5, 1.0, count) * 1e3).astype(
-        np.int64
-    )
-    gateway_draws = what.integers(0, 2**32, size=(count, 4))
+    wait = (
+        np.array([spec.deadline for spec in CLASSES])[cls] * request_random.uniform(0.5, 1.0, count) * 1e3
+    ).astype(np.int64)
+    gateway_draws = request_random.integers(0, 2**32, size=(count, 4))
     return Arrivals(
         at, owner, cls, work, wait, gateway_draws, tuple(customers), tariffs, tuple(shifts), tuple(weights)
     )
@@ -222,7 +228,10 @@
     spike: float,
     bursts: list[tuple[float, float, float]],
 ) -> np.ndarray:
-    """Draw the times of a Poisson process, in seconds, with random spikes and the day's bursts."""
+    """Draw the times of a Poisson process, in seconds, with random spikes and the day's bursts.
+
+    `rate` is in requests per second; `spike` is the rate during a spike, 0 for no spikes.
+    """
     largest = max([1.0, *(factor for _, _, factor in bursts)])
     spikes = []
     if spike:
@@ -244,7 +253,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """How clients retry; times in seconds."""
+    """How clients retry; `backoff` and `max_wait` are in seconds."""
 
     retries: int
     backoff: float
@@ -264,7 +273,7 @@
     """Return the delay in seconds before a client retries after `tries` failed attempts; None for no retry.
 
     `advice` is the `Retry-After` of the last response in seconds, 0 if there was none.  Whether a client
-    honours it depends on the request and the seed alone, and so is the same in each play.
+    honours it depends on the request and the seed alone, so that it is the same in each play.
     """
     if tries > policy.retries:
         return None
--- a/hazelspring/lab/models/discovery.py
+++ b/hazelspring/lab/models/discovery.py
@@ -43,7 +43,7 @@
         self.calls: list[float] = []  # times of the calls accepted within the last second
 
     def change(self, now: float, name: str, health: Health, born: float | None = None) -> None:
-        """Publish a new version, in which the host has this health and, if `born` is given, start time."""
+        """Publish a new version in which the host has this health and, if `born` is given, start time."""
         host = replace(self.hosts[name], health=health)
         if born is not None:
             host = replace(host, born=born)
@@ -54,7 +54,7 @@
             self.pending[gateway].append((now + delay_s, self.version))
 
     def current(self, gateway: int, now: float) -> int:
-        """Return the version that the agent of this gateway has received by now."""
+        """Return the version that the agent of this gateway has received by time `now`."""
         if not self.silent:
             queue = self.pending[gateway]
             while queue and queue[0][0] <= now:
@@ -74,12 +74,12 @@
         return [host for host in hosts.values() if host.health is not Health.GONE]
 
     def since(self, after: int, version: int) -> list[Host]:
-        """Return the hosts changed after one version up to another; each once, in its state at the latter."""
+        """Return the hosts that changed after version `after` up to `version`, each in its latest state."""
         found = {host.name: host for at, host in self.log if after < at <= version}
         return list(found.values())
 
     def admits(self, now: float) -> bool:
-        """Whether the limit on calls per second permits a call now; a permitted call is counted."""
+        """Return whether the limit on calls per second permits a call now, and count the call if so."""
         if not self.calls_per_s_limit:
             return True
         self.calls = [at for at in self.calls if at > now - 1.0]
--- a/hazelspring/lab/models/random_streams.py
+++ b/hazelspring/lab/models/random_streams.py
@@ -8,10 +8,10 @@
 
 
 def stream(seed: int, part: str) -> np.random.Generator:
-    """Return the generator of that part; the numbers of one part don't depend on the draws of another."""
+    """Return the generator of that part; its numbers do not depend on draws from other parts."""
     return np.random.Generator(np.random.PCG64(np.random.SeedSequence((seed, zlib.crc32(part.encode())))))
 
 
 def within(random: np.random.Generator, span: tuple[float, float]) -> float:
-    """Draw a number from the span, uniformly."""
+    """Draw a uniformly distributed number from the span."""
     return float(random.uniform(*span))
--- a/hazelspring/lab/plan.py
+++ b/hazelspring/lab/plan.py
@@ -1,6 +1,6 @@
 """The plan of a play, computed before it starts: servers, arrivals, faults with their targets, and settings.
 
-All of it follows from the day and the seed, except the secret.
+The whole plan is determined by the day and the seed; only the play's secret is random.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from hazelspring.lab.models.customers import CLASSES, Arrivals, draw, tariffs_of
 from hazelspring.lab.models.random_streams import stream, within
 
-KINDS = ("full-box", "old-box")
-OLD_SHARE = 0.32  # share of the alert servers that are of the second, slower kind
-SPEEDS = ((0.85, 1.1), (0.51, 0.69))  # range of the speed of each kind
-GRACE = 0.25  # seconds after which no new request may go to a server that is draining, gone or detached
+KINDS = ("full-box", "old-box")  # machine types of the alert servers
+OLD_SHARE = 0.32  # share of the alert servers that are of the second, slower machine type
+SPEEDS = ((0.85, 1.1), (0.51, 0.69))  # by machine type: range of the speed
+GRACE = 0.25  # seconds for which new requests may still go to a server that is draining, gone or detached
 SLACK = 0.05  # seconds that the rules add to every time limit, as the play runs on real sockets
-MAX_RETRY_AFTER_S = 2.0  # longest `Retry-After`
+MAX_RETRY_AFTER_S = 2.0  # largest `Retry-After` in seconds that a gateway may send and a client waits for
 DEDUP_SPAN = 7.5  # seconds for which a rack drops repeated requests
-MAX_ATTEMPTS = 5
+MAX_ATTEMPTS = 5  # times that a gateway may forward one attempt of a client
 MAX_WARM_UP = 18.0  # longest time in seconds that a server takes to warm up
 MIN_COLD_SHARE = 0.16  # smallest share of its capacity that a server has just after its start
 
@@ -90,14 +90,14 @@
 
 
 def arrivals_of(day: Day, seed: int) -> Arrivals:
-    """Draw the arrivals of a day, for the load that it gives as a share of its alert servers' capacity."""
+    """Draw the arrivals of a day, whose `load` is a share of the capacity of its alert servers."""
     capacity = sum(spec.cores * spec.speed for spec in servers_of(day, seed))
     bursts = [(f.at, f.at + f.lasts, f.size) for f in day.faults if f.kind == "burst"]
     return draw(seed, day.length_s, day.doors, day.load * capacity, day.pace, bursts)
 
 
 def planned_faults(day: Day, seed: int) -> list[PlannedFault]:
-    """Draw the targets of the day's faults.  A fault whose part rounds to no target gets one."""
+    """Draw the targets of the day's faults.  A fault whose `part` rounds to no target gets one."""
     found = []
     for number, fault in enumerate(day.faults):
         random = stream(seed, f"fault {number}")
@@ -135,12 +135,12 @@
 
 
 def is_large(day: Day, request: int) -> bool:
-    """Whether this request and its response have large bodies; the same in each play of the day."""
+    """Whether this request and its response have large bodies; this is the same in each play of the day."""
     return (request * 2654435761) % 2**32 < day.large_share * 2**32
 
 
 def body_of(day: Day, seed: int, request: int, keyed: bool) -> bytes:
-    """Return the body of a request; it is empty if the request's class is safe to repeat."""
+    """Return the body of a request; it is empty unless the request's class is keyed."""
     if not keyed:
         return b""
     size = day.large_kb * 1024 if is_large(day, request) else 100 + request % 300
@@ -191,7 +191,8 @@
         "period_s": 0.004, "host_types": list(KINDS), "membership_mode": "push", "weight_source": "rough",
         "caps": {
             "cancel": True, "conn_idle_s": 15.0, "connect_timeout_s": 0.25, "max_attempts": MAX_ATTEMPTS,
-            "max_retry_after_s": MAX_RETRY_AFTER_S, "may_probe": True, "retry_after": True, "second_copies": True,
+            "max_retry_after_s": MAX_RETRY_AFTER_S, "may_probe": True, "retry_after": True,
+            "second_copies": True,
         },
         "classes": classes, "tariffs": tariffs,
         "extra": {"has_counter": True, "counter_price": 0.02, "counter_timeout_s": 0.08, "settles": False},
--- a/hazelspring/lab/play_runner.py
+++ b/hazelspring/lab/play_runner.py
@@ -1,8 +1,8 @@
 """Runs a play, which is one run of a day file with one seed.
 
-It starts the processes, applies the faults and cleans up.  This process owns every process and file of
-the play.  The command line starts it, writes the play to its standard input as the first line, and
-keeps that pipe open; the process ends when the pipe is closed.
+The runner process starts the other processes, applies the faults and cleans up; it owns every process and
+file of the play.  The command line starts the runner, writes the play to its standard input as the first
+line, and keeps that pipe open; the runner ends when the pipe is closed.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 STATS_PERIOD_S = 1.0  # seconds between reports to the command line
 OLD_ADDRESS_GRACE_S = 1.5  # seconds for which connections to the old addresses stay open after a reload
 MANAGEMENT_CALL_LIMIT_S = 1.0  # seconds within which a management call has to be answered
-TERMINATION_GRACE_S = 3.7  # seconds from SIGTERM to SIGKILL: the longest deadline and 0.7 s
+TERMINATION_GRACE_S = 3.7  # seconds from SIGTERM to SIGKILL: the longest request deadline plus 0.7 s
 MAX_START_ATTEMPTS = 3  # a start fails if another process has taken its port meanwhile
 KEPT_LOG_BYTES = 64 * 1024  # bytes kept of the log of a gateway process
 LOWEST_PORT, FIRST_EPHEMERAL_PORT = 20_000, 32_768
@@ -90,28 +90,28 @@
         return self.handle.pid
 
     def signal(self, number: int) -> None:
-        """Send it a signal, unless it has ended."""
+        """Send the process a signal, unless it has ended."""
         with contextlib.suppress(ProcessLookupError):
             self.handle.send_signal(number)
 
     async def read_log(self) -> None:
-        """Read its log to the end but keep only the first 64 KiB, so that an endless log fills no memory."""
+        """Read its log to the end, but keep only the first 64 KiB, which bounds the memory used."""
         assert self.handle.stderr is not None
         while data := await self.handle.stderr.read(16384):
             self.log_bytes += len(data)
             self.log += data[: max(0, KEPT_LOG_BYTES - len(self.log))]
 
     def cpu(self) -> float:
-        """CPU seconds used since it started.  Raises OSError if it has ended."""
+        """Return the CPU seconds used since its start.  Raises OSError if the process has ended."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def memory_kb(self) -> int:
-        """Resident memory in kB.  Raises OSError if it has ended."""
+        """Return the resident memory in kB.  Raises OSError if the process has ended."""
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * PAGE_KB
 
     def descriptors(self) -> int:
-        """Number of open file descriptors.  Raises OSError if it has ended."""
+        """Return the number of open file descriptors.  Raises OSError if the process has ended."""
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
 
@@ -153,7 +153,7 @@
         new.replace(self.config)
 
     async def start(self) -> Process:
-        """Start a process; its client address shows when it is ready.  Raises OSError if it cannot start."""
+        """Start a process; `wait_until_ready` waits until it serves.  Raises OSError if it cannot start."""
         management = f"127.0.0.1:{free_port()}"
         env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")} | {
             "NODE_NAME": self.name,
@@ -165,7 +165,7 @@
         if sock is not None:
             env["NODE_PASSED_SOCKET"] = str(PASSED_SOCKET_FD)
 
-        def before() -> None:
+        def prepare_child() -> None:
             die_with_parent()
             if sock is not None:
                 os.dup2(sock.fileno(), PASSED_SOCKET_FD)
@@ -177,7 +177,7 @@
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
-            preexec_fn=before,
+            preexec_fn=prepare_child,
             pass_fds=(PASSED_SOCKET_FD,) if sock is not None else (),
         )
         process = Process(self.index, handle, management, time.monotonic())
@@ -291,7 +291,7 @@
         return 200 <= status < 300
 
     async def put_configuration(self, rollback: bool, lasts: float) -> None:
-        """PUT its configuration with `max_attempts` one lower; `rollback`: undo it after `lasts` seconds."""
+        """PUT its configuration with `max_attempts` less 1; `rollback`: undo this after `lasts` seconds."""
         config = msgspec.json.decode(self.config.read_bytes())
         config["settings"]["caps"]["max_attempts"] -= 1
         config.pop("known")
@@ -345,7 +345,7 @@
         self.handle = handle
 
     def send(self, **fields: object) -> None:
-        """Send it one message, unless its pipe is closed."""
+        """Send the process one message, unless its pipe is closed."""
         if self.handle.stdin is not None and not self.handle.stdin.is_closing():
             self.handle.stdin.write(msgspec.json.encode(fields) + b"\n")
 
@@ -355,7 +355,7 @@
         while line := await self.handle.stdout.readline():
             if key in (message := msgspec.json.decode(line)):
                 return message[key]
-        raise RuntimeError("a simulator process ended before it sent the expected message")
+        raise RuntimeError(f"a simulator process ended before it sent the message `{key}`")
 
 
 class PlayRunner:
@@ -390,7 +390,7 @@
         self.addresses: dict[str, str] = {}
         self.agents: list[SimulatedAgent] = []
         self.gateways: list[Gateway] = []
-        self.ended: list[Process] = []
+        self.ended: list[Process] = []  # gateway processes that have ended
         self.finished = False
         self.stats: dict[str, dict[str, float]] = {}
 
@@ -445,7 +445,7 @@
             raise RuntimeError(f"a gateway did not become ready: {' '.join(logs[-1:])}".strip())
 
     def schedule_faults(self, faults: list[PlannedFault]) -> None:
-        """Schedule all faults of the day, and what discovery reports of them."""
+        """Schedule all faults of the day, and the changes that discovery reports because of them."""
         loop = asyncio.get_running_loop()
 
         def at(moment: float, action: Callable[..., None], *arguments: object) -> None:
@@ -456,7 +456,7 @@
             self.schedule_discovery_changes(planned, at)
 
     def begin_fault(self, planned: PlannedFault) -> None:
-        """Begin a fault of gateways, counter or discovery; simulated alert servers apply their own."""
+        """Begin a fault of gateways, counter or discovery; the simulators apply those of alert servers."""
         fault, loop = planned.fault, asyncio.get_running_loop()
         gateways = [self.gateways[n] for n in planned.targets] if fault.kind in (
             "kill_doors", "term_doors", "reload", "put", "rollback", "upgrade", "upgrade_dies"
@@ -487,9 +487,9 @@
             case "counter_forget":
                 self.counter.model.lose()
             case "discovery_late":
-                before = list(self.discovery.update_delays_s)
-                self.discovery.update_delays_s = [delay_s + fault.size for delay_s in before]
-                loop.call_later(fault.lasts, self.restore_discovery_delays, before)
+                previous_delays_s = list(self.discovery.update_delays_s)
+                self.discovery.update_delays_s = [delay_s + fault.size for delay_s in previous_delays_s]
+                loop.call_later(fault.lasts, self.restore_discovery_delays, previous_delays_s)
             case "discovery_silent":
                 self.discovery.silent = True
                 loop.call_later(fault.lasts, self.end_discovery_silence)
--- a/hazelspring/lab/record.py
+++ b/hazelspring/lab/record.py
@@ -27,10 +27,12 @@
     sent: float  # when its last byte was written; 0: never, as no connection was established
     ended: float
     status: int  # of a complete response; 0: there was none
-    outcome: str  # answer, refused (no connection), broken (connection closed), silent (no response in time)
+    outcome: (
+        str  # answer, refused (no connection), broken (connection closed) or silent (no response in time)
+    )
     retry_after: float = 0.0  # seconds
-    genuine: bool = True  # a body of status 200: whether an alert server created it for this request
-    resent: bool = False  # the gateway closed a reused connection, and the client sent the attempt again
+    genuine: bool = True  # for status 200: whether an alert server created the body for this request
+    resent: bool = False  # whether the gateway closed a reused connection and the client sent it again
 
 
 class Arrival(msgspec.Struct, array_like=True):
@@ -40,10 +42,10 @@
     id: str
     server: int
     door: int
-    began: float  # when its first byte was received
-    received: float  # when its last byte was received
+    began: float  # when the first byte of the request was received
+    received: float  # when the last byte of the request was received
     verdict: str  # the value of the model's Verdict; "unknown": not sent by a client, or altered
-    restarts: int  # of the alert server until then
+    restarts: int  # number of restarts of the alert server before this arrival
 
 
 class HostileConnectionRecord(msgspec.Struct, array_like=True):
@@ -58,7 +60,18 @@
 
 
 class Note(msgspec.Struct, array_like=True):
-    """An event: `what` names its kind, `who` the process, server or gateway that it concerns."""
+    """An event: `what` names its kind, `who` the process, server or gateway that it concerns.
+
+    Kinds for gateways: `ready`, `never ready` (not ready in time), `killed`, `termed` (sent SIGTERM),
+    `overdue` (still running 3.7 s after SIGTERM), `crashed` (ended without being signalled), `ended badly`
+    (ended with an error status after being signalled), `reloaded`, `upgraded`, `new one killed` (the new
+    process of an upgrade was killed), and `call ...` (a management call that failed or took too long).
+    Kinds for alert servers: `died`, `started`, `drains`, `cut` and `back` (cut off from the network and
+    reconnected), `fell over` (failed by overload), `broken` (a response was broken off) and `malformed`.
+    Kinds for a pair of alert server and gateway: `banned` and `called back` (detached and attached by the
+    operator), and `told ...` (discovery reported this health to the gateway).
+    Other kinds carry a figure in `value`.
+    """
 
     suffix: ClassVar[str] = "note"
     at: float
@@ -68,12 +81,12 @@
 
 
 class Sample(msgspec.Struct, array_like=True):
-    """One measurement of a gateway's processes, as sums over all of them."""
+    """One measurement of a gateway: the sums over all of its processes."""
 
     suffix: ClassVar[str] = "sample"
     at: float
     door: int
-    cpu: float  # seconds of CPU time since they started
+    cpu: float  # seconds of CPU time since the processes started
     memory_kb: int
     descriptors: int
     processes: int
--- a/hazelspring/lab/report.py
+++ b/hazelspring/lab/report.py
@@ -19,14 +19,14 @@
 from hazelspring.lab.models.customers import CLASSES
 from hazelspring.lab.rules import REFUSED, Breach, PlayRecords
 
-MAX_SHOWN_BREACHES = 50  # on the page
+MAX_SHOWN_BREACHES = 50  # largest number of breaches on the page
 TEMPLATE = Path(__file__).with_name("report.html")
 
 
 def series(records: PlayRecords) -> list[dict[str, Any]]:
-    """Return one entry per second: what was requested then, the outcomes, and where the attempts were sent.
+    """Return one entry per second: worth requested and served, attempts by outcome, and their destinations.
 
-    Attempts count in the second for which they were scheduled, arrivals in that in which they were received.
+    An attempt counts in the second for which it was scheduled, an arrival in the second of its receipt.
     """
     length = max(1, int(np.ceil(records.value("length", 1.0))))
     rows: list[dict[str, Any]] = [
@@ -119,7 +119,7 @@
 
 
 def flatten(found: dict[str, Any], path: str = "") -> list[tuple[str, str]]:
-    """Return the figures as pairs of dotted key and text; the counts of breaches by rule are left out."""
+    """Return the figures as pairs of dotted key and text, without the counts of breaches by rule."""
     listed: list[tuple[str, str]] = []
     for key, value in found.items():
         if isinstance(value, dict):
--- a/hazelspring/lab/rules.py
+++ b/hazelspring/lab/rules.py
@@ -1,6 +1,6 @@
 """The rules, as pure functions over the records of the simulators and of the play runner.
 
-They use nothing that a gateway reports about itself.
+The rules use nothing that a gateway reports about itself.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 from hazelspring.lab.record import Arrival, AttemptRecord, HostileConnectionRecord, Note, Sample, read
 
 HOSTILE_TIMEOUT = (
-    3.0  # seconds within which a client that sends no proper request must get an error or a close
+    3.0  # seconds within which a client that sends no valid request must get an error response or a close
 )
 CRASH_WINDOW = 0.5  # seconds after a kill in which a broken connection is attributed to the kill
-REFUSED = (429, 503)
-RAN = ("begun", "dropped")  # verdicts after which a request may have taken effect
+REFUSED = (429, 503)  # statuses with which a gateway refuses a request
+RAN = ("begun", "dropped")  # verdicts of an alert server after which a request may have taken effect
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A broken rule: the request, process or customer concerned, the time in seconds, and the details."""
+    """One violation of a rule: the request, process or customer concerned, the time in seconds, details."""
 
     rule: str
     who: str
@@ -113,7 +113,7 @@
             "answered",
             attempt.id,
             attempt.ended,
-            f"gateway {attempt.door}: {attempt.outcome}, no complete response",
+            f"gateway {attempt.door} sent no complete response, outcome: {attempt.outcome}",
         )
 
 
@@ -146,7 +146,7 @@
                 "unsent",
                 arrival.id,
                 arrival.received,
-                f"received by alert server {arrival.server}, sent by no client",
+                f"alert server {arrival.server} received it, but no client sent it",
             )
 
 
@@ -163,7 +163,10 @@
         limit = MAX_ATTEMPTS * (2 if attempt.resent else 1)
         if len(arrivals) > limit:
             yield Breach(
-                "repeats", attempt_id, arrivals[-1].received, f"sent {len(arrivals)} times, limit {limit}"
+                "repeats",
+                attempt_id,
+                arrivals[-1].received,
+                f"forwarded {len(arrivals)} times, limit {limit}",
             )
         ran = [a for a in arrivals if a.verdict in RAN]
         if not CLASSES[int(records.work.cls[attempt.request])].keyed or len(ran) < 2 or attempt.resent:
@@ -176,7 +179,7 @@
                     "repeats",
                     attempt_id,
                     later.received,
-                    f"may have run at alert servers {first.server} and {later.server}",
+                    f"the request may have run at alert servers {first.server} and {later.server}",
                 )
 
 
@@ -206,7 +209,7 @@
         for why, changes in (("reported as not ready", reported.get(pair)), ("detached", bans.get(pair))):
             if not changes:
                 continue
-            # A gateway that has started since uses its own list, which it was given at its start.
+            # A gateway that was started later uses the list that it was given at its start.
             index = bisect.bisect_right(changes, (arrival.began - GRACE - SLACK, True)) - 1
             if index >= 0 and changes[index][1]:
                 until = changes[index + 1][0] if index + 1 < len(changes) else float("inf")
@@ -220,7 +223,9 @@
 def cold(records: PlayRecords) -> Iterator[Breach]:
     """The gateways together do not overload an alert server that is warming up so far that it fails."""
     for note in records.notes_of("fell over"):
-        yield Breach("cold", f"alert server {note.who.split()[0]}", note.at, "failed by overload while cold")
+        yield Breach(
+            "cold", f"alert server {note.who.split()[0]}", note.at, "failed by overload during its warm-up"
+        )
 
 
 def admitted(records: PlayRecords) -> tuple[float, float, dict[int, float]]:
@@ -229,7 +234,7 @@
     Each attempt that reached an alert server counts as one unit, at its first arrival.
     """
     first = {a.id: a for a in reversed(records.arrivals) if a.verdict != "unknown"}
-    buckets: dict[int, tuple[float, float]] = {}  # tokens, and the time of the last update
+    buckets: dict[int, tuple[float, float]] = {}  # by customer: tokens, and the time of the last update
     beyond: dict[int, float] = defaultdict(float)
     total = 0.0
     for arrival in sorted(first.values(), key=lambda a: a.received):
@@ -282,18 +287,24 @@
                 "refusals",
                 attempt.id,
                 attempt.ended,
-                f"{attempt.status} with Retry-After {attempt.retry_after:g}",
+                f"refused with status {attempt.status} and Retry-After {attempt.retry_after:g} s, "
+                f"required: above 0, at most {MAX_RETRY_AFTER_S:g} s",
             )
         elif (
             keyed
             and attempt.status in REFUSED
             and any(a.verdict in RAN for a in forwarded.get(attempt.id, ()))
         ):
-            yield Breach("refusals", attempt.id, attempt.ended, f"{attempt.status}, though it may have run")
+            yield Breach(
+                "refusals",
+                attempt.id,
+                attempt.ended,
+                f"refused with status {attempt.status}, though the request may have run",
+            )
 
 
 def rude(records: PlayRecords) -> Iterator[Breach]:
-    """A client that sends no proper request gets an error or a close in time."""
+    """A client that sends no valid request gets an error response or a close within 3 s."""
     for peer in records.hostile_connections:
         if peer.status == 0 and peer.spent <= HOSTILE_TIMEOUT + SLACK:
             continue
@@ -301,7 +312,9 @@
             continue
         if records.died(peer.door, peer.at + peer.spent):
             continue
-        detail = f"gateway {peer.door}: {peer.kind}: status {peer.status} after {peer.spent:.2f} s"
+        detail = (
+            f"hostile input {peer.kind}: status {peer.status} after {peer.spent:.2f} s (0: close, -1: none)"
+        )
         yield Breach("rude", f"gateway {peer.door}", peer.at, detail)
 
 
@@ -310,14 +323,19 @@
     for sample in records.samples:
         exceeded = []
         if sample.memory_kb > records.day.memory_mb * 1024:
-            exceeded.append(f"{sample.memory_kb} kB")
+            exceeded.append(f"{sample.memory_kb} kB of memory, limit {records.day.memory_mb * 1024} kB")
         if sample.descriptors > records.day.sockets:
-            exceeded.append(f"{sample.descriptors} descriptors")
+            exceeded.append(f"{sample.descriptors} file descriptors, limit {records.day.sockets}")
         if exceeded:
             yield Breach("limits", f"gateway {sample.door}", sample.at, " and ".join(exceeded))
     for note in records.notes_of("log"):
         if note.value > records.day.allow.log_kb * 1024:
-            yield Breach("limits", f"gateway {note.who[1:]}", note.at, f"{note.value:.0f} bytes of log")
+            yield Breach(
+                "limits",
+                f"gateway {note.who[1:]}",
+                note.at,
+                f"{note.value:.0f} bytes of log, limit {records.day.allow.log_kb * 1024}",
+            )
 
 
 def alive(records: PlayRecords) -> Iterator[Breach]:
@@ -329,7 +347,7 @@
 
 
 def calls(records: PlayRecords) -> Iterator[Breach]:
-    """An operator's call succeeds within a second."""
+    """A management call of the operator succeeds within a second."""
     for note in records.notes:
         if note.what.startswith("call "):
             yield Breach("calls", f"gateway {note.who[1:]}", note.at, f"{note.what} after {note.value:.2f} s")
--- a/hazelspring/lab/simulators/__init__.py
+++ b/hazelspring/lab/simulators/__init__.py
@@ -1,1 +1,1 @@
-"""Serves the simulation models on loopback sockets.  Whatever a model can decide is left to the model."""
+"""Serves the simulation models on loopback sockets.  All decisions are made by the models."""
--- a/hazelspring/lab/simulators/child_process.py
+++ b/hazelspring/lab/simulators/child_process.py
@@ -43,7 +43,10 @@
 
 
 def run_child(main: Callable[[Play, asyncio.Queue[Message]], Any]) -> None:
-    """Run `main` with the play, which is the first line of input, and a queue of the further messages."""
+    """Run `main` with the play, which is the first line of input, and a queue of the later messages.
+
+    Does not return: the process exits when `main` has returned or the pipe from the parent is closed.
+    """
     raise_descriptor_limit()
     play = msgspec.json.decode(sys.stdin.buffer.readline(), type=Play)
 
--- a/hazelspring/lab/simulators/clients.py
+++ b/hazelspring/lab/simulators/clients.py
@@ -1,6 +1,6 @@
 """Simulates the clients in an open loop, so that each attempt starts on time however many are still open.
 
-It simulates hostile clients as well, which send malformed, incomplete or excessive input.
+This process also simulates hostile clients, which send malformed, incomplete or excessive input.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 PLANNED_DETECTION_S = (0.2, 0.4)  # the same, if the platform restarts the gateway as planned
 STATS_PERIOD_S = 1.0  # seconds between reports to the runner
 LONG_HEADER = b"X-Filler: " + b"a" * 60000 + b"\r\n"
-HOSTILE_INPUTS: dict[str, tuple[bytes, ...]] = {  # pieces, sent 0.1 s apart
+HOSTILE_INPUTS: dict[str, tuple[bytes, ...]] = {  # by name: the pieces of the input, sent 0.1 s apart
     "garbled": (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 hello\r\n\r\n",),
     "no length": (b"POST /alert-rule?customer=zz HTTP/1.1\r\nHost: x\r\n\r\n",),
     "half-open": (b"GET /gauge-read?cust",),
@@ -63,6 +63,7 @@
         self.retry_after_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, which sends the requests."""
         self.transport = cast(asyncio.Transport, transport)
 
     def send(self, attempt: Attempt, data: bytes) -> None:
@@ -72,12 +73,14 @@
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes; a malformed response resets the connection."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep the seconds of a `Retry-After` header; -1 if its value is not a number."""
         if name.lower() == b"retry-after":
             try:
                 self.retry_after_s = float(value)
@@ -85,9 +88,11 @@
                 self.retry_after_s = -1.0
 
     def on_body(self, body: bytes) -> None:
+        """Append a part of the response body."""
         self.body += body
 
     def on_message_complete(self) -> None:
+        """Finish the attempt with the response, and keep or reset the connection; 1xx is skipped."""
         status = self.parser.get_status_code()
         if status < 200:
             return
@@ -108,6 +113,7 @@
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Notify the open attempt, if there is one, that the connection has ended."""
         self.transport = None
         self.load.forget(self)
         if (attempt := self.pending) is not None:
@@ -156,10 +162,10 @@
         self.finish(status, "answer", retry_after_s, genuine)
 
     def connection_ended(self, used: bool) -> None:
-        """Handle the end of its connection before an answer.
+        """Handle that its connection ended before the answer was complete.
 
-        On a reused connection, the request is sent once more: it may have crossed with a close that the
-        gateway sent between two requests.
+        On a reused connection, the request is sent once more: the gateway may have closed the connection as
+        idle just before the request reached it.
         """
         if used and not self.resent and not self.finished:
             self.resent = True
@@ -168,7 +174,7 @@
             self.finish(0, "broken")
 
     def time_out(self) -> None:
-        """Finish without an answer, and reset the connection."""
+        """Finish without an answer after the time-out, and reset the connection."""
         connection = self.connection
         self.finish(0, "silent")
         if connection is not None and connection.pending is self:
@@ -243,7 +249,7 @@
             connection.abort()
 
     def forget(self, connection: Connection) -> None:
-        """Remove a closed connection from the idle ones."""
+        """Remove a closed connection from the list of idle connections."""
         if connection in self.idle[connection.gateway]:
             self.idle[connection.gateway].remove(connection)
 
@@ -312,16 +318,16 @@
         self.start_due()
 
     def done(self) -> bool:
-        """Whether no attempt is open or still to start."""
+        """Whether no attempt is open and none will be started."""
         return self.next_request >= len(self.work.at) and not self.open_attempts and not self.retries
 
     # --- the load balancer's view of the gateways -------------------------------------------------------
 
     def gateway_changed(self, gateway: int, up: bool, planned: bool) -> None:
-        """Handle that a gateway is ready or has ended.
+        """Update the load balancer's view after a gateway has become ready (`up`) or has ended.
 
-        The load balancer notices an unplanned end after 1.6 to 3.4 s, a planned one after 0.2 to 0.4 s, and
-        that a gateway is ready at once.
+        The load balancer notices an unplanned end after 1.6 to 3.4 s and a planned one after 0.2 to 0.4 s.
+        It notices at once that a gateway is ready.
         """
         if up:
             self.up[gateway] = True
@@ -332,7 +338,7 @@
             self.loop.call_later(delay, self.mark_down, gateway)
 
     def mark_down(self, gateway: int) -> None:
-        """Give this gateway no more attempts while others are up."""
+        """Send this gateway no more attempts while another gateway of the customer's set is up."""
         self.up[gateway] = False
 
     # --- hostile clients --------------------------------------------------------------------------------
@@ -387,7 +393,7 @@
         self.spawn(self.send_hostile_input(kind, gateway))
 
     def report_stats(self) -> None:
-        """Send the counts, and the latencies since the last report, to the runner every second."""
+        """Send the counts, and latency percentiles since the last report, to the runner every second."""
         latencies = sorted(self.latencies)
         self.latencies = []
         send(
@@ -402,7 +408,7 @@
 
 
 async def main(play: Play, queue: asyncio.Queue[Message]) -> None:
-    """Simulate the clients of a play as the runner's messages direct, until it sends `stop`."""
+    """Simulate the clients of a play, controlled by messages from the runner, until it sends `stop`."""
     load = Load(play)
     send(ready=len(load.work))
     freeze_heap()
--- a/hazelspring/lab/simulators/servers.py
+++ b/hazelspring/lab/simulators/servers.py
@@ -41,7 +41,7 @@
 
 
 def gateway_name(gateway: int) -> str:
-    """The name of a gateway as an end of the simulated network."""
+    """Return the name of a gateway as an endpoint of the simulated network."""
     return f"gateway {gateway}"
 
 
@@ -52,7 +52,7 @@
         self.server, self.gateway = server, gateway
         self.port = 0
         self.sock: socket.socket | None = None
-        self.fillers: list[socket.socket] = []
+        self.fillers: list[socket.socket] = []  # connections that keep the accept queue full
         self.open()
 
     def open(self) -> None:
@@ -91,10 +91,10 @@
         self.fillers.clear()
 
     def stop_accepting(self) -> None:
-        """Let new connections time out, as those to a machine that is cut off from the network.
+        """Make new connections time out, like those to a machine that is cut off from the network.
 
-        Nothing accepts connections from this listener any more, and the kernel drops those that arrive while
-        its queue is full.
+        The listener accepts no more connections.  Its accept queue is filled, and the kernel drops new
+        connections while the queue is full.
         """
         if self.sock is None:
             return
@@ -128,12 +128,13 @@
         self.reset_request()
 
     def reset_request(self) -> None:
-        """Forget the request that was read last."""
+        """Clear the fields of the request that was read last."""
         self.url, self.headers = b"", dict[bytes, bytes]()
         self.body = bytearray()
         self.began = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the connection and its handshake; reset it if the server is down, overloaded or full."""
         self.transport = cast(asyncio.Transport, transport)
         server = self.server
         if not server.alive or not server.model.connect(server.now()):
@@ -145,7 +146,7 @@
         self.restart_idle_timer()
 
     def restart_idle_timer(self) -> None:
-        """Set the time at which the connection is closed if it is idle."""
+        """Close the connection after the idle time-out of the server, unless a further request arrives."""
         if self.idle_timer is not None:
             self.idle_timer.cancel()
         self.idle_timer = self.server.loop.call_later(self.server.model.spec.idle, self.close)
@@ -161,6 +162,7 @@
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Drop the open request, and decrement the server's number of open connections."""
         if self.idle_timer is not None:
             self.idle_timer.cancel()
         self.server.peers.discard(self)
@@ -169,8 +171,9 @@
         self.transport, self.token = None, None
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes; malformed input is recorded, and the connection is reset."""
         if self.server.cut_off:
-            return  # the data is lost on the way
+            return  # a server that is cut off from the network receives no data
         if not self.began:
             self.began = self.server.now()
         try:
@@ -180,15 +183,19 @@
             self.abort()
 
     def on_url(self, url: bytes) -> None:
+        """Append a part of the request's target."""
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep a header of the request, by its name in lower case."""
         self.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
+        """Append a part of the request body."""
         self.body += body
 
     def on_message_complete(self) -> None:
+        """Pass the complete request to the server."""
         self.restart_idle_timer()
         url, headers, body, began = self.url, self.headers, bytes(self.body), self.began
         method = self.parser.get_method()
@@ -227,7 +234,7 @@
         return self.process.now()
 
     def note(self, event: str, gateway: int = -1, value: float = 0.0) -> None:
-        """Record an event of this server; gateway -1: it concerns no gateway."""
+        """Record an event of this server; gateway -1 means that the event concerns no gateway."""
         self.process.notes.add(Note(self.now(), event, f"{self.index} {gateway}", value))
 
     def load_report(self) -> bytes:
@@ -245,7 +252,7 @@
         body: bytes,
         began: float,
     ) -> None:
-        """Answer a health check or a load request, or pass a client's request to the model."""
+        """Answer a health check or a load-report request, or pass a client's request to the model."""
         process, now = self.process, self.now()
         if url in (b"/-/healthy", b"/-/load"):
             process.probes += 1
@@ -289,7 +296,7 @@
             peer.abort()
 
     def set_timer(self) -> None:
-        """Set the timer for the moment at which the model next finishes or changes something."""
+        """Set the timer for the time at which the model has to be advanced next."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -307,7 +314,7 @@
         self.set_timer()
 
     def finish_request(self, peer: GatewayConnection, attempt_id: str) -> None:
-        """Send the answer of a finished request, delayed or broken off as the day's network faults say."""
+        """Send the answer of a finished request; active network faults delay it or break it off."""
         process, now = self.process, self.now()
         request = int(attempt_id[:8], 16)
         body = response_body(process.day, process.play.secret, self.model.spec.name, attempt_id, request)
@@ -349,14 +356,14 @@
         self.model.draining = True
         self.note("drains")
 
-    def silence(self) -> None:
-        """Cut the server off from the network: nothing that is sent in either direction arrives."""
+    def isolate(self) -> None:
+        """Cut the server off from the network: no data arrives in either direction."""
         self.cut_off = True
         self.note("cut")
         for listener in self.listeners:
             listener.stop_accepting()
 
-    def end_silence(self) -> None:
+    def end_isolation(self) -> None:
         """Reconnect the server to the network, and reset the connections that it had."""
         self.cut_off = False
         self.note("back")
@@ -366,14 +373,14 @@
             listener.reopen()
 
     def slow(self, remaining: float) -> None:
-        """Leave the server this share of its speed; 1 is all of it."""
+        """Set the share of its full speed at which the server runs; 1 ends the fault."""
         self.model.advance(self.now())
         self.model.slow = remaining
         self.set_timer()
 
 
 class ServerProcess:
-    """One process with a part of the alert servers; those of a rack are in the same process."""
+    """Simulates a part of the alert servers; all servers of a rack run in the same process."""
 
     def __init__(self, play: Play, part: int) -> None:
         self.play, self.day = play, play.parsed()
@@ -409,7 +416,7 @@
         return body == body_of(self.day, self.play.seed, request, spec.keyed)
 
     def schedule_faults(self, faults: list[PlannedFault]) -> None:
-        """Schedule the faults of the day that concern servers of this process."""
+        """Schedule the faults of the day that affect servers of this process."""
         at, network_faults = self.at, []
         names = {index: server.model.spec.name for index, server in self.servers.items()}
         for planned in faults:
@@ -434,8 +441,8 @@
                         at(max(fault.at + 3.0, end - 1.0), server.kill)
                         at(max(fault.at + 4.0, end), server.restart)
                     case "cut_servers":
-                        at(fault.at, server.silence)
-                        at(end, server.end_silence)
+                        at(fault.at, server.isolate)
+                        at(end, server.end_isolation)
                     case "slow_servers":
                         at(fault.at, server.slow, fault.size)
                         at(end, server.slow, 1.0)
@@ -452,7 +459,7 @@
 
 
 async def main(play: Play, queue: asyncio.Queue[Message], part: int) -> None:
-    """Simulate this part of the alert servers as the runner's messages direct, until it sends `stop`."""
+    """Simulate a part of the alert servers, controlled by the runner's messages, until it sends `stop`."""
     process = ServerProcess(play, part)
     faults = planned_faults(process.day, play.seed)
     send(
@@ -468,7 +475,7 @@
             process.now = clock(message["start"])
             process.schedule_faults(faults)
             process.report_stats()
-        elif "restart" in message:  # an operator restarts servers that are detached
+        elif "restart" in message:  # the simulated operator restarts servers that are detached
             for index in message["restart"]:
                 if (server := process.servers.get(index)) is not None and server.alive:
                     server.kill()
--- a/hazelspring/lab/simulators/services.py
+++ b/hazelspring/lab/simulators/services.py
@@ -23,7 +23,7 @@
 
 
 class SimulatedCounter:
-    """The counter, served on two addresses: the initial one, and one that a reload configures."""
+    """The counter.  It has two addresses: the initial one, and one that gateways use after a reload."""
 
     def __init__(self, model: Counter, now: Callable[[], float]) -> None:
         self.model, self.now = model, now
@@ -34,7 +34,7 @@
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection to the counter, by RESP2; calls are answered in their order."""
+    """One connection to the counter, which speaks RESP2; calls are answered in order of arrival."""
 
     def __init__(self, service: SimulatedCounter) -> None:
         self.service = service
@@ -44,18 +44,20 @@
         self.idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection with the counter, and start its idle timer."""
         self.transport = cast(asyncio.Transport, transport)
         self.service.peers.add(self)
         self.restart_idle_timer()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Remove the connection from the counter, and stop its idle timer."""
         self.service.peers.discard(self)
         self.transport = None
         if self.idle_timer is not None:
             self.idle_timer.cancel()
 
     def restart_idle_timer(self) -> None:
-        """Close the connection 10 s from now unless a further call arrives."""
+        """Close the connection 10 s from now unless further data arrives."""
         if self.idle_timer is not None:
             self.idle_timer.cancel()
         self.idle_timer = asyncio.get_running_loop().call_later(IDLE_TIMEOUT_S, self.close)
@@ -71,6 +73,7 @@
             self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
+        """Handle the complete calls that were received; an unavailable counter ignores them."""
         self.restart_idle_timer()
         if self.service.unavailable:
             return
@@ -110,7 +113,7 @@
 
 
 class SimulatedAgent:
-    """The discovery agent of one gateway; it passes on what discovery sent it, at once and at no cost."""
+    """The discovery agent of one gateway; it forwards lists and updates from discovery without any delay."""
 
     def __init__(
         self, model: Discovery, gateway: int, dials: dict[str, str], now: Callable[[], float], notes: Recorder
@@ -128,7 +131,7 @@
         self.noted_version = max(self.noted_version, version)
 
     def line(self, version: int, whole: bool, hosts: list[Host]) -> bytes:
-        """Encode a list (`whole`) or an update as JSON."""
+        """Encode the complete list (`whole`) or an update to it as JSON."""
         return msgspec.json.encode(
             {
                 "seq": version,
@@ -145,7 +148,7 @@
         )  # fmt: skip
 
     def send_updates(self) -> None:
-        """Send each watch the changes since its version, or an empty line if it has been idle for 2 s."""
+        """Send each watch the changes since its version, or an empty line after 2 s without any."""
         now = self.now()
         version = self.model.current(self.gateway, now)
         for peer in self.peers:
@@ -161,7 +164,7 @@
 
 
 class AgentConnection(asyncio.Protocol):
-    """One connection to an agent: it reads the list, or watches it until the connection ends."""
+    """One connection to an agent, on which a gateway reads the list or watches it for changes."""
 
     def __init__(self, service: SimulatedAgent) -> None:
         self.service = service
@@ -172,14 +175,17 @@
         self.last_sent_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection with the agent."""
         self.transport = cast(asyncio.Transport, transport)
         self.service.peers.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Remove the connection from the agent."""
         self.service.peers.discard(self)
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes; a malformed request closes the connection."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -187,6 +193,7 @@
                 self.transport.close()
 
     def on_url(self, url: bytes) -> None:
+        """Append a part of the request's target."""
         self.url += url
 
     def write(self, data: bytes) -> None:
@@ -199,6 +206,7 @@
         self.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def on_message_complete(self) -> None:
+        """Answer a request with the list or the changes; a watch stays open for further changes."""
         url, self.url = httptools.parse_url(self.url), b""
         service, model = self.service, self.service.model
         if url.path != b"/api/targets":
@@ -236,7 +244,7 @@
     async def listen(self) -> dict[str, str]:
         """Listen, and return the addresses by name: `counter 0` and `agent GATEWAY 0`.
 
-        Those that a reload configures end in 1.
+        The names of the addresses that gateways use after a reload end in 1.
         """
         loop = asyncio.get_running_loop()
         for version in (0, 1):
@@ -277,7 +285,7 @@
         self.timer = asyncio.get_running_loop().call_later(AGENT_POLL_S, self.poll_agents)
 
     def close(self) -> None:
-        """Stop polling and listening; open connections stay."""
+        """Stop polling and listening; existing connections stay open."""
         if self.timer is not None:
             self.timer.cancel()
         for server in self.servers.values():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -41,10 +41,12 @@
     ("seed", "digest"), [(1, "788d678a51495313"), (2, "510d1cd3c03fc5c6"), (3, "9bc80616a8f55848")]
 )  # fmt: skip
 def test_a_seed_gives_the_same_arrivals_on_any_machine(seed: int, digest: str) -> None:
+    """The digests of the arrivals of three seeds are fixed."""
     assert arrivals_of(load_day("calm"), seed).digest() == digest
 
 
 def test_a_fault_does_not_change_the_arrivals_and_has_at_least_one_target() -> None:
+    """A fault changes no arrival, and a part that rounds to no server selects one."""
     plain, crash = load_day("calm", length_s=30), load_day("crash")
     assert arrivals_of(plain, 5).digest() == arrivals_of(crash, 5).digest()
     # A part that rounds to no alert server selects one.
@@ -57,7 +59,7 @@
     st.floats(0.2, 2.0),
 )
 def test_an_alert_server_does_all_work_once(requests: list[tuple[float, float]], speed: float) -> None:
-    """Each accepted token ends once, and not before its work can have been done."""
+    """Each accepted request ends exactly once, and not before its work can have been done."""
     server = AlertServer(dataclasses.replace(SPEC, speed=speed), Rack(), 0.0)
     now, began, ended = 0.0, dict[object, tuple[float, float]](), dict[object, float]()
 
@@ -82,6 +84,7 @@
 
 
 def test_an_alert_server_rejects_when_full_drops_repeats_and_fails_by_overload_only_when_cold() -> None:
+    """Full and draining servers refuse, a rack drops repeated keys, and only a cold server is overloaded."""
     rack = Rack()
     one, other = AlertServer(SPEC, rack, 0.0), AlertServer(SPEC, rack, 0.0)
     assert [one.begin(0.0, n, 1.0) for n in range(8)] == [Verdict.BEGUN] * 7 + [Verdict.FULL]
@@ -102,6 +105,7 @@
 
 
 def test_the_counter_serves_calls_in_order_and_drops_totals_that_expired_or_were_lost() -> None:
+    """Calls beyond the queue limit are rejected, and an expired or lost total starts again from zero."""
     counter = Counter(CounterSpec(parts=1, per_s=100.0, call=0.0, max_queueing=0.05))
     replies = [counter.call(0.0, b"n", 2.0, 1.0) for _ in range(8)]
     assert [r.total for r in replies] == [2.0, 4.0, 6.0, 8.0, 10.0, 12.0, None, None]
@@ -113,6 +117,7 @@
 
 
 def test_discovery_sends_changes_to_each_gateway_after_its_own_delay() -> None:
+    """Each gateway has its own delay; silence and the limit on calls stop updates."""
     discovery = Discovery(2, [Host("a", "z", "k", 0), Host("b", "z", "k", 0)])
     discovery.update_delays_s = [0.5, 3.0]
     discovery.change(10.0, "a", Health.GONE)
@@ -128,6 +133,7 @@
 
 
 def test_network_faults_end_in_time_and_clients_limit_retries_and_waits() -> None:
+    """A fault applies in its period and to its endpoints only; retries and `Retry-After` are bounded."""
     cut = NetworkFault("cut", 5.0, 6.0, frozenset(), frozenset({"s"}))
     network = Network([cut, NetworkFault("reset", 0.0, 9.0, frozenset({"d"}), frozenset(), 0.25)])
     assert [network.cut(t, "d", "s") for t in (4.9, 5.0, 5.9, 6.0)] == [False, True, True, False]
@@ -152,6 +158,7 @@
     ],
 )
 def test_each_problem_of_a_day_file_is_reported(tmp_path: Path, text: str, expected: list[str]) -> None:
+    """An invalid day file raises DayError with the key path and the value of each problem."""
     path = tmp_path / "day.toml"
     path.write_text(text)
     with pytest.raises(DayError) as caught:
@@ -161,6 +168,7 @@
 
 
 def test_every_shipped_day_can_be_planned_and_request_ids_name_their_attempt() -> None:
+    """Each shipped day gives its servers and faults, and ids of other seeds are rejected."""
     assert len(shipped()) >= 15
     for name in shipped():
         day = load_day(name)
@@ -169,11 +177,11 @@
     assert parse_request_id(3, request_id(4, 77, 2)) is None and parse_request_id(3, "zz") is None
 
 
-# --- the rules: a change to one record breaks one rule, which reports it while no other rule does ----------
+# --- the rules: each change to the records breaks one rule, and only that rule reports a breach ------------
 
 
 def clean_records() -> PlayRecords:
-    """Four served requests of a calm day; for 4 s, one server drains and another one is detached."""
+    """Return the records of four served requests; for 4 s, one server drains and another one is detached."""
     day = load_day("calm")
     work, specs = arrivals_of(day, 1), servers_of(day, 1)
     attempts, arrivals = [], []
@@ -197,6 +205,8 @@
 
 
 def arrival_at(server: int, at: float) -> Callable[[PlayRecords], None]:
+    """Return a change that moves the fourth arrival to this server and time."""
+
     def change(records: PlayRecords) -> None:
         records.arrivals[3] = Arrival(records.attempts[3].id, server, 0, at, at, "begun", 0)
 
@@ -204,16 +214,19 @@
 
 
 def run_on_another_rack(records: PlayRecords) -> None:
+    """Add a run of the first request on another rack."""
     first = records.arrivals[0]
     other = next(n for n, spec in enumerate(records.specs) if spec.rack != records.specs[0].rack)
     records.arrivals.insert(1, Arrival(first.id, other, 0, 1.02, 1.02, "begun", 0))
 
 
 def too_many_arrivals(records: PlayRecords) -> None:
+    """Add five arrivals of the first attempt, which then has six; `MAX_ATTEMPTS` is 5."""
     records.arrivals += [Arrival(records.attempts[0].id, 0, 0, 1.02, 1.02, "full", 0) for _ in range(5)]
 
 
 def far_beyond_quota(records: PlayRecords) -> None:
+    """Add three admitted attempts for each of up to 40 requests of one customer."""
     customer = records.work.customer[0]
     requests = [n for n in range(len(records.work)) if records.work.customer[n] == customer]
     records.arrivals += [
@@ -222,44 +235,45 @@
 
 
 def not_forwarded(records: PlayRecords, **changes: object) -> None:
-    """The last request was not forwarded to an alert server."""
+    """Remove the arrival of the last request, which was thus not forwarded, and change its attempt."""
     del records.arrivals[3]
     for key, value in changes.items():
         setattr(records.attempts[3], key, value)
 
 
 def refused_after_running(records: PlayRecords) -> None:
-    """A keyed request is refused although it has run."""
+    """Change the first attempt so that a keyed request is refused although it has run."""
     records.attempts[0].status, records.attempts[0].retry_after = 503, 0.1
 
 
 CHANGES: list[tuple[str, Callable[[PlayRecords], None]]] = [
-    ("answered", lambda s: setattr(s.attempts[0], "outcome", "broken")),
-    ("answered", lambda s: setattr(s.attempts[0], "outcome", "silent")),
-    ("bodies", lambda s: setattr(s.attempts[0], "genuine", False)),
-    ("unsent", lambda s: setattr(s.arrivals[0], "verdict", "unknown")),
+    ("answered", lambda records: setattr(records.attempts[0], "outcome", "broken")),
+    ("answered", lambda records: setattr(records.attempts[0], "outcome", "silent")),
+    ("bodies", lambda records: setattr(records.attempts[0], "genuine", False)),
+    ("unsent", lambda records: setattr(records.arrivals[0], "verdict", "unknown")),
     ("repeats", run_on_another_rack),
     ("repeats", too_many_arrivals),
     ("drained", arrival_at(0, 5.4)),
     ("drained", arrival_at(1, 8.9)),
-    ("cold", lambda s: s.notes.append(Note(3.0, "fell over", "4 0"))),
+    ("cold", lambda records: records.notes.append(Note(3.0, "fell over", "4 0"))),
     ("quotas", far_beyond_quota),
-    ("refusals", lambda s: not_forwarded(s, status=503, retry_after=0.0)),
-    ("refusals", lambda s: not_forwarded(s, status=503, retry_after=9.0)),
-    ("refusals", lambda s: not_forwarded(s, status=502, ended=6.9)),
+    ("refusals", lambda records: not_forwarded(records, status=503, retry_after=0.0)),
+    ("refusals", lambda records: not_forwarded(records, status=503, retry_after=9.0)),
+    ("refusals", lambda records: not_forwarded(records, status=502, ended=6.9)),
     ("refusals", refused_after_running),
-    ("rude", lambda s: setattr(s.hostile_connections[0], "spent", 3.2)),
-    ("rude", lambda s: setattr(s.hostile_connections[1], "status", 200)),
-    ("limits", lambda s: setattr(s.samples[0], "memory_kb", 128 * 1024 + 1)),
-    ("limits", lambda s: setattr(s.samples[0], "descriptors", 1025)),
-    ("limits", lambda s: setattr(s.notes[4], "value", 1e6)),
-    ("alive", lambda s: s.notes.append(Note(3.0, "crashed", "n1", 1.0))),
-    ("calls", lambda s: s.notes.append(Note(3.0, "call PUT / answered 500", "n1", 0.1))),
+    ("rude", lambda records: setattr(records.hostile_connections[0], "spent", 3.2)),
+    ("rude", lambda records: setattr(records.hostile_connections[1], "status", 200)),
+    ("limits", lambda records: setattr(records.samples[0], "memory_kb", 128 * 1024 + 1)),
+    ("limits", lambda records: setattr(records.samples[0], "descriptors", 1025)),
+    ("limits", lambda records: setattr(records.notes[4], "value", 1e6)),
+    ("alive", lambda records: records.notes.append(Note(3.0, "crashed", "n1", 1.0))),
+    ("calls", lambda records: records.notes.append(Note(3.0, "call PUT / answered 500", "n1", 0.1))),
 ]
 
 
 @pytest.mark.parametrize(("rule", "change"), CHANGES)
 def test_only_the_broken_rule_reports_a_breach(rule: str, change: Callable[[PlayRecords], None]) -> None:
+    """Unchanged records break no rule, and each change breaks exactly the rule that it is listed with."""
     assert {name for name, _ in CHANGES} == RULES.keys()
     records = clean_records()
     assert not any(judge(records).values())
@@ -268,6 +282,7 @@
 
 
 def test_permitted_failures_are_no_breach() -> None:
+    """Closes without forwarding, arrivals in the grace period and failures at a kill break no rule."""
     records = clean_records()
     not_forwarded(records, outcome="broken", status=0)  # the connection was closed and nothing was forwarded
     # within the grace period of the drained server
@@ -278,6 +293,7 @@
 
 
 def test_the_figures_have_their_keys_and_a_play_with_late_load_is_not_valid() -> None:
+    """The figures have the documented keys, and late load makes a play invalid."""
     records = clean_records()
     found = figures(records, judge(records), "abc")
     assert found["valid"] and found["revision"] == "abc" and found["rules"] == dict.fromkeys(RULES, 0)
@@ -290,6 +306,7 @@
 
 
 def test_records_are_read_as_they_were_written(tmp_path: Path) -> None:
+    """Records that fill the buffer several times are read back unchanged, by type."""
     recorder = Recorder(tmp_path / "x.note.jsonl")
     notes = [Note(n / 7, "what", "who", n) for n in range(5000)]
     for note in notes:
@@ -299,6 +316,7 @@
 
 
 def test_a_comparison_detects_a_real_difference_and_leaves_out_invalid_pairs() -> None:
+    """Intervals have their coverage, sides alternate, and invalid plays are repeated twice."""
     random = stream(1, "test")
     draws = random.normal(0.0, 1.0, size=(400, 10))
     missed = sum(not low <= 0 <= high for low, high in (interval(list(d), 0.95) for d in draws))
--- a/tests/test_lab_play.py
+++ b/tests/test_lab_play.py
@@ -1,4 +1,4 @@
-"""The lab on real sockets: with real gateways, with deliberately faulty ones, and with a killed command."""
+"""Tests of the lab on real sockets: real gateways, deliberately faulty gateways, and killed commands."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def leftovers(known: set[str]) -> set[str]:
-    """The folders and processes of plays that exist now, without those already known."""
+    """Return the folders and processes of plays that exist now, except those in `known`."""
     found = {str(path) for path in Path("/tmp").glob("fleetlab-*")}
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         try:
@@ -47,7 +47,7 @@
 
 
 def rules_broken_by(fault: str) -> dict[str, int]:
-    """The rules that a gateway with this fault breaks in a short play, with the number of breaches."""
+    """Return the rules that a gateway with this fault breaks in a short play, with the breach counts."""
     name = "limits" if fault == "log" else fault
     day = Day.model_validate(
         {
@@ -63,6 +63,7 @@
 
 
 def test_each_rule_reports_the_door_that_breaks_it_and_no_other_rule_does() -> None:
+    """Plays against gateways with one deliberate fault each break the rule of that fault and no other."""
     faults = ["", *RULES, "log"]
     with ThreadPoolExecutor(CONCURRENT_PLAYS) as pool:
         found = dict(zip(faults, pool.map(rules_broken_by, faults), strict=True))
@@ -71,6 +72,7 @@
 
 
 def test_a_play_with_real_gateways_breaks_no_rule_and_leaves_no_process_or_folder(tmp_path: Path) -> None:
+    """A day with crashes passes all rules, writes figures and report, and cleans up."""
     before, path = leftovers(set()), tmp_path / "out.json"
     done = subprocess.run(
         [*COMMAND, "run", "crash", "--for", "8", "--servers", "6", "--seed", "4", "--json", str(path),
@@ -90,6 +92,7 @@
 
 @pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGINT])
 def test_an_interrupted_or_killed_command_leaves_no_process_or_folder(signal_number: int) -> None:
+    """SIGINT ends the play with a result, and SIGKILL without one; both clean up within 30 s."""
     before = leftovers(set())
     command = subprocess.Popen(
         [*COMMAND, "up", "--doors", "2", "--servers", "3"], stderr=subprocess.PIPE, stdout=subprocess.PIPE
@@ -113,6 +116,7 @@
 
 
 def test_invalid_commands_exit_with_status_2_and_the_reason(tmp_path: Path) -> None:
+    """The reason names the key, the file or the git command at fault."""
     path = tmp_path / "day.toml"
     path.write_text('about = "x"\nload = -1\n')
     for arguments, expected in (
@@ -125,6 +129,7 @@
 
 
 def test_a_gateway_that_does_not_become_ready_is_reported_with_the_end_of_its_log() -> None:
+    """The error contains the last lines that the gateway wrote to its log."""
     day = Day.model_validate({"about": "x", "length_s": 1, "doors": 1, "servers": 1, "allow": {"ready_s": 1}})
     with pytest.raises(Exception, match=r"did not become ready: .*SystemExit: no"):
         play(day, 1, "x", (sys.executable, "-c", "raise SystemExit('SystemExit: no')"), quiet=True)
