--- a/tests/cut_history.py
+++ b/tests/call_history.py
@@ -11,7 +11,7 @@
 from hazelspring.consensus.control_state import ControlState
 from hazelspring.consensus.proposal import Proposal, ProposalKind, ProposalOutcome
 
-from .control_rules import unread
+from .control_invariants import unread
 
 NEVER = float("inf")
 PUT, READ, CLOSE, OPEN, STATUS, KEYED = "put", "read", "close", "open", "status", "keyed"
--- a/tests/chaos.py
+++ b/tests/chaos.py
@@ -13,7 +13,7 @@
 from hazelspring.consensus.control_state import ControlState
 
 from .chaos_days import Schedule, Step
-from .chaos_rules import ROLES, CheckedWorld
+from .cluster_invariants import ROLES, CheckedWorld
 from .world import SYNC, Disk
 
 CATCH_UP = 4.5  # seconds for which a machine still counts as unavailable after it is back
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -29,8 +29,8 @@
 from hazelspring.node.actions import Action, Save, Send
 from hazelspring.node.sent_request import NOT_SENT
 
+from .control_invariants import Disk, chain, check_configurations, check_evacuations, copies, unread
 from .control_node import NEVER, Event, ModelNode, consensus_message, is_obsolete, without_duplicates
-from .control_rules import Disk, chain, check_configurations, check_evacuations, copies, unread
 
 T = TypeVar("T")
 TIMING_MESSAGES = (Rejected, RoundEnded)  # messages that affect only the time at which rounds begin
--- a/tests/test_bringing.py
+++ b/tests/test_configuration_transfer.py
@@ -34,7 +34,7 @@
 from hazelspring.node.messages import Message
 from hazelspring.node.node import Node
 
-from .test_word_property import KINDS, play
+from .test_loss_schedules import KINDS, play
 from .world import Call, World
 
 
--- a/tests/test_recovery_command.py
+++ b/tests/test_recovery_command.py
@@ -17,7 +17,7 @@
 from hazelspring.storage.offline import inspect_store, item_checksum
 from hazelspring.storage.replica_store import ReplicaStore, StoreError
 
-from .test_rescue import BODY, COMPRESSED_BODY, MEMBERS, acceptor_with_pending_state
+from .test_disaster_recovery import BODY, COMPRESSED_BODY, MEMBERS, acceptor_with_pending_state
 
 
 def format_1(folder: Path, name: str, items: LegacyItems) -> None:
--- a/tests/test_control_cut.py
+++ b/tests/test_unreachable_nodes.py
@@ -25,8 +25,8 @@
 from hazelspring.localfleet.stand_ins import StandIns
 from hazelspring.storage.replica_store import ReplicaStore
 
-from .control_rules import Disk, chain, copies
-from .cut_history import CLOSE, KEYED, OPEN, PUT, READ, STATUS, Call, History
+from .call_history import CLOSE, KEYED, OPEN, PUT, READ, STATUS, Call, History
+from .control_invariants import Disk, chain, copies
 
 CUT_TIME = 20.0  # seconds
 REVOCATION, EVACUATION = 5.0, 5.0  # seconds: the users' `revocationMs` and `evacuationMs`
