--- a/hazelspring/leases/lease_granter.py
+++ b/hazelspring/leases/lease_granter.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, now: float, first: bool) -> None:
-        self.silent_until = now if first else now + LEASE_TERM
+        self.grants_from = now if first else now + LEASE_TERM
         self.grants: dict[str, Grant] = {}  # by role
 
     def request(self, now: float, role: str, who: NodeIdentity, requested_at: float) -> bool:
@@ -40,7 +40,7 @@
 
         `requested_at` is the time on the requester's clock at which the request was sent.
         """
-        if now < self.silent_until:
+        if now < self.grants_from:
             return False
         grant = self.grants.get(role)
         if grant is not None and grant.holder != who and now < grant.expires_at:
@@ -71,9 +71,9 @@
 
         `relied_on` maps each other member of the core to the roles whose leases it still relies on.
         """
-        if now >= self.silent_until:
+        if now >= self.grants_from:
             return
-        self.silent_until = now
+        self.grants_from = now
         for who, roles in relied_on.items():
             for role in roles:
                 self.grants[str(role)] = Grant(who, now + LEASE_TERM)
--- a/hazelspring/leases/singleton_roles.py
+++ b/hazelspring/leases/singleton_roles.py
@@ -152,9 +152,11 @@
             peer.declined_roles |= frozenset(roles)
 
     def can_hold(self, now: float, ip: str) -> bool:
-        """Return whether a core node can hold a role: alive, with a member's disk, and not leaving."""
+        """Return whether a core node can hold a role: alive, with a member's disk, and not shutting down."""
         return (
-            self.peers.is_alive(now, ip) and self.peers.holds_membership(ip) and not self.peers.is_leaving(ip)
+            self.peers.is_alive(now, ip)
+            and self.peers.has_member_disk(ip)
+            and not self.peers.is_shutting_down(ip)
         )
 
     def update_requests(self, now: float, settled: bool) -> list[int]:
@@ -226,7 +228,7 @@
         self.granter.restore(now, relied_on)
 
     def release_all(self, now: float) -> list[int]:
-        """Release all roles permanently, as this node is leaving; return those that it held."""
+        """Release all roles permanently, as this node shuts down; return those that it held."""
         held = [role for role in range(self.role_count) if self.held_until(role) > now]
         self.has_left = True
         self.leases.clear()
@@ -234,7 +236,7 @@
         return held
 
     def on_released(self, who: NodeIdentity, roles: list[int]) -> None:
-        """Handle the release of a leaving holder's roles: end its leases and drop reports that name it."""
+        """Handle the release of roles by a node that shuts down: end its leases, drop reports that name it."""
         for role in roles:
             self.granter.release(str(role), who)
         for peer in self.peers.peers.values():
@@ -243,4 +245,4 @@
             }
         leaver = self.peers.peers.get(who.address)
         if leaver is not None and leaver.info.incarnation == who.incarnation:
-            leaver.leaving = True
+            leaver.is_shutting_down = True
--- a/hazelspring/membership/peer_table.py
+++ b/hazelspring/membership/peer_table.py
@@ -49,18 +49,18 @@
         return (
             known is not None
             and info.incarnation < known.info.incarnation
-            and now - known.heard_at < LEASE_TERM
+            and now - known.last_message_at < LEASE_TERM
         )
 
-    def last_heard_at(self, ip: str) -> float:
+    def last_message_time(self, ip: str) -> float:
         """Return when the last message from a node arrived; NEVER if none did."""
         peer = self.peers.get(ip)
-        return peer.heard_at if peer is not None else NEVER
+        return peer.last_message_at if peer is not None else NEVER
 
     def is_alive(self, now: float, ip: str) -> bool:
         """Return whether a message from a node arrived within ALIVE_TIMEOUT; this node is always alive."""
         peer = self.peers.get(ip)
-        return ip == self.me.ip or (peer is not None and now - peer.heard_at < ALIVE_TIMEOUT)
+        return ip == self.me.ip or (peer is not None and now - peer.last_message_at < ALIVE_TIMEOUT)
 
     def alive_or_all(self, now: float, ips: list[str]) -> list[str]:
         """Return the nodes of `ips` that are alive, in the same order, or all of them if none is alive."""
@@ -68,12 +68,12 @@
 
     def is_member_alive(self, now: float, member: Member) -> bool:
         """Return whether a message arrived within ALIVE_TIMEOUT from a member running on its own disk."""
-        return self.peer_of(member) is not None and now - self.last_heard_at(member.ip) < ALIVE_TIMEOUT
+        return self.peer_of(member) is not None and now - self.last_message_time(member.ip) < ALIVE_TIMEOUT
 
-    def is_leaving(self, ip: str) -> bool:
-        """Return whether another node has announced that it is leaving."""
+    def is_shutting_down(self, ip: str) -> bool:
+        """Return whether another node has announced that it is shutting down."""
         peer = self.peers.get(ip)
-        return peer is not None and peer.leaving
+        return peer is not None and peer.is_shutting_down
 
     def peer_of(self, member: Member) -> Peer | None:
         """Return the record of the other node that runs on a member's disk, or None if there is none.
@@ -162,7 +162,7 @@
         """Return the discovered nodes with a disk, sorted in an order that is the same on every node."""
         return self._core.known_disk_nodes()
 
-    def holds_membership(self, ip: str) -> bool:
+    def has_member_disk(self, ip: str) -> bool:
         """Return whether the disk that is currently at an address is a member's."""
         if ip == self.me.ip:
             return self._core.is_member(ip, self.me.disk_id)
--- a/hazelspring/membership/roster_builder.py
+++ b/hazelspring/membership/roster_builder.py
@@ -14,11 +14,11 @@
 
 @dataclass(slots=True)
 class RosterEntry:
-    """A node that sends heartbeats here; the last arrived at `heard_at` (seconds of the steady clock)."""
+    """A node that sends heartbeats here; the last arrived at `last_heartbeat_at` (seconds, steady clock)."""
 
     info: NodeInfo
     ready: bool
-    heard_at: float
+    last_heartbeat_at: float
 
 
 class RosterBuilder:
@@ -76,10 +76,12 @@
         if now <= self._next_expiry_at:
             return
         expired = [
-            ip for ip, entry in self.entries.items() if now - entry.heard_at > self._timeout(entry.info)
+            ip
+            for ip, entry in self.entries.items()
+            if now - entry.last_heartbeat_at > self._timeout(entry.info)
         ]
         for ip in expired:
             del self.entries[ip]
         self._changed_addresses.update(expired)
-        ends = (entry.heard_at + self._timeout(entry.info) for entry in self.entries.values())
+        ends = (entry.last_heartbeat_at + self._timeout(entry.info) for entry in self.entries.values())
         self._next_expiry_at = min(ends, default=now) - EXPIRY_CHECK_MARGIN
--- a/hazelspring/node/codec_node.py
+++ b/hazelspring/node/codec_node.py
@@ -45,7 +45,7 @@
         fields["a"] = message.sender.encode()
     if message.requested_roles is not None:
         fields["w"] = message.requested_roles
-    if message.grants_nothing:
+    if message.is_not_granting_leases:
         fields["q"] = 1
     if message.roster_checksum is not None:
         fields["s"] = message.roster_checksum
@@ -122,7 +122,7 @@
     fields: Fields = {"k": "echo", "l": message.incarnation, "t": message.number}
     if message.sender is not None:
         fields["a"] = message.sender.encode()
-    if message.asks_identity:
+    if message.requests_identity:
         fields["y"] = 1
     if message.relied_on_roles is not None:
         fields["p"] = message.relied_on_roles
--- a/hazelspring/node/control_replica.py
+++ b/hazelspring/node/control_replica.py
@@ -199,8 +199,8 @@
         self.proposer.submit(proposal)
         return self.advance(now)
 
-    def proceed(self, now: float) -> list[Action]:
-        """Advance after a report from another node, as the report may settle a proposal."""
+    def on_peer_report(self, now: float) -> list[Action]:
+        """Advance after a report from another node, as it may settle a proposal."""
         self.actions = []
         return self.advance(now)
 
--- a/hazelspring/node/heartbeats.py
+++ b/hazelspring/node/heartbeats.py
@@ -174,9 +174,9 @@
             ready,
             self.peers.core_checksum(),
             known,
-            sender=me if peer is None or not peer.knows_me else None,
+            sender=me if peer is None or not peer.knows_this_node else None,
             requested_roles=requested_roles if may_request_roles else None,
-            grants_nothing=may_request_roles and now < self.roles.granter.silent_until,
+            is_not_granting_leases=may_request_roles and now < self.roles.granter.grants_from,
             roster_checksum=self.peers.roster_checksum if requests_roster else None,
         )
 
@@ -197,7 +197,7 @@
         others = self.peers.other_core_nodes()
         responsive = [ip for ip in others if self.is_responsive(now, ip)]
         settled = [
-            ip for ip in responsive if now - self.peers.peers[ip].first_heard_at > ROSTER_SETTLING_TIME
+            ip for ip in responsive if now - self.peers.peers[ip].first_message_at > ROSTER_SETTLING_TIME
         ]
         return next(iter(settled or responsive or others), None)
 
@@ -223,10 +223,10 @@
         introduces = message.sender is not None or now - self.started_at < INTRODUCTION_TIME
         sender = me if introduces else None
         if info is None:
-            return HeartbeatReply(me.incarnation, message.number, sender, asks_identity=True)
+            return HeartbeatReply(me.incarnation, message.number, sender, requests_identity=True)
         relied_on, granted = None, None
         if self.control.is_member():
-            if message.grants_nothing:
+            if message.is_not_granting_leases:
                 relied_on = self.roles.disclaim_previous(now, info.identity())
             granted = self.grant_roles(now, info, message)
         list_age = self.freshness.encode_age(now)
@@ -295,9 +295,9 @@
         `sent_at` is when the heartbeat was sent, in seconds.
         """
         peer = self.peers.peer(info)
-        peer.on_heard(now)
-        peer.knows_me = not message.asks_identity
-        if not peer.knows_me or sent_at < peer.latest_request_at:
+        peer.on_message_received(now)
+        peer.knows_this_node = not message.requests_identity
+        if not peer.knows_this_node or sent_at < peer.latest_request_at:
             # The reply reports nothing about its sender, or the reply to a later heartbeat arrived before
             # this one.
             return peer
@@ -320,7 +320,7 @@
         for role in message.granted_roles or ():
             self.roles.on_granted(role, info.ip, sent_at, info.incarnation)
         self.apply_roster(message)
-        if sent.requests_roster and self.peers.holds_membership(info.ip):
+        if sent.requests_roster and self.peers.has_member_disk(info.ip):
             self.peers.roster_confirmed_at = max(self.peers.roster_confirmed_at, sent_at)
         return peer
 
--- a/hazelspring/node/invariants.py
+++ b/hazelspring/node/invariants.py
@@ -134,7 +134,7 @@
         responsive = tuple(
             (ip, self._incarnation(ip))
             for ip in core
-            if self.heartbeats.is_responsive(now, ip) and self.peers.holds_membership(ip)
+            if self.heartbeats.is_responsive(now, ip) and self.peers.has_member_disk(ip)
         )
         superseded = self.heartbeats.control.acceptor.is_superseded()  # by a manually recovered core
         has_majority = self.peers.core_agreed and not superseded and len(responsive) > len(core) // 2
--- a/hazelspring/node/messages.py
+++ b/hazelspring/node/messages.py
@@ -25,7 +25,7 @@
     sender: NodeInfo | None = None  # included if the recipient may not know the sender
     requested_roles: list[int] | None = None  # None from nodes that take no singleton role
     # The sender is a new member that grants no leases yet, as it may have granted some before its restart.
-    grants_nothing: bool = False
+    is_not_granting_leases: bool = False
     # Included if the reply is to contain the roster when the roster's checksum differs from this one.
     roster_checksum: int | None = None
 
@@ -59,7 +59,7 @@
     incarnation: int
     number: int
     sender: NodeInfo | None = None
-    asks_identity: bool = False  # the replying node does not know the sender of the heartbeat
+    requests_identity: bool = False  # the replying node does not know the sender of the heartbeat
     # Roles that the sender holds by leases granted by an earlier incarnation of the recipient.
     relied_on_roles: list[int] | None = None
     granted_roles: list[int] | None = None
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -244,7 +244,7 @@
                 self.roles.on_members_changed(now, follows, len(self.members), len(state.members))
             self.members = state.members
         if is_member and not self.was_member and not self.first_start:
-            self.roles.granter.silent_until = max(self.roles.granter.silent_until, now + LEASE_TERM)
+            self.roles.granter.grants_from = max(self.roles.granter.grants_from, now + LEASE_TERM)
         self.was_member = is_member
 
     def requested_roles(self, now: float) -> list[int]:
@@ -307,7 +307,7 @@
     def drain(self, now: float) -> list[Action]:
         """Begin a graceful shutdown: release this node's roles, so that others can take them immediately."""
         self.actions = []
-        self.control.reconfiguration.leaving = True
+        self.control.reconfiguration.is_shutting_down = True
         message = RolesReleased(self.me, self.roles.release_all(now))
         self.actions += [Send(ip, message) for ip in self.peers.other_core_nodes()]
         return self.actions
@@ -344,8 +344,8 @@
         return actions
 
     def lease_credits(self, now: float, tenant: str, number: int, units: float) -> list[Action]:
-        """Request units of a tenant's quota from its counter; see `QuotaCalls.lease`."""
-        return self.quota_calls.lease(now, tenant, number, units)
+        """Request units of a tenant's quota from its counter; see `QuotaCalls.request_credits`."""
+        return self.quota_calls.request_credits(now, tenant, number, units)
 
     def on_message(self, now: float, source: str, message: Message) -> list[Action]:
         """Handle a message from another node."""
@@ -377,7 +377,7 @@
                 self.actions += self.control.on_message(now, source, message)
                 self.check_membership(now)
                 return self.actions
-        self.actions += self.control.proceed(now)
+        self.actions += self.control.on_peer_report(now)
         self.check_membership(now)
         return self.actions
 
@@ -424,14 +424,14 @@
         sender = self.heartbeats.sender_of(source, message)
         if sender is None:  # a new incarnation: the next heartbeat and its reply exchange the identities
             if (peer := self.peers.peers.get(source)) is not None:
-                peer.knows_me = False
+                peer.knows_this_node = False
             return
         sent_at = self.heartbeats.request_sent_at(message.number)
         if self.peers.is_stale(now, sender) or sent_at is None:
             self.count_dropped(message)
             return
         self.peers.observe(now, sender)
-        if not self.heartbeats.on_reply(now, sender, message, sent_at).knows_me:
+        if not self.heartbeats.on_reply(now, sender, message, sent_at).knows_this_node:
             self.send_heartbeat(now, source)
         for member in message.core_nodes or ():
             self.peers.observe(now, member)
@@ -441,8 +441,8 @@
         if message.incarnation != self.me.incarnation:
             self.count_dropped(message)  # its number may be the same as that of a call by this incarnation
             return
-        lifetime, granted_part = message.lifetime_ms / 1000, message.granted_percent / 100
-        granted = CreditsGranted(message.tenant, message.number, message.units, lifetime, granted_part)
+        lifetime, granted_fraction = message.lifetime_ms / 1000, message.granted_percent / 100
+        granted = CreditsGranted(message.tenant, message.number, message.units, lifetime, granted_fraction)
         self.actions.append(granted)
 
     def on_counter_unavailable(self, message: CounterUnavailableNotice) -> None:
--- a/hazelspring/node/quota_calls.py
+++ b/hazelspring/node/quota_calls.py
@@ -35,7 +35,7 @@
         self.me, self.roles, self.load_reporter = me, roles, load_reporter
         self.counter, self.tenant_limit = counter, limit
 
-    def lease(self, now: float, tenant: str, number: int, units: float) -> list[Action]:
+    def request_credits(self, now: float, tenant: str, number: int, units: float) -> list[Action]:
         """Request units of a tenant's quota from its counter; a negative number of units returns them.
 
         The request is sent to the holder of the counter's role.  If no other node holds it, this node serves
@@ -79,6 +79,6 @@
             granted.number,
             int(granted.units),
             int(1000 * granted.lifetime),
-            int(100 * granted.granted_part),
+            int(100 * granted.granted_fraction),
         )
         return [Send(source, grant)]
--- a/hazelspring/node/reconfiguration.py
+++ b/hazelspring/node/reconfiguration.py
@@ -44,7 +44,7 @@
         The earliest time at which a disk that was retired proposes to join.
     member_known_at
         The time at which this node learned that each member is one.
-    leaving
+    is_shutting_down
         Whether this node is shutting down, so that it no longer proposes to join the core.
     was_member
         Whether this disk has been a member since the process started.
@@ -65,7 +65,7 @@
             self.pending_since = now - UNDECIDED_TIMEOUT
         self.rejoin_at = NEVER
         self.member_known_at: dict[Member, float] = {}
-        self.leaving = False
+        self.is_shutting_down = False
         self.was_member = False
 
     @property
@@ -120,7 +120,7 @@
 
     def _propose_join(self, now: float) -> None:
         """Propose to join; at the first start, a disk that appears after the bootstrap enlarges the core."""
-        if not self.acceptor.disk_id or self.leaving or now < self.rejoin_at:
+        if not self.acceptor.disk_id or self.is_shutting_down or now < self.rejoin_at:
             return
         grows_core = self.first_start and not self.was_member
         self._propose(Proposal(0, now, ProposalKind.JOIN, member=self.me, grows_core=grows_core))
@@ -136,7 +136,7 @@
             if self._count_unresponsive_reports(state, member) > len(state.members) // 2
         ]
         if retirable:
-            longest_silent = min(retirable, key=lambda member: (self._last_heard_at(member), member.ip))
+            longest_silent = min(retirable, key=lambda member: (self._last_message_time(member), member.ip))
             self._propose(Proposal(0, now, ProposalKind.RETIRE, member=longest_silent))
 
     def _count_unresponsive_reports(self, state: ControlState, member: Member) -> int:
@@ -159,13 +159,13 @@
             for member in state.members
             if member.ip != me
             # The cheaper check comes first, as most members are responsive.
-            and now - self.peers.last_heard_at(member.ip) > timeout
-            and now - self._last_heard_at(member) > timeout
+            and now - self.peers.last_message_time(member.ip) > timeout
+            and now - self._last_message_time(member) > timeout
         ]
 
-    def _last_heard_at(self, member: Member) -> float:
+    def _last_message_time(self, member: Member) -> float:
         """Return when a member's last message arrived, or when it became known as a member if later."""
-        return max(self.peers.last_heard_at(member.ip), self.member_known_at.get(member, self.started_at))
+        return max(self.peers.last_message_time(member.ip), self.member_known_at.get(member, self.started_at))
 
     def on_members_changed(self, now: float, previous: ControlState | None) -> None:
         """Record new members; if this node's disk was retired, delay its next proposal to join.
--- a/hazelspring/quota/counter.py
+++ b/hazelspring/quota/counter.py
@@ -20,7 +20,7 @@
     lifetime: float
     """Seconds for which the credits may be spent."""
 
-    granted_part: float
+    granted_fraction: float
     """Fraction of the window's limit that has been granted to all callers."""
 
 
--- a/hazelspring/quota/credit_lease.py
+++ b/hazelspring/quota/credit_lease.py
@@ -36,7 +36,7 @@
     served: float = 0.0
     """Requests admitted with a credit in this window."""
 
-    granted_part: float = 0.0
+    granted_fraction: float = 0.0
     """Fraction of the window's limit that is granted to all nodes, by the counter's last reply."""
 
     denied_until: float = 0.0
@@ -70,13 +70,13 @@
             self.log_batch_size,
             self.squared_gradient_sum,
             self.served,
-            self.granted_part,
+            self.granted_fraction,
             CALL_COST,
             max(1.0, self.limit),
         )
         self.credits = 0.0
         self.served = 0.0
-        self.granted_part = 0.0
+        self.granted_fraction = 0.0
         self.expires_at = end
 
     def begin_call(self, now: float, number: int) -> None:
--- a/hazelspring/quota/credits.py
+++ b/hazelspring/quota/credits.py
@@ -37,7 +37,7 @@
 class CreditsGranted:
     """The counter's reply to a call.
 
-    ``units`` credits may be spent for ``lifetime`` seconds from the call on; ``granted_part`` is the
+    ``units`` credits may be spent for ``lifetime`` seconds from the call on; ``granted_fraction`` is the
     fraction of the window's limit that is granted to all nodes.
     """
 
@@ -45,7 +45,7 @@
     number: int
     units: float
     lifetime: float
-    granted_part: float
+    granted_fraction: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -146,7 +146,7 @@
             return
         self.roll_window(now, lease)
         lease.call_in_flight = NO_CALL
-        lease.granted_part = answer.granted_part
+        lease.granted_fraction = answer.granted_fraction
         window_end = lease.requested_at + answer.lifetime
         if now < window_end:
             lease.credits += answer.units
@@ -213,6 +213,6 @@
 
     def give_back_if_contended(self, lease: CreditLease) -> None:
         """Give the credits back if the tenant's quota is contended, so that other nodes may use them."""
-        if lease.granted_part >= CONTENDED_FRACTION:
+        if lease.granted_fraction >= CONTENDED_FRACTION:
             self.calls.append(CounterCall(lease.tenant, self.next_call_number(), -lease.credits))
             lease.credits = 0.0
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -217,7 +217,7 @@
                 return None
             proposer.back_off(node.now)
             proposer.highest_count, proposer.backoff_until = action - 1, -1e9
-            actions = node.proceed(node.now)
+            actions = node.on_peer_report(node.now)
             return self.complete_step(node, actions) if proposer.round is not None else None
         if isinstance(action, str):  # learn that another node has a newer state
             if old.acceptor.state is not None:
@@ -245,13 +245,13 @@
                 return None
             actions = node.on_saved(node.now, node.saves.save_number, False)
             node.saves.has_failed = False  # as the next tick does
-            return self.complete_step(node, [*actions, *node.proceed(node.now)])
+            return self.complete_step(node, [*actions, *node.on_peer_report(node.now)])
         wiped = event.kind == "wipe"
         node_info = replace(
             me, incarnation=me.incarnation + 1, disk_id=me.disk_id + 10 if wiped else me.disk_id
         )
         new = ModelNode(node_info, {} if wiped else dict(old.records), old.first and not wiped, [])
-        return self.complete_step(new, new.proceed(new.now))
+        return self.complete_step(new, new.on_peer_report(new.now))
 
     def effects(self, node_number: int, messages: int) -> tuple[int, int]:
         """Return the messages that change a node or end a proposal there, and all messages with an effect.
@@ -358,7 +358,7 @@
         numbers: list[int] = []
         sent = decided = 0
         for node in self.case.nodes:
-            node.proceed(node.now)
+            node.on_peer_report(node.now)
             number, new_messages, newly_decided, _ = self.complete_step(node, self.save(node))
             numbers, sent, decided = [*numbers, number], sent | new_messages, decided | newly_decided
         initial: GlobalState = (
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -172,7 +172,7 @@
     core = world.machines["d1"].core
     assert core is not None and core.control.proposer.round is not None
     core.control.proposer.proposals.clear()  # as if reports of other nodes had settled the proposal
-    world.actions("d1", core.control.proceed(world.now))
+    world.actions("d1", core.control.on_peer_report(world.now))
     world.run(0.08)
     for name in ("d1", "d2", "d3", "d4"):
         member = world.machines[name].core
--- a/tests/test_role_leases.py
+++ b/tests/test_role_leases.py
@@ -23,7 +23,7 @@
     peers = PeerTable(infos[0], 0.0)
     for info in infos[1:]:
         peers.observe(0.0, info)
-        peers.peer(info).heard_at = 10.0
+        peers.peer(info).last_message_at = 10.0
     return SingletonRoles(peers, 0.0, first=True, count=12)
 
 
