--- a/hazelspring/consensus/acceptor.py
+++ b/hazelspring/consensus/acceptor.py
@@ -27,7 +27,7 @@
     DeltaPath,
     DeltaStep,
     FullConfiguration,
-    HeldConfiguration,
+    KnownConfiguration,
 )
 
 # Prefix of the names of records that hold a configuration's bytes; the digest in hexadecimal follows it.
@@ -136,7 +136,7 @@
             self.dirty_records.add("vote")
         return True
 
-    def accept(self, ballot: Ballot, state: ControlState, packed: bytes | None = None) -> bool:
+    def accept(self, ballot: Ballot, state: ControlState, compressed: bytes | None = None) -> bool:
         """Accept a state at a ballot; return False where a higher ballot is promised.
 
         The vote and the configuration must be on disk before the acceptance is sent.  A repeated request at
@@ -144,24 +144,24 @@
 
         Parameters
         ----------
-        packed
+        compressed
             The compressed configuration that came with the state, if any.
 
         Raises
         ------
         MissingConfigurationError
-            The state's configuration is not held here, and `packed` is None.  Nothing has changed then.
+            The state's configuration is not held here, and `compressed` is None.  Nothing has changed then.
         """
         if ballot < self.promised:
             return False
-        self.keep_configuration(state, packed)
+        self.keep_configuration(state, compressed)
         if self.accepted is None or self.accepted[0] != ballot:
             self.promised, self.accepted = ballot, (ballot, state)
             self.dirty_records.add("vote")
         self.prune_configurations()
         return True
 
-    def learn(self, ballot: Ballot, state: ControlState, packed: bytes | None = None) -> bool:
+    def learn(self, ballot: Ballot, state: ControlState, compressed: bytes | None = None) -> bool:
         """Learn that a state was decided at a ballot; return whether it is newer than the one known here.
 
         A state of a lineage below the highest one known is not learned.  A decision at a ballot above the accepted
@@ -170,17 +170,17 @@
 
         Parameters
         ----------
-        packed
+        compressed
             The compressed configuration that came with the state, if any.
 
         Raises
         ------
         MissingConfigurationError
-            The state's configuration is not held here, and `packed` is None.  Nothing has changed then.
+            The state's configuration is not held here, and `compressed` is None.  Nothing has changed then.
         """
         if state.version <= self.version or lineage(state.version) < self.highest_lineage:
             return False
-        self.keep_configuration(state, packed)
+        self.keep_configuration(state, compressed)
         if self.state is not None:
             self.compute_delta(
                 self.state.configuration_digest,
@@ -198,22 +198,22 @@
         self.prune_configurations()
         return True
 
-    def keep_configuration(self, state: ControlState, packed: bytes | None) -> None:
+    def keep_configuration(self, state: ControlState, compressed: bytes | None) -> None:
         """Keep the configuration that a state names, and mark its record as dirty.
 
         Raises
         ------
         MissingConfigurationError
-            The configuration is not held here, and `packed` is None.
+            The configuration is not held here, and `compressed` is None.
         """
         if (
             state.configuration_digest == NO_CONFIGURATION
             or state.configuration_digest in self.configurations
         ):
             return
-        if packed is None:
+        if compressed is None:
             raise MissingConfigurationError(f"configuration {state.configuration_version} is not held here")
-        self.configurations[state.configuration_digest] = packed
+        self.configurations[state.configuration_digest] = compressed
         self.dirty_records.add(CONFIGURATION_RECORD_PREFIX + state.configuration_digest.hex())
 
     def prune_configurations(self) -> None:
@@ -223,39 +223,39 @@
             del self.configurations[digest]
             self.dirty_records.add(CONFIGURATION_RECORD_PREFIX + digest.hex())
 
-    def compute_delta(self, base: bytes, digest: bytes, packed: bytes | None) -> None:
+    def compute_delta(self, base: bytes, digest: bytes, compressed: bytes | None) -> None:
         """Compute and keep the delta from a configuration that is held here to another one.
 
-        Nothing is done where a delta to the other one is kept already, its bytes are unknown (`packed` is None), or
+        Nothing is done where a delta to the other one is kept already, its bytes are unknown (`compressed` is None), or
         no delta can be made.
         """
-        if packed is None or digest in self.deltas or base == digest or base not in self.configurations:
+        if compressed is None or digest in self.deltas or base == digest or base not in self.configurations:
             return
         with contextlib.suppress(DeltaError):
-            self.keep_delta(base, digest, make_delta(self.configurations[base], packed), packed)
+            self.keep_delta(base, digest, make_delta(self.configurations[base], compressed), compressed)
 
-    def keep_delta(self, base: bytes, digest: bytes, delta: bytes, packed: bytes) -> None:
+    def keep_delta(self, base: bytes, digest: bytes, delta: bytes, compressed: bytes) -> None:
         """Keep a delta, and remove the oldest ones where a path of all deltas would not be worth sending.
 
         At most `MAX_CHAINED_DELTAS` are kept.  Together they are no larger than the complete configuration
-        `packed` that they lead to, nor than `MAX_KEPT_DELTA_BYTES`.
+        `compressed` that they lead to, nor than `MAX_KEPT_DELTA_BYTES`.
         """
         self.deltas.pop(digest, None)
         self.deltas[digest] = (base, delta)
-        left = min(MAX_KEPT_DELTA_BYTES, len(packed))
+        left = min(MAX_KEPT_DELTA_BYTES, len(compressed))
         for n, old in enumerate(reversed(list(self.deltas))):
             left -= len(self.deltas[old][1])
             if left < 0 or n >= MAX_CHAINED_DELTAS:
                 del self.deltas[old]
 
-    def configuration_payload(self, digest: bytes, held: HeldConfiguration) -> ConfigurationPayload:
+    def configuration_payload(self, digest: bytes, known: KnownConfiguration) -> ConfigurationPayload:
         """Return the payload by which a node receives a configuration that is held here.
 
         The payload is a path of deltas from the configuration that the node holds, where the node accepts
         deltas and the path is smaller than the complete configuration.  Otherwise it is the complete
         configuration.
         """
-        bases = [held.digest] if held.accepts_deltas else []
+        bases = [known.digest] if known.accepts_deltas else []
         path = self.delta_path(bases, digest, self.configurations[digest])
         return FullConfiguration(self.configurations[digest]) if path is None else path
 
@@ -266,28 +266,28 @@
         consists of deltas to a configuration that is held here already.
         """
         if isinstance(payload, FullConfiguration):
-            return payload.packed
+            return payload.compressed
         if payload is None or digest in self.configurations:
             return None
         return self.follow_delta_path(payload, digest)
 
-    def delta_path(self, holds: Iterable[bytes], digest: bytes, packed: bytes) -> DeltaPath | None:
+    def delta_path(self, holds: Iterable[bytes], digest: bytes, compressed: bytes) -> DeltaPath | None:
         """Return the deltas that lead from one of the configurations a node holds to another one.
 
         The result is None where the kept deltas do not reach back to a configuration that the node holds, or
-        where the complete configuration `packed` is small (`MIN_BYTES_FOR_DELTA`) or no larger than the
+        where the complete configuration `compressed` is small (`MIN_BYTES_FOR_DELTA`) or no larger than the
         deltas with their digests.
         """
-        if len(packed) <= MIN_BYTES_FOR_DELTA:
+        if len(compressed) <= MIN_BYTES_FOR_DELTA:
             return None
-        held, steps, left, at = set(holds) - {NO_CONFIGURATION}, list[DeltaStep](), len(packed), digest
-        while at not in held and at in self.deltas and len(steps) < MAX_CHAINED_DELTAS:
+        known, steps, left, at = set(holds) - {NO_CONFIGURATION}, list[DeltaStep](), len(compressed), digest
+        while at not in known and at in self.deltas and len(steps) < MAX_CHAINED_DELTAS:
             before, delta = self.deltas[at]
             steps.insert(0, DeltaStep(at, delta))
             left, at = left - len(delta) - len(at), before
             if left <= 0:
                 return None
-        return DeltaPath(at, tuple(steps)) if at in held and steps else None
+        return DeltaPath(at, tuple(steps)) if at in known and steps else None
 
     def follow_delta_path(self, path: DeltaPath, digest: bytes) -> bytes | None:
         """Return the compressed configuration to which a path of deltas leads; None where it does not lead to `digest`.
@@ -298,14 +298,14 @@
         if base not in self.configurations or not steps or steps[-1].digest != digest:
             return None
         try:
-            packed = apply_deltas(self.configurations[base], [delta for _, delta in steps], digest)
+            compressed = apply_deltas(self.configurations[base], [delta for _, delta in steps], digest)
         except (DeltaError, ValueError, TypeError, LookupError):
             return None
         for at, delta in steps:
             if at not in self.deltas:
-                self.keep_delta(base, at, delta, packed)
+                self.keep_delta(base, at, delta, compressed)
             base = at
-        return packed
+        return compressed
 
     def take_dirty_records(self) -> dict[str, bytes | None]:
         """Return the records to be written, by name, and clear their dirty marks.
@@ -323,9 +323,9 @@
             elif name == "decided" and self.decided is not None:
                 found[name] = cbor2.dumps([list(self.decided[0]), self.decided[1].encode()])
             elif name.startswith(CONFIGURATION_RECORD_PREFIX):
-                packed = self.configurations.get(bytes.fromhex(name[len(CONFIGURATION_RECORD_PREFIX) :]))
-                if packed is not None or name in self.stored_records:
-                    found[name] = packed
+                compressed = self.configurations.get(bytes.fromhex(name[len(CONFIGURATION_RECORD_PREFIX) :]))
+                if compressed is not None or name in self.stored_records:
+                    found[name] = compressed
         self.dirty_records.clear()
         self.stored_records |= found.keys()
         self.stored_records -= {name for name, body in found.items() if body is None}
--- a/hazelspring/consensus/forwarding.py
+++ b/hazelspring/consensus/forwarding.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from hazelspring.consensus.control_state import ControlState
-from hazelspring.consensus.messages import HOLDS_NOTHING, ForwardedChange, HeldConfiguration
+from hazelspring.consensus.messages import KNOWS_NOTHING, ForwardedChange, KnownConfiguration
 from hazelspring.consensus.proposal import Proposal, ProposalKind
 
 # Seconds for which a node keeps a proposal that another node forwarded to it.
@@ -94,11 +94,11 @@
     proposals
         The forwarded proposals.
     waiting_nodes
-        The nodes that wait for the outcome of a round: by address, the configuration that the node holds.
+        The nodes that wait for the outcome of a round: by address, the configuration that the node knows.
     """
 
     proposals: list[ForwardedProposal] = field(default_factory=list)
-    waiting_nodes: dict[str, HeldConfiguration] = field(default_factory=dict)
+    waiting_nodes: dict[str, KnownConfiguration] = field(default_factory=dict)
 
     def add(self, now: float, source: str, base_version: int, changes: Iterable[ForwardedChange]) -> None:
         """Keep proposals forwarded by another node, and record that this other node waits for their outcome.
@@ -117,7 +117,7 @@
         changes
             The proposals.
         """
-        self.waiting_nodes.setdefault(source, HOLDS_NOTHING)
+        self.waiting_nodes.setdefault(source, KNOWS_NOTHING)
         for change in changes:
             proposal = ForwardedProposal(
                 0,
@@ -154,17 +154,17 @@
             and version < proposal.valid_from_version + VALID_VERSIONS
         ]
 
-    def pop_waiting(self, state: ControlState) -> list[tuple[str, HeldConfiguration]]:
+    def pop_waiting(self, state: ControlState) -> list[tuple[str, KnownConfiguration]]:
         """Return the nodes outside the core that wait for the state decided now, with the configurations they hold.
 
         The caller sends them that state; members get it from the proposer that decided it.  Afterwards only
         nodes whose proposals are not fulfilled yet are waiting.
         """
         due = [
-            (source, held) for source, held in self.waiting_nodes.items() if state.member_at(source) is None
+            (source, known) for source, known in self.waiting_nodes.items() if state.member_at(source) is None
         ]
         self.waiting_nodes = {
-            proposal.source: self.waiting_nodes.get(proposal.source, HOLDS_NOTHING)
+            proposal.source: self.waiting_nodes.get(proposal.source, KNOWS_NOTHING)
             for proposal in self.applicable(state)
         }
         return due
--- a/hazelspring/consensus/messages.py
+++ b/hazelspring/consensus/messages.py
@@ -19,13 +19,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HeldConfiguration:
-    """The configuration that the sender of a request holds.
+class KnownConfiguration:
+    """The configuration that the sender of a request knows already.
 
     Attributes
     ----------
     digest
-        The configuration's digest; ``NO_CONFIGURATION`` where the sender holds none.
+        The configuration's digest; ``NO_CONFIGURATION`` where the sender knows none.
     accepts_deltas
         Whether a newer configuration may be sent to it as a path of deltas from this one.
     """
@@ -34,7 +34,7 @@
     accepts_deltas: bool = False
 
 
-HOLDS_NOTHING = HeldConfiguration()
+KNOWS_NOTHING = KnownConfiguration()
 
 
 class DeltaStep(NamedTuple):
@@ -48,7 +48,7 @@
 class FullConfiguration:
     """A complete configuration, compressed."""
 
-    packed: bytes
+    compressed: bytes
 
 
 @dataclass(slots=True, frozen=True)
@@ -72,13 +72,13 @@
         The ballot of the proposer's round.
     base_version
         The version of the decided state from which the round starts.
-    held
-        The configuration that the proposer holds; the promise need not include it.
+    known
+        The configuration that the proposer knows; the promise need not include it.
     """
 
     ballot: Ballot
     base_version: int
-    held: HeldConfiguration
+    known: KnownConfiguration
 
 
 @dataclass(slots=True, frozen=True)
@@ -91,8 +91,8 @@
         The promised ballot.
     voter
         The disk that promises.
-    held_digests
-        Digests of the configurations that the member holds; an `Accept` need not include these.
+    known_digests
+        Digests of the configurations that the member knows; an `Accept` need not include these.
     accepted
         The state that the member accepted last; None where it has accepted none.
     payload
@@ -101,7 +101,7 @@
 
     ballot: Ballot
     voter: Voter
-    held_digests: tuple[bytes, ...]
+    known_digests: tuple[bytes, ...]
     accepted: AcceptedState | None
     payload: ConfigurationPayload | None = None
 
@@ -169,7 +169,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationMissing:
-    """Answers an `Accept` whose state's configuration the recipient neither holds nor could unpack."""
+    """Answers an `Accept` whose state's configuration the recipient neither holds nor could read from the payload."""
 
     ballot: Ballot
 
@@ -205,7 +205,7 @@
     """Requests the recipient's decided state where it is newer than the sender's, which is `version`."""
 
     version: int
-    held: HeldConfiguration
+    known: KnownConfiguration
 
 
 @dataclass(slots=True, frozen=True)
--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -27,7 +27,7 @@
     Accepted,
     ConfigurationPayload,
     FullConfiguration,
-    HeldConfiguration,
+    KnownConfiguration,
     OutgoingMessage,
     Prepare,
     Promise,
@@ -285,8 +285,8 @@
             current.deferred_by.discard(ip)
             message: Prepare | Accept
             if current.value is None:
-                held = HeldConfiguration(current.base.configuration_digest, not current.without_deltas)
-                message = Prepare(current.ballot, current.base.version, held)
+                known = KnownConfiguration(current.base.configuration_digest, not current.without_deltas)
+                message = Prepare(current.ballot, current.base.version, known)
             else:
                 payload = self.payload_to_send(now, ip, current, current.value, len(ips))
                 message = Accept(current.ballot, current.base.version, current.value, payload)
@@ -304,7 +304,7 @@
         """
         payload = self.payload_for(ip, value.configuration_digest, current)
         if isinstance(payload, FullConfiguration):
-            transfer_time = len(payload.packed) * recipients / LINK_BANDWIDTH
+            transfer_time = len(payload.compressed) * recipients / LINK_BANDWIDTH
             if now - current.payload_sent_at.get(ip, LONG_AGO) < max(RESEND_INTERVAL, transfer_time):
                 return None
             current.payload_sent_at[ip] = now
@@ -320,11 +320,11 @@
         holds = current.known_digests.get(ip, [current.base.configuration_digest])
         if digest == NO_CONFIGURATION or digest in holds:
             return None
-        packed = self.find_configuration(digest)
-        if packed is None:
+        compressed = self.find_configuration(digest)
+        if compressed is None:
             return None
-        path = self.acceptor.delta_path(holds, digest, packed) if ip != self.me[0] else None
-        return FullConfiguration(packed) if path is None else path
+        path = self.acceptor.delta_path(holds, digest, compressed) if ip != self.me[0] else None
+        return FullConfiguration(compressed) if path is None else path
 
     def find_configuration(self, digest: bytes) -> bytes | None:
         """Return the compressed configuration of a digest; None where it is unknown here.
@@ -341,7 +341,7 @@
             (proposal.configuration for proposal in known if proposal.configuration_digest == digest), None
         )
 
-    def on_promise(self, source: str, message: Promise, packed: bytes | None = None) -> None:
+    def on_promise(self, source: str, message: Promise, compressed: bytes | None = None) -> None:
         """Count a promise for the current round, and record the accepted state that it reports.
 
         A promise that arrives after its round was abandoned is answered by `RoundEnded`.
@@ -352,7 +352,7 @@
             The address of the member that promises.
         message
             The promise.
-        packed
+        compressed
             The compressed configuration received with it, of the state that the member accepted last.
         """
         current, accepted = self.round, message.accepted
@@ -360,9 +360,9 @@
             self.outbox.append(OutgoingMessage(source, RoundEnded(message.ballot)))
         if current is None or current.ballot != message.ballot or current.value is not None:
             return
-        current.promises[source], current.known_digests[source] = message.voter, list(message.held_digests)
-        if accepted is not None and packed is not None:
-            current.configurations[accepted.state.configuration_digest] = packed
+        current.promises[source], current.known_digests[source] = message.voter, list(message.known_digests)
+        if accepted is not None and compressed is not None:
+            current.configurations[accepted.state.configuration_digest] = compressed
         if accepted is not None and accepted.ballot > current.highest_accepted[0]:
             current.highest_accepted = accepted
 
@@ -380,13 +380,13 @@
         if target is not current.base and not self.can_reach_majority(now, current, target):
             return
         if target.configuration_digest != NO_CONFIGURATION:
-            packed = self.find_configuration(target.configuration_digest)
-            if packed is None:
+            compressed = self.find_configuration(target.configuration_digest)
+            if compressed is None:
                 return
             # The proposal that brought the configuration may end before the round does.
-            current.configurations[target.configuration_digest] = packed
+            current.configurations[target.configuration_digest] = compressed
             self.acceptor.compute_delta(
-                current.base.configuration_digest, target.configuration_digest, packed
+                current.base.configuration_digest, target.configuration_digest, compressed
             )
         current.start_accept_phase(now, target)
 
--- a/hazelspring/consensus/round.py
+++ b/hazelspring/consensus/round.py
@@ -26,7 +26,7 @@
     promises: dict[str, Voter] = field(default_factory=dict)  # the voters that have promised
     acceptances: dict[str, Voter] = field(default_factory=dict)  # the voters that have accepted `value`
     rejections: set[str] = field(default_factory=set)  # members whose refusal is final for this phase
-    # Digests of the configurations that a member holds, as far as it has reported them.
+    # Digests of the configurations that a member knows, as far as it has reported them.
     known_digests: dict[str, list[bytes]] = field(default_factory=dict)
     # When a member was last sent a request in this phase.
     sent_at: dict[str, float] = field(default_factory=dict)
--- a/hazelspring/node/codec_consensus.py
+++ b/hazelspring/node/codec_consensus.py
@@ -15,7 +15,7 @@
     DeltaStep,
     ForwardedChange,
     FullConfiguration,
-    HeldConfiguration,
+    KnownConfiguration,
     Prepare,
     Promise,
     ProposalsForwarded,
@@ -40,15 +40,15 @@
     if payload is None:
         return {}
     if isinstance(payload, FullConfiguration):
-        return {"w": payload.packed}
+        return {"w": payload.compressed}
     return {"x": [payload.base_digest, [[step.digest, step.delta] for step in payload.steps]]}
 
 
 def _payload(fields: Fields) -> ConfigurationPayload | None:
     if "x" in fields:
         return _delta_path(fields["x"])
-    packed = fields.get("w")
-    if packed is None:
+    compressed = fields.get("w")
+    if compressed is None:
         return None
     return FullConfiguration(required(fields, "w", bytes))
 
@@ -70,12 +70,12 @@
     return path if is_valid else DeltaPath(NO_CONFIGURATION, ())
 
 
-def _held(fields: Fields) -> HeldConfiguration:
-    return HeldConfiguration(required(fields, "h", bytes), "e" in fields)
+def _known(fields: Fields) -> KnownConfiguration:
+    return KnownConfiguration(required(fields, "h", bytes), "e" in fields)
 
 
-def _encode_held(held: HeldConfiguration) -> Fields:
-    return {"h": held.digest, "e": 1} if held.accepts_deltas else {"h": held.digest}
+def _encode_known(known: KnownConfiguration) -> Fields:
+    return {"h": known.digest, "e": 1} if known.accepts_deltas else {"h": known.digest}
 
 
 def encode_prepare(message: Prepare) -> Fields:
@@ -84,13 +84,13 @@
         "b": list(message.ballot),
         "d": message.base_version,
         "k": "prepare",
-        **_encode_held(message.held),
+        **_encode_known(message.known),
     }
 
 
 def decode_prepare(fields: Fields) -> Prepare:
     """Return the `Prepare` that a map encodes; raises MalformedMessageError."""
-    return Prepare(ballot_field(fields), required(fields, "d", int), _held(fields))
+    return Prepare(ballot_field(fields), required(fields, "d", int), _known(fields))
 
 
 def encode_promise(message: Promise) -> Fields:
@@ -100,7 +100,7 @@
         "k": "promise",
         "b": list(message.ballot),
         "u": list(message.voter),
-        "h": list(message.held_digests),
+        "h": list(message.known_digests),
         "a": [list(accepted.ballot), accepted.state.encode()] if accepted is not None else None,
         **_encode_payload(message.payload),
     }
@@ -108,9 +108,13 @@
 
 def decode_promise(fields: Fields) -> Promise:
     """Return the `Promise` that a map encodes; raises MalformedMessageError."""
-    held = tuple(list_of(fields, "h", bytes))
+    known_digests = tuple(list_of(fields, "h", bytes))
     return Promise(
-        ballot_field(fields), voter_field(fields), held, accepted_state_field(fields), _payload(fields)
+        ballot_field(fields),
+        voter_field(fields),
+        known_digests,
+        accepted_state_field(fields),
+        _payload(fields),
     )
 
 
@@ -218,12 +222,12 @@
 
 def encode_state_request(message: StateRequest) -> Fields:
     """Return the map that encodes a `StateRequest`."""
-    return {"k": "want", "v": message.version, **_encode_held(message.held)}
+    return {"k": "want", "v": message.version, **_encode_known(message.known)}
 
 
 def decode_state_request(fields: Fields) -> StateRequest:
     """Return the `StateRequest` that a map encodes; raises MalformedMessageError."""
-    return StateRequest(required(fields, "v", int), _held(fields))
+    return StateRequest(required(fields, "v", int), _known(fields))
 
 
 def encode_decision(message: Decision) -> Fields:
--- a/hazelspring/node/control_replica.py
+++ b/hazelspring/node/control_replica.py
@@ -19,7 +19,7 @@
     read_quorum,
 )
 from hazelspring.consensus.messages import (
-    HOLDS_NOTHING,
+    KNOWS_NOTHING,
     Accept,
     Accepted,
     AcceptedState,
@@ -28,7 +28,7 @@
     Decision,
     DeltaPath,
     FullConfiguration,
-    HeldConfiguration,
+    KnownConfiguration,
     Prepare,
     Promise,
     ProposalsForwarded,
@@ -230,33 +230,33 @@
             self.actions.append(save)
         return self.actions
 
-    def on_decision(self, now: float, ballot: Ballot, state: ControlState, packed: bytes | None) -> None:
+    def on_decision(self, now: float, ballot: Ballot, state: ControlState, compressed: bytes | None) -> None:
         """Learn the state decided by this node's round, and send it to the current and previous members."""
         if state.version <= self.acceptor.version:
             return  # the round decided no newer state
-        self.learn(now, ballot, state, packed)
+        self.learn(now, ballot, state, compressed)
         message = Decision(ballot, state)
         for ip in dict.fromkeys(member.ip for members in state.member_sets() for member in members):
             if ip != self.peers.me.ip:
                 self.send(ip, message)
 
-    def learn(self, now: float, ballot: Ballot, state: ControlState, packed: bytes | None) -> None:
+    def learn(self, now: float, ballot: Ballot, state: ControlState, compressed: bytes | None) -> None:
         """Learn a decided state.
 
         Raises
         ------
         MissingConfigurationError
-            The configuration of the state is neither stored at this node nor given in `packed`.
+            The configuration of the state is neither stored at this node nor given in `compressed`.
         """
         before = self.acceptor.state
-        if not self.acceptor.learn(ballot, state, packed):
+        if not self.acceptor.learn(ballot, state, compressed):
             return
         self.admitted_round = NO_ROUND
         self.proposer.on_new_state(now)
         # Members receive the decision from the node that decided it; other nodes that wait for it here
         # receive it from this node.
-        for source, held in self.proposer.forwarded.pop_waiting(state):
-            self.send_state(source, held)
+        for source, known in self.proposer.forwarded.pop_waiting(state):
+            self.send_state(source, known)
         if before is None or state.configuration_digest != before.configuration_digest:
             self.actions.append(ConfigurationChanged())
         if before is None or state.evacuated_zones != before.evacuated_zones:
@@ -269,7 +269,7 @@
     def catch_up(self, now: float) -> None:
         """Send the state in force to nodes of a lower lineage, and request a newer one that was reported."""
         while self.nodes_behind:
-            self.send_state(self.nodes_behind.popitem()[0], HOLDS_NOTHING)
+            self.send_state(self.nodes_behind.popitem()[0], KNOWS_NOTHING)
         if (to := self.transfer.next_source(now)) is not None:
             self.request_state(to)
 
@@ -344,7 +344,7 @@
         if not acceptor.disk_id and not acceptor.may_bootstrap:
             return  # a node without a disk that takes no part in the bootstrap is not a member
         if base < acceptor.version:
-            self.send_state(source, message.held if isinstance(message, Prepare) else HOLDS_NOTHING)
+            self.send_state(source, message.known if isinstance(message, Prepare) else KNOWS_NOTHING)
         theirs, own = lineage(base), lineage(acceptor.version)
         acceptor.observe_version(base)
         if theirs > own:
@@ -375,10 +375,10 @@
         if acceptor.accepted is not None:
             accepted = AcceptedState(*acceptor.accepted)
             digest = accepted.state.configuration_digest
-            if accepted.state.version > base and digest != message.held.digest:
-                payload = acceptor.configuration_payload(digest, message.held)
-        held_digests = tuple(acceptor.configurations)
-        promise = Promise(message.ballot, self.voter(), held_digests, accepted, payload)
+            if accepted.state.version > base and digest != message.known.digest:
+                payload = acceptor.configuration_payload(digest, message.known)
+        known_digests = tuple(acceptor.configurations)
+        promise = Promise(message.ballot, self.voter(), known_digests, accepted, payload)
         self.reply_when_durable(source, promise)
 
     def voter(self) -> Voter:
@@ -391,27 +391,27 @@
         If that configuration cannot be built from the deltas received, the proposer requests the promise
         again.
         """
-        accepted, packed, current = message.accepted, None, self.proposer.round
+        accepted, compressed, current = message.accepted, None, self.proposer.round
         is_awaited = current is not None and current.ballot == message.ballot and current.value is None
         if isinstance(message.payload, FullConfiguration):
-            packed = message.payload.packed
+            compressed = message.payload.compressed
         elif accepted is not None and isinstance(message.payload, DeltaPath) and is_awaited:
             digest = accepted.state.configuration_digest
-            packed = self.proposer.find_configuration(digest) or self.acceptor.follow_delta_path(
+            compressed = self.proposer.find_configuration(digest) or self.acceptor.follow_delta_path(
                 message.payload, digest
             )
-            if packed is None:
+            if compressed is None:
                 self.proposer.on_missing_configuration(source, message.ballot)
                 return
-        self.proposer.on_promise(source, message, packed)
+        self.proposer.on_promise(source, message, compressed)
 
     def on_accept(self, now: float, source: str, message: Accept) -> None:
         """Accept a state, reject it, or reply that its configuration is missing at this node."""
-        acceptor, state, packed = self.acceptor, message.state, None
+        acceptor, state, compressed = self.acceptor, message.state, None
         try:
             if message.ballot >= acceptor.promised:
-                packed = acceptor.open_payload(message.payload, state.configuration_digest)
-            accepted = acceptor.accept(message.ballot, state, packed)
+                compressed = acceptor.open_payload(message.payload, state.configuration_digest)
+            accepted = acceptor.accept(message.ballot, state, compressed)
         except MissingConfigurationError:
             self.send(source, ConfigurationMissing(message.ballot))
             return
@@ -435,8 +435,8 @@
         """
         wait_ms = max(0, int(1000 * (self.admitted_round.until - now))) if must_wait else 0
         if wait_ms:
-            held = message.held if isinstance(message, Prepare) else HOLDS_NOTHING
-            self.proposer.forwarded.waiting_nodes[source] = held
+            known = message.known if isinstance(message, Prepare) else KNOWS_NOTHING
+            self.proposer.forwarded.waiting_nodes[source] = known
         of_accept = isinstance(message, Accept)
         self.send(source, Rejected(message.ballot, self.acceptor.promised, wait_ms, of_accept))
 
@@ -447,15 +447,15 @@
         """
         return self.admitted_round.has_priority_over(now, source, base)
 
-    def send_state(self, to: str, held: HeldConfiguration) -> None:
+    def send_state(self, to: str, known: KnownConfiguration) -> None:
         """Send the state in force here, with its configuration unless the recipient holds it."""
-        if (decision := self.transfer.make_decision(held)) is not None:
+        if (decision := self.transfer.make_decision(known)) is not None:
             self.send(to, decision)
 
     def on_state_request(self, source: str, message: StateRequest) -> None:
         """Reply to a state request with the state in force here if the requester's state is older."""
         if message.version < self.acceptor.version:
-            self.send_state(source, message.held)
+            self.send_state(source, message.known)
 
     def on_decision_message(self, now: float, source: str, message: Decision) -> None:
         """Learn a decided state, or request it again if its configuration is missing.
@@ -463,11 +463,11 @@
         If the configuration cannot be built from the deltas received, the complete configuration is
         requested.
         """
-        state, packed = message.state, None
+        state, compressed = message.state, None
         try:
             if state.version > self.acceptor.version:
-                packed = self.acceptor.open_payload(message.payload, state.configuration_digest)
-            self.learn(now, message.ballot, state, packed)
+                compressed = self.acceptor.open_payload(message.payload, state.configuration_digest)
+            self.learn(now, message.ballot, state, compressed)
             self.transfer.on_state()
         except MissingConfigurationError:
             self.request_state(source, complete=isinstance(message.payload, DeltaPath))
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -160,10 +160,10 @@
         )
         return self.propose(now, proposal)
 
-    def set_evacuation(self, now: float, token: int, zone: str, closed: bool) -> list[Action]:
-        """Propose the evacuation of a zone for an operator, or its end if `closed` is False."""
+    def set_evacuation(self, now: float, token: int, zone: str, evacuate: bool) -> list[Action]:
+        """Propose the evacuation of a zone for an operator, or its end if `evacuate` is False."""
         return self.propose(
-            now, Proposal(token, now, ProposalKind.SET_EVACUATION, zone=zone, evacuate=closed)
+            now, Proposal(token, now, ProposalKind.SET_EVACUATION, zone=zone, evacuate=evacuate)
         )
 
     def retire_member(self, now: float, token: int, ip: str) -> list[Action]:
--- a/hazelspring/node/state_transfer.py
+++ b/hazelspring/node/state_transfer.py
@@ -4,7 +4,7 @@
 
 from hazelspring.consensus.acceptor import Acceptor
 from hazelspring.consensus.control_state import NO_CONFIGURATION
-from hazelspring.consensus.messages import Decision, HeldConfiguration, StateRequest
+from hazelspring.consensus.messages import Decision, KnownConfiguration, StateRequest
 from hazelspring.membership.peer_table import PeerTable
 from hazelspring.node.sent_request import NOT_SENT, SentRequest
 
@@ -42,9 +42,9 @@
         """
         state = self.acceptor.state
         digest = state.configuration_digest if state is not None else NO_CONFIGURATION
-        return StateRequest(self.acceptor.version, HeldConfiguration(digest, not complete))
+        return StateRequest(self.acceptor.version, KnownConfiguration(digest, not complete))
 
-    def make_decision(self, held: HeldConfiguration) -> Decision | None:
+    def make_decision(self, known: KnownConfiguration) -> Decision | None:
         """Return the state in force at this node, with its configuration unless the recipient holds it.
 
         Returns None before the bootstrap, and once a higher lineage is known, which supersedes this node's
@@ -54,6 +54,6 @@
             return None
         ballot, state = self.acceptor.decided
         payload = None
-        if state.configuration_digest not in (NO_CONFIGURATION, held.digest):
-            payload = self.acceptor.configuration_payload(state.configuration_digest, held)
+        if state.configuration_digest not in (NO_CONFIGURATION, known.digest):
+            payload = self.acceptor.configuration_payload(state.configuration_digest, known)
         return Decision(ballot, state, payload)
--- a/tests/control_node.py
+++ b/tests/control_node.py
@@ -48,8 +48,8 @@
     def must_yield_to(self, now: float, source: str, base: int) -> bool:
         return False  # an admitted round defers no other, as its time may be over
 
-    def learn(self, now: float, ballot: Ballot, state: ControlState, packed: bytes | None) -> None:
-        super().learn(now, ballot, state, packed)
+    def learn(self, now: float, ballot: Ballot, state: ControlState, compressed: bytes | None) -> None:
+        super().learn(now, ballot, state, compressed)
         self.proposer.backoff_until = NEVER  # otherwise a round would begin at once
 
     @property
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hazelspring.consensus.control_state import ControlState
-from hazelspring.consensus.messages import Accept, Decision, DeltaPath, HeldConfiguration, Prepare, Promise
+from hazelspring.consensus.messages import Accept, Decision, DeltaPath, KnownConfiguration, Prepare, Promise
 from hazelspring.node import codec
 from hazelspring.node.codec_fields import Fields, MalformedMessageError
 from hazelspring.node.codec_node import node_state_checksum
@@ -215,9 +215,9 @@
     reply = codec.from_fields(fields_of("echo"))
     assert reply == HeartbeatReply(100, 1)
     prepare = codec.from_fields(fields_of("prepare"))
-    assert isinstance(prepare, Prepare) and prepare.held == HeldConfiguration(b"digest", False)
+    assert isinstance(prepare, Prepare) and prepare.known == KnownConfiguration(b"digest", False)
     prepare = codec.from_fields(fields_of("prepare") | {"e": 1})
-    assert isinstance(prepare, Prepare) and prepare.held == HeldConfiguration(b"digest", True)
+    assert isinstance(prepare, Prepare) and prepare.known == KnownConfiguration(b"digest", True)
     promise = codec.from_fields(fields_of("promise") | {"a": None})
     assert isinstance(promise, Promise) and promise.accepted is None and promise.payload is None
     accept = codec.from_fields(fields_of("accept") | {"w": None})
--- a/tests/test_configuration_transfer.py
+++ b/tests/test_configuration_transfer.py
@@ -24,7 +24,7 @@
     DeltaPath,
     DeltaStep,
     FullConfiguration,
-    HeldConfiguration,
+    KnownConfiguration,
     Promise,
     StateRequest,
 )
@@ -204,16 +204,16 @@
         world.change(number)
     core: Any = world.machines["d1"].core
     assert isinstance(core, Node)
-    held = HeldConfiguration(configuration_digest(body(1)))
-    without_deltas = StateRequest(1, held)
+    known = KnownConfiguration(configuration_digest(body(1)))
+    without_deltas = StateRequest(1, known)
     (reply,) = [
         action.message
         for action in core.on_message(world.now, "d5", without_deltas)
         if isinstance(action, Send)
     ]
     assert isinstance(reply, Decision) and isinstance(reply.payload, FullConfiguration)
-    assert unpack(reply.payload.packed) == body(2)
-    with_deltas = StateRequest(1, replace(held, accepts_deltas=True))
+    assert unpack(reply.payload.compressed) == body(2)
+    with_deltas = StateRequest(1, replace(known, accepts_deltas=True))
     (reply,) = [d.message for d in core.on_message(world.now, "d5", with_deltas) if isinstance(d, Send)]
     assert isinstance(reply, Decision) and isinstance(reply.payload, DeltaPath)
     assert len(codec.encode(reply)) < 900
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -284,10 +284,10 @@
     accept = Acceptor.accept
 
     def accept_below_promise(
-        acceptor: Acceptor, ballot: Any, state: ControlState, packed: bytes | None = None
+        acceptor: Acceptor, ballot: Any, state: ControlState, compressed: bytes | None = None
     ) -> bool:
         acceptor.promised = min(acceptor.promised, ballot)
-        return accept(acceptor, ballot, state, packed)
+        return accept(acceptor, ballot, state, compressed)
 
     patch.setattr(Acceptor, "accept", accept_below_promise)
 
@@ -300,9 +300,9 @@
     on_promise = Proposer.on_promise
 
     def ignore_accepted(
-        proposer: Proposer, source: str, message: Promise, packed: bytes | None = None
+        proposer: Proposer, source: str, message: Promise, compressed: bytes | None = None
     ) -> None:
-        on_promise(proposer, source, replace(message, accepted=None), packed)
+        on_promise(proposer, source, replace(message, accepted=None), compressed)
 
     patch.setattr(Proposer, "on_promise", ignore_accepted)
 
--- a/tests/test_disaster_recovery.py
+++ b/tests/test_disaster_recovery.py
@@ -21,7 +21,7 @@
     source_from_items,
 )
 from hazelspring.consensus.messages import (
-    HOLDS_NOTHING,
+    KNOWS_NOTHING,
     Accept,
     ConsensusMessage,
     Decision,
@@ -335,7 +335,7 @@
     def request(base_version: int, state: ControlState) -> ConsensusMessage:
         ballot = Ballot(10**9, 1, "d3")
         if kind == "prepare":
-            return Prepare(ballot, base_version, HOLDS_NOTHING)
+            return Prepare(ballot, base_version, KNOWS_NOTHING)
         return Accept(ballot, base_version, state)
 
     actions = new.on_message(1.0, "d3", request(5, DECIDED))
