--- a/tests/call_history.py
+++ b/tests/call_history.py
@@ -11,7 +11,7 @@
 from hazelspring.consensus.control_state import ControlState
 from hazelspring.consensus.proposal import Proposal, ProposalKind, ProposalOutcome
 
-from .control_invariants import unread
+from .control_invariants import check_reads
 
 NEVER = float("inf")
 PUT, READ, CLOSE, OPEN, STATUS, KEYED = "put", "read", "close", "open", "status", "keyed"
@@ -90,7 +90,7 @@
             shown = ProposalOutcome(
                 token, True, state=ControlState(0, (), (), configuration_version=call.number)
             )
-            if fault := unread([(Proposal(token, call.sent, ProposalKind.READ), shown)], since):
+            if fault := check_reads([(Proposal(token, call.sent, ProposalKind.READ), shown)], since):
                 yield f"{fault}: {call}"
 
     def check_bodies(self) -> Iterable[str]:
--- a/tests/chaos.py
+++ b/tests/chaos.py
@@ -66,7 +66,7 @@
         machine = self.machines.get(ip)
         if machine is None or machine.disk is None or "disk" not in machine.disk.records:
             return False
-        return machine.about.disk_id == disk or self.read_disk_id(machine.disk) == disk
+        return machine.info.disk_id == disk or self.read_disk_id(machine.disk) == disk
 
     @staticmethod
     def read_disk_id(disk: Disk) -> int:
@@ -348,7 +348,7 @@
             self.run(0.1)
         self.run(3.2)
         for token in tokens:
-            if not self.calls[token].good:
+            if not self.calls[token].succeeded:
                 self.report_breach(f"failed after all faults had ended: {self.calls[token]}")
         state = self.latest_state()
         assert state is not None
@@ -392,7 +392,7 @@
         for _ in range(2):
             call = self.calls[self.read(with_disk[self.schedule.seed % len(with_disk)])]
             self.run(3.5)
-            if call.good:
+            if call.succeeded:
                 return
         self.report_breach(f"no read succeeded after the loss of disks and power: {call}")
 
--- a/tests/cluster_invariants.py
+++ b/tests/cluster_invariants.py
@@ -71,9 +71,9 @@
         # until when machines count as unavailable: without end, or for `CATCH_UP` after they are back
         self.unavailable_until: dict[str, float] = {}
         self.highest_number, self.next_node = 5, 40
-        bare = frozenset({f"d{1 + schedule.seed % 3}"} if schedule.diskless_seed else ())
+        diskless = frozenset({f"d{1 + schedule.seed % 3}"} if schedule.diskless_seed else ())
         super().__init__(
-            schedule.core, schedule.others, schedule.seed, schedule.drop, odd=schedule.odd, bare=bare
+            schedule.core, schedule.others, schedule.seed, schedule.drop, odd=schedule.odd, diskless=diskless
         )
 
     # --- clocks and links -----------------------------------------------------------------------------
@@ -135,7 +135,7 @@
         if (
             call.kind == "evacuate"
             and done.succeeded
-            and (call.zone in state.evacuated_zones) is not call.closed
+            and (call.zone in state.evacuated_zones) is not call.evacuate
         ):
             self.report_breach(f"{call} was confirmed, but is not in effect")
         if call.kind == "read" and done.succeeded:
@@ -192,7 +192,7 @@
         state = core.control.acceptor.state
         if state is None or state.version == self.machines[name].seen:
             return
-        self.saw(name, core)
+        self.check_version(name, core)
         old = self.decided.get(state.version - 1)
         if old is not None and state.version > 1:
             if (
--- a/tests/control_invariants.py
+++ b/tests/control_invariants.py
@@ -15,7 +15,7 @@
 ]  # its number, whether it may take part in the bootstrap, and its states
 
 
-def chain(states: list[ControlState]) -> str:
+def check_history(states: list[ControlState]) -> str:
     """Check that one state was decided for each version, and that each follows from the preceding one."""
     by_version: dict[int, ControlState] = {}
     for state in states:
@@ -91,7 +91,7 @@
     return ""
 
 
-def copies(newest: ControlState, disks: dict[str, Disk], max_wiped: int) -> str:
+def check_replication(newest: ControlState, disks: dict[str, Disk], max_wiped: int) -> str:
     """Check that the newest decided state is on a majority of disks, with up to `max_wiped` wiped."""
     for members in newest.member_sets():
         copies_found = wiped = 0
@@ -108,7 +108,7 @@
     return ""
 
 
-def unread(outcomes: list[tuple[Proposal, ProposalOutcome]], minimum_versions: dict[int, int]) -> str:
+def check_reads(outcomes: list[tuple[Proposal, ProposalOutcome]], minimum_versions: dict[int, int]) -> str:
     """Check that a read shows a configuration at least as new as any that was confirmed before it began.
 
     `minimum_versions` holds, by a read's token, the lowest version number that it may show.
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -29,7 +29,14 @@
 from hazelspring.node.actions import Action, Save, Send
 from hazelspring.node.sent_request import NOT_SENT
 
-from .control_invariants import Disk, chain, check_configurations, check_evacuations, copies, unread
+from .control_invariants import (
+    Disk,
+    check_configurations,
+    check_evacuations,
+    check_history,
+    check_reads,
+    check_replication,
+)
 from .control_node import NEVER, Event, ModelNode, consensus_message, is_obsolete, without_duplicates
 
 T = TypeVar("T")
@@ -396,17 +403,17 @@
             outcomes = [self.outcomes.values[n] for n in set_bits(ended)]
             fault = (
                 check_configurations(states, outcomes)
-                or unread(outcomes, self.minimum_versions)
+                or check_reads(outcomes, self.minimum_versions)
                 or check_evacuations(states, outcomes, self.final_tokens)
             )
-            self.checked[decided, ended] = fault or ("" if self.visible_only else chain(states))
+            self.checked[decided, ended] = fault or ("" if self.visible_only else check_history(states))
         if self.visible_only or self.checked[decided, ended]:
             return self.checked[decided, ended]
         disk_numbers = tuple(self.disk_number(number) for number in nodes)
         if (decided, disk_numbers) not in self.checked:
             newest = max((self.states.values[n] for n in set_bits(decided)), key=lambda state: state.version)
             disks = {ip: self.disks.values[n] for ip, n in zip(self.ips, disk_numbers, strict=True)}
-            self.checked[decided, disk_numbers] = copies(newest, disks, self.case.wiped_disks)
+            self.checked[decided, disk_numbers] = check_replication(newest, disks, self.case.wiped_disks)
         return self.checked[decided, disk_numbers]
 
     def disk_number(self, number: int) -> int:
--- a/tests/test_configuration_transfer.py
+++ b/tests/test_configuration_transfer.py
@@ -84,7 +84,7 @@
     def change(self, number: int, wait: float = 2.0) -> None:
         call = put(self, f"d{1 + number % len(self.machines)}", number, body(number))
         self.run(wait)
-        assert call.good and not self.breaches
+        assert call.succeeded and not self.breaches
 
     def is_everywhere(self, number: int) -> bool:
         return all(
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -22,7 +22,7 @@
     world.run(3.5)
     token = world.put("d1", 5)
     world.run(1.5)
-    assert world.calls[token].good and not world.breaches
+    assert world.calls[token].succeeded and not world.breaches
     return world
 
 
@@ -45,7 +45,7 @@
     isolate(world, name, direction)
     newer = world.put("d1", 8, "new")
     world.run(20.0)
-    assert world.calls[newer].good
+    assert world.calls[newer].succeeded
     tokens = [world.read(name), world.put(name, 5), world.put(name, 5, "other"), world.put(name, 9)]
     tokens += [world.evacuate(name, "z1", True), world.evacuate(name, "z1", False)]
     world.run(4.0)
@@ -55,7 +55,7 @@
     world.run(1.0)
     again = [world.read(name), world.put(name, 5), world.put(name, 8, "new"), world.put(name, 8, "other")]
     world.run(1.0)
-    assert [world.calls[token].good for token in again] == [True, True, True, False]
+    assert [world.calls[token].succeeded for token in again] == [True, True, True, False]
     assert world.number(world.calls[again[0]]) in (8, 9) and not world.breaches
 
 
@@ -72,11 +72,11 @@
     tokens = [world.read(name), world.put(name, 7), *before, early]
     assert not world.fresh(name)
     world.run(4.0)
-    assert world.calls[newer].good and not world.breaches
+    assert world.calls[newer].succeeded and not world.breaches
     for token in tokens:
         call = world.calls[token]
         assert call.done is not None and (world.number(call) in (5, 8) if token == early else True)
-        assert not call.good or token == early or world.number(call) == 8
+        assert not call.succeeded or token == early or world.number(call) == 8
 
 
 # --- 2: one body for each version number -------------------------------------------------------------------
@@ -91,16 +91,16 @@
         tokens.append(world.put(f"d{1 + (seed + 3) % 7}", 6, "b"))
         world.run(3.5)
         calls = [world.calls[token] for token in tokens]
-        assert sum(call.good for call in calls) <= 1 and not world.breaches
+        assert sum(call.succeeded for call in calls) <= 1 and not world.breaches
         read = world.calls[world.read("d5")]
         world.run(1.0)
         assert world.number(read) == 6
         # A confirmed body that is sent again, to any node, is never refused.
         body = world.mark_read(next(token for token, call in world.calls.items() if call is read))
-        assert all(call.digest == body.encode() for call in calls if call.good)
+        assert all(call.digest == body.encode() for call in calls if call.succeeded)
         again = [world.put(f"d{n}", 6, body) for n in (1, 4, 7)]
         world.run(1.5)
-        assert all(world.calls[token].good for token in again)
+        assert all(world.calls[token].succeeded for token in again)
 
 
 def test_a_repeated_put_is_confirmed_after_hundreds_of_changes_and_a_failover() -> None:
@@ -112,7 +112,7 @@
     world.kill("d1")
     tokens = [world.put(f"d{n}", number) for n in (2, 5) for number in (5, 6, 200, 305)]
     world.run(2.0)
-    assert all(world.calls[token].good for token in tokens) and not world.breaches
+    assert all(world.calls[token].succeeded for token in tokens) and not world.breaches
     assert world.decided[max(world.decided)].configuration_version == 305
 
 
@@ -126,7 +126,7 @@
         world.run(1.0)
     world.run(3.0)
     took = sorted(world.calls[token].ended - world.calls[token].at for token in tokens)
-    assert all(world.calls[token].good for token in tokens) and not world.breaches
+    assert all(world.calls[token].succeeded for token in tokens) and not world.breaches
     assert took[-1] < 1.2  # seconds; an acknowledgement may take 6 s
 
 
@@ -152,7 +152,7 @@
         world.kill(members[1])
         token = world.put(members[2], number)
         world.run(1.5)
-        assert world.calls[token].good, world.calls[token]
+        assert world.calls[token].succeeded, world.calls[token]
         world.start(members[1])
         world.run(1.5)
     assert not world.breaches
@@ -178,7 +178,7 @@
         world.run(3.0)
         read = world.read("d1")
         world.run(3.0)
-        assert world.calls[token].good and world.number(world.calls[read]) == 6 and not world.breaches
+        assert world.calls[token].succeeded and world.number(world.calls[read]) == 6 and not world.breaches
 
 
 def test_an_isolated_member_need_not_stay_up_as_it_cannot_hold_the_only_copy() -> None:
@@ -188,7 +188,7 @@
     isolate(world, "d1")  # it cannot decide anything alone, so it cannot hold the only copy of a change
     token = world.put("d1", 6)
     world.run(4.0)
-    assert not world.calls[token].good and not core.control.must_stay_up()
+    assert not world.calls[token].succeeded and not core.control.must_stay_up()
 
 
 def test_a_disk_that_starts_late_joins_by_consensus_and_enlarges_the_core() -> None:
@@ -199,7 +199,7 @@
         world.start("d4", first=True)
         token = world.put("d1", 5)
         world.run(6.0)
-        assert world.calls[token].good or late < 3.0
+        assert world.calls[token].succeeded or late < 3.0
         state = world.decided[max(world.decided)]
         assert len(state.members) == state.target_size == 4 and not world.breaches
 
@@ -256,12 +256,12 @@
         token = world.put("d1", number + 1)
         world.kill("d2")  # the full disk does not store a copy
         world.run(3.5)
-        assert not world.calls[token].good
+        assert not world.calls[token].succeeded
         disk.full = False
         world.run(0.5)
         token = world.put("d1", number + 1)
         world.run(1.0)
-        assert world.calls[token].good
+        assert world.calls[token].succeeded
     world.run(0.5)
     assert len([name for name in disk.records if name.startswith("word ")]) <= 2
     assert sum(map(len, disk.records.values())) < 4000  # bytes: the state without its history
@@ -309,7 +309,7 @@
         world.run(3.0)
         read = world.read("d5")
         world.run(3.5)
-        assert world.number(world.calls[read]) >= max(c.number for c in world.calls.values() if c.good)
+        assert world.number(world.calls[read]) >= max(c.number for c in world.calls.values() if c.succeeded)
         assert not world.breaches
 
 
@@ -355,8 +355,8 @@
         world.run(3.0)
         last = world.read("d7")
         world.run(3.5)
-        shown = [world.number(world.calls[token]) for token in reads if world.calls[token].good]
-        assert world.calls[last].good and world.number(world.calls[last]) >= max(shown, default=-1)
+        shown = [world.number(world.calls[token]) for token in reads if world.calls[token].succeeded]
+        assert world.calls[last].succeeded and world.number(world.calls[last]) >= max(shown, default=-1)
         assert not world.breaches
 
 
@@ -403,11 +403,11 @@
     token = world.retire("d6", "d4")
     world.run(1.0)
     state = world.decided[max(world.decided)]
-    assert world.calls[token].good and len(state.members) == state.target_size == 3
+    assert world.calls[token].succeeded and len(state.members) == state.target_size == 3
     world.kill("d3")  # a core of four that has lost two members could no longer decide anything
     put = world.put("d6", 6)
     world.run(1.5)
-    assert world.calls[put].good and not world.breaches
+    assert world.calls[put].succeeded and not world.breaches
 
 
 def test_no_node_becomes_stale_while_a_change_is_in_transit() -> None:
@@ -450,7 +450,7 @@
     for _ in range(20):
         call = world.calls[world.read(name)]
         world.run(0.37)
-        assert call.good and call.ended - call.at < 0.01
+        assert call.succeeded and call.ended - call.at < 0.01
     assert "prepare" not in kinds
 
 
@@ -474,7 +474,7 @@
 
     world.send = lose_promises  # type: ignore[method-assign]
     world.run(1.5)
-    assert world.calls[token].good and not world.breaches
+    assert world.calls[token].succeeded and not world.breaches
 
 
 def test_a_core_node_that_replies_is_not_reported_as_unresponsive() -> None:
@@ -503,16 +503,16 @@
     isolate(world, "d2")
     opened = world.evacuate("d1", "z1", False)
     world.run(3.0)
-    assert world.calls[opened].good
+    assert world.calls[opened].succeeded
     closing = world.evacuate("d6", "z1", True)
     world.cut -= {("d2", "d6"), ("d6", "d2")}  # the first that d6 learns is the start of the evacuation
     world.run(2.5)
-    assert not world.calls[closing].good and not world.breaches
+    assert not world.calls[closing].succeeded and not world.breaches
     world.cut.clear()
     world.run(1.0)
     closing = world.evacuate("d6", "z1", True)
     world.run(1.0)
-    assert world.calls[closing].good and world.decided[max(world.decided)].evacuated_zones == {"z1"}
+    assert world.calls[closing].succeeded and world.decided[max(world.decided)].evacuated_zones == {"z1"}
 
 
 def test_a_retired_member_that_returns_shows_no_old_state_and_joins_again() -> None:
@@ -531,7 +531,7 @@
         world.run(2.5)
         core = world.machines["d4"].core
         assert core is not None and not world.breaches
-        shown = [world.number(world.calls[token]) for token in reads if world.calls[token].good]
+        shown = [world.number(world.calls[token]) for token in reads if world.calls[token].succeeded]
         assert all(number == 6 for number in shown)
         world.cut.clear()
         world.run(6.5)
@@ -540,7 +540,7 @@
             world.kill(name)
         token = world.put("d4", 7)
         world.run(2.0)
-        assert world.calls[token].good and not world.breaches
+        assert world.calls[token].succeeded and not world.breaches
 
 
 def test_a_node_that_cannot_apply_a_table_change_receives_the_complete_table() -> None:
@@ -591,7 +591,7 @@
     late = reply_to(second)  # the second heartbeat overtakes the first one
     token = world.put("d2", 6)
     world.run(1.0)
-    assert world.calls[token].good
+    assert world.calls[token].succeeded
     reader.on_message(world.now, "d1", reply_to(first))
     third = make_heartbeat()
     reader.on_message(world.now, "d1", late)
@@ -623,7 +623,7 @@
     world.run(0.5)
     other = world.put("d2", 6, "other")
     world.run(1.0)
-    assert world.calls[other].good
+    assert world.calls[other].succeeded
     again = world.put("d4", 6, "other")
     core = world.machines["d4"].core
     assert core is not None
@@ -634,7 +634,7 @@
     assert core.control.acceptor.version == max(world.decided) - 1 and world.calls[again].done is None
     world.cut.clear()
     world.run(1.0)
-    assert world.calls[again].good and not world.breaches
+    assert world.calls[again].succeeded and not world.breaches
 
 
 def test_no_role_has_two_holders_after_two_consecutive_changes_of_members() -> None:
@@ -652,7 +652,7 @@
         for retired in others[2:]:
             token = world.retire(others[0], retired)
             world.run(0.2)
-            assert world.calls[token].good
+            assert world.calls[token].succeeded
         assert not world.breaches
         world.run(4.0)
         assert not world.breaches and any(world.holds(name, LIST_READER) for name in others[:2])
@@ -674,7 +674,7 @@
     for retired in (other, holder):
         token = world.retire(proposer, retired)
         world.run(0.3)
-        assert world.calls[token].good
+        assert world.calls[token].succeeded
     world.run(3.0)
     assert not world.breaches and world.holds(proposer, LIST_READER)
 
--- a/tests/test_disaster_recovery.py
+++ b/tests/test_disaster_recovery.py
@@ -49,7 +49,7 @@
     world.run(3.5)
     token = world.put("d1", 5, "five")
     world.run(1.5)
-    assert world.calls[token].good and not world.breaches
+    assert world.calls[token].succeeded and not world.breaches
     return world
 
 
@@ -59,7 +59,7 @@
     machine = world.machines[name]
     assert machine.disk is not None
     source = source or source_from_acceptor(load_acceptor(machine.disk.records, 0, False), True)
-    member = Member(name, machine.about.zone, machine.about.region, world.disk_number())
+    member = Member(name, machine.info.zone, machine.info.region, world.disk_number())
     recovered = recovered_acceptor(source, member, size, 10**12 + int(world.now * 1000))
     machine.disk.records = {k: body for k, body in recovered.take_dirty_records().items() if body is not None}
     world.start(name)
@@ -68,7 +68,7 @@
 def outcomes(world: World, *tokens: int) -> list[bool]:
     """Run until all proposals have ended, and return whether each succeeded."""
     world.run(3.5)
-    return [world.calls[token].good for token in tokens]
+    return [world.calls[token].succeeded for token in tokens]
 
 
 def lineages(world: World) -> set[int]:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -22,11 +22,11 @@
 from .test_control import settled_world
 from .world import World
 
-SEATS = (Member("d1", "", "", 1),)
+MEMBERS = (Member("d1", "", "", 1),)
 
 
-def state(version: int, *closed: str) -> ControlState:
-    return ControlState(version, SEATS, SEATS, 1, evacuated_zones=frozenset(closed))
+def state(version: int, *evacuated_zones: str) -> ControlState:
+    return ControlState(version, MEMBERS, MEMBERS, 1, evacuated_zones=frozenset(evacuated_zones))
 
 
 def record_messages(world: World, kind: str) -> list[tuple[str, str, Message]]:
@@ -120,10 +120,10 @@
         forwards = record_messages(world, "hand")
         tokens = put_and_evacuate_at_once(world)
         world.run(1.5)
-        assert all(world.calls[token].good for token in tokens) and forwards
+        assert all(world.calls[token].succeeded for token in tokens) and forwards
         opened = [world.evacuate(f"d{5 + n}", f"z{n}", False) for n in (0, 1)]
         world.run(1.0)
-        assert all(world.calls[token].good for token in opened)
+        assert all(world.calls[token].succeeded for token in opened)
         for source, to, message in [*forwards, *forwards]:
             world.send(source, to, message)
         world.run(1.0)
@@ -143,7 +143,7 @@
         for _ in range(repeats):
             tokens = put_and_evacuate_at_once(world)
             world.run(2.0)
-            assert all(world.calls[token].good for token in tokens)
+            assert all(world.calls[token].succeeded for token in tokens)
             took += [world.calls[token].ended - world.calls[token].at for token in tokens]
             for n in (0, 1):
                 world.evacuate("d1", f"z{n}", False)
@@ -163,7 +163,7 @@
         world.kill(recipient)
         world.run(3.5)
         left = [world.calls[token] for token in tokens if world.calls[token].machine != recipient]
-        assert all(call.good and call.ended - call.at < 1.5 for call in left) and not world.breaches
+        assert all(call.succeeded and call.ended - call.at < 1.5 for call in left) and not world.breaches
 
 
 def test_a_round_abandoned_before_its_promises_arrive_delays_no_other_round() -> None:
@@ -181,7 +181,7 @@
         )
     token = world.put("d6", 7)
     world.run(0.1)
-    assert world.calls[token].good and not world.breaches
+    assert world.calls[token].succeeded and not world.breaches
 
 
 def test_a_proposal_without_a_competing_one_is_not_forwarded() -> None:
@@ -217,6 +217,6 @@
     for name in ("d2", "d4"):
         world.thaw(name)
     world.run(1.0)
-    assert world.calls[token].good and not world.breaches
+    assert world.calls[token].succeeded and not world.breaches
     for name in ("d2", "d4"):
         assert world.machines[name].core.control.acceptor.state.configuration_version == 6  # type: ignore[union-attr]
--- a/tests/test_loss_schedules.py
+++ b/tests/test_loss_schedules.py
@@ -92,13 +92,13 @@
     for name in world.machines:
         world.start(name)
     world.run(4.0)
-    acknowledged = any(call.kind == "put" and call.good for call in world.calls.values())
+    acknowledged = any(call.kind == "put" and call.succeeded for call in world.calls.values())
     for _ in range(2):  # the operator retries a read that got no reply
         call = world.calls[world.read(names[seed % len(names)])]
         world.run(3.5)
-        if call.good:
+        if call.succeeded:
             break
-    if acknowledged and not call.good:
+    if acknowledged and not call.succeeded:
         world.breaches.append(f"the configuration could not be read: {call}")
     return world
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -35,7 +35,7 @@
         return [f"d{number}" for number in re.findall(r"\d+", text)]
 
     def acknowledged(self, number: int) -> list[bool]:
-        return [self.world.calls[token].good for token in self.tokens[number]]
+        return [self.world.calls[token].succeeded for token in self.tokens[number]]
 
     def calls(self, number: int) -> list[Call]:
         return [self.world.calls[token] for token in self.tokens[number]]
@@ -141,7 +141,7 @@
 
 def cut_off(world: World, name: str, direction: str = "both") -> None:
     for other, machine in world.machines.items():
-        if machine.about.disk_id and other != name:
+        if machine.info.disk_id and other != name:
             world.cut.add((other, name))
             if direction == "both":
                 world.cut.add((name, other))
@@ -171,7 +171,7 @@
     holder = max(name for name in held if name is not None)
     context.tenant = held[holder]
     for other in [
-        name for name, machine in context.world.machines.items() if machine.about.disk_id and name != holder
+        name for name, machine in context.world.machines.items() if machine.info.disk_id and name != holder
     ]:
         context.world.cut |= {(holder, other), (other, holder)}
     context.cut_off_holder = holder
@@ -335,14 +335,14 @@
 @then(parsers.parse("the one that was acknowledged is acknowledged again at every node"))
 def acknowledged_again(context: ScenarioContext) -> None:
     number = list(context.tokens)[-1]
-    (accepted,) = [call for call in context.calls(number) if call.good]
-    (rejected,) = [call for call in context.calls(number) if not call.good]
+    (accepted,) = [call for call in context.calls(number) if call.succeeded]
+    (rejected,) = [call for call in context.calls(number) if not call.succeeded]
     tokens = [context.world.put(name, number, accepted.digest.decode()) for name in context.world.up()]
     rejected_tokens = [
         context.world.put(name, number, rejected.digest.decode()) for name in context.world.up()
     ]
     context.world.run(3.0)
-    assert all(context.world.calls[token].good for token in tokens)
+    assert all(context.world.calls[token].succeeded for token in tokens)
     assert all(
         (done := context.world.calls[token].done) is not None and done.conflict for token in rejected_tokens
     )
@@ -364,7 +364,7 @@
     token = context.world.read(f"d{node}")
     context.world.run(3.5)
     call = context.world.calls[token]
-    assert call.good is (result != "nothing")
+    assert call.succeeded is (result != "nothing")
     if number is not None:
         assert context.world.number(call) == int(number)
 
@@ -389,7 +389,7 @@
 def sends_clients_to_zones(context: ScenarioContext, node: int, region: str, count: int) -> None:
     core = context.world.machines[f"d{node}"].core
     assert core is not None
-    nodes = [context.world.machines[ip].about for ip in core.peers.nodes_for_clients(region)]
+    nodes = [context.world.machines[ip].info for ip in core.peers.nodes_for_clients(region)]
     assert len({info.zone for info in nodes}) == count
     assert count > 2 or {info.region for info in nodes} == {region}
 
@@ -401,7 +401,7 @@
 
 @then("every node has been restarted")
 def every_node_restarted(context: ScenarioContext) -> None:
-    assert {machine.lives for machine in context.world.machines.values()} == {2}
+    assert {machine.start_count for machine in context.world.machines.values()} == {2}
 
 
 @then("the list reader role has a holder")
--- a/tests/test_unreachable_nodes.py
+++ b/tests/test_unreachable_nodes.py
@@ -26,7 +26,7 @@
 from hazelspring.storage.replica_store import ReplicaStore
 
 from .call_history import CLOSE, KEYED, OPEN, PUT, READ, STATUS, Call, History
-from .control_invariants import Disk, chain, copies
+from .control_invariants import Disk, check_history, check_replication
 
 CUT_TIME = 20.0  # seconds
 REVOCATION, EVACUATION = 5.0, 5.0  # seconds: the users' `revocationMs` and `evacuationMs`
@@ -279,7 +279,9 @@
             disks[self.fleet.ips[n]] = (register.disk_id, register.may_bootstrap, states)
         decided = [states[-1] for _, _, states in disks.values()]
         newest = max(decided, key=lambda state: state.version)
-        return chain([s for s in decided if s.version == newest.version]) or copies(newest, disks, 0)
+        return check_history([s for s in decided if s.version == newest.version]) or check_replication(
+            newest, disks, 0
+        )
 
     def close(self) -> None:
         self.fleet.close()
--- a/tests/world.py
+++ b/tests/world.py
@@ -63,10 +63,10 @@
 
 @dataclass
 class Machine:
-    about: NodeInfo
+    info: NodeInfo
     disk: Disk | None
     core: Node | None = None
-    lives: int = 0  # the number of starts
+    start_count: int = 0
     seen: int = -1  # the latest version since the last start
     on_message: list[Action] = field(default_factory=list)
     seeds: list[str] = field(default_factory=lambda: ["d1", "d2", "d3"])
@@ -84,12 +84,12 @@
     number: int = -1
     digest: bytes = b""
     zone: str = ""
-    closed: bool = False
+    evacuate: bool = False
     ended: float = 1e9
     done: ProposalOutcome | None = None
 
     @property
-    def good(self) -> bool:
+    def succeeded(self) -> bool:
         return self.done is not None and self.done.succeeded
 
     @property
@@ -113,12 +113,12 @@
         drop: float = 0.0,
         zones: int = 4,
         odd: float = 0.0,
-        bare: frozenset[str] = frozenset(),
+        diskless: frozenset[str] = frozenset(),
     ) -> None:
         """Create and start the nodes d1, d2 and so on, of which the first `core` have disks.
 
         `drop` is the fraction of messages that are lost.  `odd` is the fraction that are delayed by up to
-        MAX_EXTRA_DELAY, and also the fraction that arrive twice.  `bare` names nodes among the first `core`
+        MAX_EXTRA_DELAY, and also the fraction that arrive twice.  `diskless` names nodes among the first `core`
         that have no disk.
         """
         self.random, self.drop, self.odd, self.now = random.Random(seed), drop, odd, 100.0
@@ -135,9 +135,9 @@
         self.breaches: list[str] = []
         for n in range(core + others):
             zone = n % zones
-            disk = n < core and f"d{n + 1}" not in bare
-            about = NodeInfo(f"d{n + 1}", f"z{zone}", "east" if zone % 2 else "west", int(disk), 0)
-            self.machines[about.ip] = Machine(about, Disk() if disk else None)
+            disk = n < core and f"d{n + 1}" not in diskless
+            info = NodeInfo(f"d{n + 1}", f"z{zone}", "east" if zone % 2 else "west", int(disk), 0)
+            self.machines[info.ip] = Machine(info, Disk() if disk else None)
         for name in self.machines:
             self.start(name, first=True)
 
@@ -158,15 +158,13 @@
     def start(self, name: str, first: bool = False, clock: int = 0) -> None:
         """Start a node; `clock` is subtracted from its incarnation, as if its clock had been set back."""
         machine = self.machines[name]
-        machine.lives += 1
-        incarnation = 100_000 + machine.lives * 100 + (machine.disk is not None) - clock
-        machine.about = NodeInfo(
-            name, machine.about.zone, machine.about.region, self.disk_number(), incarnation
-        )
+        machine.start_count += 1
+        incarnation = 100_000 + machine.start_count * 100 + (machine.disk is not None) - clock
+        machine.info = NodeInfo(name, machine.info.zone, machine.info.region, self.disk_number(), incarnation)
         if machine.disk is None:
-            machine.about = NodeInfo(name, machine.about.zone, machine.about.region, 0, incarnation)
+            machine.info = NodeInfo(name, machine.info.zone, machine.info.region, 0, incarnation)
         start = NodeStart(
-            machine.about,
+            machine.info,
             machine.seeds,
             first,
             dict(machine.disk.records) if machine.disk is not None else {},
@@ -213,8 +211,8 @@
 
     def add(self, name: str, zone: int = 1, seeds: list[str] | None = None) -> None:
         """Add a machine with an empty disk and start it."""
-        about = NodeInfo(name, f"z{zone}", "east" if zone % 2 else "west", 1, 0)
-        self.machines[name] = Machine(about, Disk(), seeds=seeds or ["d1", "d2", "d3"])
+        info = NodeInfo(name, f"z{zone}", "east" if zone % 2 else "west", 1, 0)
+        self.machines[name] = Machine(info, Disk(), seeds=seeds or ["d1", "d2", "d3"])
         self.start(name)
 
     def unless_frozen(self, name: str, core: Node, what: Callable[[], None]) -> None:
@@ -254,7 +252,7 @@
                         name, core.on_list_read(self.now, int(self.now * 1000), self.listing, action.number)
                     )
                 case ConfigurationChanged() | EvacuatedZonesChanged() | MembersChanged():
-                    self.saw(name, core)
+                    self.check_version(name, core)
                 case TableChanged():
                     pass
                 case ProposalOutcome():
@@ -267,7 +265,7 @@
     def send(self, source: str, to: str, message: Message) -> None:
         if to not in self.machines or self.random.random() < self.drop:
             return
-        here, there = self.machines[source].about, self.machines[to].about
+        here, there = self.machines[source].info, self.machines[to].info
         delay = self.delay(here, there) * (1 + self.random.random() * 0.2)
 
         def arrive() -> None:
@@ -296,11 +294,11 @@
             if save not in disk.under_way:
                 return  # the node was killed in the meantime
             disk.under_way.remove(save)
-            good = not disk.full
-            if good:
+            succeeded = not disk.full
+            if succeeded:
                 disk.apply(save)
             self.unless_frozen(
-                name, core, lambda: self.actions(name, core.on_saved(self.now, save.serial, good))
+                name, core, lambda: self.actions(name, core.on_saved(self.now, save.serial, succeeded))
             )
 
         self.at(self.now + disk.sync, synced)
@@ -319,9 +317,9 @@
         call = Call("put", self.now, name, number, mark.encode())
         return self.call(call, lambda core, token: core.put_configuration(self.now, token, body))
 
-    def evacuate(self, name: str, zone: str, closed: bool) -> int:
-        call = Call("evacuate", self.now, name, zone=zone, closed=closed)
-        return self.call(call, lambda core, token: core.set_evacuation(self.now, token, zone, closed))
+    def evacuate(self, name: str, zone: str, evacuate: bool) -> int:
+        call = Call("evacuate", self.now, name, zone=zone, evacuate=evacuate)
+        return self.call(call, lambda core, token: core.set_evacuation(self.now, token, zone, evacuate))
 
     def read(self, name: str) -> int:
         call = Call("read", self.now, name)
@@ -355,7 +353,7 @@
             c
             for c in self.calls.values()
             if c.kind == "put"
-            and c.good
+            and c.succeeded
             and c.number == call.number == self.number(c) == done.state.configuration_version
         ]
         if call.kind == "put" and done.succeeded and len({c.digest for c in same}) > 1:
@@ -368,7 +366,7 @@
         It is if a higher version number, or the same body under the same number, is in force there.  The put
         then changed nothing, so that it may be ordered after that state as well as before it.
         """
-        if call.kind != "put" or not call.good or state is None:
+        if call.kind != "put" or not call.succeeded or state is None:
             return False
         same = state.configuration_digest == configuration_digest(body_of(call.number, call.digest.decode()))
         return state.configuration_version > call.number or (
@@ -392,7 +390,7 @@
 
     # --- invariants -------------------------------------------------------------------------------
 
-    def saw(self, name: str, core: Node) -> None:
+    def check_version(self, name: str, core: Node) -> None:
         """Check that no node returns to an older version while it runs, and that a version has one state."""
         state, machine = core.control.acceptor.state, self.machines[name]
         assert state is not None
