--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -313,7 +313,11 @@
         return self.actions
 
     def on_list_read(
-        self, now: float, wall_ms: int, found: dict[str, dict[str, ServerEntry]] | None, number: int
+        self,
+        now: float,
+        wall_ms: int,
+        servers_by_service: dict[str, dict[str, ServerEntry]] | None,
+        number: int,
     ) -> list[Action]:
         """Apply the result of a read of the platform's list, and send the resulting table updates.
 
@@ -327,19 +331,19 @@
             Seconds of the steady clock.
         wall_ms
             Milliseconds of the wall clock.
-        found
+        servers_by_service
             The servers in the list, by service; None if the read failed.
         number
             The number of the read.
         """
         role = self.list_reader_role
-        if not role.end_read(number, found is not None) or found is None:
+        if not role.end_read(number, servers_by_service is not None) or servers_by_service is None:
             return []
         if self.registry.tables and (
             role.was_superseded() or (not role.holds(now) and self.freshness.read_at >= role.read_at)
         ):
             return []
-        actions = self.disseminator.publish_list(now, wall_ms, found)
+        actions = self.disseminator.publish_list(now, wall_ms, servers_by_service)
         self.freshness.confirm(role.read_at)
         return actions
 
--- a/hazelspring/registry/tables.py
+++ b/hazelspring/registry/tables.py
@@ -41,7 +41,7 @@
     release: str
     cold_until: float = 0.0
 
-    def same(self, other: ServerEntry) -> bool:
+    def needs_no_update(self, other: ServerEntry) -> bool:
         """Return whether nothing needs to be sent again; an earlier end of the cold time is not a change."""
         return replace(self, cold_until=0.0) == replace(other, cold_until=0.0) and (
             self.cold_until <= other.cold_until + SLOW_START_TOLERANCE
@@ -111,23 +111,27 @@
         return self._cached_versions
 
     def update_from_list(
-        self, now: float, wall_ms: int, found: dict[str, dict[str, ServerEntry]]
+        self, now: float, wall_ms: int, servers_by_service: dict[str, dict[str, ServerEntry]]
     ) -> list[str]:
         """Update the tables from a list that was read from the platform; return the services that changed.
 
-        `found` holds the listed servers by service and id, `wall_ms` is the time of day in milliseconds.
+        `servers_by_service` holds the listed servers, by service and id; `wall_ms` is the time of day in milliseconds.
         """
         return [
             service
-            for service in {**self.tables, **found}
-            if self._update_service(service, wall_ms, found.get(service, {}))
+            for service in {**self.tables, **servers_by_service}
+            if self._update_service(service, wall_ms, servers_by_service.get(service, {}))
         ]
 
     def _update_service(self, service: str, wall_ms: int, listed: dict[str, ServerEntry]) -> bool:
         """Make a new version of a table if the listed servers differ from it; return whether they do."""
         table = self.tables.get(service)
         old = table.servers if table is not None else {}
-        changed = [name for name, server in listed.items() if name not in old or not server.same(old[name])]
+        changed = [
+            name
+            for name, server in listed.items()
+            if name not in old or not server.needs_no_update(old[name])
+        ]
         removed = [name for name in old if name not in listed]
         if table is not None and not changed and not removed:
             return False
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run at a smoke's size: counts grow as the page says, repeat, and the page's tables are made from them."""
+"""A small scale run: its counts grow as the capacity page states and are repeatable, and give the page's tables."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def counts(found: dict[str, Any]) -> dict[str, Any]:
-    """All of a play that does not hang on the machine's speed."""
+    """Return the figures of a run that do not depend on the machine's speed."""
     timed = ("core", "codec")
     return {
         name: {
@@ -32,42 +32,42 @@
 
 def test_counts_grow_with_the_fleet_and_repeat() -> None:
     sizes = (20, 60)
-    plays = [play(doors, 6, 24, PHASES) for doors in sizes]
+    runs = [play(nodes, 6, 24, PHASES) for nodes in sizes]
     rest = model.load("rest")
-    others = [doors - CORE for doors in sizes]
+    others = [nodes - CORE for nodes in sizes]
 
-    # every plain door asks every core member, so that what comes in from them grows with their number
-    asked = [found["phases"]["rest"]["kinds"]["core beat"]["count"] for found in plays]
+    # every other node sends heartbeats to every core member, so that their number grows with that of the nodes
+    heartbeats = [found["phases"]["rest"]["kinds"]["core beat"]["count"] for found in runs]
     among_core = CORE * (CORE - 1) * 10  # every 0.4 s for 4 s
-    assert slope(others, [count - among_core for count in asked]) == pytest.approx(1.0, abs=0.1)
-    assert slope(sizes, [rest(found, "door", "came") for found in plays]) == pytest.approx(0.0, abs=0.35)
-    # the roster is told by what changed: a restart costs a door its row as it goes, comes and is ready, at any size
-    assert all(0.0 < model.extra(found, "one restart", "door") < 0.3 for found in plays)
-    assert all(found["phases"]["one restart"]["times"]["settled after the start"] < 2 for found in plays)
+    assert slope(others, [count - among_core for count in heartbeats]) == pytest.approx(1.0, abs=0.1)
+    assert slope(sizes, [rest(found, "door", "came") for found in runs]) == pytest.approx(0.0, abs=0.35)
+    # only changes of the roster are sent: for a restart, a node gets one row three times (left, joined, ready)
+    assert all(0.0 < model.extra(found, "one restart", "door") < 0.3 for found in runs)
+    assert all(found["phases"]["one restart"]["times"]["settled after the start"] < 2 for found in runs)
 
-    # a phase begins in the settled state, so that its figures hang neither on those before it nor on their processes
+    # each phase begins in the settled state, so its figures depend neither on earlier phases nor on the processes
     again = counts(play(sizes[0], 6, 24, PHASES[::-1], jobs=2))
-    assert again == counts(plays[0])
+    assert again == counts(runs[0])
 
 
-def test_an_order_alone_takes_one_round_of_the_members() -> None:
+def test_a_single_proposal_takes_one_round_of_the_members() -> None:
     found = rounds.measure(core=4, doors=8, orders=8, tens=1)
     to_members = (
         4 * (4 * 4 + 4 * 3) / 8
-    )  # ask and answer twice; of a member's own round, its part takes no message
+    )  # two requests and replies per member; a member sends no messages to itself
     assert found["alone"]["rounds"] == to_members and found["alone"]["refusals"] == 0
     assert 0.04 < found["half"] <= found["most"] < 0.15  # two round trips between regions, and saves
-    assert found["at once"]["refusals"] > 0  # rounds that meet do refuse each other
+    assert found["at once"]["refusals"] > 0  # concurrent rounds refuse each other
     assert len(found["at once"]["untaken"]) < 10
 
 
-def test_every_message_is_counted_where_it_went_and_where_it_came() -> None:
+def test_every_message_is_counted_at_its_sender_and_at_its_recipient() -> None:
     found = play(20, 6, 24, ("rest",))["phases"]["rest"]
-    went = sum(load["mean"]["out"] * load["doors"] for load in found["loads"].values())
-    came = sum(load["mean"]["came"] * load["doors"] for load in found["loads"].values())
+    sent = sum(load["mean"]["out"] * load["doors"] for load in found["loads"].values())
+    received = sum(load["mean"]["came"] * load["doors"] for load in found["loads"].values())
     kinds = sum(kind["count"] for name, kind in found["kinds"].items() if not name.endswith("tick"))
-    assert came * found["seconds"] == pytest.approx(kinds)
-    assert went == pytest.approx(came, rel=0.05)  # but for what is on its way at the edges
+    assert received * found["seconds"] == pytest.approx(kinds)
+    assert sent == pytest.approx(received, rel=0.05)  # some messages are in transit at the start and the end
 
 
 def test_configurations_are_valid_and_grow_in_proportion() -> None:
@@ -109,10 +109,10 @@
     assert page.put(marked, {"fleet": "| new |"}, path) == marked.replace("old", "| new |")
 
 
-def test_a_days_events_add_to_what_a_door_costs_at_rest(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_days_events_add_to_the_load_of_an_idle_node(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(sizes.SHAPES, 12, (4, 4, 2))
     found = sizes.measure(12)
     _, kilobytes, messages = ([float(part) for part in cell.split("; ")] for cell in sizes.row(found, "core"))
     for rest, day, peak in (kilobytes, messages):
         assert 0 < rest <= day < 1.1 * rest < peak
-    assert sizes.page([found]).count("\n") == 3  # a door and a core member, below the head
+    assert sizes.page([found]).count("\n") == 3  # a node without a disk and a core member, below the head
