--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -41,7 +41,7 @@
     among_core = CORE * (CORE - 1) * 10  # every 0.4 s for 4 s
     assert slope(others, [count - among_core for count in heartbeats]) == pytest.approx(1.0, abs=0.1)
     assert slope(sizes, [rest(found, "door", "came") for found in runs]) == pytest.approx(0.0, abs=0.35)
-    # only changes of the roster are sent: for a restart, a node gets one row three times (left, joined, ready)
+    # only changes of the roster are sent: at any size, a restart costs a node one row thrice (left, joined, ready)
     assert all(0.0 < model.extra(found, "one restart", "door") < 0.3 for found in runs)
     assert all(found["phases"]["one restart"]["times"]["settled after the start"] < 2 for found in runs)
 
