--- a/hazelspring/consensus/acceptor.py
+++ b/hazelspring/consensus/acceptor.py
@@ -218,7 +218,7 @@
 
     def prune_configurations(self) -> None:
         """Remove configurations that neither the accepted nor the decided state names, with their records."""
-        named = {held[1].configuration_digest for held in (self.accepted, self.decided) if held is not None}
+        named = {pair[1].configuration_digest for pair in (self.accepted, self.decided) if pair is not None}
         for digest in [digest for digest in self.configurations if digest not in named]:
             del self.configurations[digest]
             self.dirty_records.add(CONFIGURATION_RECORD_PREFIX + digest.hex())
@@ -318,8 +318,8 @@
             if name == "disk":
                 found[name] = cbor2.dumps([self.disk_id, self.may_bootstrap])
             elif name == "vote":
-                held = [list(self.accepted[0]), self.accepted[1].encode()] if self.accepted else None
-                found[name] = cbor2.dumps([list(self.promised), held])
+                accepted = [list(self.accepted[0]), self.accepted[1].encode()] if self.accepted else None
+                found[name] = cbor2.dumps([list(self.promised), accepted])
             elif name == "decided" and self.decided is not None:
                 found[name] = cbor2.dumps([list(self.decided[0]), self.decided[1].encode()])
             elif name.startswith(CONFIGURATION_RECORD_PREFIX):
@@ -368,9 +368,9 @@
             found.configurations[bytes.fromhex(name[len(CONFIGURATION_RECORD_PREFIX) :])] = body
             found.stored_records.add(name)
     if "vote" in records:
-        promised, held = cbor2.loads(records["vote"])
+        promised, accepted = cbor2.loads(records["vote"])
         found.promised = decode_ballot(promised)
-        found.accepted = (decode_ballot(held[0]), decode_state(held[1])) if held else None
+        found.accepted = (decode_ballot(accepted[0]), decode_state(accepted[1])) if accepted else None
     if "decided" in records:
         ballot, row = cbor2.loads(records["decided"])
         found.decided = (decode_ballot(ballot), decode_state(row))
--- a/hazelspring/consensus/forwarding.py
+++ b/hazelspring/consensus/forwarding.py
@@ -132,7 +132,7 @@
                 source=source,
             )
             if len(self.proposals) < MAX_FORWARDED and not any(
-                self.is_same(proposal, held) for held in self.proposals
+                self.is_same(proposal, kept) for kept in self.proposals
             ):
                 self.proposals.append(proposal)
 
