--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -29,8 +29,15 @@
 from hazelspring.node.actions import Action, Save, Send
 from hazelspring.node.sent_request import NOT_SENT
 
+from .control_invariants import (
+    Disk,
+    check_configurations,
+    check_evacuations,
+    check_history,
+    check_reads,
+    check_replication,
+)
 from .control_node import NEVER, Event, ModelNode, consensus_message, is_obsolete, without_duplicates
-from .control_rules import Disk, chain, check_configurations, check_evacuations, copies, unread
 
 T = TypeVar("T")
 TIMING_MESSAGES = (Rejected, RoundEnded)  # messages that affect only the time at which rounds begin
@@ -217,7 +224,7 @@
                 return None
             proposer.back_off(node.now)
             proposer.highest_count, proposer.backoff_until = action - 1, -1e9
-            actions = node.proceed(node.now)
+            actions = node.on_peer_report(node.now)
             return self.complete_step(node, actions) if proposer.round is not None else None
         if isinstance(action, str):  # learn that another node has a newer state
             if old.acceptor.state is not None:
@@ -245,13 +252,13 @@
                 return None
             actions = node.on_saved(node.now, node.saves.save_number, False)
             node.saves.has_failed = False  # as the next tick does
-            return self.complete_step(node, [*actions, *node.proceed(node.now)])
+            return self.complete_step(node, [*actions, *node.on_peer_report(node.now)])
         wiped = event.kind == "wipe"
         node_info = replace(
             me, incarnation=me.incarnation + 1, disk_id=me.disk_id + 10 if wiped else me.disk_id
         )
         new = ModelNode(node_info, {} if wiped else dict(old.records), old.first and not wiped, [])
-        return self.complete_step(new, new.proceed(new.now))
+        return self.complete_step(new, new.on_peer_report(new.now))
 
     def effects(self, node_number: int, messages: int) -> tuple[int, int]:
         """Return the messages that change a node or end a proposal there, and all messages with an effect.
@@ -358,7 +365,7 @@
         numbers: list[int] = []
         sent = decided = 0
         for node in self.case.nodes:
-            node.proceed(node.now)
+            node.on_peer_report(node.now)
             number, new_messages, newly_decided, _ = self.complete_step(node, self.save(node))
             numbers, sent, decided = [*numbers, number], sent | new_messages, decided | newly_decided
         initial: GlobalState = (
@@ -396,17 +403,17 @@
             outcomes = [self.outcomes.values[n] for n in set_bits(ended)]
             fault = (
                 check_configurations(states, outcomes)
-                or unread(outcomes, self.minimum_versions)
+                or check_reads(outcomes, self.minimum_versions)
                 or check_evacuations(states, outcomes, self.final_tokens)
             )
-            self.checked[decided, ended] = fault or ("" if self.visible_only else chain(states))
+            self.checked[decided, ended] = fault or ("" if self.visible_only else check_history(states))
         if self.visible_only or self.checked[decided, ended]:
             return self.checked[decided, ended]
         disk_numbers = tuple(self.disk_number(number) for number in nodes)
         if (decided, disk_numbers) not in self.checked:
             newest = max((self.states.values[n] for n in set_bits(decided)), key=lambda state: state.version)
             disks = {ip: self.disks.values[n] for ip, n in zip(self.ips, disk_numbers, strict=True)}
-            self.checked[decided, disk_numbers] = copies(newest, disks, self.case.wiped_disks)
+            self.checked[decided, disk_numbers] = check_replication(newest, disks, self.case.wiped_disks)
         return self.checked[decided, disk_numbers]
 
     def disk_number(self, number: int) -> int:
--- a/tests/test_bringing.py
+++ b/tests/test_configuration_transfer.py
@@ -24,7 +24,7 @@
     DeltaPath,
     DeltaStep,
     FullConfiguration,
-    HeldConfiguration,
+    KnownConfiguration,
     Promise,
     StateRequest,
 )
@@ -34,7 +34,7 @@
 from hazelspring.node.messages import Message
 from hazelspring.node.node import Node
 
-from .test_word_property import KINDS, play
+from .test_loss_schedules import KINDS, play
 from .world import Call, World
 
 
@@ -84,7 +84,7 @@
     def change(self, number: int, wait: float = 2.0) -> None:
         call = put(self, f"d{1 + number % len(self.machines)}", number, body(number))
         self.run(wait)
-        assert call.good and not self.breaches
+        assert call.succeeded and not self.breaches
 
     def is_everywhere(self, number: int) -> bool:
         return all(
@@ -204,16 +204,16 @@
         world.change(number)
     core: Any = world.machines["d1"].core
     assert isinstance(core, Node)
-    held = HeldConfiguration(configuration_digest(body(1)))
-    without_deltas = StateRequest(1, held)
+    known = KnownConfiguration(configuration_digest(body(1)))
+    without_deltas = StateRequest(1, known)
     (reply,) = [
         action.message
         for action in core.on_message(world.now, "d5", without_deltas)
         if isinstance(action, Send)
     ]
     assert isinstance(reply, Decision) and isinstance(reply.payload, FullConfiguration)
-    assert unpack(reply.payload.packed) == body(2)
-    with_deltas = StateRequest(1, replace(held, accepts_deltas=True))
+    assert unpack(reply.payload.compressed) == body(2)
+    with_deltas = StateRequest(1, replace(known, accepts_deltas=True))
     (reply,) = [d.message for d in core.on_message(world.now, "d5", with_deltas) if isinstance(d, Send)]
     assert isinstance(reply, Decision) and isinstance(reply.payload, DeltaPath)
     assert len(codec.encode(reply)) < 900
--- a/tests/test_rescue.py
+++ b/tests/test_disaster_recovery.py
@@ -21,7 +21,7 @@
     source_from_items,
 )
 from hazelspring.consensus.messages import (
-    HOLDS_NOTHING,
+    KNOWS_NOTHING,
     Accept,
     ConsensusMessage,
     Decision,
@@ -49,7 +49,7 @@
     world.run(3.5)
     token = world.put("d1", 5, "five")
     world.run(1.5)
-    assert world.calls[token].good and not world.breaches
+    assert world.calls[token].succeeded and not world.breaches
     return world
 
 
@@ -59,7 +59,7 @@
     machine = world.machines[name]
     assert machine.disk is not None
     source = source or source_from_acceptor(load_acceptor(machine.disk.records, 0, False), True)
-    member = Member(name, machine.about.zone, machine.about.region, world.disk_number())
+    member = Member(name, machine.info.zone, machine.info.region, world.disk_number())
     recovered = recovered_acceptor(source, member, size, 10**12 + int(world.now * 1000))
     machine.disk.records = {k: body for k, body in recovered.take_dirty_records().items() if body is not None}
     world.start(name)
@@ -68,7 +68,7 @@
 def outcomes(world: World, *tokens: int) -> list[bool]:
     """Run until all proposals have ended, and return whether each succeeded."""
     world.run(3.5)
-    return [world.calls[token].good for token in tokens]
+    return [world.calls[token].succeeded for token in tokens]
 
 
 def lineages(world: World) -> set[int]:
@@ -335,7 +335,7 @@
     def request(base_version: int, state: ControlState) -> ConsensusMessage:
         ballot = Ballot(10**9, 1, "d3")
         if kind == "prepare":
-            return Prepare(ballot, base_version, HOLDS_NOTHING)
+            return Prepare(ballot, base_version, KNOWS_NOTHING)
         return Accept(ballot, base_version, state)
 
     actions = new.on_message(1.0, "d3", request(5, DECIDED))
