--- a/hazelspring/admission/interface.py
+++ b/hazelspring/admission/interface.py
@@ -35,7 +35,7 @@
     RESET = 104
     TIMEOUT = 110
     CONNECT_FAILED = 111
-    MOOT = 114
+    MOOT = 114  # not sent, as it was of no use or not allowed, or cancelled before
     CANCELLED = 125
 
     @property
@@ -65,7 +65,8 @@
 class RequestClass:
     """A class of requests; times in seconds.
 
-    ``aim`` is the time for a worthwhile answer, ``memory`` the time for which repeats are deduplicated.
+    ``aim`` is the target time, after which an answer is worth only ``late_worth``; ``memory`` is the time
+    for which repeats are deduplicated.
     """
 
     name: str
--- a/hazelspring/admission/policy/backend_selection.py
+++ b/hazelspring/admission/policy/backend_selection.py
@@ -10,7 +10,7 @@
 from hazelspring.admission.policy.records import Backend, Job
 from hazelspring.admission.policy.servers import MAX_LATE_SHARE, MIN_LIMIT, REPORT_AGE, Servers
 
-FIRST_LIMIT = 12.0  # initial limit of attempts in flight at a mean backend, all gateways together
+FIRST_LIMIT = 12.0  # initial limit of attempts in flight at an average backend, all gateways together
 LIMIT_DEVIATIONS = 0.7  # standard deviations allowed above the mean: a gateway's load is uneven
 BACKOFF = 0.85  # factor on the limit when too many answers are late
 CANDIDATES = 12  # backends compared for an attempt: the fleet may be large
@@ -21,7 +21,7 @@
 class BackendSelection:
     def __init__(self, ctx: Context, servers: Servers, jobs: dict[int, Job]) -> None:
         self.ctx, self.servers, self.jobs = ctx, servers, jobs  # `jobs` is only read
-        self.limit = FIRST_LIMIT / ctx.peers  # limit of attempts at a mean backend, this gateway's part
+        self.limit = FIRST_LIMIT / ctx.peers  # limit of attempts at an average backend, this gateway's part
         self.lowered_at = 0.0  # time of the last decrease of `limit`
         self.probe_at = 0.0
 
@@ -60,7 +60,7 @@
     def below_fleet_limit(self) -> bool:
         """Whether the fleet may take another attempt.  Unanswered attempts don't count."""
         fleet, ctx = self.servers, self.ctx
-        # Each gateway sheds its part at random; with few attempts in flight, the reported load is outdated.
+        # Sheds this gateway's part at random, but not with few attempts in flight, as reports are then old.
         if fleet.in_flight * ctx.peers >= len(fleet.live) and ctx.random.random() > 2 - fleet.overload():
             return False
         mean = self.limit * fleet.capacity()
--- a/hazelspring/admission/policy/call_rate.py
+++ b/hazelspring/admission/policy/call_rate.py
@@ -6,7 +6,7 @@
 from hazelspring.admission.interface import Outcome
 from hazelspring.admission.policy.context import SMOOTHING, TICK, Context
 
-INITIAL_CALLS = 400.0  # initial counter calls of all gateways within the shortest aim
+INITIAL_CALLS = 400.0  # initial counter calls of all gateways within the shortest target time of any class
 MIN_CALLS = 60.0  # calls a second of all gateways at least: enough to detect that the counter answers again
 INCREASE = 0.25  # largest relative increase for a quick answer, while the rate limits calls
 DECREASE = 0.88  # factor for a call that fails or takes at least half of its time-out
@@ -34,8 +34,8 @@
         self.normal_rate *= factor
 
     def initial_rate(self) -> float:
-        """Guess the rate, as the counter's capacity is not known: shorter aims come with more calls.  Too
-        high a rate costs much when all gateways start at once: the counter works on timed-out calls."""
+        """Guess the rate, as the counter's capacity is not known: shorter target times come with more
+        calls.  Too high a rate is costly when all gateways start: the counter works on timed-out calls."""
         return INITIAL_CALLS / self.ctx.aim / self.ctx.peers if self.ctx.settings.has_counter else 0.0
 
     def on_answer(self, event: i.Counted, good: bool) -> None:
--- a/hazelspring/admission/policy/context.py
+++ b/hazelspring/admission/policy/context.py
@@ -12,7 +12,7 @@
 TICK = 0.025  # interval at which queued requests are checked
 WATCH_TICKS = 2  # ticks between checks of attempts in flight and of idle leases
 FORGET = 30.0  # age at which idle records, and what the counter said about a customer, are dropped
-NEWEST = 0.3  # of the newest grant or denial, the newest report, reported load against own attempts
+NEWEST = 0.3  # weight of the newest grant or denial or report, and of reported load against own attempts
 TARGET_SHARE = 0.5  # target latency as a share of the class's aim
 SMOOTHING = 0.1  # weight of the newest latency
 EJECT = 8.0  # latency that a failed connection counts as, in multiples of the fleet's latency
--- a/hazelspring/admission/policy/quotas.py
+++ b/hazelspring/admission/policy/quotas.py
@@ -1,4 +1,5 @@
-"""Leases customers' quotas from the counter (GALE's leased mode), admits requests, returns unused credit."""
+"""Admits requests by quotas in GALE's leased mode: each gateway leases credit from a shared counter in
+batches, spends it locally, and returns what it does not use."""
 
 from __future__ import annotations
 
@@ -36,8 +37,8 @@
         self.leases: dict[tuple[int, bool], Lease] = {}
         self.calls: dict[int, deque[tuple[Lease, int, float, bool]]] = {}  # counter calls in flight, by name
         self.returnable: dict[tuple[int, bool], Lease] = {}  # leases with credit or slots to return
-        # Decayed sums of units: requested by lease calls, and admitted without a call.
-        self.called, self.uncalled, self.tracked_at = 0.0, 0.0, 0.0
+        # Decayed sums of units: requested by lease calls, and admitted but not yet reported to the counter.
+        self.leased, self.unreported, self.tracked_at = 0.0, 0.0, 0.0
 
     def lease(self, req: i.Request, plan: i.Plan, slots: bool) -> Lease:
         """Find or create the customer's lease, moved on to its current window."""
@@ -50,7 +51,7 @@
             first = max(1.0, base / width)  # the first lease is this gateway's share
             phase = mix(req.customer) / 2**64 * length
             lease = Lease(req.customer, plan, width, slots, length, phase, base, math.log(first))
-            # No full share after a restart, and none for a retry, which another gateway has just refused.
+            # No full local share, as this may be a restart; none for a retry another gateway just refused.
             lease.bucket, lease.bucket_at = 0.0 if req.is_retry else 1.0, self.ctx.now
             self.leases[req.customer, slots] = lease
         self.roll_window(lease)
@@ -58,8 +59,8 @@
         return lease
 
     def window(self, plan: i.Plan, slots: bool) -> tuple[float, float]:
-        """Compute a window's limit in units and its length in seconds.  The limit is a whole number: the
-        burst, or a quarter of a ceiling's, as two windows leased and two by local share may coincide."""
+        """Compute a window's limit in units and its length in seconds.  The limit is the burst in whole
+        units, at most a quarter of a ceiling's, as two leased windows and two local shares may add up."""
         if slots:
             return float(plan.parallel), 2 * max(c.deadline for c in self.ctx.settings.classes)
         most = min(plan.burst, plan.ceiling_burst / 4 if plan.ceiling_rate else plan.burst)
@@ -86,7 +87,7 @@
             if lease in job.taken_from:
                 continue
             units = self.units(lease, job)
-            if lease.was_exhausted and job.req.is_retry:  # late already: leave the unit to a first try
+            if lease.was_exhausted and job.req.is_retry:  # already late: leave the unit to a new request
                 self.dispatcher.refuse(job, (lease.window + 1) * lease.length - lease.phase - self.ctx.now)
             elif lease.credits + EPS >= units and not lease.waiters:
                 self.take_credit(lease, job, units)
@@ -144,17 +145,17 @@
         amount = lease.batch + lease.unreported
         if not lease.slots:
             self.track_unreported(lease.batch, -lease.unreported)
-            # Rounded at random: against a small limit, a fraction would deny the last unit to every gateway.
-            amount += math.floor(lease.batch * self.uncalled / self.called + self.ctx.random.random())
+            # Rounded at random: if each gateway added a fraction, none would get a small limit's last unit.
+            amount += math.floor(lease.batch * self.unreported / self.leased + self.ctx.random.random())
         self.call_counter(lease, amount, gives=False)
         lease.unreported = 0.0
 
-    def track_unreported(self, called: float, uncalled: float) -> None:
-        """Update the sums of units leased and admitted without a call.  Units that no call reports are
-        missing from all gateways' totals, so each call adds as many as go unreported per unit leased."""
+    def track_unreported(self, leased: float, unreported: float) -> None:
+        """Update the sums of leased and unreported units.  The counter's totals lack the unreported units of
+        all gateways, so a lease call adds an estimate: its batch times the unreported per leased unit."""
         fade = math.exp((self.tracked_at - self.ctx.now) / DECAY_TIME)
-        self.tracked_at, self.called = self.ctx.now, self.called * fade + called
-        self.uncalled = max(0.0, self.uncalled * fade + uncalled)
+        self.tracked_at, self.leased = self.ctx.now, self.leased * fade + leased
+        self.unreported = max(0.0, self.unreported * fade + unreported)
 
     def call_counter(self, lease: Lease, amount: float, gives: bool) -> None:
         name = mix(lease.customer, lease.window, lease.slots)
@@ -243,8 +244,8 @@
         return not self.call_rate.has_spare() and self.within_local_share(lease, units)
 
     def share(self, lease: Lease) -> float:
-        """The part of a quota to use without a call, 1/width to all: by the critical ratio of `over_cost`
-        to the worth lost and by a known customer's denials; 1/width under a ceiling, as shares add up."""
+        """The part of a quota to use without a call, 1/width to 1: lower with a higher newsvendor ratio
+        over_cost / (over_cost + lost worth 1) and more denials; under a ceiling 1/width: shares add up."""
         plan = lease.plan
         ratio = 1.0 if plan.ceiling_rate else plan.over_cost / (1 + plan.over_cost)
         if not plan.ceiling_rate and self.ctx.now - lease.checked < FORGET:
@@ -315,7 +316,7 @@
                 unreported, lease.unreported = lease.unreported, 0.0
                 self.call_counter(lease, unreported, gives=True)
             idle = self.ctx.now - lease.touched > IDLE_SHARE * lease.length and not lease.slots
-            if idle and lease.total > lease.base / 2 and self.call_rate.has_spare():  # others may lack it
+            if idle and lease.total > lease.base / 2 and self.call_rate.has_spare():  # others may need it
                 units, lease.credits = lease.credits, 0.0
                 self.give_back(lease, units)
             if lease.credits <= EPS and not lease.in_use:
--- a/hazelspring/admission/policy/records.py
+++ b/hazelspring/admission/policy/records.py
@@ -66,8 +66,8 @@
     unanswered: dict[str, float] = field(default_factory=dict)  # by class: last seen unanswered
     draw: float = 0.0  # random threshold for a fractional limit, drawn anew from time to time
     drawn_at: float = -math.inf
-    cold_level: float = 0.0  # token bucket for attempts while the backend is cold
-    cold_at: float = 0.0
+    cold_level: float = 0.0  # tokens for attempts while cold; random first: not all gateways send at once
+    cold_level_at: float = 0.0  # when `cold_level` was computed; 0 before the first start
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
     req: i.Request
     cls: i.RequestClass
     plan: i.Plan
-    limits: i.Limits  # as its class and plan: those in force when the request arrived
+    limits: i.Limits  # in force when the request arrived, as are `cls` and `plan`
     arrived: float
     end: float
     leases: list[Lease]
@@ -86,7 +86,7 @@
     tried: list[int] = field(default_factory=list)  # backends, in order of the attempts
     attempts: int = 0
     window: int = 0  # the window that its rate credit belongs to
-    first_run: tuple[Backend, float] | None = None  # the first attempt that may have run, as above
+    first_run: tuple[Backend, float] | None = None  # backend and start of the first that may have run
     closed: bool = False
     complete: bool = True  # whether its last byte has arrived: alert servers start it only then
     can_resend: bool = True  # whether all of it is still available to be sent again
--- a/hazelspring/admission/policy/servers.py
+++ b/hazelspring/admission/policy/servers.py
@@ -19,13 +19,13 @@
 )
 from hazelspring.admission.policy.records import FIRST_LATENCY, Backend, Job
 
-REPORT_AGE = 1.5  # seconds for which a load report is used; after that the fleet's mean is
-SAMPLES = 2.0  # requests to a mean backend, during which a gateway at least remembers a backend's errors
+REPORT_AGE = 1.5  # seconds for which a load report is used; after that, the fleet's mean load is used
+ERROR_MEMORY_REQUESTS = 2.0  # errors count at least until an average backend would have got so many requests
 FLEET_DECAY_TIME = 2.0  # seconds; longest time constant of the fleet's smoothed figures
 PRIOR = 2.0  # weight of the fleet's latency, in answers of the backend itself
 COLD_SAFETY = 0.45  # part of the cold budget to send without proof; each answer adds to it
-COLD_BURST = 0.3  # part of that to send at once; the rest must flow fast enough for a cold backend's share
-MIN_LIMIT = 4.0  # least limit of attempts in flight at a mean backend, all gateways: avoids idle cores
+COLD_BURST = 0.3  # part sent at once; the rest must flow in as fast as a cold backend's share of requests
+MIN_LIMIT = 4.0  # least limit of attempts in flight at an average backend, all gateways: avoids idle cores
 CAPACITY_AGE = 0.05  # seconds for which the computed capacity is reused
 MAX_LATE_SHARE = 0.3  # overloaded above it; one slow backend or costly request stays below
 
@@ -41,7 +41,7 @@
         self.in_flight = 0  # attempts at live backends
         # A guess above the target would refuse all requests, and no answer would correct it.
         self.latency = self.service_time = min(FIRST_LATENCY, TARGET_SHARE * ctx.aim)
-        self.load, self.load_met = 0.0, 1.0  # mean reported load, and mean where `service_time` was seen
+        self.load, self.served_load = 0.0, 1.0  # mean reported load; mean effective load at answers
         self.late_share = 0.0  # smoothed share of answers that were late
         self.answered_at = 0.0  # when any backend last answered
         self.sent, self.backend_seconds, self.sent_at = 0.0, 0.0, 0.0  # decayed attempts and backend seconds
@@ -56,7 +56,7 @@
             found = self.backends.get(entry.backend)
             if found is None:
                 found = self.backends[entry.backend] = Backend(entry, answered=self.ctx.now)
-            starts = entry.started > found.entry.started or not found.cold_at
+            starts = entry.started > found.entry.started or not found.cold_level_at
             found.entry, found.state = entry, entry.state
             if starts:
                 self.start_cold(found)
@@ -68,12 +68,12 @@
         backend.latency = self.latency / max(EPS, self.warmth(backend))
         backend.seen, backend.known = self.ctx.now, 0.0
         backend.answered, backend.erring = self.ctx.now, 0.0
-        backend.cold_level, backend.cold_at = self.ctx.random.random(), self.ctx.now  # not all at once
+        backend.cold_level, backend.cold_level_at = self.ctx.random.random(), self.ctx.now
         if self.warmth(backend) < 1:
             self.unused.add(backend.entry.backend)
 
     def relist(self) -> None:
-        """Recompute the live backends after a change of the list or the bans; queued jobs may fit then."""
+        """Recompute the live backends after a change of the list or bans; queued jobs may then get one."""
         self.live = [b for b in self.backends.values() if self.serves(b)]
         self.capacity_at = -math.inf  # to be recomputed
         self.in_flight = sum(len(b.in_flight) for b in self.live)
@@ -128,14 +128,14 @@
         budget = COLD_SAFETY * rules.fall_multiple * warmth * self.send_rate(0.0) * rules.fall_time
         budget = max(budget, MIN_LIMIT / self.ctx.peers)  # some backends warm up only by serving
         flow = budget * (1 - COLD_BURST) / max(EPS, rules.fall_time)
-        level = backend.cold_level + (self.ctx.now - backend.cold_at) * flow
-        backend.cold_level, backend.cold_at = min(max(1.0, budget * COLD_BURST), level), self.ctx.now
+        level = backend.cold_level + (self.ctx.now - backend.cold_level_at) * flow
+        backend.cold_level, backend.cold_level_at = min(max(1.0, budget * COLD_BURST), level), self.ctx.now
         return backend.cold_level >= 1.0
 
     def error_memory(self) -> float:
         """Return for how many seconds errors count: until a backend would have got a few more requests."""
         rate = self.send_rate(math.inf)
-        return min(FORGET, max(DECAY_TIME, SAMPLES / max(rate, EPS)))
+        return min(FORGET, max(DECAY_TIME, ERROR_MEMORY_REQUESTS / max(rate, EPS)))
 
     def decayed_latency(self, backend: Backend) -> float:
         """Return the learned latency; what exceeds the fleet's decays with time."""
@@ -171,7 +171,7 @@
         """Return the latency predicted from the reported load, divided by the target latency."""
         if "inflight" not in self.ctx.settings.report_columns:
             return 0.0  # a queue's length alone doesn't predict latency
-        return self.service_time / self.load_met * (1 + self.load) / (TARGET_SHARE * self.ctx.aim)
+        return self.service_time / self.served_load * (1 + self.load) / (TARGET_SHARE * self.ctx.aim)
 
     def learn_from_attempt(
         self, backend: Backend, job: Job | None, outcome: Outcome, report: tuple[float, ...], sent: float
@@ -187,7 +187,7 @@
         if good:
             backend.cold_level += 1  # an answer proves capacity for one more
         # If answers are rare, each weighs by the time since the last: overload lasts seconds, not answers.
-        stale = (
+        gap_weight = (
             min(NEWEST, 1 - math.exp((self.answered_at - self.ctx.now) / FLEET_DECAY_TIME))
             if self.answered_at
             else 0.0
@@ -195,10 +195,10 @@
         self.answered_at = self.ctx.now
         if good and job:
             backend.unanswered.pop(job.cls.name, None)
-            self.service_time += max(SMOOTHING, stale) * (took - self.service_time)
-            self.load_met += max(SMOOTHING, stale) * (self.effective_load(backend) - self.load_met)
+            self.service_time += max(SMOOTHING, gap_weight) * (took - self.service_time)
+            self.served_load += max(SMOOTHING, gap_weight) * (self.effective_load(backend) - self.served_load)
             backend.answered = self.ctx.now
-            self.latency += max(SMOOTHING / 4, stale) * (took - self.latency)
+            self.latency += max(SMOOTHING / 4, gap_weight) * (took - self.latency)
         # With few answers from a backend, each one weighs more.  For a cold backend the fleet's latency, its
         # initial estimate, weighs less.
         weight = max(SMOOTHING, 1 / (backend.known + PRIOR * self.warmth(backend)))
@@ -214,7 +214,7 @@
         late = not good or (job is not None and took > TARGET_SHARE * job.cls.aim)
         if backend.latency < SUSPECT * self.latency and outcome is not Outcome.CONNECT_FAILED:
             # One bad backend says nothing about the fleet.
-            self.late_share += max(SMOOTHING / 2, stale) * (late - self.late_share)
+            self.late_share += max(SMOOTHING / 2, gap_weight) * (late - self.late_share)
         return late
 
     def add_attempt(self, backend: Backend, request: int, attempt: int) -> None:
--- a/hazelspring/admission/policy/sizing.py
+++ b/hazelspring/admission/policy/sizing.py
@@ -3,14 +3,15 @@
 import math
 
 LEARN_RATE = 0.5  # AdaGrad step size on ln(batch)
-STRAND_FLOOR = 0.5  # least penalty for stranded units, in counter calls: they always cost something
+STRAND_FLOOR = 0.5  # least cost, in calls, of a stranded unit: leased, but not used in its window; never 0
 
 
 def step(
     size: float, squares: float, served: float, filled: float, price: float, base: float
 ) -> tuple[float, float]:
-    """One AdaGrad step on ln b of orderCost*D/b + strandPenalty*b/2 (optimum sqrt(2*o*D/s)); returns ln b
-    and the sum of squares.  `filled`: leased part of a window's `base`; stranding costs most at 1."""
+    """One AdaGrad step on ln b for the cost o*D/b + s*b/2, whose optimum is sqrt(2*o*D/s): b is the batch,
+    D `served`, o `price` and s the cost of a stranded unit, which is highest if `filled`, the leased part of
+    a window's `base`, is 1.  Returns ln b and the sum of squares."""
     strand = max(STRAND_FLOOR * price, min(1.0, filled) ** 8)
     batch = math.exp(size)
     gradient = (strand * batch / 2 - price * served / batch) / price
--- a/hazelspring/gateway/client_connection.py
+++ b/hazelspring/gateway/client_connection.py
@@ -28,7 +28,7 @@
 BODY_GRACE = 1.5  # seconds that a body may be behind the minimum rate
 MIN_BODY_RATE = 32 * 1024  # bytes per second of a body that is arriving
 IDLE_TIMEOUT = 75.0  # seconds that a connection may be idle
-MIN_RETRY_AFTER = 0.001  # minimum seconds of Retry-After: a value rounded to 0 would be no advice
+MIN_RETRY_AFTER = 0.001  # minimum seconds of Retry-After: a value rounded to 0 would not delay the client
 LINGER = 2.0  # seconds that a client has to read the last answer on its connection
 SURPLUS = 32  # connections above the limit whose requests are still answered, with a refusal
 KEEP_ALIVE_FRACTION = 0.5  # of the connection limit; above it, connections are closed after an answer
@@ -103,8 +103,8 @@
     """A request on a client's connection, and its answer, which is sent after those to earlier requests."""
 
     __slots__ = (
-        "answer", "buffered_bytes", "chunked", "client", "early", "keep_alive", "live", "over", "request",
-        "stream", "upload", "whole",
+        "answer", "buffered_bytes", "chunked", "client", "ended", "keep_alive", "queued", "request",
+        "sending", "stream", "upload", "whole",
     )  # fmt: skip
 
     def __init__(self, client: Client, keep_alive: bool) -> None:
@@ -114,8 +114,9 @@
         self.buffered_bytes = 0  # bytes of its body that are buffered, except by `upload`
         self.upload: Upload | None = None  # the body of the request, if it is streamed
         self.stream: StreamedAnswer | None = None  # the answer, if it is streamed
-        self.live = self.over = self.whole = self.chunked = False
-        self.early = b""  # the part of a streamed answer that arrived before earlier answers were sent
+        # Of a streamed answer: its head has been written; its source has finished; no part of it is missing.
+        self.sending = self.ended = self.whole = self.chunked = False
+        self.queued = b""  # the part of a streamed answer that arrived before earlier answers were sent
 
     def reply(self, answer: Answer) -> None:
         """Take the complete answer, and send it after those to earlier requests."""
@@ -131,15 +132,15 @@
 
     def feed(self, data: bytes) -> None:
         """Send the next part of a streamed answer, or buffer it and pause its source until its turn."""
-        if self.live:
+        if self.sending:
             self.client.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
         elif self.stream is not None:
-            self.early += data
+            self.queued += data
             self.stream.source.pause()  # an earlier answer on the client's connection has not been sent yet
 
     def finish(self, whole: bool) -> None:
         """Note the end of a streamed answer; `whole` is False if it was cut short."""
-        self.over, self.whole = True, whole
+        self.ended, self.whole = True, whole
         self.client.flush()
 
     def release(self) -> None:
@@ -156,10 +157,10 @@
     def __init__(self, client: Client, first: bytes, length: int | None) -> None:
         self.client, self.length = client, length
         self.buffered = bytearray(first)  # all bytes so far, while the body can be sent again
-        self.again, self.whole, self.dropped = True, False, False
+        self.can_resend, self.whole, self.dropped = True, False, False
         self.link: Link | None = None
         client.server.buffered_bytes += len(first)
-        client.hold("no alert server")
+        client.hold("upload cannot be sent")
 
     def framing(self) -> bytes:
         """Return the header line that frames the body."""
@@ -184,27 +185,27 @@
         if self.link is link:
             self.link = None
             if not (self.dropped or self.whole):
-                self.client.hold("no alert server")
+                self.client.hold("upload cannot be sent")
 
     def room(self, link: Link) -> None:
         """Resume reading, as the connection can take more bytes."""
         if self.link is link and not link.unsent:
-            self.client.unhold("no alert server")
+            self.client.unhold("upload cannot be sent")
 
     def feed(self, data: bytes) -> None:
         """Send the next part of the body, and buffer it while the body can be sent again."""
         if self.dropped:
             return
-        if self.link is None or (self.again and len(self.buffered) + len(data) <= REPLAY_LIMIT):
+        if self.link is None or (self.can_resend and len(self.buffered) + len(data) <= REPLAY_LIMIT):
             self.buffered += data
             self.client.server.buffered_bytes += len(data)
-        elif self.again:
-            self.again = False
+        elif self.can_resend:
+            self.can_resend = False
             self.forget()
         if self.link is not None:
             self.link.write(self.encode(data))
             if self.link.unsent:
-                self.client.hold("no alert server")
+                self.client.hold("upload cannot be sent")
 
     def finish(self) -> None:
         """Note that the last byte has arrived."""
@@ -226,7 +227,7 @@
         if not self.dropped:
             self.dropped = True
             self.forget()
-            self.client.unhold("no alert server")
+            self.client.unhold("upload cannot be sent")
 
 
 class Client(asyncio.BufferedProtocol):
@@ -458,20 +459,20 @@
 
     def pass_on(self, exchange: Exchange, stream: StreamedAnswer) -> bool:
         """Stream the answer that is next; returns whether it has been sent to its end."""
-        if not exchange.live:
+        if not exchange.sending:
             # HTTP/1.0 has no chunks, so that the end of the connection is the end of the answer.
             ends_by_close = stream.length is None and self.parser.get_http_version() == "1.0"
             exchange.chunked = stream.length is None and not ends_by_close
             last = self.server.closes_after_answer() and len(self.pending) == 1
             exchange.keep_alive = exchange.keep_alive and not ends_by_close and not last
             self.write(self.server.stream_head(stream, exchange.chunked, not exchange.keep_alive))
-            exchange.live = True
-            early, exchange.early = exchange.early, b""
-            if early:
-                exchange.feed(early)
+            exchange.sending = True
+            queued, exchange.queued = exchange.queued, b""
+            if queued:
+                exchange.feed(queued)
             if not self.full:
                 stream.source.resume()
-        if not exchange.over:
+        if not exchange.ended:
             return False
         if not exchange.whole and self.transport is not None:
             self.transport.abort()  # so that the client can detect that the answer is incomplete
@@ -490,7 +491,7 @@
         """Read requests again, as the client has read its answers."""
         self.full = False
         self.unhold("unread answers")
-        if self.pending and (stream := self.pending[0].stream) is not None and self.pending[0].live:
+        if self.pending and (stream := self.pending[0].stream) is not None and self.pending[0].sending:
             stream.source.resume()
 
     def reject(self, error: BadRequest) -> None:
@@ -539,7 +540,7 @@
         elif self.arriving and waited > self.server.head_timeout:
             self.reject(BadRequest("the request did not come whole", 408))
         elif not self.proven and waited > self.server.head_timeout:
-            # No answer is sent, so that the client sends a request that crosses the close once more.
+            # Closed without an answer: a client that sends a request at the same moment then resends it.
             self.transport.close()
         elif waited > self.server.idle_timeout:
             self.transport.abort()
--- a/hazelspring/gateway/discovery.py
+++ b/hazelspring/gateway/discovery.py
@@ -26,7 +26,7 @@
 # Bounds of the seconds between watch attempts, for each gateway that shares discovery.
 FIRST_RETRY_DELAY, MAX_RETRY_DELAY = 0.1, 0.5
 HEALTHY_AFTER = 2.0  # seconds after which a watch that was answered with status 200 resets the backoff
-# Gateways that may each retry at this rate when discovery refuses; more of them share the total rate.
+# Gateways that may each retry with the delays above when discovery refuses; more share their total rate.
 RETRIERS = 2
 MIN_DELAY = 0.01  # seconds; a refusal comes at once, and retrying at once would be a busy loop
 CONNECT_TIMEOUT = 1.0  # seconds
--- a/hazelspring/gateway/gateway_process.py
+++ b/hazelspring/gateway/gateway_process.py
@@ -125,7 +125,7 @@
             "",
             lambda: {"": sum(len(pool.idle) for pool in host.upstream.pools.values())},
         )
-        gauge("requests_open", "Requests without their whole answer.", "", lambda: {"": host.waiting})
+        gauge("requests_open", "Requests whose answer is not complete.", "", lambda: {"": host.waiting})
         gauge("alert_servers", "Alert servers listed.", "", lambda: {"": len(host.upstream.pools)})
         gauge(
             "processes", "Processes that serve as this one.", "", lambda: {"": self.shared_folder.processes}
--- a/hazelspring/gateway/generations.py
+++ b/hazelspring/gateway/generations.py
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Confirm:
+class PendingConfirmation:
     """A pending confirmation.  Without it, generation `number` is rolled back to generation `back_to`."""
 
     number: int
@@ -106,7 +106,7 @@
         self.loop = asyncio.get_running_loop()
         self.running = Generation(1, config.digest, time.time(), "start")
         self.earlier: deque[Generation] = deque()  # oldest first
-        self.confirm_by: Confirm | None = None
+        self.pending_confirmation: PendingConfirmation | None = None
         self.confirm_timer: asyncio.TimerHandle | None = None
         self.retry_delay = ROLLBACK_RETRY_FIRST
         self.closed = False  # the process is about to end: no further change is applied
@@ -132,13 +132,15 @@
         before = self.config
         number, now = self.running.number + 1, time.time()
         applied = Generation(number, config.digest, now, source)
-        confirm_by = Confirm(number, self.running.number, now + confirm, confirm) if confirm else None
+        pending = (
+            PendingConfirmation(number, self.running.number, now + confirm, confirm) if confirm else None
+        )
         earlier = self.history_with_running()
         steps: list[Step] = []
         try:
             for preparer in self.preparers:
                 steps.append(preparer(before, config))
-            self.write_state_file(applied, config, earlier, confirm_by)
+            self.write_state_file(applied, config, earlier, pending)
         except Exception as error:
             for step in reversed(steps):
                 with contextlib.suppress(Exception):
@@ -152,7 +154,7 @@
                 step.commit()
             except Exception:  # the other components must still commit
                 log.exception("a component failed to commit a change of the configuration")
-        self.set_confirm(confirm_by)
+        self.set_pending_confirmation(pending)
         if self.path is None and (path := state_path(config)) is not None and source == "SIGHUP":
             self.share(path, None)  # this change has added a management address
         pause = time.perf_counter() - began
@@ -247,8 +249,8 @@
 
     def check_no_confirm_pending(self) -> None:
         """Raise RefusedError while a generation is awaiting confirmation."""
-        if self.confirm_by is not None:
-            raise RefusedError(409, f"generation {self.confirm_by.number} is not confirmed yet")
+        if self.pending_confirmation is not None:
+            raise RefusedError(409, f"generation {self.pending_confirmation.number} is not confirmed yet")
 
     # --- rolling back ------------------------------------------------------------------------------
 
@@ -284,23 +286,23 @@
         self.check_if_match(if_match)
         if self.closed:
             raise RefusedError(503, "this process is about to end")
-        if self.confirm_by is None:
+        if self.pending_confirmation is None:
             raise RefusedError(409, "nothing is to be confirmed")
         try:
             self.write_state_file(self.running, self.config, self.earlier, None)
         except OSError as error:
             raise RefusedError(500, f"not confirmed: {error}") from None
-        self.set_confirm(None)
+        self.set_pending_confirmation(None)
         log.info("generation %d confirmed", self.running.number)
         return self.running
 
-    def set_confirm(self, confirm_by: Confirm | None) -> None:
+    def set_pending_confirmation(self, pending: PendingConfirmation | None) -> None:
         """Replace the pending confirmation and its timer."""
         if self.confirm_timer is not None:
             self.confirm_timer.cancel()
-        self.confirm_timer, self.confirm_by, self.retry_delay = None, confirm_by, ROLLBACK_RETRY_FIRST
-        if confirm_by is not None:
-            left = min(max(0.0, confirm_by.until - time.time()), confirm_by.within)
+        self.confirm_timer, self.pending_confirmation, self.retry_delay = None, pending, ROLLBACK_RETRY_FIRST
+        if pending is not None:
+            left = min(max(0.0, pending.until - time.time()), pending.within)
             self.confirm_timer = self.loop.call_later(left, self.roll_back_unconfirmed)
 
     def roll_back_unconfirmed(self) -> None:
@@ -308,9 +310,9 @@
 
         A rollback that fails is retried until it succeeds.
         """
-        if self.confirm_by is None or self.closed:
+        if self.pending_confirmation is None or self.closed:
             return
-        number, back_to = self.confirm_by.number, self.confirm_by.back_to
+        number, back_to = self.pending_confirmation.number, self.pending_confirmation.back_to
         try:
             kept = next(g for g in reversed(self.earlier) if g.number == back_to)
             self.apply(self.restore_config(kept), f"{number} was not confirmed: back to {back_to}")
@@ -330,11 +332,15 @@
         if state_file is not None:
             self.running, self.earlier = state_file.running, deque(state_file.earlier)
             self.last_file_identity = state_file.last_file_identity
-            self.set_confirm(state_file.confirm_by)
+            self.set_pending_confirmation(state_file.pending_confirmation)
         self.poll_timer = self.loop.call_later(POLL_INTERVAL, self.poll_state_file)
 
     def write_state_file(
-        self, running: Generation, config: Config, earlier: Sequence[Generation], confirm_by: Confirm | None
+        self,
+        running: Generation,
+        config: Config,
+        earlier: Sequence[Generation],
+        pending: PendingConfirmation | None,
     ) -> None:
         """Replace the state file atomically, if state is shared.  Raises OSError.
 
@@ -348,8 +354,7 @@
             "version": STATE_FORMAT_VERSION,
             "basis": basis,
             "generations": [g.facts() | {"text": base64.b64encode(g.packed).decode()} for g in generations],
-            "confirm": confirm_by
-            and [confirm_by.number, confirm_by.back_to, confirm_by.until, confirm_by.within],
+            "confirm": pending and [pending.number, pending.back_to, pending.until, pending.within],
         }
         new = self.path.with_name(f"{self.path.name}-{os.getpid()}")
         try:
@@ -398,20 +403,20 @@
             finally:
                 self.path = path
         self.running, self.earlier = replace(state_file.running, packed=b""), deque(state_file.earlier)
-        self.set_confirm(state_file.confirm_by)
+        self.set_pending_confirmation(state_file.pending_confirmation)
 
     # --- reporting ---------------------------------------------------------------------------------
 
     def history(self) -> dict[str, Any]:
         """Return the body of the history call, with the generations from the oldest to the running one."""
-        confirm_by = self.confirm_by and {
-            "number": self.confirm_by.number,
-            "back_to": self.confirm_by.back_to,
-            "until": self.confirm_by.until,
+        pending = self.pending_confirmation and {
+            "number": self.pending_confirmation.number,
+            "back_to": self.pending_confirmation.back_to,
+            "until": self.pending_confirmation.until,
         }
         return {
             "running": self.running.number,
-            "confirm": confirm_by,
+            "confirm": pending,
             "longest_take_ms": round(1000 * self.longest_apply_seconds, 1),
             "generations": [g.facts() for g in (*self.earlier, self.running)],
         }
@@ -433,7 +438,7 @@
     basis: str
     running: Generation  # including its compressed text
     earlier: tuple[Generation, ...]
-    confirm_by: Confirm | None
+    pending_confirmation: PendingConfirmation | None
     last_file_identity: tuple[int, int, int, int]
 
 
@@ -461,11 +466,11 @@
                 > MAX_CONFIG_BYTES
             ):
                 raise ValueError(f"a configuration is larger than {MAX_CONFIG_BYTES} bytes")
-        confirm_by = None
+        pending = None
         if state["confirm"]:
             number, back_to, until, within = state["confirm"]
-            confirm_by = Confirm(int(number), int(back_to), float(until), float(within))
-        return StateFile(str(state["basis"]), found[-1], tuple(found[:-1]), confirm_by, last_file_identity)
+            pending = PendingConfirmation(int(number), int(back_to), float(until), float(within))
+        return StateFile(str(state["basis"]), found[-1], tuple(found[:-1]), pending, last_file_identity)
     except FileNotFoundError:
         return None
     except (OSError, ValueError, TypeError, LookupError, RecursionError, zlib.error) as error:
--- a/hazelspring/gateway/host.py
+++ b/hazelspring/gateway/host.py
@@ -53,7 +53,7 @@
 class Upload(Body, Protocol):
     """The body of a request, which is streamed to a backend while it arrives."""
 
-    again: bool  # whether all bytes so far are still buffered, so that the body can be sent again
+    can_resend: bool  # whether all bytes so far are still buffered, so that the body can be sent again
 
 
 @dataclass(slots=True)
@@ -112,7 +112,8 @@
 class Host(Generic[M]):
     """Passes events to the decision module, carries out its actions and keeps the open requests.
 
-    `answered_on_error` lists the types of event whose request nothing else would end if the module failed on them.
+    `answered_on_error` lists types of event.  If the module fails on an event of such a type, the host
+    answers its request itself, as nothing else would end it.
     """
 
     answered_on_error: tuple[type, ...] = (i.Request, i.Finished)
@@ -315,13 +316,15 @@
             or request.settled
             or left <= 0
             or number >= request.limits.max_attempts
-            or (request.upload is not None and not request.upload.again)
+            or (request.upload is not None and not request.upload.can_resend)
             or (request.running_attempts and not request.limits.second_copies)
         ):
             closed = request is None or request.settled
-            again = request is None or request.upload is None or request.upload.again
+            can_resend = request is None or request.upload is None or request.upload.can_resend
             self.events.append(
-                i.Finished(action.request, number, action.backend, Outcome.MOOT, closed, 0.0, 0, 0, (), again)
+                i.Finished(
+                    action.request, number, action.backend, Outcome.MOOT, closed, 0.0, 0, 0, (), can_resend
+                )
             )
             return
         timeout = min(left, action.timeout) if action.timeout > 0 else left
@@ -378,10 +381,12 @@
             request.may_have_run = True
         if result.outcome is Outcome.OK and not request.settled:
             self.settle(request, self.served(result))
-        closed, again = request.settled, request.upload is None or request.upload.again
+        closed, can_resend = request.settled, request.upload is None or request.upload.can_resend
         outcome, spent = result.outcome, result.spent
         self.post(
-            i.Finished(request.number, number, backend, outcome, closed, spent, 0, 0, result.report, again)
+            i.Finished(
+                request.number, number, backend, outcome, closed, spent, 0, 0, result.report, can_resend
+            )
         )
         self.drop(request)
 
--- a/hazelspring/gateway/pool.py
+++ b/hazelspring/gateway/pool.py
@@ -67,7 +67,7 @@
         self.waiting.append(attempt)
         if self.connecting < MAX_CONNECTS:
             self.open()
-        else:  # waits for one that is already being opened, but no longer than one of its own could take
+        else:  # waits for a connection that is already being opened, for at most the connect time-out
             self.owner.loop.call_later(self.owner.connect_timeout, self.late, attempt)
 
     def open(self) -> None:
@@ -162,7 +162,7 @@
             self.idle.remove(link)
             link.end("idle")
 
-    def suspect(self, since: float) -> None:
+    def close_silent(self, since: float) -> None:
         """End the idle connections that have received nothing since the monotonic time `since` either.
 
         Called when a request that was sent at that time timed out without an answer: the machine may have
--- a/hazelspring/gateway/server_connection.py
+++ b/hazelspring/gateway/server_connection.py
@@ -19,7 +19,7 @@
 STREAM_AFTER_BYTES = 16 * 1024  # an answer of unknown length is streamed once more than this has arrived
 STREAM_AFTER_S = 0.1  # or once this time has passed since its head, however little has arrived
 MAX_HEAD = 16 * 1024  # maximum bytes of an answer's head
-IDLE_AGE_SPREAD = 0.25  # relative range of the maximum idle ages, as gateways must not close in step
+IDLE_AGE_SPREAD = 0.25  # relative range of the maximum idle ages, as gateways must not all close at once
 
 # Shared by all reads, one after another; limits the bytes of each.
 READ_BUFFER = memoryview(bytearray(MAX_BUFFERED_BODY))
@@ -66,7 +66,7 @@
         """Remove a connection that has been lost."""
         ...
 
-    def suspect(self, since: float) -> None:
+    def close_silent(self, since: float) -> None:
         """End the idle connections that have received nothing since `since`, in monotonic seconds."""
         ...
 
@@ -177,7 +177,7 @@
         else:
             self.give_up_reason = why
             if why is Outcome.TIMEOUT and not self.link.head:
-                self.link.pool.suspect(self.link.request_sent_at)
+                self.link.pool.close_silent(self.link.request_sent_at)
             self.link.end("given_up")
 
 
--- a/hazelspring/gateway/shared_folder.py
+++ b/hazelspring/gateway/shared_folder.py
@@ -112,7 +112,7 @@
         )
         if processes != self.processes:
             self.processes = processes
-            log.info("%d processes serve", processes)
+            log.info("%d processes serve as this gateway", processes)
             self.post(Processes(processes))
             self.on_process_count(processes)
 
--- a/hazelspring/lab/compare.py
+++ b/hazelspring/lab/compare.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Built:
+class BuiltRevision:
     """A revision in a worktree of its own; `root` is the folder that its gateway is started in."""
 
     commit: str
@@ -45,7 +45,7 @@
         return (str(self.root / ".venv" / "bin" / "python"), "-m", module)
 
 
-def build(revision: str) -> Built:
+def build(revision: str) -> BuiltRevision:
     """Return the revision with its worktree and virtual environment, and create those that are missing.
 
     Raises CompareError if git or pip fails.
@@ -60,7 +60,7 @@
         run_command(sys.executable, "-m", "venv", "--clear", str(root / ".venv"))
         run_command(str(root / ".venv" / "bin" / "pip"), "install", "-q", "-e", str(root))
         done.touch()
-    return Built(commit, root)
+    return BuiltRevision(commit, root)
 
 
 def run_command(*command: str) -> str:
--- a/hazelspring/lab/models/customers.py
+++ b/hazelspring/lab/models/customers.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from hazelspring.lab.models.random_streams import stream, within
+from hazelspring.lab.models.random_streams import stream, uniform
 
 CALM_USE = (0.15, 0.5)  # requested share of the quota rate, unless a customer is in FULL or HEAVY
 FULL = (0.088, 0.22)  # share of the customers that use nearly all of their quota
@@ -134,8 +134,8 @@
     random = stream(seed, "tariffs")
     found = []
     for spec in TARIFFS:
-        rate = round(within(random, spec.rate), 2)
-        units = float(max(2, round(rate * within(random, spec.burst))))
+        rate = round(uniform(random, spec.rate), 2)
+        units = float(max(2, round(rate * uniform(random, spec.burst))))
         found.append(
             Tariff(spec.name, round(rate * pace, 3), math.ceil(units * pace), spec.pays, spec.over_cost)
         )
@@ -145,7 +145,7 @@
 def mean_work(seed: int) -> tuple[float, ...]:
     """Draw the mean work of each class for this seed, in seconds of one core."""
     random = stream(seed, "work")
-    return tuple(within(random, spec.work) for spec in CLASSES)
+    return tuple(uniform(random, spec.work) for spec in CLASSES)
 
 
 def draw(
@@ -166,7 +166,7 @@
     per_request = float(np.dot(shares, works)) / pace
     total = inside / per_request  # requests per second
     customer_random = stream(seed, "customers")
-    full, heavy, spiky = (within(customer_random, span) for span in (FULL, HEAVY, SPIKY))
+    full, heavy, spiky = (uniform(customer_random, span) for span in (FULL, HEAVY, SPIKY))
     customers: list[Customer] = []
     times: list[np.ndarray] = []
     shifts: list[np.ndarray] = []
@@ -176,14 +176,14 @@
         requested = 0.0
         while requested < spec.share * total:
             kind = customer_random.random()
-            use = within(customer_random, CALM_USE)
+            use = uniform(customer_random, CALM_USE)
             multiple, spike = 1.0, 0.0
             if kind < full:
-                use = within(customer_random, (0.9, 1.0))
+                use = uniform(customer_random, (0.9, 1.0))
             elif kind < full + heavy:
-                use, multiple = 1.0, within(customer_random, HEAVY_MULTIPLE)
+                use, multiple = 1.0, uniform(customer_random, HEAVY_MULTIPLE)
             elif kind < full + heavy + spiky:
-                spike = within(customer_random, SPIKE_MULTIPLE)
+                spike = uniform(customer_random, SPIKE_MULTIPLE)
             part = min(1.0, (spec.share * total - requested) / (use * tariff.rate))
             requested += use * tariff.rate
             if (excess + tariff.rate * (multiple - 1)) > MAX_EXCESS * total:
@@ -237,9 +237,9 @@
     if spike:
         at = float(random.uniform(0, SPIKE_INTERVAL_S[1]))
         while at < length:
-            lasts = within(random, SPIKE_S)
+            lasts = uniform(random, SPIKE_S)
             spikes.append((at, at + lasts))
-            at += lasts + within(random, SPIKE_INTERVAL_S)
+            at += lasts + uniform(random, SPIKE_INTERVAL_S)
     top = max(rate, spike) * largest
     found = np.cumsum(random.exponential(1 / top, size=int(top * length * 1.3) + 40)) if top else np.empty(0)
     found = found[found < length]
@@ -265,8 +265,8 @@
     """Draw the retry policy of a seed."""
     random = stream(seed, "manners")
     retries = int(random.integers(0, 3))
-    backoff = float(random.choice([0.0, within(random, (0.03, 0.24))]))
-    return RetryPolicy(retries, backoff, within(random, (0.62, 0.99)), max_wait)
+    backoff = float(random.choice([0.0, uniform(random, (0.03, 0.24))]))
+    return RetryPolicy(retries, backoff, uniform(random, (0.62, 0.99)), max_wait)
 
 
 def retry_delay(policy: RetryPolicy, seed: int, request: int, tries: int, advice: float) -> float | None:
--- a/hazelspring/lab/models/random_streams.py
+++ b/hazelspring/lab/models/random_streams.py
@@ -12,6 +12,6 @@
     return np.random.Generator(np.random.PCG64(np.random.SeedSequence((seed, zlib.crc32(part.encode())))))
 
 
-def within(random: np.random.Generator, span: tuple[float, float]) -> float:
+def uniform(random: np.random.Generator, span: tuple[float, float]) -> float:
     """Draw a uniformly distributed number from the span."""
     return float(random.uniform(*span))
--- a/hazelspring/lab/plan.py
+++ b/hazelspring/lab/plan.py
@@ -14,7 +14,7 @@
 from hazelspring.lab.day import GATEWAY_FAULTS, SERVER_FAULTS, Day, Fault
 from hazelspring.lab.models.alertserver import ServerSpec
 from hazelspring.lab.models.customers import CLASSES, Arrivals, draw, tariffs_of
-from hazelspring.lab.models.random_streams import stream, within
+from hazelspring.lab.models.random_streams import stream, uniform
 
 KINDS = ("full-box", "old-box")  # machine types of the alert servers
 OLD_SHARE = 0.32  # share of the alert servers that are of the second, slower machine type
@@ -72,17 +72,17 @@
                 kind=kind,
                 zone=number % len(day.zones),
                 rack=number // rack_size,
-                speed=within(random, SPEEDS[kind]),
+                speed=uniform(random, SPEEDS[kind]),
                 slots=slots,
                 queue=queue,
-                thrash_at=within(random, (3.1, 7.3)),
-                thrash=within(random, (0.032, 0.25)),
-                cold_share=max(MIN_COLD_SHARE, within(random, (0.16, 0.47))),
-                warm_up=within(random, (5.6, MAX_WARM_UP)),
-                handshake=within(random, (0.0006, 0.0018)) / day.pace,
-                probe=within(random, (0.00012, 0.00059)) / day.pace,
-                refresh=within(random, (0.11, 0.99)),
-                connections=int(within(random, (400, 840))) * 2,
+                thrash_at=uniform(random, (3.1, 7.3)),
+                thrash=uniform(random, (0.032, 0.25)),
+                cold_share=max(MIN_COLD_SHARE, uniform(random, (0.16, 0.47))),
+                warm_up=uniform(random, (5.6, MAX_WARM_UP)),
+                handshake=uniform(random, (0.0006, 0.0018)) / day.pace,
+                probe=uniform(random, (0.00012, 0.00059)) / day.pace,
+                refresh=uniform(random, (0.11, 0.99)),
+                connections=int(uniform(random, (400, 840))) * 2,
                 memory=DEDUP_SPAN,
             )
         )
--- a/hazelspring/lab/play_runner.py
+++ b/hazelspring/lab/play_runner.py
@@ -27,7 +27,7 @@
 
 from hazelspring.lab.models.counter import Counter, CounterSpec
 from hazelspring.lab.models.discovery import Discovery, Health, Host
-from hazelspring.lab.models.random_streams import stream, within
+from hazelspring.lab.models.random_streams import stream, uniform
 from hazelspring.lab.plan import KINDS, PlannedFault, Play, planned_faults, servers_of, settings_of
 from hazelspring.lab.record import Note, Recorder, Sample
 from hazelspring.lab.simulators.child_process import Message, clock, run_child, send
@@ -235,14 +235,14 @@
         self.runner.note("never ready", self.name)
         return False
 
-    async def kill(self, lasts: float) -> None:
-        """Kill its processes and, unless the play is over, start a new one after `lasts` seconds."""
+    async def kill(self, restart_after_s: float) -> None:
+        """Kill its processes and, unless the play is over, start a new one after `restart_after_s`."""
         self.runner.note("killed", self.name)
         for process in self.processes:
             process.end_requested = True
             process.signal(signal.SIGKILL)
         self.runner.notify_load(self.index, up=False)
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(restart_after_s)
         if not self.runner.finished:
             await self.start_until_ready()
 
@@ -290,14 +290,14 @@
             self.runner.note(f"call {method} {path} answered {status}", self.name, spent)
         return 200 <= status < 300
 
-    async def put_configuration(self, rollback: bool, lasts: float) -> None:
-        """PUT its configuration with `max_attempts` less 1; `rollback`: undo this after `lasts` seconds."""
+    async def put_configuration(self, rollback: bool, undo_after_s: float) -> None:
+        """PUT its configuration with `max_attempts` less 1; `rollback`: undo this after `undo_after_s`."""
         config = msgspec.json.decode(self.config.read_bytes())
         config["settings"]["caps"]["max_attempts"] -= 1
         config.pop("known")
         await self.call_management("PUT", "/_configuration", msgspec.json.encode(config))
         if rollback:
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(undo_after_s)
             await self.call_management("PUT", "/_configuration/rollback")
 
     async def upgrade(self, dies: bool) -> None:
@@ -375,14 +375,16 @@
         self.random = stream(play.seed, "discovery")
         hosts = [Host(s.name, self.day.zones[s.zone], KINDS[s.kind], s.rack) for s in self.specs]
         self.discovery = Discovery(self.day.doors, hosts)
-        self.discovery.update_delays_s = [within(self.random, self.day.told_s) for _ in range(self.day.doors)]
+        self.discovery.update_delays_s = [
+            uniform(self.random, self.day.told_s) for _ in range(self.day.doors)
+        ]
         spec = stream(play.seed, "counter")
         self.counter = SimulatedCounter(
             Counter(
                 CounterSpec(
                     parts=int(spec.integers(1, 3)),
-                    per_s=within(spec, (860, 1200)) * self.day.pace,
-                    call=within(spec, (0.00036, 0.002)),
+                    per_s=uniform(spec, (860, 1200)) * self.day.pace,
+                    call=uniform(spec, (0.00036, 0.002)),
                 )
             ),
             lambda: self.now(),
@@ -553,10 +555,10 @@
         for index in planned.targets:
             name = self.specs[index].name
             gone_after, ready_after = (
-                within(self.random, self.day.notice_s),
-                within(self.random, READY_NOTICE_S),
+                uniform(self.random, self.day.notice_s),
+                uniform(self.random, READY_NOTICE_S),
             )
-            silent_gone_after = within(self.random, SILENT_NOTICE_S)
+            silent_gone_after = uniform(self.random, SILENT_NOTICE_S)
             match fault.kind:
                 case "kill_servers" | "zone":
                     if gone_after < fault.lasts:
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -458,7 +458,7 @@
             raw = await get_configuration(gateway)
             assert (await put(gateway, with_max_attempts(raw, 2), "?confirm=0.05")).status == 200
             await until(lambda: max_attempts(gateway) == 4)
-            assert len(tries) == 3 and generations.confirm_by is None
+            assert len(tries) == 3 and generations.pending_confirmation is None
 
     run(test())
 
@@ -506,10 +506,12 @@
             path.write_text(json.dumps(fresh))  # keys that differ at each start make no newer configuration
             async with gateway_from(path, monkeypatch) as new:
                 assert max_attempts(new) == 2 and new.generations.running.number == 2
-                assert new.generations.confirm_by == old.generations.confirm_by is not None
+                assert (
+                    new.generations.pending_confirmation == old.generations.pending_confirmation is not None
+                )
                 assert new.host.gateway.ctx.random.getstate() != old.host.gateway.ctx.random.getstate()
                 assert (await exchange(new, "PUT", "/_configuration/confirm")).status == 200
-                await until(lambda: old.generations.confirm_by is None)
+                await until(lambda: old.generations.pending_confirmation is None)
                 assert (await put(new, with_max_attempts(raw, 3))).status == 200
                 await until(lambda: max_attempts(old) == 3)
                 assert old.generations.history()["generations"] == new.generations.history()["generations"]
@@ -567,7 +569,7 @@
             assert (await put(old, with_max_attempts(raw, 2), "?confirm=0.1")).status == 200
             path.write_text(json.dumps(with_max_attempts(raw, 3)))
             async with gateway_from(path, monkeypatch) as new:
-                assert max_attempts(new) == 3 and new.generations.confirm_by is None
+                assert max_attempts(new) == 3 and new.generations.pending_confirmation is None
                 # The old process rolls back its put, which was based on the old file.
                 await until(lambda: max_attempts(old) == 4)
                 await asyncio.sleep(0.15)
@@ -622,12 +624,12 @@
             with monkeypatch.context() as patch:
                 patch.setattr(Path, "write_text", full)
                 assert (await put(gateway, with_max_attempts(raw, 2), "?confirm=9")).status == 422
-                assert active_settings(gateway) == before and gateway.generations.confirm_by is None
+                assert active_settings(gateway) == before and gateway.generations.pending_confirmation is None
             assert (await put(gateway, with_max_attempts(raw, 2), "?confirm=9")).status == 200
             with monkeypatch.context() as patch:
                 patch.setattr(Path, "write_text", full)
                 assert (await exchange(gateway, "PUT", "/_configuration/confirm")).status == 500
-            assert gateway.generations.confirm_by is not None
+            assert gateway.generations.pending_confirmation is not None
             assert not list((tmp_path / "ivymux").glob("generations-*"))
 
     run(test())
--- a/tests/test_golden_edges.py
+++ b/tests/test_golden_edges.py
@@ -45,7 +45,7 @@
 from hazelspring.gateway.client_connection import Client
 from hazelspring.gateway.config import Address
 from hazelspring.gateway.config import parse as parse_gateway_config
-from hazelspring.gateway.generations import Confirm, Generation, Generations, read_state_file
+from hazelspring.gateway.generations import Generation, Generations, PendingConfirmation, read_state_file
 from hazelspring.gateway.host import Answer
 from hazelspring.gateway.metrics import Counts
 from hazelspring.gateway.shared_folder import SharedFolder
@@ -262,7 +262,7 @@
         generations.path, generations.basis = path, "0123456789abcdef"
         earlier = Generation(6, "fedcba9876543210", 1700000000.25, "start", zlib.compress(b"{}", 1))
         results: Record = {"digest": config.digest, "basis": config.basis}
-        for source, confirm in (("put", Confirm(7, 6, 1700000090.5, 30.0)), ("SIGHUP", None)):
+        for source, confirm in (("put", PendingConfirmation(7, 6, 1700000090.5, 30.0)), ("SIGHUP", None)):
             running = Generation(7, config.digest, 1700000060.5, source)
             generations.write_state_file(running, config, [earlier], confirm)
             written = path.read_text()
@@ -273,12 +273,12 @@
             results[f"{source}, written"] = written
         generations.stop()
         stored = read_state_file(FOLDER / "generations")
-        assert stored is not None and stored.confirm_by is not None
+        assert stored is not None and stored.pending_confirmation is not None
         both = stored.running, *stored.earlier
         results["read"] = [
             [*astuple(generation)[:4], zlib.decompress(generation.packed).decode()] for generation in both
         ]
-        results["read"] += [stored.basis, astuple(stored.confirm_by), stored.running.facts()]
+        results["read"] += [stored.basis, astuple(stored.pending_confirmation), stored.running.facts()]
         results["handover"] = shared_folder(Path(folder))
     return results
 
