--- a/hazelspring/configuration/blocks.py
+++ b/hazelspring/configuration/blocks.py
@@ -217,7 +217,7 @@
     body
         The document.
     base
-        Another packed body, whose packed blocks are reused where their text is the same.  It is ignored if
+        Another packed body, whose packed blocks are reused if their text is the same.  It is ignored if
         it is damaged.
     """
     packed_by_digest = _packed_blocks_by_digest(base) if base else {}
--- a/hazelspring/configuration/change.py
+++ b/hazelspring/configuration/change.py
@@ -124,7 +124,8 @@
             self._add(key, resource["specification"])
         self._finish_hosts()
         if self.previous.limits_entries > 1 or self.configuration.limits_entries > 1:
-            raise NotIncrementalError("several limits resources: the last one in the document is in force")
+            # The last limits resource in the document is in force, even if the difference lacks it.
+            raise NotIncrementalError("cannot tell which of several limits resources is the last one")
         return self.configuration
 
     def _copy_tables(self, kinds: set[str]) -> None:
--- a/hazelspring/configuration/incremental.py
+++ b/hazelspring/configuration/incremental.py
@@ -32,7 +32,8 @@
     parse_version,
 )
 
-# A JSON constant in the place of the blocks that are left out.  No other text is parsed as this object.
+# The text is a JSON constant that replaces the blocks that are left out.  It is parsed as the object
+# PLACEHOLDER, and no other text is.
 PLACEHOLDER = object()
 PLACEHOLDER_TEXT = b"-Infinity"
 
--- a/hazelspring/configuration/validation.py
+++ b/hazelspring/configuration/validation.py
@@ -4,8 +4,8 @@
 reported, with the field that it is about.  The error texts are part of the interface for operators.
 
 `validate_change` gives the same result from the difference to the current configuration, which is faster for
-a large document.  The difference alone can only lead to acceptance.  In all other cases
-`validate_configuration` checks the complete document, and reports any problem.
+a large document.  From the difference alone it may accept a document, but never rejects one.  In all
+other cases `validate_configuration` checks the complete document, and reports any problem.
 """
 
 from __future__ import annotations
--- a/hazelspring/consensus/acceptor.py
+++ b/hazelspring/consensus/acceptor.py
@@ -44,7 +44,7 @@
 class MissingConfigurationError(Exception):
     """A state cannot be accepted or learned: its configuration was not sent with it and is unknown here."""
 
-    code = "word_lacking"
+    code = "word_lacking"  # a historical name: "word" stood for the configuration
 
 
 class Acceptor:
@@ -57,7 +57,7 @@
     Parameters
     ----------
     disk_id
-        The number of the node's disk; 0 where the node has none.
+        The number of the node's disk; 0 if the node has none.
     may_bootstrap
         Whether the node may vote as a member of the bootstrap (`is_vote_of` in `control_state`).
     """
@@ -77,17 +77,17 @@
 
     @property
     def state(self) -> ControlState | None:
-        """The newest state that this node knows as decided; None where it knows none."""
+        """The newest state that this node knows as decided; None if it knows none."""
         return self.decided[1] if self.decided is not None else None
 
     @property
     def version(self) -> int:
-        """The version of the newest state that this node knows as decided; -1 where it knows none."""
+        """The version of the newest state that this node knows as decided; -1 if it knows none."""
         return self.decided[1].version if self.decided is not None else -1
 
     @property
     def pending(self) -> ControlState | None:
-        """The accepted state where it is newer than the decided one: it may have been decided or not."""
+        """The accepted state if it is newer than the decided one: it may have been decided or not."""
         if self.accepted is None or self.accepted[1].version <= self.version:
             return None
         return self.accepted[1]
@@ -116,7 +116,7 @@
         return self.highest_lineage > lineage(self.version)
 
     def current_configuration(self) -> bytes | None:
-        """Return the configuration in force, compressed; None where there is none."""
+        """Return the configuration in force, compressed; None if there is none."""
         state = self.state
         return (
             self.configurations.get(state.configuration_digest)
@@ -125,7 +125,7 @@
         )
 
     def prepare(self, ballot: Ballot) -> bool:
-        """Promise to accept nothing below a ballot; return False where a higher ballot is promised already.
+        """Promise to accept nothing below a ballot; return False if a higher ballot is promised already.
 
         The record "vote" must be on disk before the promise is sent.
         """
@@ -137,7 +137,7 @@
         return True
 
     def accept(self, ballot: Ballot, state: ControlState, compressed: bytes | None = None) -> bool:
-        """Accept a state at a ballot; return False where a higher ballot is promised.
+        """Accept a state at a ballot; return False if a higher ballot is promised.
 
         The vote and the configuration must be on disk before the acceptance is sent.  A repeated request at
         the ballot that was accepted last changes nothing.
@@ -166,7 +166,7 @@
 
         A state of a lineage below the highest one known is not learned.  A decision at a ballot above the accepted
         one, or of a higher lineage, replaces the accepted state; the promise is raised to its ballot.  The record
-        "decided" becomes dirty, and those of the vote and of configurations where they change.
+        "decided" becomes dirty, and those of the vote and of configurations if they change.
 
         Parameters
         ----------
@@ -226,8 +226,8 @@
     def compute_delta(self, base: bytes, digest: bytes, compressed: bytes | None) -> None:
         """Compute and keep the delta from a configuration that is held here to another one.
 
-        Nothing is done where a delta to the other one is kept already, its bytes are unknown (`compressed` is None), or
-        no delta can be made.
+        Nothing is done if a delta to the other one is kept already, its bytes are unknown (`compressed` is
+        None), or no delta can be made.
         """
         if compressed is None or digest in self.deltas or base == digest or base not in self.configurations:
             return
@@ -235,7 +235,7 @@
             self.keep_delta(base, digest, make_delta(self.configurations[base], compressed), compressed)
 
     def keep_delta(self, base: bytes, digest: bytes, delta: bytes, compressed: bytes) -> None:
-        """Keep a delta, and remove the oldest ones where a path of all deltas would not be worth sending.
+        """Keep a delta, and remove the oldest ones if a path of all deltas would not be worth sending.
 
         At most `MAX_CHAINED_DELTAS` are kept.  Together they are no larger than the complete configuration
         `compressed` that they lead to, nor than `MAX_KEPT_DELTA_BYTES`.
@@ -251,7 +251,7 @@
     def configuration_payload(self, digest: bytes, known: KnownConfiguration) -> ConfigurationPayload:
         """Return the payload by which a node receives a configuration that is held here.
 
-        The payload is a path of deltas from the configuration that the node holds, where the node accepts
+        The payload is a path of deltas from the configuration that the node holds, if the node accepts
         deltas and the path is smaller than the complete configuration.  Otherwise it is the complete
         configuration.
         """
@@ -262,7 +262,7 @@
     def open_payload(self, payload: ConfigurationPayload | None, digest: bytes) -> bytes | None:
         """Return the compressed configuration of a payload.
 
-        The result is None where there is no payload, where its deltas cannot be applied here, or where it
+        The result is None if there is no payload, if its deltas cannot be applied here, or if it
         consists of deltas to a configuration that is held here already.
         """
         if isinstance(payload, FullConfiguration):
@@ -274,8 +274,8 @@
     def delta_path(self, holds: Iterable[bytes], digest: bytes, compressed: bytes) -> DeltaPath | None:
         """Return the deltas that lead from one of the configurations a node holds to another one.
 
-        The result is None where the kept deltas do not reach back to a configuration that the node holds, or
-        where the complete configuration `compressed` is small (`MIN_BYTES_FOR_DELTA`) or no larger than the
+        The result is None if the kept deltas do not reach back to a configuration that the node holds, or
+        if the complete configuration `compressed` is small (`MIN_BYTES_FOR_DELTA`) or no larger than the
         deltas with their digests.
         """
         if len(compressed) <= MIN_BYTES_FOR_DELTA:
@@ -290,7 +290,7 @@
         return DeltaPath(at, tuple(steps)) if at in known and steps else None
 
     def follow_delta_path(self, path: DeltaPath, digest: bytes) -> bytes | None:
-        """Return the compressed configuration to which a path of deltas leads; None where it does not lead to `digest`.
+        """Return the compressed configuration `digest` to which a path of deltas leads; None if it does not.
 
         The deltas are kept, so that this node can send them on.
         """
@@ -310,7 +310,7 @@
     def take_dirty_records(self) -> dict[str, bytes | None]:
         """Return the records to be written, by name, and clear their dirty marks.
 
-        They must be written atomically.  The value None stands for a record to be removed.  Where the save
+        They must be written atomically.  The value None stands for a record to be removed.  If the save
         fails, the caller passes them to :meth:`restore_dirty_records`.
         """
         found: dict[str, bytes | None] = {}
--- a/hazelspring/consensus/control_state.py
+++ b/hazelspring/consensus/control_state.py
@@ -115,7 +115,7 @@
     Raises
     ------
     ValueError, TypeError
-        Where the row does not have the form of a state.
+        If the row does not have the form of a state.
     """
     version, members, previous, target_size, configuration_version, digest, evacuated = row
     decoded = tuple(Member(*member) for member in members)
@@ -131,7 +131,7 @@
     Raises
     ------
     ValueError, TypeError
-        Where the row does not have three fields.
+        If the row does not have three fields.
     """
     counter, incarnation, address = row
     return Ballot(counter, incarnation, address)
--- a/hazelspring/consensus/disaster_recovery.py
+++ b/hazelspring/consensus/disaster_recovery.py
@@ -39,7 +39,7 @@
 class UnrecoverableError(HazelspringError, ValueError):
     """The contents of a disk cannot become a new core; the message says why."""
 
-    code = "unfit"
+    code = "unfit"  # a historical name for contents that cannot be recovered from
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,7 +51,7 @@
     state
         The control state.
     configuration
-        Its configuration, compressed; None where there was none.
+        Its configuration, compressed; None if there was none.
     highest_ballot_count
         The highest counter of a ballot that the disk has promised.
     """
@@ -77,10 +77,10 @@
     Raises
     ------
     UnrecoverableError
-        Where they hold nothing.
+        If they hold nothing.
     """
     if not items:
-        raise UnrecoverableError("no configuration and no zone was ever kept here")
+        raise UnrecoverableError("the stored data contains no configuration and no state of a zone")
     evacuated = frozenset(
         key.removeprefix(ZONE_KEY_PREFIX)
         for key, (_, body) in items.items()
@@ -103,17 +103,17 @@
     acceptor
         The disk's acceptor.
     prefer_accepted
-        Use the accepted state where it is newer than the decided one: it may have been decided and
+        Use the accepted state if it is newer than the decided one: it may have been decided and
         acknowledged without the decision having reached this disk.
 
     Raises
     ------
     UnrecoverableError
-        Where the disk knows no decided state after the bootstrap state.
+        If the disk knows no decided state after the bootstrap state.
     """
     state = acceptor.pending if prefer_accepted and acceptor.pending is not None else acceptor.state
     if state is None or state.version == 0:
-        raise UnrecoverableError("nothing was agreed on here")
+        raise UnrecoverableError("the disk contains no state that was decided after the bootstrap")
     configuration = None
     if state.configuration_digest != NO_CONFIGURATION:
         configuration = acceptor.configurations[state.configuration_digest]
@@ -126,7 +126,7 @@
     Raises
     ------
     UnrecoverableError
-        Where they could not.
+        If they could not.
     """
     try:
         if source.configuration is not None:
@@ -150,7 +150,7 @@
     target_size
         How many members the core is meant to have; 0 for as many as before.
     now
-        A number that grows with time, as incarnations do.  It becomes the lineage where it is above the
+        A number that grows with time, as incarnations do.  It becomes the lineage if it is above the
         source's lineage; otherwise the lineage after the source's is used.  So the later of two recoveries
         prevails, even if neither knew of the other.
     """
--- a/hazelspring/consensus/forwarding.py
+++ b/hazelspring/consensus/forwarding.py
@@ -77,7 +77,7 @@
         return 0 <= state.version - self.valid_from_version < VALID_VERSIONS
 
     def apply(self, state: ControlState) -> ControlState:
-        """Return `state` with this proposal applied, or `state` itself where it is not valid for it."""
+        """Return `state` with this proposal applied, or `state` itself if it is not valid for it."""
         # The base class is named because `dataclass(slots=True)` creates a new class, and `super()` refers
         # to the old one.
         return Proposal.apply(self, state) if self.is_valid_for(state) else state
@@ -191,7 +191,7 @@
     def select(self, state: ControlState, to: str, proposals: Iterable[Proposal]) -> list[ForwardedChange]:
         """Return the proposals to be forwarded to a node now, and record them as forwarded.
 
-        The list is empty where all of them were sent to the node already, or where `MAX_RECIPIENTS` other
+        The list is empty if all of them were sent to the node already, or if `MAX_RECIPIENTS` other
         nodes were sent proposals while this version was in force.
         """
         if state.version != self.version:
--- a/hazelspring/consensus/messages.py
+++ b/hazelspring/consensus/messages.py
@@ -25,7 +25,7 @@
     Attributes
     ----------
     digest
-        The configuration's digest; ``NO_CONFIGURATION`` where the sender knows none.
+        The configuration's digest; ``NO_CONFIGURATION`` if the sender knows none.
     accepts_deltas
         Whether a newer configuration may be sent to it as a path of deltas from this one.
     """
@@ -94,9 +94,9 @@
     known_digests
         Digests of the configurations that the member knows; an `Accept` need not include these.
     accepted
-        The state that the member accepted last; None where it has accepted none.
+        The state that the member accepted last; None if it has accepted none.
     payload
-        The configuration of `accepted`, where that may be new to the proposer.
+        The configuration of `accepted`, if that may be new to the proposer.
     """
 
     ballot: Ballot
@@ -119,7 +119,8 @@
     state
         The state to accept.
     payload
-        The state's configuration; None where there is none, or the member is believed to hold it or to receive it soon.
+        The state's configuration; None if there is none, or the member is believed to hold it or to receive
+        it soon.
     """
 
     ballot: Ballot
@@ -147,9 +148,9 @@
     promised
         The highest ballot that the sender has promised.
     wait_ms
-        Milliseconds for which the sender may still give precedence to another proposer's round.  A `Prepare`
+        Milliseconds for which the sender may still give priority to another proposer's round.  A `Prepare`
         that is refused only because a higher ballot is promised gets 0; an `Accept` refused for that reason
-        gets the time that the other round has left, or 0 where no other round is admitted.
+        gets the time that the other round has left, or 0 if no other round is admitted.
     of_accept
         Whether an `Accept` is refused, rather than a `Prepare`.
     """
@@ -202,7 +203,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StateRequest:
-    """Requests the recipient's decided state where it is newer than the sender's, which is `version`."""
+    """Requests the recipient's decided state if it is newer than the sender's, which is `version`."""
 
     version: int
     known: KnownConfiguration
@@ -212,7 +213,7 @@
 class Decision:
     """Notifies a node that a state was decided at a ballot.
 
-    `payload` is the state's configuration; None where the recipient is believed to hold it, or there is none.
+    `payload` is the state's configuration; None if the recipient is believed to hold it, or there is none.
     """
 
     ballot: Ballot
--- a/hazelspring/consensus/outcomes.py
+++ b/hazelspring/consensus/outcomes.py
@@ -12,7 +12,7 @@
 def outcome_of(
     proposal: Proposal, state: ControlState, acceptor: Acceptor, is_confirmed: Callable[[Proposal], bool]
 ) -> ProposalOutcome | None:
-    """Return the outcome of a proposal; None where the decided state at this node does not settle it yet.
+    """Return the outcome of a proposal; None if the decided state at this node does not settle it yet.
 
     Parameters
     ----------
@@ -31,9 +31,10 @@
     if proposal.apply(state) is not state:
         return None
     # Once the proposed configuration or one with a higher number is in force, this remains so, whichever
-    # node reports it.  Any other effect may have been in force only before the proposal was submitted.  It
-    # was in force afterwards too where the state was the newest one at some time since then, or was decided
-    # above one that was; such a proposal is marked as confirmed.
+    # node reports it.  Any other effect may have been undone by a state that is not known here yet, even
+    # before the proposal was submitted.  The effect was in force after the submission if the state known
+    # here was the newest decided one at some time since then, or was decided after a state that was.  The
+    # proposal is then marked as confirmed.
     conflicts = proposal.conflicts_with(state)
     lasting = (
         proposal.kind == ProposalKind.PUT_CONFIGURATION
--- a/hazelspring/consensus/proposal.py
+++ b/hazelspring/consensus/proposal.py
@@ -12,7 +12,8 @@
     """The kinds of proposals.
 
     The values of ``PUT_CONFIGURATION`` and ``SET_EVACUATION`` are sent on the wire, as these two may be
-    forwarded.
+    forwarded.  The values of ``RESOLVE`` and ``BOOTSTRAP`` are earlier names of these kinds: to settle an
+    undecided state, and to found a core.
     """
 
     PUT_CONFIGURATION = "put"  # put an operator's configuration in force
@@ -38,7 +39,7 @@
     Attributes
     ----------
     token
-        Identifies the caller that waits for the outcome; 0 where nobody does.
+        Identifies the caller that waits for the outcome; 0 if nobody does.
     started_at
         When the proposal was submitted, in seconds of the node's clock.
     kind
@@ -76,7 +77,7 @@
     confirmed: bool = False
 
     def apply(self, state: ControlState) -> ControlState:
-        """Return `state` with this proposal applied; `state` itself where nothing is to change.
+        """Return `state` with this proposal applied; `state` itself if nothing is to change.
 
         The proposer sets the version and the previous members, as one round may carry out several proposals.
         """
@@ -172,14 +173,14 @@
     token
         The proposal's token.
     succeeded
-        Whether the proposal may be acknowledged.  Where it did not succeed and `conflict` is false, it may still be
-        carried out later.
+        Whether the proposal may be acknowledged.  If it did not succeed and `conflict` is false, it may
+        still be carried out later.
     reason
         Why it did not succeed, for the operator.
     conflict
         Whether another configuration is in force under the proposal's version number.
     state
-        The decided state that settled the proposal; None where the proposal timed out.
+        The decided state that settled the proposal; None if the proposal timed out.
     configuration
         The compressed configuration; only after a successful read of one.
     """
--- a/hazelspring/consensus/proposer.py
+++ b/hazelspring/consensus/proposer.py
@@ -57,7 +57,7 @@
 # regions.
 MIN_BACKOFF = 0.03
 # Seconds at which the back-off stops doubling with each failed round; with its random factor of 0.5 to 1.5
-# it stays below half of the time for which a member gives precedence to another round.
+# it stays below half of the time for which a member gives priority to another round.
 MAX_BACKOFF = 0.3
 # Minimum seconds that the recipient of forwarded proposals has to carry them out before this node begins a
 # round of its own; a random part of up to the same length is added.
@@ -97,7 +97,8 @@
         # How many rounds in a row competing rounds have ended, and the time until which no new round begins.
         self.failed_rounds, self.backoff_until = 0, LONG_AGO
         self.outbox: list[OutgoingMessage] = []  # notices of ended rounds, and proposals to forward
-        self.forwarded, self.forwarder = ForwardedProposals(), ProposalForwarder()
+        # Proposals that other nodes forwarded to this one, and a record of those that this node forwarded.
+        self.received_proposals, self.forwarder = ForwardedProposals(), ProposalForwarder()
         # The start of the last round that succeeded: every state decided before that time is known here.
         self.confirmed_since = LONG_AGO
 
@@ -109,9 +110,9 @@
     def on_new_state(self, now: float) -> None:
         """End the back-off, as a newer decided state means that the competing round has ended.
 
-        Where this node's rounds competed with another one, the proposals that are still open are forwarded
+        If this node's rounds competed with another one, the proposals that are still open are forwarded
         to the node that decided the new state, as its next round begins at once.  This node then begins a
-        round of its own only where they are not carried out within `FORWARDING_GRACE` and its random part.
+        round of its own only if they are not carried out within `FORWARDING_GRACE` and its random part.
         """
         competed = self.failed_rounds > 0 or bool(self.forwarder.tokens_by_node)
         self.failed_rounds, self.backoff_until = 0, LONG_AGO
@@ -123,7 +124,7 @@
             self.backoff_until = now + FORWARDING_GRACE * (1 + self.random.random())
 
     def forward(self, to: str) -> None:
-        """Forward operators' open proposals to the node whose round has precedence.
+        """Forward operators' open proposals to the node whose round has priority.
 
         That node includes them in this round or in its next one.
         """
@@ -184,7 +185,7 @@
     def advance(self, now: float) -> list[OutgoingMessage]:
         """Advance the round as far as it goes, and return the requests to be sent.
 
-        A round begins where a proposal needs one and no back-off is in progress.  It is abandoned where
+        A round begins if a proposal needs one and no back-off is in progress.  It is abandoned if
         another node has decided a newer state, or no proposal is left.  A round that competes with another
         one backs off once its phase has taken `CONTENDED_ROUND_TIMEOUT`.  Members that have not answered are
         sent the request again.
@@ -198,14 +199,14 @@
             and self.round is not None
             and now - self.round.phase_started_at > CONTENDED_ROUND_TIMEOUT
         ):
-            self.back_off(now)  # members that have not refused are not expected to answer any more
-        self.forwarded.expire(now, state)
-        if state is None or not (self.proposals or self.forwarded.applicable(state)):
+            self.back_off(now)  # a member that has not answered by now is not expected to answer
+        self.received_proposals.expire(now, state)
+        if state is None or not (self.proposals or self.received_proposals.applicable(state)):
             self.abandon_round()
             return []
         if self.round is None:
             needed = any(self.needs_round(now, proposal, state) for proposal in self.proposals)
-            needed = needed or bool(self.forwarded.applicable(state))
+            needed = needed or bool(self.received_proposals.applicable(state))
             if now < self.backoff_until or not needed:
                 return []
             decided = self.acceptor.decided or (NO_BALLOT, state)
@@ -232,13 +233,13 @@
         return state.version > 0 and now - proposal.started_at > NO_CHANGE_GRACE
 
     def next_state(self, base: ControlState) -> ControlState:
-        """Return `base` with all open proposals applied, or `base` itself where nothing is to change.
+        """Return `base` with all open proposals applied, or `base` itself if nothing is to change.
 
         Forwarded proposals are applied before this node's own.  At most one proposal changes the members, as one
         version may change them only once.
         """
         state, members_changed = base, False
-        for forwarded in self.forwarded.applicable(base):
+        for forwarded in self.received_proposals.applicable(base):
             state = forwarded.apply(state)
         for proposal in self.proposals:
             if proposal.changes_members():
@@ -266,7 +267,7 @@
     def requests(self, now: float, current: Round) -> list[OutgoingMessage]:
         """Return the requests of the current phase to members that have not answered.
 
-        A member is left out where it was sent a request less than `RESEND_INTERVAL` ago, or has refused.
+        A member is left out if it was sent a request less than `RESEND_INTERVAL` ago, or has refused.
         """
         if current.value is current.base:
             return []  # nothing is to change, so no state has to be accepted
@@ -300,7 +301,7 @@
 
         A complete configuration is not sent again while it may still be in transit; the transfer takes
         longer the more recipients share the link.  Requests in the meantime have no payload, and the member
-        answers them by `ConfigurationMissing` where the configuration has not arrived.
+        answers them by `ConfigurationMissing` if the configuration has not arrived.
         """
         payload = self.payload_for(ip, value.configuration_digest, current)
         if isinstance(payload, FullConfiguration):
@@ -311,9 +312,9 @@
         return payload
 
     def payload_for(self, ip: str, digest: bytes, current: Round) -> ConfigurationPayload | None:
-        """Return a configuration's payload for a member; None where the member holds it or it is not known.
+        """Return a configuration's payload for a member; None if the member holds it or it is not known.
 
-        The payload is a path of deltas from a configuration that the member holds, where that is smaller, or
+        The payload is a path of deltas from a configuration that the member holds, if that is smaller, or
         else the complete configuration.  There is none for `NO_CONFIGURATION`.
         """
         # A member that has not promised yet most likely holds the configuration in force.
@@ -327,7 +328,7 @@
         return FullConfiguration(compressed) if path is None else path
 
     def find_configuration(self, digest: bytes) -> bytes | None:
-        """Return the compressed configuration of a digest; None where it is unknown here.
+        """Return the compressed configuration of a digest; None if it is unknown here.
 
         It may be held by the acceptor, be received with a promise, or belong to an open or forwarded
         proposal.
@@ -336,7 +337,7 @@
             return self.acceptor.configurations[digest]
         if self.round is not None and digest in self.round.configurations:
             return self.round.configurations[digest]
-        known = [*self.proposals, *self.forwarded.proposals]
+        known = [*self.proposals, *self.received_proposals.proposals]
         return next(
             (proposal.configuration for proposal in known if proposal.configuration_digest == digest), None
         )
@@ -369,7 +370,7 @@
     def choose_value(self, now: float, current: Round) -> None:
         """Choose the state to be accepted, and begin the second phase, once read quorums have promised.
 
-        The value is the state accepted at the highest ballot, where that is newer than the base, or else the
+        The value is the state accepted at the highest ballot, if that is newer than the base, or else the
         base with the open proposals applied.  The round waits while a majority cannot be reached, or the
         configuration of the state is unknown here.
         """
@@ -410,7 +411,7 @@
             current.acceptances[source] = message.voter
 
     def on_missing_configuration(self, source: str, ballot: Ballot) -> None:
-        """Request or send a complete configuration where deltas were not enough.
+        """Request or send a complete configuration if deltas were not enough.
 
         Either a member lacks the configuration of an `Accept` that it was believed to hold, and is sent the
         complete one; or the deltas in a promise cannot be applied here, and the promise is requested again
@@ -425,12 +426,12 @@
                 self.round.sent_at.pop(source, None)
 
     def on_rejected(self, now: float, source: str, message: Rejected) -> None:
-        """Handle a refusal: the member has promised a higher ballot, or gives precedence to another round.
+        """Handle a refusal: the member has promised a higher ballot, or gives priority to another round.
 
-        Where the refusal of a `Prepare` gives a time to wait, the request is sent again later.  Any other
-        refusal is final for this phase, and the round backs off where too few members are left for a quorum.
-        Where a time to wait is given, the open proposals are forwarded to the node whose round has
-        precedence.
+        If the refusal of a `Prepare` gives a time to wait, the request is sent again later.  Any other
+        refusal is final for this phase, and the round backs off if too few members are left for a quorum.
+        If a time to wait is given, the open proposals are forwarded to the node whose round has
+        priority.
         """
         highest, wait = message.promised, message.wait_ms / 1000
         self.highest_count = max(self.highest_count, highest[0])
@@ -458,7 +459,7 @@
     def may_answer(self, now: float, member: Member, refused: Collection[str], have: Collection[str]) -> bool:
         """Return whether a member has granted the request of the current phase, or may still grant it.
 
-        This holds where it has not refused, and has either granted the request, is this node, or has
+        This holds if it has not refused, and has either granted the request, is this node, or has
         answered recently.
         """
         if member.ip in refused:
@@ -481,7 +482,7 @@
     def back_off(self, now: float) -> None:
         """Abandon a round that met a competing one, and set the time before which no new round begins.
 
-        The new round, at a higher ballot, begins once the time of the competing one is over, or sooner where
+        The new round, at a higher ballot, begins once the time of the competing one is over, or sooner if
         a newer decided state shows that it has ended (:meth:`on_new_state`).  An exponential back-off with a
         random part is added, except after a first failed round that was given no time to wait.
         """
@@ -494,7 +495,7 @@
     def take_decision(self) -> tuple[Ballot, ControlState, bytes | None] | None:
         """Return the ballot, the state and the compressed configuration that the round has decided, and end the round.
 
-        The result is None while acceptances are missing.  Where nothing was to change, the state is the
+        The result is None while acceptances are missing.  If nothing was to change, the state is the
         round's base: a read quorum has confirmed that it was the newest one when the round began.
         """
         current = self.round
--- a/hazelspring/consensus/round.py
+++ b/hazelspring/consensus/round.py
@@ -38,9 +38,9 @@
     started_at: float = 0.0
     phase_started_at: float = 0.0
     without_deltas: bool = False  # a configuration was missing: deltas are no longer requested
-    # Members that answered their last request by giving precedence to another round.
+    # Members that answered their last request by giving priority to another round.
     deferred_by: set[str] = field(default_factory=set)
-    contended: bool = False  # a member has given precedence to another proposer's round in this phase
+    contended: bool = False  # a member has given priority to another proposer's round in this phase
     rival_wait: float = 0.0  # seconds that a competing round at a higher ballot may still take
 
     def start_accept_phase(self, now: float, value: ControlState) -> None:
--- a/hazelspring/leases/singleton_roles.py
+++ b/hazelspring/leases/singleton_roles.py
@@ -19,7 +19,7 @@
 ROLE_HASH_KEY = "duty {role}"
 
 
-class _Disclaim(NamedTuple):
+class _ReliedOnReport(NamedTuple):
     """When this node reported to a restarted granter the leases it relies on, and to which incarnation."""
 
     at: float
@@ -45,7 +45,7 @@
         self.requested: list[int] = []  # the roles that the last heartbeat requested
         self.has_left = False
         self._member_changes = MemberChanges(now, first)
-        self._disclaimed: dict[str, _Disclaim] = {}  # by the granter's address
+        self._relied_on_reports: dict[str, _ReliedOnReport] = {}  # by the granter's address
         # by role that this node could not perform: the time until which it declines the role
         self._declined_until: dict[int, float] = {}
 
@@ -162,9 +162,11 @@
     def update_requests(self, now: float, settled: bool) -> list[int]:
         """Return the roles that a heartbeat sent now requests; none unless `settled`.
 
-        Roles that it leaves out are released: this node no longer relies on grants for them, and every
-        granter is free to grant them to another node.  When two nodes request a role at the same time, the
-        role is therefore delayed by one heartbeat instead of by one lease term.
+        `settled` says whether the core is bootstrapped and this node is a member of it or a candidate.
+
+        Roles that the heartbeat leaves out are released: this node no longer relies on grants for them, and
+        every granter is free to grant them to another node.  When two nodes request a role at the same time,
+        the role is therefore delayed by one heartbeat instead of by one lease term.
         """
         wanted = self.wanted_roles(now) if settled else []
         for role, lease in self.leases.items():
@@ -192,29 +194,30 @@
         of an earlier incarnation that arrives after this node reported to the later one that it does not
         rely on it.
         """
-        disclaim = self._disclaimed.get(ip)
-        if disclaim is not None and incarnation != disclaim.incarnation and requested_at <= disclaim.at:
+        report = self._relied_on_reports.get(ip)
+        if report is not None and incarnation != report.incarnation and requested_at <= report.at:
             return
         lease = self.leases.get(role)
         if lease is not None:
             lease.add_grant(ip, ReceivedGrant(requested_at, incarnation))
 
-    def on_members_changed(self, now: float, follows: bool, before: int, members: int) -> None:
+    def on_members_changed(self, now: float, follows: bool, size_before: int, size_after: int) -> None:
         """Discard grants whose majority may not overlap with that of a new holder (see `MemberChanges`).
 
-        `before` and `members` are the numbers of members before and after the change.  `follows` says
-        whether the new members are exactly one change away from those that were known here.
+        `size_before` and `size_after` are the numbers of members before and after the change.  `follows`
+        says whether the new members are exactly one change away from those that were known here.
         """
-        if self._member_changes.record(now, follows, before, members):
+        if self._member_changes.record(now, follows, size_before, size_after):
             for lease in self.leases.values():
                 lease.invalidate_before(self._member_changes.valid_from)
 
-    def disclaim_previous(self, now: float, who: NodeIdentity) -> list[int]:
+    def report_relied_on(self, now: float, who: NodeIdentity) -> list[int]:
         """Return the roles for which this node still relies on a grant from before the granter's restart.
 
-        Later grants of the granter's earlier incarnation are ignored from now on (see `on_granted`).
+        They are reported to the restarted granter.  From now on, delayed grants of its earlier incarnation
+        are ignored (see `on_granted`), as the report does not include them.
         """
-        self._disclaimed[who.address] = _Disclaim(now, who.incarnation)
+        self._relied_on_reports[who.address] = _ReliedOnReport(now, who.incarnation)
         return [role for role, lease in self.leases.items() if lease.relies_on_previous(now, who)]
 
     def restore_grants(self, now: float) -> None:
--- a/hazelspring/membership/core_nodes.py
+++ b/hazelspring/membership/core_nodes.py
@@ -21,7 +21,8 @@
         self.nodes: dict[str, NodeInfo] = {me.ip: me} if me.disk_id else {}
         self.agreed = False  # whether `nodes` are the agreed members, rather than discovered nodes
         self.members: tuple[Member, ...] = ()
-        self.last_joined_at = now  # when a previously unknown node was last discovered
+        # when an unknown node with a disk was last discovered; initially the node's start
+        self.last_discovery_at = now
         # caches, computed on first use and dropped when the core changes
         self._nearest_others: list[str] | None = None
         self._checksum: int | None = None
@@ -35,7 +36,7 @@
             self.nodes[info.ip] = info
             self._drop_caches()
         if known is None:
-            self.last_joined_at = now
+            self.last_discovery_at = now
 
     def set_members(self, members: tuple[Member, ...], find_info: Callable[[str], NodeInfo | None]) -> None:
         """Set the agreed members; `find_info` returns the known information about the node at an address.
--- a/hazelspring/membership/peer.py
+++ b/hazelspring/membership/peer.py
@@ -15,7 +15,8 @@
     info: NodeInfo
     last_message_at: float = NEVER  # when a message from it last arrived
     first_message_at: float = NEVER  # when the first message from this incarnation arrived
-    latest_request_at: float = NEVER  # when this node sent the latest heartbeat that it answered
+    # when this node sent the latest heartbeat to which a reply of this peer has been recorded
+    answered_heartbeat_sent_at: float = NEVER
     # when this node sent the latest heartbeat whose reply named no version above the one in force here
     caught_up_at: float = NEVER
     heartbeat_sent_at: float = NEVER  # when this node sent it the latest heartbeat
@@ -28,7 +29,7 @@
     unresponsive_members: frozenset[str] = frozenset()  # members that do not answer this peer
     is_shutting_down: bool = False  # whether it is shutting down and takes no more roles
     declined_roles: frozenset[int] = frozenset()  # roles that it recently failed to perform and declines
-    # by its latest report, it knows everything that the platform's list showed until this time
+    # by its latest report, it knows everything that the platform's list showed up to this time
     list_read_at: float = NEVER
     table_versions: dict[str, int] = field(default_factory=dict)  # of the registry's tables, by service
     role_holders: dict[str, str] = field(default_factory=dict)  # addresses, by role, as it reported
--- a/hazelspring/membership/peer_table.py
+++ b/hazelspring/membership/peer_table.py
@@ -23,7 +23,7 @@
         self.roster_table = Roster()  # as last received or made
         # the largest roster so far, here or as reported by any node: shares per node are computed from it
         self.max_node_count = 0
-        # seconds; the roster is known to match a core member's until this time, initially the node's start
+        # seconds; the roster is known to match a core member's as of this time, initially the node's start
         self.roster_confirmed_at = now
         self._core = CoreNodes(me, now)
         self._roster_builder = RosterBuilder(me, self.roster_table)
@@ -104,7 +104,7 @@
         return self._core.nodes.get(ip) or (entry.info if entry is not None else None)
 
     def confirmation_times(self, members: Iterable[Member], version: int) -> list[float]:
-        """Return the times until which the other members have confirmed to know no version above `version`.
+        """Return the times as of which the other members confirm that they know no version above `version`.
 
         Each is the time at which the latest heartbeat was sent whose reply named no later version.  If a
         member names a later version now, its earlier confirmation remains valid.
@@ -115,7 +115,7 @@
             if peer is None or peer.control_versions is None:
                 continue
             caught_up = max(peer.control_versions) <= version
-            times.append(peer.latest_request_at if caught_up else peer.caught_up_at)
+            times.append(peer.answered_heartbeat_sent_at if caught_up else peer.caught_up_at)
         return times
 
     def nodes_above_version(self, version: int) -> list[str]:
@@ -142,9 +142,9 @@
         return self._core.members
 
     @property
-    def last_joined_at(self) -> float:
+    def last_discovery_at(self) -> float:
         """When a previously unknown node of the core was last discovered."""
-        return self._core.last_joined_at
+        return self._core.last_discovery_at
 
     def observe(self, now: float, info: NodeInfo) -> None:
         """Record a discovered node, which may belong to the core."""
--- a/hazelspring/membership/roster.py
+++ b/hazelspring/membership/roster.py
@@ -17,7 +17,8 @@
 RosterRow = list[Any]
 ADDRESS, ZONE, REGION, DISK_ID, INCARNATION, READY = range(6)  # the columns of a row
 
-# number of remembered changes: more than members see in the six seconds until a far node leaves the roster
+# Number of changes that are remembered, so that other nodes can be sent the difference.  It is more than the
+# members see in six seconds, the time until a far node leaves the roster.
 MAX_REMEMBERED_CHANGES = 128
 ROW_HASH_BYTES = 8
 CHECKSUM_MODULUS = 1 << 8 * ROW_HASH_BYTES
--- a/hazelspring/node/admitted_round.py
+++ b/hazelspring/node/admitted_round.py
@@ -27,8 +27,8 @@
 
         A round based on a newer state has priority.  If both are based on the same state, this round has
         priority once it has enough promises; until then, a hash of the version and both addresses
-        decides.  In this way competing rounds do not outbid each other forever, and no node always has
-        priority.
+        decides.  In this way competing rounds do not reject each other forever with ever higher ballots,
+        and no node always has priority.
         """
         if now >= self.until or self.source == source:
             return False
--- a/hazelspring/node/control_replica.py
+++ b/hazelspring/node/control_replica.py
@@ -255,7 +255,7 @@
         self.proposer.on_new_state(now)
         # Members receive the decision from the node that decided it; other nodes that wait for it here
         # receive it from this node.
-        for source, known in self.proposer.forwarded.pop_waiting(state):
+        for source, known in self.proposer.received_proposals.pop_waiting(state):
             self.send_state(source, known)
         if before is None or state.configuration_digest != before.configuration_digest:
             self.actions.append(ConfigurationChanged())
@@ -328,7 +328,7 @@
             case ConfigurationMissing():
                 self.proposer.on_missing_configuration(source, message.ballot)
             case ProposalsForwarded():
-                self.proposer.forwarded.add(now, source, message.version, message.changes)
+                self.proposer.received_proposals.add(now, source, message.version, message.changes)
             case StateRequest():
                 self.on_state_request(source, message)
             case Decision():
@@ -415,7 +415,7 @@
         except MissingConfigurationError:
             self.send(source, ConfigurationMissing(message.ballot))
             return
-        if not accepted:  # a proposer outbid in its accept phase waits for the round with the higher ballot
+        if not accepted:  # a higher ballot is promised: the proposer waits for the round with that ballot
             self.reject(now, source, message, must_wait=self.admitted_round.source != source)
             return
         until, base = now + ADMITTED_ROUND_TIME, message.base_version
@@ -436,7 +436,7 @@
         wait_ms = max(0, int(1000 * (self.admitted_round.until - now))) if must_wait else 0
         if wait_ms:
             known = message.known if isinstance(message, Prepare) else KNOWS_NOTHING
-            self.proposer.forwarded.waiting_nodes[source] = known
+            self.proposer.received_proposals.waiting_nodes[source] = known
         of_accept = isinstance(message, Accept)
         self.send(source, Rejected(message.ballot, self.acceptor.promised, wait_ms, of_accept))
 
--- a/hazelspring/node/heartbeats.py
+++ b/hazelspring/node/heartbeats.py
@@ -227,7 +227,7 @@
         relied_on, granted = None, None
         if self.control.is_member():
             if message.is_not_granting_leases:
-                relied_on = self.roles.disclaim_previous(now, info.identity())
+                relied_on = self.roles.report_relied_on(now, info.identity())
             granted = self.grant_roles(now, info, message)
         list_age = self.freshness.encode_age(now)
         state = self.own_state(now)  # computed after the grants, which it includes
@@ -297,7 +297,7 @@
         peer = self.peers.peer(info)
         peer.on_message_received(now)
         peer.knows_this_node = not message.requests_identity
-        if not peer.knows_this_node or sent_at < peer.latest_request_at:
+        if not peer.knows_this_node or sent_at < peer.answered_heartbeat_sent_at:
             # The reply reports nothing about its sender, or the reply to a later heartbeat arrived before
             # this one.
             return peer
@@ -307,7 +307,7 @@
             # Another reply has reported a different state since then, so this reply does not confirm the
             # state that is known now.
             return peer
-        peer.latest_request_at = sent_at
+        peer.answered_heartbeat_sent_at = sent_at
         peer.relied_on_roles = message.relied_on_roles
         if message.state is not None:
             self.apply_state(peer, message.state, message.state_checksum)
--- a/hazelspring/node/invariants.py
+++ b/hazelspring/node/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of a node that is in touch with the core.
+"""Invariants of a node that is in stable contact with the core.
 
 A violation is counted by the name of the invariant, once each time it begins.
 
@@ -8,10 +8,10 @@
 - `roster_known`: this node has recently had the same roster as a member of the core.  So clients get no
   address of a machine that has been off for longer than `in_touch` and `STALE_ADDRESS_GRACE` together.
 
-A node is in touch once the same members of the core, more than half of it, have answered it for `in_touch`
-seconds, each in one incarnation and from the disk that is the member.  The invariants must hold even if the
-other members do not answer.  If the platform answers no node, `list_known` is violated too, as requests are
-then routed by a list that is too old.
+A node is in stable contact once the same members of the core, more than half of it, have answered it for
+`in_touch` seconds, each in one incarnation and from the disk that is the member.  The invariants must hold
+even if the other members do not answer.  If the platform answers no node, `list_known` is violated too, as
+requests are then routed by a list that is too old.
 """
 
 from __future__ import annotations
@@ -124,12 +124,15 @@
         self.violations.update(new)
         return [InvariantViolated(name) for name in new]
 
-    def in_touch(self, now: float) -> bool:
+    def contact_is_stable(self, now: float) -> bool:
         """Return whether the core has answered for long enough that this node's invariants must hold."""
         return now - self.core_unchanged_since >= self.bounds.in_touch
 
     def _check_core(self, now: float) -> None:
-        """Restart the time in touch if different or too few members answer, or if the core is superseded."""
+        """Restart the time of stable contact if the members that answer change or are too few.
+
+        It also restarts while the core is superseded.
+        """
         core = self.peers.core_nodes
         responsive = tuple(
             (ip, self._incarnation(ip))
@@ -155,11 +158,13 @@
         return not role.roles.others_willing(now, LIST_READER)
 
     def _list_is_known(self, now: float) -> bool:
-        """Return whether this node knows a list that is recent enough; always True while not in touch."""
-        if not self.in_touch(now):
+        """Return whether this node knows a recent enough list; always True without stable contact."""
+        if not self.contact_is_stable(now):
             return True
         return self.freshness.age(now) <= self.bounds.drain_cutoff
 
     def _roster_is_known(self, now: float) -> bool:
-        """Return whether this node's roster is recent enough; always True while not in touch."""
-        return not self.in_touch(now) or now - self.peers.roster_confirmed_at <= self.bounds.roster_age
+        """Return whether this node's roster is recent enough; always True without stable contact."""
+        return (
+            not self.contact_is_stable(now) or now - self.peers.roster_confirmed_at <= self.bounds.roster_age
+        )
--- a/hazelspring/node/node.py
+++ b/hazelspring/node/node.py
@@ -340,7 +340,7 @@
         if not role.end_read(number, servers_by_service is not None) or servers_by_service is None:
             return []
         if self.registry.tables and (
-            role.was_superseded() or (not role.holds(now) and self.freshness.read_at >= role.read_at)
+            role.make_due_if_superseded() or (not role.holds(now) and self.freshness.read_at >= role.read_at)
         ):
             return []
         actions = self.disseminator.publish_list(now, wall_ms, servers_by_service)
--- a/hazelspring/node/reconfiguration.py
+++ b/hazelspring/node/reconfiguration.py
@@ -17,8 +17,8 @@
 NEVER = -math.inf
 
 # All times are in seconds.  Each wait is extended by its stagger once for each member (or seed) listed
-# before this node, so that nodes that observe the same condition do not propose at the same time and outbid
-# each other.
+# before this node, so that nodes that observe the same condition do not propose at the same time and reject
+# each other's rounds with ever higher ballots.
 
 # Time since a new node with a disk last appeared, at the first start, until the bootstrap is proposed.
 BOOTSTRAP_QUIET_TIME = 1.5
@@ -109,7 +109,7 @@
 
     def _propose_bootstrap(self, now: float, state: ControlState) -> None:
         """Propose the nodes with a disk as the first members, once no new one has appeared for a while."""
-        quiet_time = now - max(self.peers.last_joined_at, self.started_at)
+        quiet_time = now - max(self.peers.last_discovery_at, self.started_at)
         members = tuple(self.peers.known_disk_nodes())
         if (
             members
--- a/hazelspring/quota/credit_lease.py
+++ b/hazelspring/quota/credit_lease.py
@@ -59,7 +59,7 @@
     """Numbers of the requests that wait for a credit, oldest first."""
 
     reserve: int = 0
-    """Number of requests that may be admitted without a credit in any span."""
+    """Number of requests that may be admitted without a credit within any ``QuotaLimits.span`` seconds."""
 
     reserve_used_at: deque[float] = field(default_factory=deque)
     """Times at which a request was admitted without a credit, within the last span."""
--- a/hazelspring/quota/limits.py
+++ b/hazelspring/quota/limits.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-# Shorter windows reject bursts. Longer ones add more to a span that isn't aligned with them: it overlaps one
-# window more than fit into it.
+# Shorter windows reject bursts. Longer windows leave less of the limit to each second: a span that isn't
+# aligned with the windows overlaps one more than this number, and the grants of them all share its limit.
 WINDOWS_PER_SPAN = 5
 # Fraction of the limit that is granted; the rest covers requests that arrive later than they were admitted.
 GRANTED_FRACTION = 0.92
@@ -19,7 +19,7 @@
     """Limits on each tenant's requests at all nodes, from ``timingTerms.ruleBounds`` of the settings."""
 
     span: float = 5.0
-    """Seconds over which requests are counted (``quotaWindowS``)."""
+    """Seconds over which requests are counted (``quotaWindowS``); a span is any period of this length."""
 
     overage: float = 0.1
     """Fraction by which a tenant may exceed its rate and burst in any span (``quotaOverage``)."""
@@ -46,8 +46,8 @@
     def window_limit(self, rate: float, burst: float, nodes: int) -> float:
         """Return how many requests one window may grant.
 
-        A span overlaps one window more than fit into it, and the grants of them all must stay within its
-        limit.
+        A span that isn't aligned with the windows overlaps ``WINDOWS_PER_SPAN + 1`` of them, and the grants
+        of them all must stay within its limit.
         """
         shared = nodes * self.reserve(rate, burst, nodes)
         granted = GRANTED_FRACTION * self.span_limit(rate, burst) - shared
--- a/hazelspring/registry/list_reader_role.py
+++ b/hazelspring/registry/list_reader_role.py
@@ -27,10 +27,13 @@
 MIN_INTERVAL, MIN_TIMEOUT = 0.1, 0.3
 # seconds after its time-out at which a read whose end was not reported is abandoned
 UNREPORTED_READ_GRACE = 0.25
-# the drain cutoff divided by each of these gives:
-INTERVALS_PER_CUTOFF = 6  # the time until the next read is due
-TIMEOUTS_PER_CUTOFF = 2  # the time-out of a read
-BACKUP_TIMES_PER_CUTOFF = 2  # the time without a recent read after which a member reads without the role
+# The next read is due after the drain cutoff divided by this.
+INTERVALS_PER_CUTOFF = 6
+# The time-out of a read is the drain cutoff divided by this.
+TIMEOUTS_PER_CUTOFF = 2
+# A member reads the list without the role once the latest read that it knows of is older than the drain
+# cutoff divided by this.
+BACKUP_TIMES_PER_CUTOFF = 2
 # maximum seconds without a recent read until a member reads without the role.  While the reader's reads
 # succeed, the age of its last read as known to the others is at most 1.2 s: an interval, a heartbeat, the
 # read and the round trips.
@@ -94,8 +97,11 @@
         """Record that another reader's table arrived, which may be newer than a read under way."""
         self.superseded_at = now
 
-    def was_superseded(self) -> bool:
-        """Return whether another reader's table came since the last read began; if so, a read is now due."""
+    def make_due_if_superseded(self) -> bool:
+        """Make the next read due at once if another reader's table arrived since the last read began.
+
+        Return whether one did.
+        """
         if self.superseded_at < self.started_at:
             return False
         self.started_at = NEVER
--- a/hazelspring/registry/tables.py
+++ b/hazelspring/registry/tables.py
@@ -41,8 +41,12 @@
     release: str
     cold_until: float = 0.0
 
-    def needs_no_update(self, other: ServerEntry) -> bool:
-        """Return whether nothing needs to be sent again; an earlier end of the cold time is not a change."""
+    def matches(self, other: ServerEntry) -> bool:
+        """Return whether nodes that know `other` need not be sent this entry.
+
+        An earlier end of the cold time is not a change, and neither is an end that is later by at most
+        SLOW_START_TOLERANCE.
+        """
         return replace(self, cold_until=0.0) == replace(other, cold_until=0.0) and (
             self.cold_until <= other.cold_until + SLOW_START_TOLERANCE
         )
@@ -52,8 +56,8 @@
 class ServiceTable:
     """The servers of one service by id.
 
-    If this node made the version from the list, also the version it was based on and the ids that differ
-    between them.
+    `previous_version`, `changed` and `removed` are set only if this node made the version from the list:
+    the version on which it is based, and the ids of the servers that differ between the two.
     """
 
     version: int = 0
@@ -128,9 +132,7 @@
         table = self.tables.get(service)
         old = table.servers if table is not None else {}
         changed = [
-            name
-            for name, server in listed.items()
-            if name not in old or not server.needs_no_update(old[name])
+            name for name, server in listed.items() if name not in old or not server.matches(old[name])
         ]
         removed = [name for name in old if name not in listed]
         if table is not None and not changed and not removed:
--- a/hazelspring/routing/pending_request.py
+++ b/hazelspring/routing/pending_request.py
@@ -11,7 +11,8 @@
 # A route's latency is assumed to be this fraction of its latency target until it has been measured.
 INITIAL_LATENCY_FRACTION = 0.5
 UPLOAD_KIND = "upload"  # kind of the routes that have large request bodies
-# Home regions of a request that no region may serve. No known zone is in the region with the empty name.
+# Home regions of a request that no region may serve: only the empty name, which no known zone has as its
+# region. An empty set would mean that all regions may serve the request.
 NO_REGION = frozenset(("",))
 
 
--- a/hazelspring/routing/request_router.py
+++ b/hazelspring/routing/request_router.py
@@ -44,9 +44,10 @@
 # Seconds after which a client may retry a request that was rejected because there was no server, or no
 # recent configuration.
 REJECTED_RETRY_AFTER = 0.25
-# An attempt of an idempotent request is slow after this multiple of its expected duration,
+# An attempt of an idempotent request is slow if it takes longer than this multiple of its expected duration.
 HEDGE_LATENCY_FACTOR = 3.0
-HEDGE_MIN_TARGET_FRACTION = 0.5  # but not before this fraction of the route's latency target.
+# No attempt is slow before this fraction of the route's latency target.
+HEDGE_MIN_TARGET_FRACTION = 0.5
 # Seconds until a slow attempt is checked again: servers and the retry budget seldom become available sooner.
 HEDGE_CHECK_INTERVAL = 0.25
 SLOW_START_MARGIN = 0.75  # seconds added to the slow start time that is announced to the server
@@ -86,7 +87,7 @@
         self.actions: list[Action] = []  # instructions that result from the current event so far
         self.evacuated_zones: frozenset[str] = frozenset()
         self.configuration: Configuration | None = None
-        # Time from which the configuration is too old to admit requests with access keys.
+        # Time until which the configuration is recent enough to admit requests with access keys.
         self.fresh_until = 0.0
         self.node_count = 1  # number of nodes that share the limits; 0 if it is not known
         self.shutting_down = False  # whether this node shuts down soon: it then waits for attempts in flight
--- a/hazelspring/storage/replica_store.py
+++ b/hazelspring/storage/replica_store.py
@@ -88,7 +88,8 @@
     Attributes
     ----------
     quarantined
-        Why files were quarantined.  The caller that logs a reason removes it from the list.
+        The reasons for which files were quarantined, one for each time.  The caller that logs a reason
+        removes it from the list.
     """
 
     def __init__(self, folder: str, connect: Callable[..., Any] = sqlite3.connect) -> None:
@@ -104,8 +105,8 @@
         Raises
         ------
         sqlite3.Error, OSError
-            The disk operation failed, which does not mean that the file is damaged, or even a new file
-            cannot be read.
+            Either a disk operation failed, so the file may be undamaged; or the new file that replaced a
+            quarantined one cannot be read either.
         """
         if self.connection is not None:
             return self.connection
--- a/tests/control_model.py
+++ b/tests/control_model.py
@@ -203,7 +203,7 @@
         return self.complete_step(node, node.on_message(node.now, source, consensus_message(body)))
 
     def own_step(self, node_number: int, action: Any) -> StepResult | None:
-        """Perform an action that a node takes without a message; return None where it is not possible."""
+        """Perform an action that a node takes without a message; return None if it is not possible."""
         old = self.nodes.values[node_number]
         node, me = old.clone(), old.peers.me
         if action == "save":
@@ -218,7 +218,7 @@
                 proposer.highest_count, acceptor.promised[0], (acceptor.decided or (NO_BALLOT,))[0][0]
             )
             has_proposals = proposer.proposals or (
-                acceptor.state and proposer.forwarded.applicable(acceptor.state)
+                acceptor.state and proposer.received_proposals.applicable(acceptor.state)
             )
             if not has_proposals or acceptor.state is None or action <= highest:
                 return None
@@ -352,7 +352,7 @@
     def explore(self, max_states: int, visible_only: bool = False) -> ExplorationResult:
         """Explore until a fault is found, all states were reached, or `max_states` states were.
 
-        With `visible_only` a fault counts only where the callers of proposals can see it.
+        With `visible_only` a fault counts only if the callers of proposals can see it.
         """
         found, self.visible_only = ExplorationResult(), visible_only
         self.search(found, max_states)
--- a/tests/control_node.py
+++ b/tests/control_node.py
@@ -69,8 +69,10 @@
         proposer = new.proposer = copy.copy(self.proposer)
         proposer.acceptor, proposer.proposals = acceptor, list(proposer.proposals)
         # Forwarded proposals never expire in the model.
-        forwarded = [replace(proposal, started_at=NEVER) for proposal in proposer.forwarded.proposals]
-        proposer.forwarded, proposer.forwarder, proposer.outbox = (
+        forwarded = [
+            replace(proposal, started_at=NEVER) for proposal in proposer.received_proposals.proposals
+        ]
+        proposer.received_proposals, proposer.forwarder, proposer.outbox = (
             ForwardedProposals(forwarded),
             ProposalForwarder(),
             [],
@@ -142,7 +144,7 @@
             ),
             tuple(
                 (proposal.valid_from_version, proposal.source, forwarded_change(proposal))
-                for proposal in proposer.forwarded.proposals
+                for proposal in proposer.received_proposals.proposals
             ),
             (
                 frozenset(self.records.items()),
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -387,14 +387,14 @@
     for source, message in recorded:
         world.actions("d6", core.on_message(world.now, source, message))
     assert not machine.on_message and core.dropped["grant"] and core.dropped["echo"]
-    request_times = {ip: peer.latest_request_at for ip, peer in core.peers.peers.items()}
+    request_times = {ip: peer.answered_heartbeat_sent_at for ip, peer in core.peers.peers.items()}
     # Shows that the numbers must differ: if both incarnations used the same ones, old replies would count.
     renumbered = {number: replace(sent, sent_at=world.now) for number, sent in old.heartbeats.sent.items()}
     monkeypatch.setattr(core.heartbeats, "sent", renumbered)
     for source, message in recorded:
         if isinstance(message, HeartbeatReply):
             world.actions("d6", core.on_message(world.now, source, message))
-    assert any(peer.latest_request_at > request_times[ip] for ip, peer in core.peers.peers.items())
+    assert any(peer.answered_heartbeat_sent_at > request_times[ip] for ip, peer in core.peers.peers.items())
 
 
 def test_an_operator_retires_a_member_that_has_no_replacement() -> None:
--- a/tests/test_disaster_recovery.py
+++ b/tests/test_disaster_recovery.py
@@ -297,7 +297,7 @@
         source_from_acceptor(recovered, True), Member("d9", "z", "east", 78), 0, earlier
     )
     assert lineage(again.version) == 1001
-    with pytest.raises(UnrecoverableError, match="nothing was agreed on"):
+    with pytest.raises(UnrecoverableError, match="contains no state that was decided"):
         source_from_acceptor(Acceptor(1, True), True)
 
 
@@ -355,5 +355,5 @@
     one: LegacyItems = {"word": ((3, b"b"), b"w3"), "zone/a": ((2, b"x"), b"1"), "zone/b": ((1, b"x"), b"1")}
     two: LegacyItems = {"word": ((3, b"a"), b"other"), "zone/a": ((2, b"y"), b"0")}
     assert newest_items([one, two]) == newest_items([two, one]) == {**one, "zone/a": ((2, b"y"), b"0")}
-    with pytest.raises(UnrecoverableError, match="ever kept"):
+    with pytest.raises(UnrecoverableError, match="contains no configuration and no state of a zone"):
         source_from_items({})
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -147,7 +147,7 @@
                 n,
             )
         for name, server in reader.registry.tables["shop"].servers.items():
-            assert found[name].needs_no_update(server)  # a shorter remaining warm-up time is not a change
+            assert found[name].matches(server)  # a shorter remaining warm-up time is not a change
         assert reader.registry.tables["shop"].servers.keys() == found.keys()
     assert 50 < table_requests < 150 and max(change_sizes[1:]) < 10
 
--- a/tests/test_role_leases.py
+++ b/tests/test_role_leases.py
@@ -76,12 +76,12 @@
     assert roles.update_requests(20.0, settled=True) == []
 
 
-def test_delayed_grant_of_a_disclaimed_incarnation_is_ignored() -> None:
+def test_delayed_grant_of_an_earlier_incarnation_is_ignored() -> None:
     """The new incarnation knows that no earlier grant is relied on, so it may grant the role again."""
     roles = core_of_three()
     role = roles.update_requests(10.1, settled=True)[0]
     roles.on_granted(role, "d1", 10.1, 1)
-    assert roles.disclaim_previous(10.5, NodeIdentity("d2", 2)) == []
+    assert roles.report_relied_on(10.5, NodeIdentity("d2", 2)) == []
     roles.on_granted(role, "d2", 10.4, 1)  # requested and granted before that, and delayed
     assert roles.held_until(role) == 0.0
     roles.on_granted(role, "d2", 10.6, 2)
