--- a/bench/control.py
+++ b/bench/control.py
@@ -1,8 +1,9 @@
-"""Times of the control side on simulated time: operators' calls, replacement of a member, cost at rest.
+"""Measures the control side on simulated time: operators' calls, replacing a core member, messages at rest.
 
     PYTHONPATH=. python bench/control.py [--seeds N]
 
-Four members of the core in two regions (20 ms one way, 2 ms a sync) and three other nodes; one line a figure.
+There are four core members in two regions (20 ms one way, 2 ms for a disk write) and three other nodes.
+Each figure is printed on a line of its own.
 """
 
 from __future__ import annotations
@@ -17,14 +18,14 @@
 
 CORE, OTHERS = 4, 3  # nodes
 NODES = CORE + OTHERS
-AWAY = 0.5  # seconds between a loss and its replacement's start
+AWAY = 0.5  # seconds between the loss of a member and the start of its replacement
 REPLACEMENT_TIMEOUT = 20.0  # seconds after which a replacement counts as failed
 REST_TIME = 20.0  # seconds for which the cost at rest is measured
 MILLISECONDS_PER_SECOND = 1000
 
 
 def settled_world(seed: int) -> World:
-    """Return nodes whose core is agreed on, with a configuration in force."""
+    """Return a fleet whose nodes have agreed on the core, with a configuration in force."""
     world = World(CORE, OTHERS, seed)
     world.run(3.5)
     world.put("d1", 5)
@@ -33,13 +34,13 @@
 
 
 def print_times(name: str, times: list[float]) -> None:
-    """Print a line of the table; `times` in seconds."""
+    """Print the median and the worst of some times, which are in seconds."""
     median, worst = (MILLISECONDS_PER_SECOND * each for each in (statistics.median(times), max(times)))
     print(f"{name:46} median {median:7.0f} ms  worst {worst:7.0f} ms  of {len(times)}")
 
 
 def single_calls(seeds: int, lost: bool) -> list[float]:
-    """Return the seconds of configurations put one after another; `lost`: while a member is off."""
+    """Return the seconds that successive configurations took; `lost`: while a core member is off."""
     times = []
     for seed in range(seeds):
         world = settled_world(seed)
@@ -54,7 +55,10 @@
 
 
 def concurrent_calls(seeds: int) -> list[float]:
-    """Return the seconds of eight calls at once, each second for a minute, six of them configurations."""
+    """Return the seconds that each call took when eight start at once, every second for a minute.
+
+    Six of the eight are configurations, the other two evacuations.
+    """
     calls = []
     for seed in range(seeds):
         world = settled_world(seed)
@@ -68,9 +72,10 @@
 
 
 def replacement_times(seeds: int, wiped: bool) -> list[float]:
-    """Return the seconds from a replacement's start until it is a member, and nobody who is lost is one.
+    """Return the seconds from a replacement's start until it, and no lost node, is a core member.
 
-    `wiped`: the replacement is the same machine with an empty disk.
+    `wiped`: the replacement is the same machine with an empty disk.  A replacement that fails counts with
+    `REPLACEMENT_TIMEOUT`.
     """
     times = []
     for seed in range(seeds):
@@ -99,7 +104,7 @@
 
 
 def print_cost_at_rest() -> None:
-    """Print how many messages of each kind a member sends to other members in a second, and their bytes."""
+    """Print the messages and bytes of each kind that a core member sends to other members in a second."""
     world = settled_world(1)
     members = {f"d{n}" for n in range(1, CORE + 1)}
     messages: Counter[str] = Counter()
--- a/bench/drawn.py
+++ b/bench/drawn.py
@@ -1,8 +1,9 @@
-"""Draws days from all kinds of faults that the bench knows, and plays each; keeps those that broke a rule.
+"""Plays random days with all kinds of faults that the bench knows, and keeps those that broke a rule.
 
     PYTHONPATH=. python bench/drawn.py FLEETBENCH SITE... [--days N] [--seed N] [--jobs N] [--keep DIR] [--charged]
 
-The same seed draws the same days.  Exit code 0 where no rule was broken and every day was played, 1 otherwise.
+The same seed gives the same days.  The exit code is 0 if every day was played and no rule was broken,
+otherwise 1.
 """
 
 from __future__ import annotations
@@ -29,12 +30,12 @@
     "meet race",
     "meet drain",
     "hard race",
-)  # of machines that come back
-WHICH = ("", "turn", "leader", "reader", "seed")  # machines
+)  # how machines come back, as words of `how`
+WHICH = ("", "turn", "leader", "reader", "seed")  # which machines a fault hits, as words of `how`
 SERVERS = ("", "across")
 CUTS = ("", "reset", "refuse")
 
-# By kind: ranges of its figures (whole where both ends are), and what each word of `how` is drawn from.
+# By kind: the ranges of its figures (integers if both ends are), and the choices for each word of `how`.
 PLANNED: dict[str, tuple[dict[str, tuple[float, float]], tuple[tuple[str, ...], ...]]] = {
     "release": ({"share": (0.2, 0.8), "x": (1, 3), "gap_s": (0.4, 1.5)}, ()),
     "scale_in": ({"share": (0.1, 0.3)}, (("", "spot"),)),
@@ -107,14 +108,17 @@
 
 
 def draw_figure(chance: random.Random, least: float, most: float) -> float:
-    """Return a figure from a range; a whole one where both ends are."""
+    """Return a random figure from a range: an integer if both ends are integers."""
     if isinstance(least, int) and isinstance(most, int):
         return chance.randint(least, most)
     return round(chance.uniform(least, most), 2)
 
 
 def draw_entry(chance: random.Random, kind: str, planned: bool, last: float) -> Entry:
-    """Return planned work or a fault of a kind, at some moment up to `last`, in seconds from the start of traffic."""
+    """Return a planned operation or a fault of a kind, at a random time up to `last`.
+
+    The time is in seconds from the start of traffic.
+    """
     ranges, words = (PLANNED if planned else FAULTS)[kind]
     entry: Entry = {"at": round(chance.uniform(1.0, last), 2), "kind": kind.split()[0]}
     if kind.endswith(" core"):
@@ -131,7 +135,7 @@
 
 
 def draw_entries(chance: random.Random, planned: bool, length: float, known: set[str]) -> list[Entry]:
-    """Return two to five entries of a day, of kinds that the bench knows, any of them also twice."""
+    """Return two to six entries of a day, of kinds that the bench knows; a kind may occur more than once."""
     kinds = [kind for kind in (PLANNED if planned else FAULTS) if kind.split()[0] in known]
     chosen = chance.choices(kinds, k=chance.randint(2, 5))
     if chance.random() < 0.4:
@@ -141,7 +145,7 @@
 
 @dataclass(frozen=True)
 class Task:
-    """A day to draw by a seed and to play on a site; `day` is the file that it is written to."""
+    """A day to generate from a seed and to play on a site; `day` is the file that it is written to."""
 
     site: Path
     seed: int
@@ -150,7 +154,7 @@
 
 
 def play(bench: str, task: Task, charged: bool) -> Play:
-    """Draw a day and play it; `charged`: processor time counts."""
+    """Generate a day and play it; `charged`: the bench counts processor time."""
     chance = random.Random(task.seed)
     usual = tomllib.loads(task.site.read_text())["length_s"]
     length = usual * chance.choice((1, 1, 1, 2))
@@ -165,7 +169,7 @@
 
 
 def main() -> int:
-    """Draw and play the days named on the command line."""
+    """Generate and play the days that the command line asks for; return the exit status."""
     parser = argparse.ArgumentParser(description="Days drawn from all kinds of faults.")
     parser.add_argument("bench", help="the bench's program")
     parser.add_argument("sites", nargs="+", type=Path)
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -1,9 +1,9 @@
-"""Drawn days of the control side on simulated time, many at once; the seeds of those that fail are printed.
+"""Plays random days of the control side on simulated time, in parallel; prints the seeds of those that fail.
 
     PYTHONPATH=. python bench/fuzz.py [--first N] [--seeds N] [--jobs N]
     PYTHONPATH=. python bench/fuzz.py --play N [--shrink]
 
-A day is drawn from its seed alone, so `--play` shows it again exactly.
+A day is determined by its seed alone, so `--play` repeats it exactly.
 """
 
 from __future__ import annotations
@@ -22,32 +22,32 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
-    """The breaches of the day that a seed draws."""
+class SeedResult:
+    """The breaches of the day that is generated from a seed."""
 
     seed: int
     breaches: list[str]
 
 
-def judge(seed: int) -> Verdict:
-    """Play the day that a seed draws; an error that it raises is a breach, too."""
+def play_seed(seed: int) -> SeedResult:
+    """Play the day of a seed; an exception that it raises counts as a breach, too."""
     try:
-        return Verdict(seed, play(draw(seed)).breaches)
-    except Exception:  # a fault of the program as well
-        return Verdict(seed, [traceback.format_exc()[-MAX_TRACE_LENGTH:]])
+        return SeedResult(seed, play(draw(seed)).breaches)
+    except Exception:  # a fault of the program, like a breach
+        return SeedResult(seed, [traceback.format_exc()[-MAX_TRACE_LENGTH:]])
 
 
-def play_one(seed: int, shrinks: bool) -> None:
-    """Print a day and its breaches; `shrinks`: the smallest part of it that has any."""
+def play_one(seed: int, reduce_day: bool) -> None:
+    """Print a day and its breaches; `reduce_day`: of the smallest part of the day that still has any."""
     day = draw(seed)
-    if shrinks:
+    if reduce_day:
         day = shrink(day, lambda less: bool(play(less).breaches))
     print(day)
     print("\n".join(play(day).breaches) or "no fault")
 
 
 def main() -> int:
-    """Play the days named on the command line."""
+    """Play the days that the command line asks for; return the exit status."""
     parser = argparse.ArgumentParser(description="Drawn days of the control side on simulated time.")
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--seeds", type=int, default=100)
@@ -61,10 +61,10 @@
     began, failed = time.monotonic(), []
     seeds = range(chosen.first, chosen.first + chosen.seeds)
     with multiprocessing.Pool(chosen.jobs) as pool:
-        for verdict in pool.imap_unordered(judge, seeds):
-            if verdict.breaches:
-                failed.append(verdict.seed)
-                print(f"seed {verdict.seed}: {verdict.breaches[0][:MAX_BREACH_LENGTH]}", flush=True)
+        for result in pool.imap_unordered(play_seed, seeds):
+            if result.breaches:
+                failed.append(result.seed)
+                print(f"seed {result.seed}: {result.breaches[0][:MAX_BREACH_LENGTH]}", flush=True)
     seconds = time.monotonic() - began
     print(f"{len(seeds)} days of the control side in {seconds:.0f} s, {len(failed)} failed: {sorted(failed)}")
     return 1 if failed else 0
--- a/bench/knowledge.py
+++ b/bench/knowledge.py
@@ -1,9 +1,12 @@
-"""How long it takes, on simulated time, until every node knows of a leave and names no machine that is off.
+"""Measures on simulated time how long a server's leave or a machine's failure takes to be known everywhere.
+
+A machine's failure is known when no node names the machine to clients any more.
 
     PYTHONPATH=. python bench/knowledge.py [--seeds N] [--cutoff S]
 
-Each row is a pair of faults that begin at the moment of the leave, and the spread over seeds of the seconds until the
-last node knows.  A time of `LONGEST` means that it was not known until then.
+Each row of the first table names the faults that begin at the moment of the leave, and each row of the
+second one the machines that are off.  It holds the median, the 95th percentile and the worst over the seeds,
+in seconds until the last node knows.  A time of `LONGEST` means that not all nodes knew by then.
 """
 
 from __future__ import annotations
@@ -16,20 +19,20 @@
 from tests.test_deadlines import named_to_clients
 from tests.test_list_duty import ListWorld
 
-LONGEST = 20.0  # seconds that are waited for
-STEP = 0.05  # seconds between two looks
+LONGEST = 20.0  # seconds after which the wait ends
+STEP = 0.05  # seconds between two checks
 CORE, OTHERS = 6, 8
 
 Fault = Callable[[ListWorld], None]
 
 
 def reader_stuck(world: ListWorld) -> None:
-    """The reads of the list's reader do not end."""
+    """The reads of the node that reads the platform's list never return."""
     world.stuck.add(world.reader())
 
 
 def reader_and_member_stuck(world: ListWorld) -> None:
-    """The reads of the reader and of another member do not end."""
+    """The reads of the reader and of another core member never return."""
     others = sorted({f"d{n}" for n in range(1, CORE + 1)} - {world.reader()})
     world.stuck |= {world.reader(), world.random.choice(others)}
 
@@ -40,7 +43,7 @@
 
 
 def reader_killed_member_stuck(world: ListWorld) -> None:
-    """The reader's process ends, and another member's reads do not end."""
+    """The reader's process ends, and the reads of another core member never return."""
     reader_and_member_stuck(world)
     world.kill(world.reader())
 
@@ -51,7 +54,7 @@
 
 
 def stuck_and_lost(world: ListWorld) -> None:
-    """The reads of the reader do not end, and a fifth of all messages is lost."""
+    """The reads of the reader never return, and a fifth of all messages is lost."""
     reader_stuck(world)
     world.drop = 0.2
 
@@ -72,7 +75,7 @@
 
 
 def time_until(world: ListWorld, holds: Callable[[], bool]) -> float:
-    """Return the seconds until something holds, `LONGEST` at most."""
+    """Return the seconds until a condition holds, `LONGEST` at most."""
     began = world.now
     while world.now - began < LONGEST:
         world.run(STEP)
@@ -82,7 +85,7 @@
 
 
 def time_to_know(seed: int, cutoff: float, fault: Fault) -> float:
-    """Return the seconds from a leave, and a fault at that moment, until every node knows of the leave."""
+    """Return the seconds from a leave, with a fault at the same moment, until every node knows of it."""
     world = ListWorld(CORE, OTHERS, seed, cutoff)
     world.run(8.0 + seed * 0.037)
     fault(world)
@@ -91,7 +94,7 @@
 
 
 def time_to_drop(seed: int, off: Sequence[str]) -> float:
-    """Return the seconds from the end of machines until no node names one of them to clients."""
+    """Return the seconds from the failure of machines until no node names any of them to clients."""
     world = ListWorld(CORE, OTHERS, seed)
     world.run(8.0 + seed * 0.037)
     for name in off:
@@ -100,10 +103,10 @@
 
 
 def row(name: str, times: list[float]) -> str:
-    """Return a line of the table."""
+    """Return a row of a table; sorts `times`, which are in seconds."""
     times.sort()
-    late = times[int(0.95 * (len(times) - 1))]
-    return f"{name:32s} {statistics.median(times):6.2f} {late:6.2f} {times[-1]:6.2f}"
+    p95 = times[int(0.95 * (len(times) - 1))]
+    return f"{name:32s} {statistics.median(times):6.2f} {p95:6.2f} {times[-1]:6.2f}"
 
 
 def main() -> int:
--- a/bench/leaves.py
+++ b/bench/leaves.py
@@ -2,9 +2,9 @@
 
     PYTHONPATH=. python bench/leaves.py FLEETBENCH SITE... [--days N] [--seed N] [--length S] [--jobs N] [--keep DIR]
 
-Each row of the table holds the median and the longest time, in ms, from a server's leave to its last request, and the
-rules that broke.  The same seed draws the same days.  Exit code 0 where no rule was broken and every day was played, 1
-otherwise.
+Each row of the table holds the median and the longest time, in ms, from a server's leave to its last
+request, and the rules that were broken.  The same seed gives the same days.  The exit code is 0 if every day
+was played and no rule was broken, otherwise 1.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 CHANGE_GAPS = (0.2, 0.7)  # seconds between two changes of the configuration
 LEAVE_GAPS = (3.0, 9.0)  # seconds between two times that servers leave
 FAULT_GAPS = (2.0, 8.0)  # seconds between the beginnings of two faults
-QUIET_END = 6.0  # seconds at a day's end without faults
-FIRST_FAULT = 5.0  # seconds of a day's start without faults
+QUIET_END = 6.0  # seconds without faults at the end of a day
+FIRST_FAULT = 5.0  # seconds without faults at the start of a day
 
 LEAVES: tuple[Entry, ...] = (
     {"kind": "scale_in", "share": 0.08},
@@ -62,7 +62,7 @@
 
 
 def times(draw: random.Random, gaps: tuple[float, float], begin: float, end: float) -> Iterator[float]:
-    """Yield times from `begin` to `end`, apart by drawn gaps."""
+    """Yield times between `begin` and `end`, in seconds, separated by random gaps."""
     at = begin + draw.uniform(*gaps)
     while at < end:
         yield round(at, 2)
@@ -70,7 +70,7 @@
 
 
 def draw_day(seed: int, length: float) -> str:
-    """Return the text of the day that a seed draws."""
+    """Return the text of the day that is generated from a seed."""
     draw = random.Random(f"leaves {seed}")
     plan = [
         {"at": at, "kind": "config_change", "how": draw.choice(CHANGES)}
@@ -87,7 +87,7 @@
 
 
 def play(bench: str, site: Path, seed: int, length: float, keep: Path) -> Play:
-    """Play a drawn day; its text and what the bench prints are kept in a folder."""
+    """Play the day of a seed; its text and what the bench prints are written to the folder `keep`."""
     stem = keep / f"{site.stem}-{seed}"
     day = stem.with_suffix(".toml")
     day.write_text(draw_day(seed, length))
@@ -96,7 +96,7 @@
 
 
 def main() -> int:
-    """Play the days named on the command line."""
+    """Play the days that the command line asks for; return the exit status."""
     parser = argparse.ArgumentParser(description="Long days on which servers leave.")
     parser.add_argument("bench", help="the bench's program")
     parser.add_argument("sites", nargs="+", type=Path)
--- a/bench/mixed_builds.py
+++ b/bench/mixed_builds.py
@@ -26,13 +26,13 @@
 
 CORE = 3
 OTHERS = 1
-CALL_PATIENCE = 30.0  # seconds for an operator's call
+CALL_TIMEOUT = 30.0  # seconds for an operator's call
 STATUS_TIMEOUT = 2.0  # seconds
 AGREEMENT_TIMEOUT = 30.0  # seconds for all nodes to have a configuration and to be ready
 
 
 class MixedFleet(LocalFleet):
-    """A fleet whose nodes run the program of a checkout of their own."""
+    """A fleet in which each node runs the program of a checkout of its own."""
 
     def __init__(self, folder: Path, build: Path) -> None:
         super().__init__(folder, core=CORE, others=OTHERS, servers=2)
@@ -66,7 +66,7 @@
         return dict(json.loads(answer.body))
 
     def agrees(self, number: int) -> bool:
-        """Whether all nodes have a configuration, are ready and answer a read, with all core nodes as members."""
+        """Whether all nodes have a configuration, are ready and answer a read, and the core is complete."""
         statuses = [self.status(node) for node in range(CORE + OTHERS)]
         return (
             all(status.get("configuration") == number for status in statuses)
@@ -80,10 +80,13 @@
 
 
 def check(fleet: MixedFleet, step: str, number: int, at: int | None) -> bool:
-    """Put a configuration at a node (None: put nothing), and return whether all nodes come to agree on it."""
+    """Put a configuration at a node, and return whether all nodes agree on it within `AGREEMENT_TIMEOUT`.
+
+    With None as the node, nothing is put, and the configuration is one that is already in force.
+    """
     if at is not None:
         address = fleet.control_addresses()[at]
-        call_until_settled([address], "PUT", "/-/configuration", configuration(number), CALL_PATIENCE)
+        call_until_settled([address], "PUT", "/-/configuration", configuration(number), CALL_TIMEOUT)
     try:
         fleet.wait_until(lambda: fleet.agrees(number), AGREEMENT_TIMEOUT)
     except TimeoutError:
@@ -93,8 +96,8 @@
     return True
 
 
-def play(fleet: MixedFleet, old: Path, new: Path) -> bool:
-    """Go from the old build to the new one and back, node by node; return whether all checks held."""
+def check_all(fleet: MixedFleet, old: Path, new: Path) -> bool:
+    """Move a fleet to the new build and back, node by node; return whether all checks passed."""
     fleet.start_all(first=True)
     number = 1
     good = check(fleet, "old build alone", number, 0)
@@ -118,13 +121,13 @@
 
 
 def log_problems(folder: Path) -> list[str]:
-    """Return the log lines that tell of an unforeseen error or of a message that could not be decoded."""
+    """Return the log lines that report an unexpected error or a message that could not be decoded."""
     lines = [line for log in sorted(folder.glob("node-*.log")) for line in log.read_text().splitlines()]
     return [line for line in lines if "error=" in line or "malformed" in line or "Traceback" in line]
 
 
 def main() -> int:
-    """Play with the two checkouts of the command line; return the exit status."""
+    """Run all checks with the two checkouts of the command line; return the exit status."""
     if len(sys.argv) != 3:
         print(__doc__)
         return 2
@@ -133,7 +136,7 @@
         fleet = MixedFleet(Path(folder), old)
         background = BackgroundStandIns(StandIns(fleet.platform, fleet.servers))
         try:
-            good = play(fleet, old, new)
+            good = check_all(fleet, old, new)
         finally:
             fleet.close()
             background.close()
--- a/bench/own.py
+++ b/bench/own.py
@@ -2,7 +2,7 @@
 
     PYTHONPATH=. python bench/own.py FLEETBENCH SITE... [--days NAME ...] [--jobs N] [--seed N]
 
-Exit code 0 where no rule was broken and every day was played, 1 otherwise.
+The exit code is 0 if every day was played and no rule was broken, otherwise 1.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def play(bench: str, task: Task, seed: int | None) -> Play:
-    """Play one day; `seed` replaces its own where it is given."""
+    """Play one day; `seed`, if given, replaces the day's own seed."""
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / task.day.name
         file.write_text(task.day.read_text() + CLOSINGS[task.closing])
@@ -46,7 +46,7 @@
 
 
 def main() -> int:
-    """Play the days named on the command line."""
+    """Play the days that the command line asks for; return the exit status."""
     parser = argparse.ArgumentParser(description="Days of one's own, each with every closing fault.")
     parser.add_argument("bench", help="the bench's program")
     parser.add_argument("sites", nargs="+", type=Path)
--- a/bench/plays.py
+++ b/bench/plays.py
@@ -1,4 +1,4 @@
-"""Days of our own on the users' bench: their text, one play of them, and what the bench reports."""
+"""Plays this project's days on the users' bench: writes a day's text, runs it, and reads the report."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-# One planned work or fault of a day, with the bench's fields: at, kind, how, count, share, for_s, ...
+# A planned operation or a fault of a day, with the bench's fields: at, kind, how, count, share, for_s, ...
 Entry = dict[str, Any]
 
 NO_CLOSING = "none"
@@ -25,8 +25,8 @@
     "power_timed": 'closing = { kind = "power_off_all", down_s = 1.6, how = "timed" }\n',
     "power_taken": 'closing = { kind = "power_off_all", down_s = 1.6, how = "taken" }\n',
 }
-RECOVERED_PART = 0.95  # of the calm windows' worth, from which on a window counts as recovered
-RECOVERED_WINDOWS = 3  # in a row until the system counts as recovered
+RECOVERED_PART = 0.95  # of the worth of the windows before any fault; a window with more counts as recovered
+RECOVERED_WINDOWS = 3  # so many successive recovered windows mean that the system has recovered
 
 
 @dataclass
@@ -38,13 +38,15 @@
     site, day, closing
         Names of the site, of the day and of its closing fault.
     wrong
-        The rules that were broken, or why nothing was played; empty where all is well.
+        The rules that were broken, or why nothing was played; empty if all rules were kept.
     worth, refused, failed
-        Parts of what was owed, 0 to 1.
+        Shares of what the system had to serve, 0 to 1: the worth that it served, and what it refused and
+        failed.
     worst
         The worth of the worst window, 0 to 1.
     recovery
-        Seconds from the closing fault until the system has recovered; None where it has not, or there was none.
+        Seconds from the closing fault until the system has recovered; None if it has not, or if there was no
+        closing fault.
     leave_median, leave_worst
         Milliseconds from a server's leave to its last request, over the day's leaves.
     """
@@ -106,7 +108,7 @@
     closing
         The name of the day's closing fault.
     why
-        The reason that the bench's journal gets.
+        The reason of the play, which the bench writes to its journal.
     options
         Further options of the bench.
     output
@@ -137,9 +139,11 @@
 
 
 def recovery_time(report: dict[str, Any]) -> float | None:
-    """Return the seconds from the closing fault until `RECOVERED_WINDOWS` in a row are as good as before any fault.
+    """Return the seconds from the closing fault until the system has recovered.
 
-    None where there are none, or there was no closing fault.
+    It has recovered when `RECOVERED_WINDOWS` successive windows are nearly as good as those before any
+    fault.  The result is None if it has not recovered, or if there was no closing fault or no window before
+    any fault.
     """
     events = report["events"]
     faults: list[float] = [event["at_s"] for event in events if not event["planned"]]
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -1,6 +1,6 @@
 """Measures the cost of each role as the fleet grows, and rewrites the tables of docs/CAPACITY.md with it.
 
-    python bench/scale.py all                  all but `sizes`, then the page: run after a change of the program
+    python bench/scale.py all                  all but `sizes`, then the page: run after every program change
     python bench/scale.py fleet --doors 30 100 nodes on simulated time, each fleet size in its own process
     python bench/scale.py services             the cost of one message by the number of services, few nodes
     python bench/scale.py rounds               the time and the messages of a proposal as the core grows
--- a/bench/scale/__init__.py
+++ b/bench/scale/__init__.py
@@ -1,2 +1,1 @@
-"""Cost of the system as the fleet grows, measured with many simulated nodes in one process on simulated
-time."""
+"""The cost of the system as the fleet grows, measured with many nodes in one process on simulated time."""
--- a/bench/scale/carry.py
+++ b/bench/scale/carry.py
@@ -1,5 +1,4 @@
-"""Requests per second through one real node on loopback: processor time of each, and the latency that the
-node adds.
+"""Requests per second through one real node on loopback: the processor time and the added latency of each.
 
 There are one node with a disk, servers that answer at once, and clients on persistent connections.  Servers
 and clients each have a process of their own, so that the node's process is the one at full load.  A
@@ -30,12 +29,8 @@
 # Repetitions of each measurement.  Other processes use the machine, so the least disturbed one is taken as
 # the result; the range over all of them is stored, too.
 ROUNDS = 3
-LOAD_FRACTIONS = (
-    0.1,
-    0.25,
-    0.5,
-    0.75,
-)  # parts of the node's full load at which the added latency is measured
+# Parts of the node's full load at which the added latency is measured.
+LOAD_FRACTIONS = (0.1, 0.25, 0.5, 0.75)
 
 
 def run_stand_ins(platform: str, servers: list[Any]) -> None:
@@ -98,8 +93,7 @@
 
 
 def configuration_with_quota(number: int, rate: float) -> bytes:
-    """Return the local fleet's configuration with a tenant's quota of `rate` requests a second; 0 means no
-    quota."""
+    """Return the local fleet's configuration with a quota of `rate` requests a second; 0 means no quota."""
     document = json.loads(configuration(number))
     for entry in document["resourceList"]:
         if entry["resourceKind"] == "tenantTable":
@@ -119,8 +113,7 @@
 
 
 def measure() -> dict[str, Any]:
-    """Return the figures of one node at rest, at full load without and with a quota, and at parts of full
-    load."""
+    """Return one node's figures at rest, at full load without and with a quota, and at part load."""
     found: dict[str, Any] = {}
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
         fleet = LocalFleet(Path(folder), core=1, others=0, servers=SERVERS)
--- a/bench/scale/cli.py
+++ b/bench/scale/cli.py
@@ -1,5 +1,4 @@
-"""The verbs of the scale run: each part runs in a process of its own; its figures are stored with their
-command."""
+"""The verbs of the scale run.  Each part has its own process; its figures are stored with the command."""
 
 from __future__ import annotations
 
@@ -19,8 +18,7 @@
 from bench.scale.world import LARGE_FLEET
 
 FLEET_SIZES = (30, 100, 300, 1000, 4500)  # nodes
-# Nodes.  Fleets up to this size play all phases, and twice, for the spread of the slopes; larger fleets play
-# fewer.
+# Nodes.  Up to this size, all phases are played, and twice for the spread of the slopes; above it, fewer.
 REPEATED_UP_TO = 300
 MEDIUM_PHASES = ("rest", "change", "one", "zone", "peak")
 LARGE_PHASES = ("rest", "change", "one", "tenth", "storm", "region", "zone", "peak")
@@ -50,7 +48,7 @@
 
 
 def fleet(nodes: int, run: int, names: tuple[str, ...], jobs: int = 1) -> tuple[str, Any]:
-    """Play the named phases with a fleet (none: those of its size); return the part's name and its figures."""
+    """Play the named phases of a fleet (none: those of its size); return the part's name and its figures."""
     played = names or (
         phases.PHASES if nodes <= REPEATED_UP_TO else LARGE_PHASES if nodes >= LARGE_FLEET else MEDIUM_PHASES
     )
@@ -58,7 +56,7 @@
 
 
 def services(number: int) -> tuple[str, Any]:
-    """Play three phases with a number of services among few nodes; return the part's name and its figures."""
+    """Play three phases with so many services among few nodes; return the part's name and its figures."""
     of = ("rest", "news", "lease")
     return f"services-{number}", phases.play(SERVICE_RUN_NODES, number, int(number * SERVERS_PER_SERVICE), of)
 
@@ -171,10 +169,8 @@
             done(names[future], future)
     if chosen.verb == "sizes":
         print(sizes.page([load(f"sizes-{number}")["figures"] for number in fleet_sizes]))
-    if chosen.verb in (
-        "all",
-        "carry",
-    ):  # alone, since parts that ran beside it would take processor time from it
+    # This part runs alone, since others that ran beside it would take processor time from it.
+    if chosen.verb in ("all", "carry"):
         name, found = carried()
         save(name, source, found)
         print(json.dumps(found, indent=1))
--- a/bench/scale/figures.py
+++ b/bench/scale/figures.py
@@ -1,5 +1,4 @@
-"""Figures on disk, each with the command and revision that produced it, and how they grow: log-log least
-squares."""
+"""Figures on disk, with the command and revision that produced them, and their growth by least squares."""
 
 from __future__ import annotations
 
--- a/bench/scale/model.py
+++ b/bench/scale/model.py
@@ -1,5 +1,4 @@
-"""The cost at the size of the target, extrapolated from the measured figures: each role in each state, and
-the budgets.
+"""The cost of each role in each state at the target's size, extrapolated from the figures, and the budgets.
 
 A figure at the target is that of the largest measured fleet; where this fleet is smaller than the target,
 the figure is extrapolated by its power.  What grows with the number of services is added from the runs with
@@ -103,8 +102,7 @@
 
 
 def processor(play: Play, phase: str, role: str) -> float:
-    """Return the processor time of a role in percent of a core: its own calls, and the coding of its
-    messages."""
+    """Return a role's processor time in percent of a core: its own calls, and the coding of its messages."""
     mean = mean_load(play, phase, role)
     return 100 * (mean["core"] + mean["codec"])
 
@@ -139,7 +137,7 @@
 
 
 def wait_time(play: Play, phase: str, what: str) -> float | None:
-    """Return the seconds until a condition held in a phase; None if it did not in time, or was not awaited."""
+    """Return the seconds until a condition held in a phase; None if it did not, or was not awaited."""
     found: float | None = play["phases"][phase]["times"].get(what)
     return found
 
@@ -148,13 +146,12 @@
 
 
 def kind_prefix(role: str) -> str:
-    """Return the word with which a role's kinds of messages begin: `core` for nodes with a disk, else
-    `door`."""
+    """Return the first word of a role's kinds of messages: `core` for nodes with a disk, else `door`."""
     return "core" if role in ("core", "counter", "list") else "door"
 
 
 def with_services(f: Figures, of: Callable[[Play], float]) -> float:
-    """Return a figure of the runs with few nodes, extrapolated by its power to all services of the target."""
+    """Return a figure of the runs with few nodes, extrapolated by its power to the target's services."""
     sizes = sorted(f.services)[-3:]
     values = [of(f.services[size]) for size in sizes]
     return values[-1] * math.exp(slope(sizes, values) * math.log(SERVICES / sizes[-1]))
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -18,8 +18,7 @@
 
 
 def number(value: float | None) -> str:
-    """Return a figure with three digits; a dash where its phase was not played, or its condition not met in
-    10 s."""
+    """Return a figure with three digits; a dash if it was not played or its condition not met in 10 s."""
     if value is None:
         return "-"
     if value == 0 or abs(value) < 0.0005:
@@ -37,8 +36,7 @@
 
 
 def value(of: Callable[[Any], float | None], play: Any) -> float | None:
-    """Return a figure, or None where its phase was not played at this size or its condition was not met in
-    time."""
+    """Return a figure, or None if its phase was not played at this size or its condition not met in time."""
     try:
         return of(play)
     except KeyError:
@@ -48,8 +46,7 @@
 def grown(
     sizes: Sequence[int], runs: Sequence[Sequence[Any]], rows: Sequence[Row], fitted: int = 0
 ) -> list[list[str]]:
-    """Return a row for each figure: its value at each size, its power, and how much a second run's power
-    differs.
+    """Return a row for each figure: its value at each size, its power, and the difference of a second run's.
 
     The power is computed from the last `fitted` sizes, or from all where it is 0.
     """
@@ -157,8 +154,7 @@
 
 
 def beside(f: Figures) -> str:
-    """Return the table of the bench's sweep, with the same figures of the simulated nodes where there are
-    any.
+    """Return the table of the bench's sweep, with the same figures of the simulated nodes if there are any.
 
     The latter are taken at rest, as the mean of the nodes without a disk / the busiest node.
     """
--- a/bench/scale/parts.py
+++ b/bench/scale/parts.py
@@ -24,8 +24,7 @@
 
 
 def seconds(what: Callable[[], Any], least: float = 0.2) -> float:
-    """Return the processor time of one call: the least of three rounds, each of as many calls as take
-    `least` seconds."""
+    """Return the processor time of one call: the least of three rounds that each take `least` seconds."""
     rounds, count = [], 1
     while True:
         began = time.process_time()
@@ -54,8 +53,7 @@
 
 
 def measure(servers: int) -> dict[str, float]:
-    """Return the figures for a number of servers; sizes are in bytes, and those of leases and counts per
-    tenant."""
+    """Return the figures for a number of servers; sizes are in bytes, of leases and counts per tenant."""
     services = max(1, servers * 2300 // 40_000)
     body = list_page(servers, services)
     found = program.parse_list(body)
--- a/bench/scale/phases.py
+++ b/bench/scale/phases.py
@@ -29,8 +29,7 @@
 
 @dataclass
 class Load:
-    """The load of a role in one phase: its number of nodes, each figure's mean per second, and the most of
-    any node."""
+    """The load of a role in one phase: its number of nodes, each figure's mean per second and maximum."""
 
     doors: int
     mean: dict[str, float]
@@ -75,8 +74,7 @@
             role: sum(self.world.meters[node.ip].core for node in nodes) / max(1, len(nodes))
             for role, nodes in (("core", self.core), ("door", self.diskless))
         }  # seconds of processor time of a node of each role until then
-        # Until the last updates of the start have reached all nodes: a heartbeat between regions and one
-        # more.
+        # Until the last updates of the start have reached all nodes: a beat between regions, and one more.
         self.world.run(3.0 if nodes < LARGE_FLEET else 2.1)
 
     # --- operations and conditions ----------------------------------------------------------------------
@@ -98,8 +96,7 @@
         return None
 
     def settled(self, number: int) -> bool:
-        """Whether all running nodes have a configuration and a recent confirmation of the core, and are
-        known to it."""
+        """Whether all running nodes have the configuration, are confirmed recently and known to the core."""
         up = self.world.running_nodes()
         return (
             all(node.configuration_version() >= number for node in up)
@@ -231,8 +228,7 @@
         self.phase("storm", self.min_phase_time, work)
 
     def restart(self, name: str, which: list[SimulatedNode]) -> None:
-        """Run a phase in which the given nodes are killed and restarted; the loads are those of the other
-        nodes."""
+        """Run a phase in which some nodes are killed and restarted; the loads are those of the others."""
 
         def work() -> dict[str, float | None]:
             for node in which:
@@ -351,7 +347,7 @@
 
 
 def figures(fleet: Play, name: str) -> dict[str, Any]:
-    """Run the method named by `name`, and return the figures of its one or two phases by the phases' names."""
+    """Run the method `name`, and return the figures of its one or two phases by the phases' names."""
     done = len(fleet.phases)
     getattr(fleet, name)()
     return {phase.name: dataclasses.asdict(phase) for phase in fleet.phases[done:]}
@@ -388,18 +384,17 @@
     nodes: int, services: int = 20, servers: int = 180, names: Sequence[str] = PHASES, core: int = CORE,
     zones: int = ZONES, regions: int = REGIONS, jobs: int = 1,
 ) -> dict[str, Any]:  # fmt: skip
-    """Return the figures of one fleet as they are stored; each phase begins in the settled state after the
-    start."""
+    """Return a fleet's figures as they are stored; each phase begins in the settled state."""
     began = time.monotonic()
     gc.disable()  # otherwise one node's call would be charged with a collection over the memory of all nodes
     fleet = Play(nodes, services, servers, core, zones, regions)
-    up = time.monotonic() - began
-    one = {role: ip for ip, role in fleet.roles().items()}
-    held = {role: deep_size(fleet.world.nodes[ip].instance) for role, ip in one.items()}
+    start_time = time.monotonic() - began
+    one_of_role = {role: ip for ip, role in fleet.roles().items()}
+    state_sizes = {role: deep_size(fleet.world.nodes[ip].instance) for role, ip in one_of_role.items()}
     phases = run_in_copies(fleet, names, jobs)
     gc.enable()
     return {
         "doors": nodes, "services": services, "servers": servers, "phases": phases,
-        "held": held, "started": fleet.started, "up_s": up, "seconds": time.monotonic() - began,
+        "held": state_sizes, "started": fleet.started, "up_s": start_time, "seconds": time.monotonic() - began,
         "memory": peak_memory(),
     }  # fmt: skip
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -42,9 +42,8 @@
 # Seconds after the core's last confirmation from which on a node refuses requests with an access key, as in
 # hazelspring.daemon.node_process.
 MAX_CONFIRMATION_AGE = 0.9 * REVOCATION
-MAX_READY_AGE = (
-    0.5 * REVOCATION
-)  # seconds after it from which on a node is not ready, and clients go to other nodes
+# Seconds after it from which on a node is not ready, and clients are sent to other nodes.
+MAX_READY_AGE = 0.5 * REVOCATION
 # Kinds of the messages of consensus rounds.
 ROUND_KINDS = {
     "prepare",
@@ -63,8 +62,7 @@
 
 
 def listing(services: int, servers: int, zones: int) -> Listing:
-    """Return a platform's instance list with the given numbers of services and servers, spread over the
-    zones."""
+    """Return an instance list with the given numbers of services and servers, spread over the zones."""
     found: Listing = {f"service-{n}": {} for n in range(services)}
     for n in range(servers):
         name = f"i-{n:05d}"
@@ -106,16 +104,14 @@
     return unpack(packed)
 
 
-def read_packed(packed: bytes, held: LoadedConfiguration | None = None) -> LoadedConfiguration:
-    """Load a configuration as each node does: the first one, or one that follows the configuration that it
-    has."""
-    return load_configuration(packed, held)
+def read_packed(packed: bytes, current: LoadedConfiguration | None = None) -> LoadedConfiguration:
+    """Load a configuration as each node does: the first one, or the successor of the one that it has."""
+    return load_configuration(packed, current)
 
 
-def check_next(body: bytes, held: LoadedConfiguration) -> ValidatedConfiguration:
-    """Pack and validate a change of a node's configuration as the node that receives it from an operator
-    does."""
-    return validate_change(body, held)
+def check_next(body: bytes, current: LoadedConfiguration) -> ValidatedConfiguration:
+    """Pack and validate a changed configuration as the node that receives it from an operator does."""
+    return validate_change(body, current)
 
 
 def delta_of(old: bytes, new: bytes) -> bytes:
@@ -185,8 +181,7 @@
 
 
 class SimulatedNode:
-    """One node: the program's own `Node`, with a disk that survives restarts, but without sockets and
-    clients."""
+    """One node: the program's `Node` and a disk that survives restarts, without sockets and clients."""
 
     def __init__(self, ip: str, zone: str, region: str, disk: bool, seeds: list[str]) -> None:
         self.place, self.disk, self.seeds = (ip, zone, region), disk, seeds
@@ -212,8 +207,7 @@
         self.instance = Node(now, start, QuotaLimits().window, lambda tenant: 30.0)
 
     def effects(self, now: float, actions: list[Action]) -> Effects:
-        """Carry out what an action does within the node, also a read of the list, and return the other
-        effects."""
+        """Carry out the actions that stay within the node, such as a read of the list; return the others."""
         found = Effects()
         while actions:
             more: list[Action] = []
@@ -319,10 +313,9 @@
         return len(self.running().peers.ready_nodes())
 
     def duties(self, now: float) -> set[str]:
-        """Return the roles of which this node has a lease: `list` to read the instance list, `counter` for
-        quotas."""
-        held = [duty for duty in range(TENANT_SHARDS + 1) if self.running().roles.held_until(duty) > now]
-        return {"list" if duty == LIST_READER else "counter" for duty in held}
+        """Return the roles that this node has a lease of: `list` to read the instance list, `counter`."""
+        duties = [duty for duty in range(TENANT_SHARDS + 1) if self.running().roles.held_until(duty) > now]
+        return {"list" if duty == LIST_READER else "counter" for duty in duties}
 
     def neighbours(self) -> tuple[str, ...]:
         """Return the addresses of the ready nodes of this node's zone, as it knows them."""
--- a/bench/scale/rounds.py
+++ b/bench/scale/rounds.py
@@ -1,5 +1,4 @@
-"""The cost of a proposal as the core grows: its time and the messages of its rounds, among nodes in 17
-regions."""
+"""The cost of a proposal as the core grows: the time and the messages of its rounds, in 17 regions."""
 
 from __future__ import annotations
 
--- a/bench/scale/sizes.py
+++ b/bench/scale/sizes.py
@@ -1,5 +1,4 @@
-"""The cost per second of a node and of a core member by fleet size: at rest, in an ordinary day, and at the
-peak."""
+"""The cost per second of a node and a core member by fleet size: at rest, on an average day, at the peak."""
 
 from __future__ import annotations
 
@@ -25,8 +24,7 @@
 
 
 def measure(nodes: int) -> dict[str, Any]:
-    """Return the figures of one fleet shaped as the deployments are: members, zones, regions, nine servers a
-    node."""
+    """Return the figures of a fleet shaped as a deployment: members, zones, regions, nine servers a node."""
     core, zones, regions = SHAPES[nodes]
     return phases.play(nodes, 20, 9 * nodes, PLAYED_PHASES, core, zones, regions)
 
--- a/bench/scale/sweep.py
+++ b/bench/scale/sweep.py
@@ -1,5 +1,4 @@
-"""Reads from the journal what the users' bench measured as a deployment grew, to compare it with the
-simulated nodes."""
+"""Reads the figures of the users' bench by fleet size from the journal, to compare the simulated nodes."""
 
 from __future__ import annotations
 
--- a/bench/scale/words.py
+++ b/bench/scale/words.py
@@ -1,4 +1,4 @@
-"""Configurations of 100 to 57,000 routes: bytes, time and memory to check and to load one, and to change it."""
+"""Configurations of 100 to 57,000 routes: bytes, time and memory to check, load and change one."""
 
 from __future__ import annotations
 
@@ -25,11 +25,8 @@
 )
 from bench.scale.world import deep_size
 
-ROUTES, TENANTS, SERVICES = (
-    57_000,
-    390_000,
-    2_300,
-)  # of the target; smaller configurations keep its proportions
+# Of the target; smaller configurations keep its proportions.
+ROUTES, TENANTS, SERVICES = 57_000, 390_000, 2_300
 KINDS = ("read_only", "read_only", "read_only", "mutating", "upload")
 
 
@@ -109,11 +106,11 @@
     """
     body = (Path(path) / "configuration").read_bytes()
     packed = pack_configuration(body)
-    held, found = read_packed(packed), dict[str, float]()
+    current, found = read_packed(packed), dict[str, float]()
     for changed, name in ((1, "one"), (10, "ten")):
         new = altered(body, routes, changed)
         began = time.process_time()
-        checked = check_next(new, held)
+        checked = check_next(new, current)
         found[f"{name}_check_s"] = time.process_time() - began
         began = time.process_time()
         delta = delta_of(packed, checked.packed)
@@ -127,11 +124,11 @@
 def measure_receiver(path: str, name: str) -> dict[str, float]:
     """Return the cost of a change at each other node, in a process that has the previous configuration."""
     packed, delta, digest = [(Path(path) / of).read_bytes() for of in ("packed", name, f"{name} digest")]
-    held = read_packed(packed)
+    current = read_packed(packed)
     before, began = resident_memory(), time.process_time()
     new = apply_delta(packed, delta, digest)
     between = time.process_time()
-    read_packed(new, held)
+    read_packed(new, current)
     took = {f"{name}_apply_s": between - began, f"{name}_read_s": time.process_time() - between}
     return {**took, f"{name}_peak": max(0, peak_memory() - before)}
 
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -1,5 +1,4 @@
-"""Many simulated nodes on simulated time: links with delays and cuts, messages and processor time counted by
-role.
+"""Many nodes on simulated time: links with delays and cuts; messages and processor time counted by role.
 
 Messages are delivered as objects.  They are also encoded and decoded, so that their size and the time that
 this takes are counted.  The nodes of one process share the objects by this; `deep_size` counts them for each
@@ -61,7 +60,7 @@
 
 @dataclass(slots=True)
 class Kind:
-    """All messages of one kind at one role, or its ticks: their number, bytes, and seconds to handle them."""
+    """All messages of one kind at one role, or its ticks: number, bytes, and seconds to handle them."""
 
     count: int = 0
     bytes: int = 0
@@ -78,8 +77,7 @@
 
 
 def clock_cost() -> float:
-    """Return the seconds that one reading of the processor's clock takes; they are subtracted from what is
-    timed."""
+    """Return the seconds that one reading of the processor's clock takes; timed spans are reduced by it."""
     times = [time.process_time() for _ in range(2001)]
     return statistics.median(after - before for before, after in itertools.pairwise(times))
 
@@ -106,8 +104,7 @@
     """
 
     cached: dict[int, tuple[list[Any], Size]] = field(default_factory=dict)
-    # By the names of the fields: messages seen, messages timed, seconds to encode and seconds to decode
-    # these.
+    # By the names of the fields: messages seen, messages timed, seconds to encode and to decode these.
     shapes: dict[tuple[str, ...], list[float]] = field(default_factory=dict)
 
     def of(self, message: Message) -> Size:
@@ -141,8 +138,7 @@
         return self.cached[id(rows)][1]
 
     def small_size(self, message: dict[str, Any]) -> Size:
-        """Return the size of a beat or an echo, whose encoding takes as long as that of others with the same
-        fields."""
+        """Return the size of a beat or an echo; those with the same fields take the same time to encode."""
         if "z" in message:
             return measure(message)
         shape = self.shapes.setdefault(tuple(message), [0, 0, 0.0, 0.0])
@@ -170,8 +166,7 @@
 
 
 class World:
-    """A fleet of simulated nodes, the first `core` of them with a disk, spread round-robin over zones and
-    regions."""
+    """A fleet of simulated nodes, spread over zones and regions by turns; the first `core` have a disk."""
 
     def __init__(
         self, nodes: int, services: int = 20, servers: int = 180, core: int = CORE, seed: int = 1,
@@ -185,8 +180,7 @@
         self.sizes = Sizes()
         self.last_encoded: tuple[Message, Size] | None = None  # the message that was sent last, and its size
         self.kinds: dict[tuple[str, str], Kind] = {}
-        # Whether nodes without requests compute to whom they would send a load report; not in the largest
-        # fleets.
+        # Whether nodes without requests compute to whom they would send load reports; not in large fleets.
         self.idle_reports = nodes < LARGE_FLEET
         # By token, the proposals that ended: when, and whether they succeeded.
         self.proposal_results: dict[int, tuple[float, bool]] = {}
@@ -224,8 +218,7 @@
     # --- starts and ends of nodes -----------------------------------------------------------------------
 
     def start(self, node: SimulatedNode, first: bool = False) -> None:
-        """Start a node, and have it tick from a random time within `TICK` on; `first`: the fleet's first
-        start."""
+        """Start a node; it ticks first at a random time within `TICK`.  `first`: the fleet's first start."""
         node.start(self.now, first)
         starts = node.starts
         self.schedule(self.now + self.random.random() * TICK, self.tick, node, starts)
@@ -262,8 +255,7 @@
         self.apply_effects(node, effects)
 
     def apply_effects(self, node: SimulatedNode, effects: Effects) -> None:
-        """Send a node's messages, schedule the ends of its disk writes, and note the results of its
-        proposals."""
+        """Send a node's messages, schedule the ends of its disk writes, and record results of proposals."""
         for to, message in effects.sends:
             self.send(node, to, message)
         for save in effects.saves:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,5 +1,4 @@
-"""The scale run at a small size: counts grow as docs/CAPACITY.md says and repeat, and its tables are made
-from them."""
+"""The scale run at a small size: its counts grow and repeat as documented, and its page gets the tables."""
 
 from __future__ import annotations
 
