--- a/bench/control.py
+++ b/bench/control.py
@@ -1,9 +1,12 @@
-"""Measures the control side on simulated time: operators' calls, replacing a core member, messages at rest.
+"""Measures the control plane on simulated time.
+
+The figures are the times of operators' calls and of the replacement of a core member, and the messages that
+members exchange at rest.
 
     PYTHONPATH=. python bench/control.py [--seeds N]
 
-There are four core members in two regions (20 ms one way, 2 ms for a disk write) and three other nodes.
-Each figure is printed on a line of its own.
+The fleet has four core members in two regions and three other nodes.  A message between regions takes 20 ms
+one way, a disk write 2 ms.  Each figure is printed on a line of its own.
 """
 
 from __future__ import annotations
@@ -18,7 +21,7 @@
 
 CORE, OTHERS = 4, 3  # nodes
 NODES = CORE + OTHERS
-AWAY = 0.5  # seconds between the loss of a member and the start of its replacement
+REPLACEMENT_DELAY = 0.5  # seconds between the loss of a member and the start of its replacement
 REPLACEMENT_TIMEOUT = 20.0  # seconds after which a replacement counts as failed
 REST_TIME = 20.0  # seconds for which the cost at rest is measured
 MILLISECONDS_PER_SECOND = 1000
@@ -40,7 +43,7 @@
 
 
 def single_calls(seeds: int, lost: bool) -> list[float]:
-    """Return the seconds that successive configurations took; `lost`: while a core member is off."""
+    """Return the seconds that successive configurations took; `lost`: while a core member is stopped."""
     times = []
     for seed in range(seeds):
         world = settled_world(seed)
@@ -72,10 +75,10 @@
 
 
 def replacement_times(seeds: int, wiped: bool) -> list[float]:
-    """Return the seconds from a replacement's start until it, and no lost node, is a core member.
+    """Return the seconds from a replacement's start until it is a core member and the lost node is none.
 
-    `wiped`: the replacement is the same machine with an empty disk.  A replacement that fails counts with
-    `REPLACEMENT_TIMEOUT`.
+    `wiped`: the replacement is the same machine with an empty disk.  A replacement that fails counts
+    as `REPLACEMENT_TIMEOUT`.
     """
     times = []
     for seed in range(seeds):
@@ -85,18 +88,18 @@
             world.wipe(lost)
         else:
             world.remove(lost)
-        world.run(AWAY)
-        seeds_now = [name for name in world.machines if name != lost][:2]
-        new = lost if wiped else "d20"
+        world.run(REPLACEMENT_DELAY)
+        remaining_seeds = [name for name in world.machines if name != lost][:2]
+        replacement = lost if wiped else "d20"
         if wiped:
-            world.start(new)
+            world.start(replacement)
         else:
-            world.add(new, seed % CORE, seeds=[lost, *seeds_now])
+            world.add(replacement, seed % CORE, seeds=[lost, *remaining_seeds])
         began = world.now
         while world.now - began < REPLACEMENT_TIMEOUT:
             world.run(0.01)
             state = world.decided[max(world.decided)]
-            core = world.machines[new].core
+            core = world.machines[replacement].core
             if core is not None and core.control.is_member() and len(state.members) == CORE:
                 break
         times.append(world.now - began)
@@ -111,13 +114,13 @@
     size: Counter[str] = Counter()
     send = world.send
 
-    def counted(source: str, to: str, message: Message) -> None:
+    def count_and_send(source: str, to: str, message: Message) -> None:
         if source in members and to in members:
             messages[codec.kind_of(message)] += 1
             size[codec.kind_of(message)] += len(codec.encode(message))
         send(source, to, message)
 
-    world.send = counted  # type: ignore[method-assign]
+    world.send = count_and_send  # type: ignore[method-assign]
     world.run(REST_TIME)
     seconds = CORE * REST_TIME
     rates = (
@@ -128,7 +131,7 @@
 
 def main() -> None:
     """Print all figures."""
-    parser = argparse.ArgumentParser(description="Times of the control side on simulated time.")
+    parser = argparse.ArgumentParser(description="Times of the control plane on simulated time.")
     parser.add_argument("--seeds", type=int, default=40)
     seeds = parser.parse_args().seeds
     print_times("a call at rest", single_calls(seeds, lost=False))
--- a/bench/drawn.py
+++ b/bench/drawn.py
@@ -1,5 +1,7 @@
 """Plays random days with all kinds of faults that the bench knows, and keeps those that broke a rule.
 
+A day is a scenario of the users' bench: traffic, with planned operations and faults at fixed times.
+
     PYTHONPATH=. python bench/drawn.py FLEETBENCH SITE... [--days N] [--seed N] [--jobs N] [--keep DIR] [--charged]
 
 The same seed gives the same days.  The exit code is 0 if every day was played and no rule was broken,
@@ -21,7 +23,7 @@
 
 from bench.plays import CLOSINGS, Entry, Play, day_text, play_day
 
-# How machines come back, as words of `how`.
+# How machines come back after a fault: words for the bench's field `how`.
 RETURNS = (
     "",
     "meet",
@@ -32,11 +34,13 @@
     "meet drain",
     "hard race",
 )
-WHICH = ("", "turn", "leader", "reader", "seed")  # which machines a fault hits, as words of `how`
+TARGETS = ("", "turn", "leader", "reader", "seed")  # the machines that a fault hits: words for `how`
+# The servers that a fault hits, and how a cut link treats connections: words for `how`.
 SERVERS = ("", "across")
 CUTS = ("", "reset", "refuse")
 
-# By kind: the ranges of its figures (integers if both ends are), and the choices for each word of `how`.
+# By kind of operation or fault: the range of each field (of integers if both ends are), and the choices for
+# each word of `how`.  A kind that ends in " core" hits core members.
 PLANNED: dict[str, tuple[dict[str, tuple[float, float]], tuple[tuple[str, ...], ...]]] = {
     "release": ({"share": (0.2, 0.8), "x": (1, 3), "gap_s": (0.4, 1.5)}, ()),
     "scale_in": ({"share": (0.1, 0.3)}, (("", "spot"),)),
@@ -79,16 +83,16 @@
         {"share": (0.3, 1.0), "x": (0.01, 0.06), "for_s": (3.0, 10.0)},
         (("", "extra", "unframed", "early", "extra late"),),
     ),
-    "node_kill": ({"share": (0.1, 0.5), "for_s": (0.5, 5.0)}, (("", "power"), WHICH, RETURNS)),
-    "node_kill core": ({"count": (1, 1), "for_s": (0.5, 20.0)}, (("", "power"), WHICH, RETURNS)),
+    "node_kill": ({"share": (0.1, 0.5), "for_s": (0.5, 5.0)}, (("", "power"), TARGETS, RETURNS)),
+    "node_kill core": ({"count": (1, 1), "for_s": (0.5, 20.0)}, (("", "power"), TARGETS, RETURNS)),
     "herd_kill": ({"share": (0.3, 0.9), "for_s": (0.5, 3.0)}, (("", "power"),)),
     "herd_kill core": ({"for_s": (0.3, 2.0)}, (("", "taken", "taken all"),)),
     "after_ack_kill": ({"for_s": (0.5, 5.0)}, (("", "kill", "timed", "taken", "taken gone"),)),
     "after_ack_wipe": ({"for_s": (0.5, 5.0)}, (("", "oldest"),)),
     "replace_core": ({"x": (0.3, 3.0)}, (("", "oldest"),)),
-    "node_freeze": ({"share": (0.1, 0.4), "for_s": (1.0, 6.0)}, (WHICH, RETURNS)),
-    "node_freeze core": ({"count": (1, 1), "for_s": (1.0, 20.0)}, (WHICH, RETURNS)),
-    "node_slow": ({"share": (0.1, 0.4), "x": (2, 6), "for_s": (2.0, 8.0)}, (WHICH,)),
+    "node_freeze": ({"share": (0.1, 0.4), "for_s": (1.0, 6.0)}, (TARGETS, RETURNS)),
+    "node_freeze core": ({"count": (1, 1), "for_s": (1.0, 20.0)}, (TARGETS, RETURNS)),
+    "node_slow": ({"share": (0.1, 0.4), "x": (2, 6), "for_s": (2.0, 8.0)}, (TARGETS,)),
     "disk_slow": ({"count": (1, 2), "x": (10, 60), "for_s": (2.0, 10.0)}, ()),
     "disk_full": ({"count": (1, 2), "for_s": (2.0, 10.0)}, ()),
     "disk_stall": ({"count": (1, 1), "for_s": (1.0, 8.0)}, ()),
@@ -102,30 +106,30 @@
          CUTS, ("", "turn", "leader", "reader"), RETURNS),
     ),
     "node_cut": (
-        {"share": (0.1, 0.5), "for_s": (2.0, 8.0)}, (("", "all", "servers"), CUTS, WHICH, RETURNS),
+        {"share": (0.1, 0.5), "for_s": (2.0, 8.0)}, (("", "all", "servers"), CUTS, TARGETS, RETURNS),
     ),
     "ack_lost": ({"share": (0.4, 0.9), "for_s": (4.0, 15.0)}, ()),
 }  # fmt: skip
 
 
-def draw_figure(chance: random.Random, least: float, most: float) -> float:
+def draw_figure(rng: random.Random, lowest: float, highest: float) -> float:
     """Return a random figure from a range: an integer if both ends are integers."""
-    if isinstance(least, int) and isinstance(most, int):
-        return chance.randint(least, most)
-    return round(chance.uniform(least, most), 2)
+    if isinstance(lowest, int) and isinstance(highest, int):
+        return rng.randint(lowest, highest)
+    return round(rng.uniform(lowest, highest), 2)
 
 
-def draw_entry(chance: random.Random, kind: str, planned: bool, last: float) -> Entry:
+def draw_entry(rng: random.Random, kind: str, planned: bool, last: float) -> Entry:
     """Return a planned operation or a fault of a kind, at a random time up to `last`.
 
     The time is in seconds from the start of traffic.
     """
     ranges, words = (PLANNED if planned else FAULTS)[kind]
-    entry: Entry = {"at": round(chance.uniform(1.0, last), 2), "kind": kind.split()[0]}
+    entry: Entry = {"at": round(rng.uniform(1.0, last), 2), "kind": kind.split()[0]}
     if kind.endswith(" core"):
         entry["on"] = "core"
-    entry |= {name: draw_figure(chance, *ends) for name, ends in ranges.items()}
-    how = " ".join(filter(None, (chance.choice(word) for word in words)))
+    entry |= {name: draw_figure(rng, *ends) for name, ends in ranges.items()}
+    how = " ".join(filter(None, (rng.choice(word) for word in words)))
     return {**entry, "how": how} if how else entry
 
 
@@ -135,13 +139,13 @@
     return set(re.findall(r"^([a-z_]+):", printed, re.MULTILINE))
 
 
-def draw_entries(chance: random.Random, planned: bool, length: float, known: set[str]) -> list[Entry]:
+def draw_entries(rng: random.Random, planned: bool, length: float, known: set[str]) -> list[Entry]:
     """Return two to six entries of a day, of kinds that the bench knows; a kind may occur more than once."""
     kinds = [kind for kind in (PLANNED if planned else FAULTS) if kind.split()[0] in known]
-    chosen = chance.choices(kinds, k=chance.randint(2, 5))
-    if chance.random() < 0.4:
+    chosen = rng.choices(kinds, k=rng.randint(2, 5))
+    if rng.random() < 0.4:
         chosen.append(chosen[0])
-    return [draw_entry(chance, kind, planned, 0.85 * length) for kind in chosen]
+    return [draw_entry(rng, kind, planned, 0.85 * length) for kind in chosen]
 
 
 @dataclass(frozen=True)
@@ -155,49 +159,53 @@
 
 
 def play(bench: str, task: Task, charged: bool) -> Play:
-    """Generate a day and play it; `charged`: the bench counts processor time."""
-    chance = random.Random(task.seed)
-    usual = tomllib.loads(task.site.read_text())["length_s"]
-    length = usual * chance.choice((1, 1, 1, 2))
-    plan = draw_entries(chance, True, length, task.known)
-    faults = draw_entries(chance, False, length, task.known)
-    closing = chance.choice(list(CLOSINGS))
+    """Generate a day and play it; `charged`: the bench charges the system for processor time."""
+    rng = random.Random(task.seed)
+    usual_length = tomllib.loads(task.site.read_text())["length_s"]
+    length = usual_length * rng.choice((1, 1, 1, 2))
+    plan = draw_entries(rng, True, length, task.known)
+    faults = draw_entries(rng, False, length, task.known)
+    closing = rng.choice(list(CLOSINGS))
     task.day.write_text(day_text(f"drawn-{task.seed}", task.seed, length, plan, faults, closing))
-    why = f"a drawn day, seed {task.seed}, closing {closing}" + (
+    reason = f"a drawn day, seed {task.seed}, closing {closing}" + (
         ", processor time charged" if charged else ""
     )
-    return play_day(bench, task.site, task.day, closing, why, [] if charged else ["--no-cpu"])
+    return play_day(bench, task.site, task.day, closing, reason, [] if charged else ["--no-cpu"])
 
 
 def main() -> int:
     """Generate and play the days that the command line asks for; return the exit status."""
-    parser = argparse.ArgumentParser(description="Days drawn from all kinds of faults.")
+    parser = argparse.ArgumentParser(description="Plays random days with all kinds of faults.")
     parser.add_argument("bench", help="the bench's program")
     parser.add_argument("sites", nargs="+", type=Path)
-    parser.add_argument("--days", type=int, default=10, help="on each site")
-    parser.add_argument("--seed", type=int, default=1, help="of the first day; the next ones follow")
+    parser.add_argument("--days", type=int, default=10, help="days to play on each site")
+    parser.add_argument(
+        "--seed", type=int, default=1, help="seed of the first day; the following days count up from it"
+    )
     parser.add_argument("--jobs", type=int, default=4)
-    parser.add_argument("--keep", type=Path, help="a folder for the days that broke a rule")
-    parser.add_argument("--charged", action="store_true", help="processor time counts")
-    chosen = parser.parse_args()
-    with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(chosen.jobs) as pool:
-        keep = chosen.keep or Path(folder)
+    parser.add_argument("--keep", type=Path, help="folder for the days in which a rule was broken")
+    parser.add_argument("--charged", action="store_true", help="charge the system for processor time")
+    options = parser.parse_args()
+    with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(options.jobs) as pool:
+        keep = options.keep or Path(folder)
         keep.mkdir(parents=True, exist_ok=True)
-        known = {site: kinds_of(chosen.bench, site) for site in chosen.sites}
+        known = {site: kinds_of(options.bench, site) for site in options.sites}
         tasks = [
             Task(site, seed, keep / f"{site.stem}-{seed}.toml", known[site])
-            for seed in range(chosen.seed, chosen.seed + chosen.days)
-            for site in chosen.sites
+            for seed in range(options.seed, options.seed + options.days)
+            for site in options.sites
         ]
-        wrong = 0
-        results = pool.map(lambda task: play(chosen.bench, task, chosen.charged), tasks)
+        failures = 0
+        results = pool.map(lambda task: play(options.bench, task, options.charged), tasks)
         for task, result in zip(tasks, results, strict=True):
-            print(f"{task.day.stem:32s} {result.closing:15s} {result.worth:.3f}  {result.wrong}", flush=True)
-            wrong += bool(result.wrong)
-            if not result.wrong:
+            print(
+                f"{task.day.stem:32s} {result.closing:15s} {result.worth:.3f}  {result.problem}", flush=True
+            )
+            failures += bool(result.problem)
+            if not result.problem:
                 task.day.unlink()
-    print(f"{len(tasks)} days, {wrong} with a rule broken or not played")
-    return 1 if wrong else 0
+    print(f"{len(tasks)} days, {failures} with a rule broken or not played")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -1,9 +1,11 @@
-"""Plays random days of the control side on simulated time, in parallel; prints the seeds of those that fail.
+"""Plays random days of the control plane on simulated time, in parallel; prints the seeds of those that
+fail.
 
     PYTHONPATH=. python bench/fuzz.py [--first N] [--seeds N] [--jobs N]
     PYTHONPATH=. python bench/fuzz.py --play N [--shrink]
 
-A day is determined by its seed alone, so `--play` repeats it exactly.
+A day is a sequence of operations and faults.  Its seed alone determines it, so that `--play` repeats it
+exactly; `--shrink` reduces it to the smallest part that still fails.
 """
 
 from __future__ import annotations
@@ -18,49 +20,51 @@
 from tests.chaos_days import draw, shrink
 
 MAX_TRACE_LENGTH = 280  # characters of an error's trace that are printed
-MAX_BREACH_LENGTH = 300  # characters of a breach that are printed
+MAX_BREACH_LENGTH = 300  # characters of a broken rule's description that are printed
 
 
 @dataclass(frozen=True)
 class SeedResult:
-    """The breaches of the day that is generated from a seed."""
+    """The descriptions of the rules that were broken on the day that is generated from a seed."""
 
     seed: int
     breaches: list[str]
 
 
 def play_seed(seed: int) -> SeedResult:
-    """Play the day of a seed; an exception that it raises counts as a breach, too."""
+    """Play the day of a seed; an exception that it raises counts as a broken rule, too."""
     try:
         return SeedResult(seed, play(draw(seed)).breaches)
-    except Exception:  # a fault of the program, like a breach
+    except Exception:  # any exception is a fault of the program
         return SeedResult(seed, [traceback.format_exc()[-MAX_TRACE_LENGTH:]])
 
 
 def play_one(seed: int, reduce_day: bool) -> None:
-    """Print a day and its breaches; `reduce_day`: of the smallest part of the day that still has any."""
+    """Print a day and the rules that it breaks; `reduce_day`: reduce it first to the smallest part that
+    still breaks any.
+    """
     day = draw(seed)
     if reduce_day:
-        day = shrink(day, lambda less: bool(play(less).breaches))
+        day = shrink(day, lambda reduced: bool(play(reduced).breaches))
     print(day)
     print("\n".join(play(day).breaches) or "no fault")
 
 
 def main() -> int:
     """Play the days that the command line asks for; return the exit status."""
-    parser = argparse.ArgumentParser(description="Drawn days of the control side on simulated time.")
+    parser = argparse.ArgumentParser(description="Plays random days of the control plane on simulated time.")
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--seeds", type=int, default=100)
     parser.add_argument("--jobs", type=int, default=1)
     parser.add_argument("--play", type=int)
     parser.add_argument("--shrink", action="store_true")
-    chosen = parser.parse_args()
-    if chosen.play is not None:
-        play_one(chosen.play, chosen.shrink)
+    options = parser.parse_args()
+    if options.play is not None:
+        play_one(options.play, options.shrink)
         return 0
     began, failed = time.monotonic(), []
-    seeds = range(chosen.first, chosen.first + chosen.seeds)
-    with multiprocessing.Pool(chosen.jobs) as pool:
+    seeds = range(options.first, options.first + options.seeds)
+    with multiprocessing.Pool(options.jobs) as pool:
         for result in pool.imap_unordered(play_seed, seeds):
             if result.breaches:
                 failed.append(result.seed)
--- a/bench/knowledge.py
+++ b/bench/knowledge.py
@@ -1,12 +1,12 @@
-"""Measures on simulated time how long a server's leave or a machine's failure takes to be known everywhere.
+"""Measures the time until all nodes know of a server's leave or of a machine's failure, on simulated time.
 
-A machine's failure is known when no node names the machine to clients any more.
+A node knows of a machine's failure when it no longer names the machine to clients.
 
     PYTHONPATH=. python bench/knowledge.py [--seeds N] [--cutoff S]
 
 Each row of the first table names the faults that begin at the moment of the leave, and each row of the
-second one the machines that are off.  It holds the median, the 95th percentile and the worst over the seeds,
-in seconds until the last node knows.  A time of `LONGEST` means that not all nodes knew by then.
+second one the machines that are stopped.  It holds the median, the 95th percentile and the worst over the
+seeds, in seconds until the last node knows.  A time of `MAX_WAIT` means that not all nodes knew by then.
 """
 
 from __future__ import annotations
@@ -19,48 +19,48 @@
 from tests.test_deadlines import named_to_clients
 from tests.test_list_duty import ListWorld
 
-LONGEST = 20.0  # seconds after which the wait ends
-STEP = 0.05  # seconds between two checks
-CORE, OTHERS = 6, 8
+MAX_WAIT = 20.0  # seconds after which the wait for all nodes ends
+STEP = 0.05  # seconds between two checks of an awaited condition
+CORE, OTHERS = 6, 8  # nodes
 
 Fault = Callable[[ListWorld], None]
 
 
 def reader_stuck(world: ListWorld) -> None:
-    """The reads of the node that reads the platform's list never return."""
+    """Let the reads of the node that reads the platform's list never return."""
     world.stuck.add(world.reader())
 
 
 def reader_and_member_stuck(world: ListWorld) -> None:
-    """The reads of the reader and of another core member never return."""
+    """Let the reads of the list reader and of another core member never return."""
     others = sorted({f"d{n}" for n in range(1, CORE + 1)} - {world.reader()})
     world.stuck |= {world.reader(), world.random.choice(others)}
 
 
 def reader_killed(world: ListWorld) -> None:
-    """The reader's process ends."""
+    """Kill the list reader's process."""
     world.kill(world.reader())
 
 
 def reader_killed_member_stuck(world: ListWorld) -> None:
-    """The reader's process ends, and the reads of another core member never return."""
+    """Kill the list reader's process, and let the reads of another core member never return."""
     reader_and_member_stuck(world)
     world.kill(world.reader())
 
 
 def messages_lost(world: ListWorld) -> None:
-    """A fifth of all messages is lost."""
+    """Drop a fifth of all messages."""
     world.drop = 0.2
 
 
 def stuck_and_lost(world: ListWorld) -> None:
-    """The reads of the reader never return, and a fifth of all messages is lost."""
+    """Let the list reader's reads never return, and drop a fifth of all messages."""
     reader_stuck(world)
     world.drop = 0.2
 
 
 def nothing(_world: ListWorld) -> None:
-    """No fault."""
+    """Cause no fault."""
 
 
 FAULTS: tuple[Fault, ...] = (
@@ -75,13 +75,13 @@
 
 
 def time_until(world: ListWorld, holds: Callable[[], bool]) -> float:
-    """Return the seconds until a condition holds, `LONGEST` at most."""
+    """Return the seconds until a condition holds, `MAX_WAIT` at most."""
     began = world.now
-    while world.now - began < LONGEST:
+    while world.now - began < MAX_WAIT:
         world.run(STEP)
         if holds():
             return world.now - began
-    return LONGEST
+    return MAX_WAIT
 
 
 def time_to_know(seed: int, cutoff: float, fault: Fault) -> float:
@@ -93,13 +93,13 @@
     return time_until(world, lambda: not world.unaware())
 
 
-def time_to_drop(seed: int, off: Sequence[str]) -> float:
+def time_to_drop(seed: int, stopped: Sequence[str]) -> float:
     """Return the seconds from the failure of machines until no node names any of them to clients."""
     world = ListWorld(CORE, OTHERS, seed)
     world.run(8.0 + seed * 0.037)
-    for name in off:
+    for name in stopped:
         world.kill(name)
-    return time_until(world, lambda: not named_to_clients(world, set(off)))
+    return time_until(world, lambda: not named_to_clients(world, set(stopped)))
 
 
 def row(name: str, times: list[float]) -> str:
@@ -111,19 +111,21 @@
 
 def main() -> int:
     """Print both tables."""
-    parser = argparse.ArgumentParser(description="How long knowledge takes, on simulated time.")
+    parser = argparse.ArgumentParser(
+        description="Time until all nodes know of a leave or a failure, on simulated time."
+    )
     parser.add_argument("--seeds", type=int, default=40)
     parser.add_argument("--cutoff", type=float, default=3.0, help="drainCutoffMs, in seconds (3)")
-    chosen = parser.parse_args()
+    options = parser.parse_args()
     print(
-        f"{'leave known, with':32s} {'median':>6s} {'95%':>6s} {'worst':>6s}  seconds, {chosen.seeds} seeds"
+        f"{'leave known, with':32s} {'median':>6s} {'95%':>6s} {'worst':>6s}  seconds, {options.seeds} seeds"
     )
     for fault in FAULTS:
-        times = [time_to_know(seed, chosen.cutoff, fault) for seed in range(chosen.seeds)]
+        times = [time_to_know(seed, options.cutoff, fault) for seed in range(options.seeds)]
         print(row(fault.__name__, times), flush=True)
     print(f"{'dropped from look-ups':32s}")
-    for off in (("d7",), ("d8",), ("d1",), ("d1", "d9"), ("d2", "d4")):
-        print(row(" ".join(off), [time_to_drop(seed, off) for seed in range(chosen.seeds)]), flush=True)
+    for names in (("d7",), ("d8",), ("d1",), ("d1", "d9"), ("d2", "d4")):
+        print(row(" ".join(names), [time_to_drop(seed, names) for seed in range(options.seeds)]), flush=True)
     return 0
 
 
--- a/bench/leaves.py
+++ b/bench/leaves.py
@@ -1,4 +1,6 @@
-"""Plays long days on which servers leave again and again among hundreds of changes and faults.
+"""Plays long days on which servers leave repeatedly, among hundreds of configuration changes and faults.
+
+A day is a scenario of the users' bench: traffic, with planned operations and faults at fixed times.
 
     PYTHONPATH=. python bench/leaves.py FLEETBENCH SITE... [--days N] [--seed N] [--length S] [--jobs N] [--keep DIR]
 
@@ -20,7 +22,7 @@
 
 CHANGES = ("route", "weights", "timeout", "tenant", "quota", "topup", "idle")
 CHANGE_GAPS = (0.2, 0.7)  # seconds between two changes of the configuration
-LEAVE_GAPS = (3.0, 9.0)  # seconds between two times that servers leave
+LEAVE_GAPS = (3.0, 9.0)  # seconds between two planned operations by which servers leave
 FAULT_GAPS = (2.0, 8.0)  # seconds between the beginnings of two faults
 QUIET_END = 6.0  # seconds without faults at the end of a day
 FIRST_FAULT = 5.0  # seconds without faults at the start of a day
@@ -61,28 +63,28 @@
 )  # fmt: skip
 
 
-def times(draw: random.Random, gaps: tuple[float, float], begin: float, end: float) -> Iterator[float]:
+def random_times(rng: random.Random, gaps: tuple[float, float], begin: float, end: float) -> Iterator[float]:
     """Yield times between `begin` and `end`, in seconds, separated by random gaps."""
-    at = begin + draw.uniform(*gaps)
+    at = begin + rng.uniform(*gaps)
     while at < end:
         yield round(at, 2)
-        at += draw.uniform(*gaps)
+        at += rng.uniform(*gaps)
 
 
 def draw_day(seed: int, length: float) -> str:
     """Return the text of the day that is generated from a seed."""
-    draw = random.Random(f"leaves {seed}")
+    rng = random.Random(f"leaves {seed}")
     plan = [
-        {"at": at, "kind": "config_change", "how": draw.choice(CHANGES)}
-        for at in times(draw, CHANGE_GAPS, 1.0, length - 2.0)
+        {"at": at, "kind": "config_change", "how": rng.choice(CHANGES)}
+        for at in random_times(rng, CHANGE_GAPS, 1.0, length - 2.0)
     ]
-    plan += [{"at": at, **draw.choice(LEAVES)} for at in times(draw, LEAVE_GAPS, 0.0, length - 6.0)]
+    plan += [{"at": at, **rng.choice(LEAVES)} for at in random_times(rng, LEAVE_GAPS, 0.0, length - 6.0)]
     faults: list[Entry] = []
-    for at in times(draw, FAULT_GAPS, FIRST_FAULT, length - QUIET_END):
-        if draw.random() < len(PLANNED_FAULTS) / (len(PLANNED_FAULTS) + len(FAULTS)):
-            plan.append({"at": at, **draw.choice(PLANNED_FAULTS)})
+    for at in random_times(rng, FAULT_GAPS, FIRST_FAULT, length - QUIET_END):
+        if rng.random() < len(PLANNED_FAULTS) / (len(PLANNED_FAULTS) + len(FAULTS)):
+            plan.append({"at": at, **rng.choice(PLANNED_FAULTS)})
         else:
-            faults.append({"at": at, **draw.choice(FAULTS)})
+            faults.append({"at": at, **rng.choice(FAULTS)})
     return day_text(f"leaves-{seed}", seed, length, plan, faults)
 
 
@@ -91,13 +93,13 @@
     stem = keep / f"{site.stem}-{seed}"
     day = stem.with_suffix(".toml")
     day.write_text(draw_day(seed, length))
-    why = f"servers that leave, {seed}"
-    return play_day(bench, site, day, NO_CLOSING, why, ["--log", "all"], stem.with_suffix(".log"))
+    reason = f"servers that leave, {seed}"
+    return play_day(bench, site, day, NO_CLOSING, reason, ["--log", "all"], stem.with_suffix(".log"))
 
 
 def main() -> int:
     """Play the days that the command line asks for; return the exit status."""
-    parser = argparse.ArgumentParser(description="Long days on which servers leave.")
+    parser = argparse.ArgumentParser(description="Plays long days on which servers leave repeatedly.")
     parser.add_argument("bench", help="the bench's program")
     parser.add_argument("sites", nargs="+", type=Path)
     parser.add_argument("--days", type=int, default=4)
@@ -105,18 +107,20 @@
     parser.add_argument("--length", type=float, default=90.0)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--keep", type=Path, required=True, help="folder for days, reports and output")
-    chosen = parser.parse_args()
-    chosen.keep.mkdir(parents=True, exist_ok=True)
-    tasks = [(site, chosen.seed + n) for n in range(chosen.days) for site in chosen.sites]
-    wrong = 0
-    with ThreadPoolExecutor(chosen.jobs) as pool:
-        plays = pool.map(lambda task: play(chosen.bench, task[0], task[1], chosen.length, chosen.keep), tasks)
+    options = parser.parse_args()
+    options.keep.mkdir(parents=True, exist_ok=True)
+    tasks = [(site, options.seed + n) for n in range(options.days) for site in options.sites]
+    failures = 0
+    with ThreadPoolExecutor(options.jobs) as pool:
+        plays = pool.map(
+            lambda task: play(options.bench, task[0], task[1], options.length, options.keep), tasks
+        )
         for (_, seed), result in zip(tasks, plays, strict=True):
-            wrong += bool(result.wrong)
-            spread = f"{result.leave_median:7.0f} {result.leave_worst:7.0f}"
-            print(f"{result.site:22s} {seed:6d} {spread}  {result.wrong}", flush=True)
-    print(f"{len(tasks)} days, {wrong} with a rule broken or not played")
-    return 1 if wrong else 0
+            failures += bool(result.problem)
+            leave_times = f"{result.leave_median:7.0f} {result.leave_worst:7.0f}"
+            print(f"{result.site:22s} {seed:6d} {leave_times}  {result.problem}", flush=True)
+    print(f"{len(tasks)} days, {failures} with a rule broken or not played")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/bench/mixed_builds.py
+++ b/bench/mixed_builds.py
@@ -1,11 +1,12 @@
-"""Runs two builds of the system beside each other in one fleet, and lets each read what the other wrote.
+"""Runs two builds of the system in one fleet, and checks that each reads the other's messages and disks.
 
-    python -m bench.mixed_builds OLD NEW      (folders of two checkouts; exit status 1 where a check fails)
+    python -m bench.mixed_builds OLD NEW      (folders of two checkouts; exit status 1 if a check fails)
 
-Three core nodes and one without a disk.  A fleet of the old build writes its disks and the configuration; its nodes
-are then restarted one by one with the new build, and back again.  After each restart a configuration is put at the
-restarted node, and every node must have it, be ready and answer a read; the core must still have three members.  At
-the end, the new build and then the old one start alone on disks that the other build has left.
+The fleet has three core nodes and one node without a disk.  The old build writes the disks and the
+configuration; the nodes are then restarted one by one with the new build, and afterwards with the old one
+again.  After each restart, a configuration is put at the restarted node.  Every node must have it, be ready
+and answer a read, and the core must still have three members.  At the end, all nodes are killed, and the new
+build and then the old one start alone on the disks that the other build has left.
 """
 
 from __future__ import annotations
@@ -100,12 +101,12 @@
     """Move a fleet to the new build and back, node by node; return whether all checks passed."""
     fleet.start_all(first=True)
     number = 1
-    good = check(fleet, "old build alone", number, 0)
+    passed = check(fleet, "old build alone", number, 0)
     for name, build in (("new", new), ("old", old)):
         for node in range(CORE + OTHERS):
             fleet.restart(node, build)
             number += 1
-            good &= check(fleet, f"node {node + 1} restarted with the {name} build", number, node)
+            passed &= check(fleet, f"node {node + 1} restarted with the {name} build", number, node)
     for name, build in (
         ("new build on disks of the old one", new),
         ("old build on disks of the new one", old),
@@ -114,10 +115,10 @@
             fleet.kill(node)
         fleet.builds = dict.fromkeys(range(CORE + OTHERS), build)
         fleet.start_all()
-        good &= check(fleet, f"{name}, all killed at once", number, None)
+        passed &= check(fleet, f"{name}, all killed at once", number, None)
         number += 1
-        good &= check(fleet, name, number, 0)
-    return good
+        passed &= check(fleet, name, number, 0)
+    return passed
 
 
 def log_problems(folder: Path) -> list[str]:
@@ -136,14 +137,14 @@
         fleet = MixedFleet(Path(folder), old)
         background = BackgroundStandIns(StandIns(fleet.platform, fleet.servers))
         try:
-            good = check_all(fleet, old, new)
+            passed = check_all(fleet, old, new)
         finally:
             fleet.close()
             background.close()
         problems = log_problems(Path(folder))
     print("\n".join(problems[:10]))
-    print(f"{len(problems)} log lines of errors; {'all checks good' if good else 'a check FAILED'}")
-    return 0 if good else 1
+    print(f"{len(problems)} log lines of errors; {'all checks good' if passed else 'a check FAILED'}")
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/bench/own.py
+++ b/bench/own.py
@@ -1,4 +1,7 @@
-"""Plays the days of bench/days on a site, each with every closing fault, and prints one table.
+"""Plays the days of bench/days on sites, each day with every closing fault, and prints one table.
+
+A day is a scenario of the users' bench: traffic, with planned operations and faults at fixed times.  The
+closing fault is the last one of a day, such as the loss of power at all nodes.
 
     PYTHONPATH=. python bench/own.py FLEETBENCH SITE... [--days NAME ...] [--jobs N] [--seed N]
 
@@ -33,37 +36,39 @@
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / task.day.name
         file.write_text(task.day.read_text() + CLOSINGS[task.closing])
-        why = f"a day of one's own: {task.day.stem}, closing {task.closing}"
-        seeded = ["--seed", str(seed)] if seed is not None else []
-        return play_day(bench, task.site, file, task.closing, why, ["--no-cpu", *seeded])
+        reason = f"a day of one's own: {task.day.stem}, closing {task.closing}"
+        seed_options = ["--seed", str(seed)] if seed is not None else []
+        return play_day(bench, task.site, file, task.closing, reason, ["--no-cpu", *seed_options])
 
 
 def row(result: Play) -> str:
     """Return a line of the table."""
     figures = f"{result.worth:.3f}   {result.refused:.3f}  {result.failed:.3f}         {result.worst:.2f}"
     recovery = "" if result.recovery is None else f"{result.recovery:15.1f}"
-    return f"{result.site:14s} {result.day:16s} {result.closing:15s} {result.wrong or figures + recovery}"
+    return f"{result.site:14s} {result.day:16s} {result.closing:15s} {result.problem or figures + recovery}"
 
 
 def main() -> int:
     """Play the days that the command line asks for; return the exit status."""
-    parser = argparse.ArgumentParser(description="Days of one's own, each with every closing fault.")
+    parser = argparse.ArgumentParser(
+        description="Plays the days of bench/days, each with every closing fault."
+    )
     parser.add_argument("bench", help="the bench's program")
     parser.add_argument("sites", nargs="+", type=Path)
-    parser.add_argument("--days", nargs="*", help="names of days; all where none is named")
+    parser.add_argument("--days", nargs="*", help="names of the days to play; without it, all of bench/days")
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--seed", type=int)
-    chosen = parser.parse_args()
-    days = [day for day in sorted(DAYS.glob("*.toml")) if not chosen.days or day.stem in chosen.days]
-    tasks = [Task(site, day, closing) for site in chosen.sites for day in days for closing in CLOSINGS]
-    with ThreadPoolExecutor(chosen.jobs) as pool:
-        results = list(pool.map(lambda task: play(chosen.bench, task, chosen.seed), tasks))
+    options = parser.parse_args()
+    days = [day for day in sorted(DAYS.glob("*.toml")) if not options.days or day.stem in options.days]
+    tasks = [Task(site, day, closing) for site in options.sites for day in days for closing in CLOSINGS]
+    with ThreadPoolExecutor(options.jobs) as pool:
+        results = list(pool.map(lambda task: play(options.bench, task, options.seed), tasks))
     print(f"{'site':14s} {'day':16s} {'closing':15s} worth refused failed  worst window  recovery s")
     for result in results:
         print(row(result))
-    wrong = sum(bool(result.wrong) for result in results)
-    print(f"{len(results)} days, {wrong} with a rule broken or not played")
-    return 1 if wrong else 0
+    failures = sum(bool(result.problem) for result in results)
+    print(f"{len(results)} days, {failures} with a rule broken or not played")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/bench/plays.py
+++ b/bench/plays.py
@@ -1,4 +1,6 @@
-"""Plays this project's days on the users' bench: writes a day's text, runs it, and reads the report."""
+"""Plays days, which are scenarios of the users' bench: writes a day's text, runs the bench, and reads its
+report.
+"""
 
 from __future__ import annotations
 
@@ -25,8 +27,8 @@
     "power_timed": 'closing = { kind = "power_off_all", down_s = 1.6, how = "timed" }\n',
     "power_taken": 'closing = { kind = "power_off_all", down_s = 1.6, how = "taken" }\n',
 }
-RECOVERED_PART = 0.95  # of the worth of the windows before any fault; a window with more counts as recovered
-RECOVERED_WINDOWS = 3  # so many successive recovered windows mean that the system has recovered
+RECOVERED_SHARE = 0.95  # of the worth before any fault; a window of at least this worth counts as recovered
+RECOVERED_WINDOWS = 3  # successive recovered windows after which the system counts as recovered
 
 
 @dataclass
@@ -37,7 +39,7 @@
     ----------
     site, day, closing
         Names of the site, of the day and of its closing fault.
-    wrong
+    problem
         The rules that were broken, or why nothing was played; empty if all rules were kept.
     worth, refused, failed
         Shares of what the system had to serve, 0 to 1: the worth that it served, and what it refused and
@@ -54,7 +56,7 @@
     site: str
     day: str
     closing: str
-    wrong: str = ""
+    problem: str = ""
     worth: float = 0.0
     refused: float = 0.0
     failed: float = 0.0
@@ -93,7 +95,7 @@
     site: Path,
     day: Path,
     closing: str,
-    why: str,
+    reason: str,
     options: Sequence[str] = (),
     output: Path | None = None,
 ) -> Play:
@@ -107,7 +109,7 @@
         Files of the site and of the day.
     closing
         The name of the day's closing fault.
-    why
+    reason
         The reason of the play, which the bench writes to its journal.
     options
         Further options of the bench.
@@ -117,7 +119,7 @@
     result = Play(site.stem, day.stem, closing)
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
-        call = [bench, "run", str(site), str(day), "--why", why, "--report", str(report), *options]
+        call = [bench, "run", str(site), str(day), "--why", reason, "--report", str(report), *options]
         printed = subprocess.run(call, capture_output=True, text=True, check=False)
         text = printed.stdout + printed.stderr
         if output is not None:
@@ -125,13 +127,13 @@
         if report.exists():
             read_report(result, json.loads(report.read_text()))
         else:
-            result.wrong = (text.strip().splitlines() or ["the bench printed nothing"])[-1]
+            result.problem = (text.strip().splitlines() or ["the bench printed nothing"])[-1]
     return result
 
 
 def read_report(result: Play, report: dict[str, Any]) -> None:
     """Fill in a result from the bench's report."""
-    result.wrong = str(report["fault"] or report["breaks"] or "")
+    result.problem = str(report["fault"] or report["breaks"] or "")
     result.worth, result.refused, result.failed = report["G"], report["refused"], report["failed"]
     result.worst = min(window["worth"] for window in report["windows"] if window["n"])
     result.recovery = recovery_time(report)
@@ -151,12 +153,12 @@
     windows: list[tuple[float, float]] = [
         (float(window["name"]), window["worth"]) for window in report["windows"] if window["n"]
     ]
-    calm = [worth for at, worth in windows if at < min(faults, default=0.0)]
-    if not closing or not calm:
+    worths_before_faults = [worth for at, worth in windows if at < min(faults, default=0.0)]
+    if not closing or not worths_before_faults:
         return None
-    least = RECOVERED_PART * statistics.median(calm)
+    recovered_worth = RECOVERED_SHARE * statistics.median(worths_before_faults)
     after = [window for window in windows if window[0] >= closing[0] - 2.0]
     for first in range(len(after) - RECOVERED_WINDOWS + 1):
-        if all(worth >= least for _, worth in after[first : first + RECOVERED_WINDOWS]):
+        if all(worth >= recovered_worth for _, worth in after[first : first + RECOVERED_WINDOWS]):
             return max(0.0, after[first][0] - closing[0])
     return None
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -1,13 +1,13 @@
-"""Measures the cost of each role as the fleet grows, and rewrites the tables of docs/CAPACITY.md with it.
+"""Measures the cost of each role as the fleet grows, and rewrites the tables of docs/CAPACITY.md.
 
-    python bench/scale.py all                  all but `sizes`, then the page: run after every program change
+    python bench/scale.py all                  all but `sizes`, then `page`: run after each program change
     python bench/scale.py fleet --doors 30 100 nodes on simulated time, each fleet size in its own process
     python bench/scale.py services             the cost of one message by the number of services, few nodes
     python bench/scale.py rounds               the time and the messages of a proposal as the core grows
     python bench/scale.py words                configurations of 100 to 57,000 routes
-    python bench/scale.py parts                server tables and instance lists at the size of the target
+    python bench/scale.py parts                server tables and instance lists of up to 40,000 servers
     python bench/scale.py carry                requests a second through one real node on loopback
-    python bench/scale.py sizes                the table of docs/system.md: fleets shaped as deployments are
+    python bench/scale.py sizes                the table of docs/system.md: fleets shaped like deployments
     python bench/scale.py page                 the tables of docs/CAPACITY.md from the stored figures
 
 Figures are stored in bench/scale/found/, each part with the command and the revision that produced it.
--- a/bench/scale/carry.py
+++ b/bench/scale/carry.py
@@ -1,7 +1,7 @@
 """Requests per second through one real node on loopback: the processor time and the added latency of each.
 
-There are one node with a disk, servers that answer at once, and clients on persistent connections.  Servers
-and clients each have a process of their own, so that the node's process is the one at full load.  A
+The run has one node with a disk, servers that answer at once, and clients on persistent connections.
+Servers and clients each have a process of their own, so that the node's process is the one at full load.  A
 measurement takes a few seconds and a bounded number of requests.
 """
 
@@ -26,10 +26,10 @@
 SERVERS, CONNECTIONS = 8, 32
 MAX_REQUESTS = 60_000  # requests of one measurement
 DURATION = 4.0  # seconds of one measurement
-# Repetitions of each measurement.  Other processes use the machine, so the least disturbed one is taken as
+# Repetitions of each measurement.  Since other processes use the machine, the least disturbed repetition is
 # the result; the range over all of them is stored, too.
 ROUNDS = 3
-# Parts of the node's full load at which the added latency is measured.
+# Shares of the rate at full load at which the added latency is measured.
 LOAD_FRACTIONS = (0.1, 0.25, 0.5, 0.75)
 
 
@@ -67,7 +67,8 @@
         while time.monotonic() < end and sent < MAX_REQUESTS:
             if rate:
                 await asyncio.sleep(max(0.0, due - time.monotonic()))
-            began = time.monotonic()  # taken here, so that a late timer of the client does not count
+            # Read after the sleep, so that a late timer of the client does not count.
+            began = time.monotonic()
             sent += 1
             writer.write(
                 f"GET /read/{sent} HTTP/1.1\r\nHost: shop.example\r\nAuthorization: Bearer {KEY}\r\n"
@@ -88,8 +89,8 @@
     await asyncio.gather(*(client(n) for n in range(CONNECTIONS)))
     took = time.monotonic() - began
     times.sort()
-    at = {f"p{part:g}_ms": 1000 * times[int(len(times) * part / 100)] for part in (50, 90, 99)}
-    return {"requests": len(times), "wrong": wrong, "a_second": len(times) / took, **at}
+    percentiles = {f"p{part:g}_ms": 1000 * times[int(len(times) * part / 100)] for part in (50, 90, 99)}
+    return {"requests": len(times), "wrong": wrong, "a_second": len(times) / took, **percentiles}
 
 
 def configuration_with_quota(number: int, rate: float) -> bytes:
@@ -102,7 +103,8 @@
 
 
 def measure_full_load(pid: int, node: str, rest: float) -> dict[str, float]:
-    """Send as many requests as one node serves; return the figures, and its processor time for each in ms.
+    """Send as many requests as one node serves; return the figures, with the node's processor time per
+    request in ms.
 
     `rest` is the processor time per second that the node uses at rest; it is subtracted.
     """
@@ -119,10 +121,10 @@
         fleet = LocalFleet(Path(folder), core=1, others=0, servers=SERVERS)
         for each in fleet.servers:
             each.slots, each.work_seconds = 64, 0.0
-        stands = multiprocessing.Process(
+        stand_ins = multiprocessing.Process(
             target=run_stand_ins, args=(fleet.platform, fleet.servers), daemon=True
         )
-        stands.start()
+        stand_ins.start()
         try:
             fleet.start_all(first=True)
             pid = fleet.processes[0].pid
@@ -145,25 +147,25 @@
                 time.sleep(1.0)
                 found[name] = max(
                     (measure_full_load(pid, node, found["rest_cpu"]) for _ in range(ROUNDS)),
-                    key=lambda one: one["a_second"],
+                    key=lambda result: result["a_second"],
                 )
-            most = found["a quota"]["a_second"]
+            full_rate = found["a quota"]["a_second"]
             expected = f"X-Hazelspring-Expected-Instance: {fleet.servers[0].id}\r\n"
-            for part in LOAD_FRACTIONS:
+            for fraction in LOAD_FRACTIONS:
                 rounds = [
                     {
-                        "through": uvloop.run(send_requests(node, "", part * most)),
-                        "direct": uvloop.run(send_requests(server, expected, part * most)),
+                        "through": uvloop.run(send_requests(node, "", fraction * full_rate)),
+                        "direct": uvloop.run(send_requests(server, expected, fraction * full_rate)),
                     }
                     for _ in range(ROUNDS)
                 ]
-                least = min(rounds, key=lambda one: one["direct"]["p99_ms"])
-                ends = sorted(one["through"]["p99_ms"] for one in rounds)
-                found[f"pace {part:g}"] = {**least, "p99_ms": [ends[0], ends[-1]]}
+                least_disturbed = min(rounds, key=lambda result: result["direct"]["p99_ms"])
+                p99_times = sorted(result["through"]["p99_ms"] for result in rounds)
+                found[f"pace {fraction:g}"] = {**least_disturbed, "p99_ms": [p99_times[0], p99_times[-1]]}
             found["memory"] = peak_memory(pid)
             found["descriptors"] = len(os.listdir(f"/proc/{pid}/fd"))
         finally:
             fleet.close()
-            stands.terminate()
-            stands.join(5)
+            stand_ins.terminate()
+            stand_ins.join(5)
     return found
--- a/bench/scale/figures.py
+++ b/bench/scale/figures.py
@@ -1,4 +1,4 @@
-"""Figures on disk, with the command and revision that produced them, and their growth by least squares."""
+"""Stores figures with the command and revision that produced them, and fits their growth."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def rounded(value: Any) -> Any:
-    """Round all floats of a value to five digits, which is more than any of these figures repeats."""
+    """Round all floats of a value to five digits, which is more than repeated runs have in common."""
     if isinstance(value, float):
         return float(f"{value:.5g}")
     if isinstance(value, dict):
-        return {key: rounded(of) for key, of in value.items()}
-    return [rounded(of) for of in value] if isinstance(value, list | tuple) else value
+        return {key: rounded(item) for key, item in value.items()}
+    return [rounded(item) for item in value] if isinstance(value, list | tuple) else value
 
 
 def save(name: str, source: dict[str, str], found: Any) -> None:
@@ -33,7 +33,7 @@
 
 
 def slope(sizes: Sequence[float], values: Sequence[float]) -> float:
-    """Return the power by which values grow with sizes: least squares through their logarithms."""
+    """Return the power of the size with which values grow, fitted to their logarithms by least squares."""
     xs, ys = [math.log(size) for size in sizes], [math.log(max(value, 1e-12)) for value in values]
     mx, my = sum(xs) / len(xs), sum(ys) / len(ys)
     return sum((x - mx) * (y - my) for x, y in zip(xs, ys, strict=True)) / sum((x - mx) ** 2 for x in xs)
--- a/bench/scale/model.py
+++ b/bench/scale/model.py
@@ -1,8 +1,8 @@
 """The cost of each role in each state at the target's size, extrapolated from the figures, and the budgets.
 
-A figure at the target is that of the largest measured fleet; where this fleet is smaller than the target,
-the figure is extrapolated by its power.  What grows with the number of services is added from the runs with
-few nodes and many services: the time that a message takes, times the messages per second.
+A figure at the target is that of the largest measured fleet.  If this fleet is smaller than the target, the
+figure is extrapolated by the power of the size with which it grows.  The cost of more services is added from
+the runs with few nodes and many services: the time that a message takes, times the messages per second.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 NODES, SERVICES, SERVERS, ROUTES, TENANTS = 4500, 2300, 40_000, 57_000, 390_000
 # Requests a second; configuration changes, restarts of nodes and replaced servers a day.
 REQUESTS, CHANGES, RESTARTS, REPLACED = 640_000, 17_000, 5_000, 5_100
-UPDATES_PER_REPLACEMENT = 3  # for each replaced server: it drains, it is gone, its successor has started
+UPDATES_PER_REPLACEMENT = 3  # the old server drains, it is gone, the new one has started
 SECONDS_PER_DAY, COUNTERS, CORE = 86_400, 8, 15
-LINK_KB_PER_S = 125_000.0  # a core member's link, 1 Gbit/s as on the sites
+LINK_KB_PER_S = 125_000.0  # the link of a core member, 1 Gbit/s as on the bench's sites
 LIST_READ_INTERVAL = 0.5  # seconds between two reads of the platform's list, as in hazelspring.node.node
 LEASE_RETENTION = 30  # seconds for which a node keeps a tenant's lease, as in hazelspring.quota.credits
 ROLES = {
@@ -78,10 +78,10 @@
 
 
 def mean_load(play: Play, phase: str, role: str) -> dict[str, float]:
-    """Return the means per second of a role; if a small fleet has no node of this role, those of the role
-    that does its work there.
+    """Return the means per second of a role.
 
-    Raises KeyError where the phase was not played.
+    If a small fleet has no node of this role, they are those of the role that does its work there.  Raises
+    KeyError if the phase was not played.
     """
     loads = play["phases"][phase]["loads"]
     for name in (role, "home" if role == "door" else "door", "core", "counter", "list"):
@@ -108,7 +108,7 @@
 
 
 def call_time(play: Play, phase: str, kind: str) -> float:
-    """Return the microseconds of one call; `kind` begins with the disk's role, such as `core beat`."""
+    """Return the microseconds of one call; `kind` is that of `Phase.kinds`, such as `core beat`."""
     found = play["phases"][phase]["kinds"].get(kind)
     return 1e6 * found["seconds"] / found["count"] if found else 0.0
 
@@ -127,8 +127,10 @@
 
 
 def event_cost(play: Play, phase: str, role: str) -> float:
-    """Return the KB, in and out, that an event costs a role: the bytes in the event's phase beyond those of
-    as many messages of the mean size at rest."""
+    """Return the KB, in and out, that an event costs a role.
+
+    These are the bytes in the event's phase beyond those of as many messages of the mean size at rest.
+    """
     found, rest = mean_load(play, phase, role), mean_load(play, "rest", role)
     more_bytes = sum(
         found[f"{way}_bytes"] - found[way] * rest[f"{way}_bytes"] / rest[way] for way in ("out", "came")
@@ -137,7 +139,9 @@
 
 
 def wait_time(play: Play, phase: str, what: str) -> float | None:
-    """Return the seconds until a condition held in a phase; None if it did not, or was not awaited."""
+    """Return the seconds until a condition held in a phase; None if it did not hold in time, or was not
+    awaited.
+    """
     found: float | None = play["phases"][phase]["times"].get(what)
     return found
 
@@ -159,13 +163,13 @@
 
 def added_by_services(f: Figures, kind: str) -> float:
     """Return the microseconds that the target's services add to a call of a kind, such as `core beat`."""
-    few = f.services[min(f.services)]
+    smallest = f.services[min(f.services)]
     for of in ("rest", "news", "leases"):
         if all(kind in play["phases"][of]["kinds"] for play in f.services.values()):
             return max(
                 0.0,
                 with_services(f, lambda p, of=of: call_time(p, of, kind))  # type: ignore[misc]
-                - call_time(few, of, kind),
+                - call_time(smallest, of, kind),
             )
     return 0.0
 
@@ -206,33 +210,36 @@
             rest[0] + parts["list_bytes"] / LIST_READ_INTERVAL / 1000,
             rest[1] + 100 * (parts["parse_s"] + parts["look_s"]) / LIST_READ_INTERVAL,
         )
-    # the peak: load reports of the nodes of the region, calls to counters
+    # At the peak, the nodes of a region send each other load reports, and each node calls the quota
+    # counters.
     load_reports = f.at_target(lambda p: load("peak")(p, "door", "came")) - f.at_target(
         lambda p: load("rest")(p, "door", "came")
     )
     calls = REQUESTS / NODES
     leases = most_services["phases"]["leases"]["kinds"]
-    each = (
+    kb_per_call = (
         (leases["core lease"]["bytes"] + leases["door grant"]["bytes"]) / leases["core lease"]["count"] / 1000
     )
-    asks, grants = "door lease out", "door grant"
-    own = with_services(f, lambda p: call_time(p, "leases", asks) + call_time(p, "leases", grants))
-    kb = f.at_target(lambda p: above_rest(p, "peak", "door")) + calls * each
-    cpu = 100 * (load_reports * parts["dance_s"] + calls * own * 1e-6) + f.at_target(
+    request_kind, grant_kind = "door lease out", "door grant"
+    node_us = with_services(
+        f, lambda p: call_time(p, "leases", request_kind) + call_time(p, "leases", grant_kind)
+    )
+    kb = f.at_target(lambda p: above_rest(p, "peak", "door")) + calls * kb_per_call
+    cpu = 100 * (load_reports * parts["dance_s"] + calls * node_us * 1e-6) + f.at_target(
         lambda p: max(0.0, processor(p, "peak", "door") - processor(p, "rest", "door"))
     )
     if role == "counter":
-        kb += REQUESTS / COUNTERS * each
+        kb += REQUESTS / COUNTERS * kb_per_call
         cpu += REQUESTS / COUNTERS * with_services(f, lambda p: call_time(p, "leases", "core lease")) * 1e-4
     peak = rest[0] + kb, rest[1] + cpu
     # Configuration changes, each of one route.  The delta goes once to each node, and each core member sends
     # it to its share of the nodes; each node assembles and loads the new configuration.
-    a_second = CHANGES / SECONDS_PER_DAY
-    packed = config["one_bytes"] / 1000
-    share = 1 + (NODES / CORE if prefix == "core" else 0)
+    changes_per_s = CHANGES / SECONDS_PER_DAY
+    delta_kb = config["one_bytes"] / 1000
+    copies = 1 + (NODES / CORE if prefix == "core" else 0)
     change = (
-        rest[0] + a_second * (packed * share + f.at_target(lambda p: event_cost(p, "change", role))),
-        rest[1] + 100 * a_second * (config["one_apply_s"] + config["one_read_s"]),
+        rest[0] + changes_per_s * (delta_kb * copies + f.at_target(lambda p: event_cost(p, "change", role))),
+        rest[1] + 100 * changes_per_s * (config["one_apply_s"] + config["one_read_s"]),
     )
     restarts = RESTARTS / SECONDS_PER_DAY * f.at_target(lambda p: event_cost(p, "one restart", role))
     news = with_services(f, lambda p: event_cost(p, "news", role)) * (
@@ -241,8 +248,8 @@
     memory = f.carry["memory"] / 1e6 + config["held"] / 1e6 + config["packed"] / 1e6
     memory += (parts["news_held"] + parts["fleet_held"]) / 1e6
     memory += f.at_target(lambda p: state_size(p, role)) / 1000
-    few = f.services[min(f.services)]
-    memory += (with_services(f, lambda p: state_size(p, role)) - state_size(few, role)) / 1000
+    smallest = f.services[min(f.services)]
+    memory += (with_services(f, lambda p: state_size(p, role)) - state_size(smallest, role)) / 1000
     memory += calls * LEASE_RETENTION * parts["lease_held"] / 1e6
     if role == "counter":
         memory += TENANTS / COUNTERS * parts["count_held"] / 1e6
@@ -257,13 +264,13 @@
 
 
 def budgets(f: Figures) -> list[tuple[str, float, float, str]]:
-    """Return for each budget its name, its limit, the expected figure at the target, and the unit."""
+    """Return the name, the limit, the expected figure at the target and the unit of each budget."""
     node, core = role(f, "door"), role(f, "core")
     config, full = f.words[max(f.words)], f.carry["a quota"]
-    quiet = f.carry[min(name for name in f.carry if name.startswith("pace"))]
+    lowest_pace = f.carry[min(name for name in f.carry if name.startswith("pace"))]
     in_force = config["one_check_s"] + config["one_delta_s"] + config["one_apply_s"] + config["one_read_s"]
     in_force += f.at_target(lambda p: wait_time(p, "change", "in force everywhere") or 10.0)
-    # the proposing node sends the change to each member, and each member to its share of the nodes
+    # The proposing node sends the change to each member, and each member sends it to its share of the nodes.
     in_force += config["one_bytes"] * (CORE + NODES / CORE) / 1000 / LINK_KB_PER_S
     day = node["rest"][0] + (node["change"][0] - node["rest"][0]) + node["restarts"] + node["news"]
     return [
@@ -289,5 +296,5 @@
         ("counters of tenants, at the peak", 100.0, role(f, "counter")["peak"][1], "% of the core that one can use"),
         ("640,000 requests a second, processes", float(NODES), REQUESTS / full["a_second"], "processes"),
         ("1.1 ms added for 99 in 100, at a tenth of what a door carries", 1.1,
-         quiet["through"]["p99_ms"] - quiet["direct"]["p99_ms"], "ms"),
+         lowest_pace["through"]["p99_ms"] - lowest_pace["direct"]["p99_ms"], "ms"),
     ]  # fmt: skip
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -13,12 +13,14 @@
 
 MARK = "<!-- made by bench/scale.py: {} -->"
 END = "<!-- end -->"
-POWER_TOLERANCE = 0.1  # the most by which the power of a second run should differ from that of the first
+POWER_TOLERANCE = 0.1  # largest accepted difference between the powers of two runs
 NOT_FRESH, SETTLED = "most that turn keys away", "settled after the start"
 
 
 def number(value: float | None) -> str:
-    """Return a figure with three digits; a dash if it was not played or its condition not met in 10 s."""
+    """Return a figure with three digits, or a dash if its phase was not played or its condition not met
+    within 10 s.
+    """
     if value is None:
         return "-"
     if value == 0 or abs(value) < 0.0005:
@@ -43,12 +45,13 @@
         return None
 
 
-def grown(
+def growth_rows(
     sizes: Sequence[int], runs: Sequence[Sequence[Any]], rows: Sequence[Row], fitted: int = 0
 ) -> list[list[str]]:
-    """Return a row for each figure: its value at each size, its power, and the difference of a second run's.
+    """Return a row for each figure: its value at each size, its power, and how much a second run's power
+    differs.
 
-    The power is computed from the last `fitted` sizes, or from all where it is 0.
+    The power is computed from the last `fitted` sizes, or from all sizes if it is 0.
     """
     found = []
     for name, of in rows:
@@ -56,13 +59,13 @@
         cells = [name, *map(number, values)]
         known = [(s, v) for s, v in zip(sizes, values, strict=True) if v][-fitted:]
         cells.append(f"{slope(*zip(*known, strict=True)):.2f}" if len(known) > 1 else "")
-        again = [(s, each) for s, each in zip(sizes, runs, strict=True) if len(each) > 1]
-        if len(again) > 1:
-            both = [
-                slope([s for s, _ in again], [value(of, each[run]) or 0 for _, each in again])
+        repeated = [(s, each) for s, each in zip(sizes, runs, strict=True) if len(each) > 1]
+        if len(repeated) > 1:
+            powers = [
+                slope([s for s, _ in repeated], [value(of, each[run]) or 0 for _, each in repeated])
                 for run in (0, 1)
             ]
-            cells.append(f"{abs(both[0] - both[1]):.2f}")
+            cells.append(f"{abs(powers[0] - powers[1]):.2f}")
         found.append(cells)
     return found
 
@@ -89,10 +92,10 @@
     ]  # fmt: skip
     sizes = sorted(f.fleet)
     head = ["by doors (20 services)", *(f"{size:,}" for size in sizes), "power", "second run"]
-    body = grown(sizes, [f.fleet[size] for size in sizes], rows, 3)
-    apart = [row[0] for row in body if len(row) == len(head) and float(row[-1]) > POWER_TOLERANCE]
-    said = f"but for: {'; '.join(apart)}" if apart else "in all rows"
-    return f"{table(head, body)}\n\nA second run repeats the power within {POWER_TOLERANCE:g} {said}."
+    body = growth_rows(sizes, [f.fleet[size] for size in sizes], rows, 3)
+    differing = [row[0] for row in body if len(row) == len(head) and float(row[-1]) > POWER_TOLERANCE]
+    exceptions = f"but for: {'; '.join(differing)}" if differing else "in all rows"
+    return f"{table(head, body)}\n\nA second run repeats the power within {POWER_TOLERANCE:g} {exceptions}."
 
 
 def others(f: Figures) -> str:
@@ -105,7 +108,7 @@
         ("counter: a call, µs", lambda p: model.call_time(p, "leases", "core lease")),
         ("door: KB for one news", lambda p: model.event_cost(p, "news", "door")),
     ]
-    words: list[Row] = [
+    configurations: list[Row] = [
         ("packed, MB", lambda w: w["packed"] / 1e6),
         ("check, s", lambda w: w["check_s"]), ("read, s", lambda w: w["read_s"]),
         ("memory held, MB", lambda w: w["held"] / 1e6), ("memory while reading, MB", lambda w: w["read_peak"] / 1e6),
@@ -123,16 +126,18 @@
     ]
     texts = []
     for title, of, rows in (
-        ("by services (30 doors)", f.services, services), ("by routes", f.words, words), ("by servers", f.parts, parts),
-    ):  # fmt: skip
+        ("by services (30 doors)", f.services, services),
+        ("by routes", f.words, configurations),
+        ("by servers", f.parts, parts),
+    ):
         sizes = sorted(of)
-        body = grown(sizes, [[of[size]] for size in sizes], rows, 3)
+        body = growth_rows(sizes, [[of[size]] for size in sizes], rows, 3)
         texts.append(table([title, *(f"{size:,}" for size in sizes), "power"], body))
     return "\n\n".join(texts)
 
 
 def orders(f: Figures) -> str:
-    """Return the table of a proposal's growth by the number of core members."""
+    """Return the table of a proposal's cost by the number of core members."""
     rows: list[Row] = [
         ("acknowledged, ms: half of 20", lambda r: 1000 * r["half"]),
         ("in force everywhere, ms: half", lambda r: 1000 * r["everywhere"]),
@@ -145,7 +150,7 @@
     ]
     sizes = sorted(f.rounds)
     head = ["an order, by members (68 doors)", *map(str, sizes), "power"]
-    return table(head, grown(sizes, [[f.rounds[size]] for size in sizes], rows))
+    return table(head, growth_rows(sizes, [[f.rounds[size]] for size in sizes], rows))
 
 
 def busiest(play: Any, phase: str, of: Callable[[dict[str, float]], float]) -> float:
@@ -156,13 +161,14 @@
 def beside(f: Figures) -> str:
     """Return the table of the bench's sweep, with the same figures of the simulated nodes if there are any.
 
-    The latter are taken at rest, as the mean of the nodes without a disk / the busiest node.
+    The simulated nodes are measured at rest; their figures are the mean of the nodes without a disk / the
+    busiest node.
     """
     entry = sweep.newest()
     if entry is None:
         return "No sweep is in the journal."
     sizes, rows = sweep.rows(entry["digest"])
-    among = [size for size in sorted(f.fleet) if str(size) in sizes]
+    common = [size for size in sorted(f.fleet) if str(size) in sizes]
 
     def busy(load: dict[str, float]) -> float:
         return 100 * (load["core"] + load["codec"])
@@ -170,7 +176,7 @@
     def bytes_of(load: dict[str, float]) -> float:
         return (load["out_bytes"] + load["came_bytes"]) / 1000
 
-    ours: dict[str, Callable[[Any], str]] = {
+    simulated: dict[str, Callable[[Any], str]] = {
         "door: processor %": lambda p: (
             f"{number(model.processor(p, 'rest', 'door'))} / {number(busiest(p, 'rest', busy))}"
         ),
@@ -184,9 +190,10 @@
     }
     head = [f"the bench ({entry['id']}, {entry['site']}; middle / busiest)", *sizes, "power"]
     body = [
-        [*row, *(ours[row[0]](f.fleet[size][0]) if row[0] in ours else "" for size in among)] for row in rows
+        [*row, *(simulated[row[0]](f.fleet[size][0]) if row[0] in simulated else "" for size in common)]
+        for row in rows
     ]
-    return table([*head, *(f"ours, {size}" for size in among)], body)
+    return table([*head, *(f"ours, {size}" for size in common)], body)
 
 
 def taken(_: Figures) -> str:
@@ -261,12 +268,12 @@
     return table(head, rows)
 
 
-def put(text: str, made: dict[str, str], path: Path) -> str:
+def put(text: str, tables: dict[str, str], path: Path) -> str:
     """Return a page's text with the tables replaced.
 
     Raises ValueError if the page has no place for a table.
     """
-    for name, block in made.items():
+    for name, block in tables.items():
         mark = MARK.format(name)
         before, found, rest = text.partition(mark + "\n")
         _, end, after = rest.partition(END)
@@ -280,6 +287,6 @@
     """Rewrite the tables of a page; return a line that says how many there are."""
     figures = Figures()
     makers = (taken, budgets, roles, fleet, others, orders, beside, carry)
-    made = {make.__name__: make(figures) for make in makers}
-    path.write_text(put(path.read_text(), made, path))
-    return f"{path}: {len(made)} tables"
+    tables = {make.__name__: make(figures) for make in makers}
+    path.write_text(put(path.read_text(), tables, path))
+    return f"{path}: {len(tables)} tables"
--- a/bench/scale/parts.py
+++ b/bench/scale/parts.py
@@ -23,15 +23,15 @@
 REGION_BY_ZONE = {f"zone-{n}": f"region-{n % REGIONS}" for n in range(ZONES)}
 
 
-def seconds(what: Callable[[], Any], least: float = 0.2) -> float:
-    """Return the processor time of one call: the least of three rounds that each take `least` seconds."""
+def seconds(function: Callable[[], Any], min_duration: float = 0.2) -> float:
+    """Return the processor time of one call: the least of three rounds of `min_duration` seconds or more."""
     rounds, count = [], 1
     while True:
         began = time.process_time()
         for _ in range(count):
-            what()
+            function()
         spent = time.process_time() - began
-        if spent >= least:
+        if spent >= min_duration:
             rounds.append(spent / count)
             if len(rounds) == 3:
                 return min(rounds)
@@ -53,23 +53,26 @@
 
 
 def measure(servers: int) -> dict[str, float]:
-    """Return the figures for a number of servers; sizes are in bytes, of leases and counts per tenant."""
+    """Return the figures for a number of servers; sizes are in bytes.
+
+    The memory of leases and counters is given per tenant.
+    """
     services = max(1, servers * 2300 // 40_000)
     body = list_page(servers, services)
     found = program.parse_list(body)
     registry = program.registry_of(found)
     endpoints = program.endpoints_of(found, REGION_BY_ZONE)
-    names, draw = [server_tag(name) for of in found.values() for name in of], random.Random(1)
+    names, rng = [server_tag(name) for of in found.values() for name in of], random.Random(1)
     in_flight = [
-        dict.fromkeys(draw.sample(names, min(IN_FLIGHT_PER_NODE, len(names))), 1)
+        dict.fromkeys(rng.sample(names, min(IN_FLIGHT_PER_NODE, len(names))), 1)
         for _ in range(REPORTING_NODES)
     ]
     for n, each in enumerate(in_flight):
         program.receive_load_report(endpoints, f"10.200.9.{n}", each)
-    # A load report is compared with the node's previous one, and only differences are added up.  Two reports
-    # in turn differ in all servers.
+    # A load report is compared with the node's previous one, and only differences are added up.  Two
+    # reports that alternate differ in nearly all servers.
     reports = itertools.cycle(in_flight[:2])
-    busy = next(iter(found))
+    first_service = next(iter(found))
     gc.disable()
     figures = {
         "servers": servers, "services": services, "list_bytes": len(body),
@@ -77,9 +80,9 @@
         "look_s": seconds(lambda: program.update_registry(registry, found)),
         "dance_s": seconds(lambda: program.receive_load_report(endpoints, "10.200.9.0", next(reports))),
         "dance_bytes": len(codec.encode(LoadReport(in_flight[0]))),
-        "choose_s": seconds(lambda: program.choose(endpoints, busy)),
+        "choose_s": seconds(lambda: program.choose(endpoints, first_service)),
         "versions_bytes": len(cbor2.dumps(registry.versions())),
-        "table_bytes": len(cbor2.dumps(registry.encode(1.0, busy))),
+        "table_bytes": len(cbor2.dumps(registry.encode(1.0, first_service))),
         "news_held": deep_size(registry), "fleet_held": deep_size(endpoints),
         "lease_held": deep_size(program.credits_of(1000, 4500)) / 1000,
         "count_held": deep_size(program.counter_of(1000)) / 1000,
--- a/bench/scale/phases.py
+++ b/bench/scale/phases.py
@@ -1,5 +1,8 @@
-"""The phases that a simulated fleet is measured in: rest, list updates, configuration changes, restarts, a
-lost zone, cut regions, the peak."""
+"""The phases in which a simulated fleet is measured.
+
+They are rest, updates of the instance list, configuration changes, restarts, the loss of a zone, cut
+regions, and peak load.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +23,8 @@
 STEP = 0.01  # seconds between two checks of an awaited condition
 WAIT_TIMEOUT = 10.0  # seconds after which an awaited condition counts as not reached
 DOWN_TIME = 2.0  # seconds from a node's kill to its restart
-MIN_PHASE_TIME = 4.0  # seconds of a phase, unless it waits longer itself: two heartbeats between regions
-MANY_NODES = 1000  # from this size on it is half as long, one heartbeat between regions
+MIN_PHASE_TIME = 4.0  # seconds of a phase, unless it waits longer: two heartbeats between regions
+MANY_NODES = 1000  # fleet size from which on `MIN_PHASE_TIME` is halved, to one heartbeat between regions
 # Requests that a node has in flight at the peak: 640,000 / 4,500 a second, each for a quarter of a second.
 IN_FLIGHT_PER_NODE = 36
 ROLES = ("door", "home", "core", "counter", "list")
@@ -48,7 +51,7 @@
 
 
 class Play:
-    """A simulated fleet that goes through phases, whose figures are appended to `phases`.
+    """A simulated fleet that runs phases, whose figures are appended to `phases`.
 
     The constructor returns when all nodes have started and know each other, or when its waits have timed
     out.
@@ -75,7 +78,7 @@
             role: sum(self.world.meters[node.ip].core for node in nodes) / max(1, len(nodes))
             for role, nodes in (("core", self.core), ("door", self.diskless))
         }
-        # Until the last updates of the start have reached all nodes: a beat between regions, and one more.
+        # The last updates of the start reach all nodes within two heartbeats between regions.
         self.world.run(3.0 if nodes < LARGE_FLEET else 2.1)
 
     # --- operations and conditions ----------------------------------------------------------------------
@@ -97,7 +100,9 @@
         return None
 
     def settled(self, number: int) -> bool:
-        """Whether all running nodes have the configuration, are confirmed recently and known to the core."""
+        """Whether all running nodes have the configuration, have a recent confirmation, and are known to the
+        core.
+        """
         up = self.world.running_nodes()
         return (
             all(node.configuration_version() >= number for node in up)
@@ -165,11 +170,11 @@
     # --- the phases -----------------------------------------------------------------------------------------
 
     def rest(self) -> None:
-        """Nothing happens besides heartbeats and ticks."""
+        """Measure the fleet at rest, with heartbeats and ticks only."""
         self.phase("rest", self.min_phase_time)
 
     def news(self) -> None:
-        """One server of one service is replaced; waits until all nodes know it."""
+        """Replace one server of one service, and wait until all nodes know the new one."""
         service, servers = next(iter(self.world.server_list.items()))
         name, old = next(iter(servers.items()))
         new = dataclasses.replace(old, id=f"{name}-next")
@@ -186,7 +191,9 @@
         self.phase("news", self.min_phase_time, work)
 
     def change(self) -> None:
-        """One configuration change at a node without a disk; waits until it is in force at all nodes."""
+        """Change the configuration at a node without a disk, and wait until the change is in force at all
+        nodes.
+        """
         number = self.core[0].configuration_version() + 1
         stale = [0.0]
 
@@ -209,7 +216,7 @@
         self.phase("change", self.min_phase_time, work)
 
     def storm(self) -> None:
-        """Ten configuration changes at different nodes, a tenth of a second apart."""
+        """Change the configuration ten times, at different nodes, a tenth of a second apart."""
         number = self.core[0].configuration_version()
 
         def work() -> dict[str, float | None]:
@@ -239,33 +246,33 @@
                 self.world.start(node)
             return {"settled after the start": self.wait(lambda: self.settled(1))}
 
-        stay = [node for node in self.world.running_nodes() if node not in which]
-        self.phase(name, DOWN_TIME + self.min_phase_time, work, among=stay)
+        others = [node for node in self.world.running_nodes() if node not in which]
+        self.phase(name, DOWN_TIME + self.min_phase_time, work, among=others)
 
     def one(self) -> None:
-        """One node without a disk restarts."""
+        """Restart one node without a disk."""
         self.restart("one restart", [(self.diskless or self.core)[0]])
 
     def member(self) -> None:
-        """One core member restarts."""
+        """Restart one core member."""
         self.restart("a member restarts", [self.core[4]])
 
     def tenth(self) -> None:
-        """A tenth of all nodes restarts at once."""
+        """Restart a tenth of all nodes at once."""
         self.restart("a tenth restarts", list(self.world.nodes.values())[5::10])
 
     def zone(self) -> None:
-        """All nodes of a zone lose power and restart."""
+        """Kill and restart all nodes of a zone at once."""
         self.restart("a zone lost", [d for d in self.world.nodes.values() if d.zone == "zone-3"])
 
     def region(self) -> None:
-        """One region is cut off from all others for six seconds; then the links are restored."""
+        """Cut one region off from all others for six seconds, then restore the links."""
         number = self.core[0].configuration_version() + 1
-        there = [node for node in self.world.nodes.values() if node.region == "region-5"]
+        cut_nodes = [node for node in self.world.nodes.values() if node.region == "region-5"]
 
         def cut_links() -> dict[str, float | None]:
             self.world.is_cut = lambda source, to: (source.region == "region-5") != (to.region == "region-5")
-            stale = self.wait(lambda: not any(node.fresh(self.world.now) for node in there))
+            stale = self.wait(lambda: not any(node.fresh(self.world.now) for node in cut_nodes))
             token = self.put(self.core[0], number)
             return {
                 "no door there is fresh": stale,
@@ -280,7 +287,7 @@
         self.phase("together again", self.min_phase_time, restore_links)
 
     def alone(self) -> None:
-        """All regions are cut off from each other; then the links are restored."""
+        """Cut all regions off from each other, then restore the links."""
 
         def cut_links() -> dict[str, float | None]:
             self.world.is_cut = lambda source, to: source.region != to.region
@@ -298,7 +305,7 @@
         self.phase("all together again", self.min_phase_time, restore_links)
 
     def peak(self) -> None:
-        """The nodes of one region have requests in flight and send each other load reports."""
+        """Measure one region whose nodes have requests in flight and send each other load reports."""
         reporting = [node for node in self.world.nodes.values() if node.region == "region-0"]
         random, servers = self.world.random, [name for of in self.world.server_list.values() for name in of]
         end = self.world.now + 1.5
@@ -319,7 +326,7 @@
             node.in_flight = {}
 
     def lease(self) -> None:
-        """One node requests credit for 400 tenants from their counters."""
+        """Request credit for 400 tenants from their counters at one node."""
         node, now = (self.diskless or self.core)[-1], self.world.now
 
         def work() -> dict[str, float | None]:
@@ -344,14 +351,14 @@
     "peak",
     "lease",
 )
-JOBS = 3  # processes of one fleet that run at once
+JOBS = 3  # processes that play phases of one fleet at once
 
 
 def figures(fleet: Play, name: str) -> dict[str, Any]:
     """Run the method `name`, and return the figures of its one or two phases by the phases' names."""
-    done = len(fleet.phases)
+    phases_before = len(fleet.phases)
     getattr(fleet, name)()
-    return {phase.name: dataclasses.asdict(phase) for phase in fleet.phases[done:]}
+    return {phase.name: dataclasses.asdict(phase) for phase in fleet.phases[phases_before:]}
 
 
 def run_in_copies(fleet: Play, names: Sequence[str], jobs: int) -> dict[str, Any]:
@@ -373,11 +380,11 @@
             found.update(end.recv())
             process.join()
         if name is not None:
-            ours, theirs = context.Pipe(duplex=False)
-            process = context.Process(target=copy, args=(name, theirs))
+            receiver, sender = context.Pipe(duplex=False)
+            process = context.Process(target=copy, args=(name, sender))
             process.start()
-            theirs.close()
-            running.append((process, ours))
+            sender.close()
+            running.append((process, receiver))
     return found
 
 
@@ -390,8 +397,8 @@
     gc.disable()  # otherwise one node's call would be charged with a collection over the memory of all nodes
     fleet = Play(nodes, services, servers, core, zones, regions)
     start_time = time.monotonic() - began
-    one_of_role = {role: ip for ip, role in fleet.roles().items()}
-    state_sizes = {role: deep_size(fleet.world.nodes[ip].instance) for role, ip in one_of_role.items()}
+    node_by_role = {role: ip for ip, role in fleet.roles().items()}
+    state_sizes = {role: deep_size(fleet.world.nodes[ip].instance) for role, ip in node_by_role.items()}
     phases = run_in_copies(fleet, names, jobs)
     gc.enable()
     return {
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -1,6 +1,6 @@
-"""The scale run's only access to the program: one simulated node, its roles and its actions.
+"""The scale run's interface to the program: one simulated node, its roles and its actions.
 
-When the program's interfaces change, only this module has to follow.
+The other modules use the program's node only through this one, so that a change of its interface stays here.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 # Seconds after the core's last confirmation from which on a node refuses requests with an access key, as in
 # hazelspring.daemon.node_process.
 MAX_CONFIRMATION_AGE = 0.9 * REVOCATION
-# Seconds after it from which on a node is not ready, and clients are sent to other nodes.
+# Seconds after the core's last confirmation from which on a node is not ready, and clients use other nodes.
 MAX_READY_AGE = 0.5 * REVOCATION
 # Kinds of the messages of consensus rounds.
 ROUND_KINDS = {
@@ -114,7 +114,7 @@
 
 
 def delta_of(old: bytes, new: bytes) -> bytes:
-    """Return what each node is sent for a change, besides the state."""
+    """Return the delta that each node is sent for a change, besides the decided state."""
     return make_delta(old, new)
 
 
@@ -135,32 +135,32 @@
 
 def registry_of(found: Listing) -> ServerRegistry:
     """Return a node's server registry after its first instance list."""
-    news = ServerRegistry()
-    news.update_from_list(0.0, 1, found)
-    return news
+    registry = ServerRegistry()
+    registry.update_from_list(0.0, 1, found)
+    return registry
 
 
-def update_registry(news: ServerRegistry, found: Listing) -> list[str]:
+def update_registry(registry: ServerRegistry, found: Listing) -> list[str]:
     """Compare another instance list with the registry; return the services that changed."""
-    return news.update_from_list(1.0, 2, found)
+    return registry.update_from_list(1.0, 2, found)
 
 
 def endpoints_of(found: Listing, zones: dict[str, str]) -> EndpointSet:
     """Return the servers among which a node routes requests; `zones` maps each zone to its region."""
-    fleet = EndpointSet("zone-0", zones["zone-0"], zones, random.Random(1))
+    endpoints = EndpointSet("zone-0", zones["zone-0"], zones, random.Random(1))
     for service, servers in found.items():
-        fleet.update_endpoints(0.0, service, servers.values(), 0.0)
-    return fleet
+        endpoints.update_endpoints(0.0, service, servers.values(), 0.0)
+    return endpoints
 
 
-def receive_load_report(fleet: EndpointSet, node: str, in_flight: dict[int, int]) -> None:
+def receive_load_report(endpoints: EndpointSet, node: str, in_flight: dict[int, int]) -> None:
     """Apply another node's load report: its requests in flight, by server tag."""
-    fleet.on_load_report(1.0, node, in_flight)
+    endpoints.on_load_report(1.0, node, in_flight)
 
 
-def choose(fleet: EndpointSet, service: str) -> object:
+def choose(endpoints: EndpointSet, service: str) -> object:
     """Choose the server of a request to a service."""
-    return fleet.choose(1.0, service, "route", 0.4, frozenset(), False, frozenset(), set())
+    return endpoints.choose(1.0, service, "route", 0.4, frozenset(), False, frozenset(), set())
 
 
 def credits_of(tenants: int, nodes: int) -> CreditLeases:
@@ -183,10 +183,10 @@
     """One node: the program's `Node` and a disk that survives restarts, without sockets and clients."""
 
     def __init__(self, ip: str, zone: str, region: str, disk: bool, seeds: list[str]) -> None:
-        self.place, self.disk, self.seeds = (ip, zone, region), disk, seeds
-        self.ip, self.zone, self.region = self.place
+        self.location, self.disk, self.seeds = (ip, zone, region), disk, seeds
+        self.ip, self.zone, self.region = self.location
         self.records: dict[str, bytes] = {}
-        # By node, when its last load report came, and its requests in flight by server tag.
+        # By node: the time at which its last load report arrived, and its requests in flight by server tag.
         self.load_reports: dict[str, tuple[float, dict[int, int]]] = {}
         self.in_flight: dict[str, int] = {}  # this node's own requests in flight, by server
         self.starts = 0
@@ -198,15 +198,17 @@
         self.starts += 1
         incarnation = (
             1_700_000_000_000 + int(now * 1000)
-        ) << 8 | self.starts & 255  # as many bits as a real one
+        ) << 8 | self.starts & 255  # as many bits as a real incarnation
         number = zlib.crc32(self.ip.encode()) << 28 | self.starts if self.disk else 0  # unique per disk
-        about = NodeInfo(*self.place, number, incarnation)
-        start = NodeStart(about, self.seeds, first, dict(self.records))
+        node_info = NodeInfo(*self.location, number, incarnation)
+        start = NodeStart(node_info, self.seeds, first, dict(self.records))
         self.load_reports, self.in_flight = {}, {}
         self.instance = Node(now, start, QuotaLimits().window, lambda tenant: 30.0)
 
     def effects(self, now: float, actions: list[Action]) -> Effects:
-        """Carry out the actions that stay within the node, such as a read of the list; return the others."""
+        """Carry out the actions that concern only the node, such as a read of the list; return the others'
+        effects.
+        """
         found = Effects()
         while actions:
             more: list[Action] = []
@@ -237,8 +239,11 @@
     # --- calls by the world and the phases: each returns actions for `effects` --------------------------
 
     def tick(self, now: float, idle_reports: bool = True) -> list[Action]:
-        """Return the actions of a tick; `idle_reports`: a load report is also computed without requests in
-        flight, when there is nothing to report."""
+        """Return the actions of a tick.
+
+        `idle_reports`: also compute the load report without requests in flight, when there is nothing to
+        report.
+        """
         core = self.running()
         core.ready = self.configuration_version() >= 0 and now - core.confirmed_at(now) <= MAX_READY_AGE
         actions = core.tick(now)
@@ -271,7 +276,7 @@
         return self.running().put_configuration(now, token, body)
 
     def report_in_flight(self, now: float, in_flight: dict[str, int]) -> list[Action]:
-        """Send load reports as at the peak, when a tick's calls to counters are sent besides them."""
+        """Send load reports as at the peak, when each tick also sends calls to quota counters."""
         self.in_flight = in_flight
         self.running().disseminator.load_reporter.record_other_bytes(
             COUNTER_CALLS_PER_S * TICK * LEASE_CALL_BYTES
@@ -312,7 +317,7 @@
         return len(self.running().peers.ready_nodes())
 
     def duties(self, now: float) -> set[str]:
-        """Return the roles that this node has a lease of: `list` to read the instance list, `counter`."""
+        """Return the roles that this node holds a lease of: `list` (list reader) and `counter`."""
         duties = [duty for duty in range(TENANT_SHARDS + 1) if self.running().roles.held_until(duty) > now]
         return {"list" if duty == LIST_READER else "counter" for duty in duties}
 
--- a/bench/scale/sizes.py
+++ b/bench/scale/sizes.py
@@ -8,7 +8,7 @@
 from bench.scale import model, phases
 from bench.scale.page import number, table
 
-# By the number of nodes: core members, zones, regions.
+# Core members, zones and regions of the deployments, by their number of nodes.
 SHAPES = {11: (4, 4, 2), 82: (6, 6, 2), 200: (8, 8, 4), 1000: (15, 34, 17)}
 PLAYED_PHASES = ("rest", "news", "change", "one", "peak")
 EVENTS_PER_NODE_AND_DAY = {  # as at the target
@@ -24,7 +24,9 @@
 
 
 def measure(nodes: int) -> dict[str, Any]:
-    """Return the figures of a fleet shaped as a deployment: members, zones, regions, nine servers a node."""
+    """Return the figures of a fleet with a deployment's core members, zones and regions, and nine servers
+    per node.
+    """
     core, zones, regions = SHAPES[nodes]
     return phases.play(nodes, 20, 9 * nodes, PLAYED_PHASES, core, zones, regions)
 
@@ -39,17 +41,17 @@
         return model.mean_load(play, phase, role)
 
     cells = []
-    for of in FIGURES.values():
-        rest = of(mean("rest"))
+    for figure in FIGURES.values():
+        rest = figure(mean("rest"))
         day = sum(
-            (of(mean(phase)) - rest)
+            (figure(mean(phase)) - rest)
             * play["phases"][phase]["seconds"]
-            * each
+            * events
             * play["doors"]
             / model.SECONDS_PER_DAY
-            for phase, each in EVENTS_PER_NODE_AND_DAY.items()
+            for phase, events in EVENTS_PER_NODE_AND_DAY.items()
         )
-        cells.append("; ".join(map(number, (rest, rest + max(0.0, day), of(mean("peak"))))))
+        cells.append("; ".join(map(number, (rest, rest + max(0.0, day), figure(mean("peak"))))))
     return cells
 
 
--- a/bench/scale/sweep.py
+++ b/bench/scale/sweep.py
@@ -1,4 +1,6 @@
-"""Reads the figures of the users' bench by fleet size from the journal, to compare the simulated nodes."""
+"""Reads the figures that the users' bench measured by fleet size from the journal, to compare the simulated
+nodes with them.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,8 @@
 
 
 def rows(digest: str) -> tuple[list[str], list[list[str]]]:
-    """Return the sizes, and a row for each figure: its name, `middle / busiest` at each size, and its power.
+    """Return the sizes, and a row for each figure: its name, `middle / busiest` node at each size, and its
+    power.
 
     Raises ValueError where the sweep has no figures by size.
     """
--- a/bench/scale/words.py
+++ b/bench/scale/words.py
@@ -1,4 +1,6 @@
-"""Configurations of 100 to 57,000 routes: bytes, time and memory to check, load and change one."""
+"""Measures the size of configurations of 100 to 57,000 routes, and the time and memory to check, load and
+change one.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,7 @@
 )
 from bench.scale.world import deep_size
 
-# Of the target; smaller configurations keep its proportions.
+# The numbers of the target; smaller configurations keep its proportions.
 ROUTES, TENANTS, SERVICES = 57_000, 390_000, 2_300
 KINDS = ("read_only", "read_only", "read_only", "mutating", "upload")
 
@@ -33,14 +35,14 @@
 def configuration(routes: int, number: int = 1) -> bytes:
     """Return a configuration with a number of routes, and with tenants and services in proportion.
 
-    The access keys are random, so that it packs no better than a real one.
+    The access keys are random, so that the configuration compresses no better than a real one.
     """
-    draw = random.Random(routes)
+    rng = random.Random(routes)
     services = max(1, routes * SERVICES // ROUTES)
-    found: list[dict[str, Any]] = []
+    resources: list[dict[str, Any]] = []
 
     def add(kind: str, name: str, **spec: Any) -> None:
-        found.append({"resourceKind": kind, "metadata": {"name": name}, "specification": spec})
+        resources.append({"resourceKind": kind, "metadata": {"name": name}, "specification": spec})
 
     for n in range(services):
         add(
@@ -54,14 +56,14 @@
     for n in range(routes):
         add(
             "routeTable", f"route-{n}", hostName=f"host-{n // 8}.example", pathPrefix=f"/part-{n % 8}/",
-            routeKind=KINDS[n % len(KINDS)], timeoutMs=draw.choice((2000, 4000, 8000)), targetAnswerMs=800,
-            priority=n % 4, service=f"service-{draw.randrange(services)}", maximumAttempts=2,
+            routeKind=KINDS[n % len(KINDS)], timeoutMs=rng.choice((2000, 4000, 8000)), targetAnswerMs=800,
+            priority=n % 4, service=f"service-{rng.randrange(services)}", maximumAttempts=2,
         )  # fmt: skip
     for n in range(routes * TENANTS // ROUTES):
-        rate = draw.choice((1, 5, 20, 200))
-        key = f"{draw.getrandbits(128):032x}"
+        rate = rng.choice((1, 5, 20, 200))
+        key = f"{rng.getrandbits(128):032x}"
         add("tenantTable", f"tenant-{n:06d}", accessKeys=[key], requestsPerS=rate, burstSize=2 * rate)
-    return json.dumps({"versionNumber": f"r{number}", "resourceList": found}).encode()
+    return json.dumps({"versionNumber": f"r{number}", "resourceList": resources}).encode()
 
 
 def altered(body: bytes, routes: int, changed: int) -> bytes:
@@ -123,7 +125,7 @@
 
 def measure_receiver(path: str, name: str) -> dict[str, float]:
     """Return the cost of a change at each other node, in a process that has the previous configuration."""
-    packed, delta, digest = [(Path(path) / of).read_bytes() for of in ("packed", name, f"{name} digest")]
+    packed, delta, digest = [(Path(path) / file).read_bytes() for file in ("packed", name, f"{name} digest")]
     current = read_packed(packed)
     before, began = resident_memory(), time.process_time()
     new = apply_delta(packed, delta, digest)
@@ -144,8 +146,8 @@
         found["bytes"], found["one"] = len(body), len(json.dumps(json.loads(body)["resourceList"][-1]))
         with ProcessPoolExecutor(1, context, max_tasks_per_child=1) as pool:
             for verb in ("read", "check", "pack"):
-                of = str(path if verb != "read" else Path(folder) / "packed")
-                found |= pool.submit(measure_step, of, verb).result()
+                source = str(path if verb != "read" else Path(folder) / "packed")
+                found |= pool.submit(measure_step, source, verb).result()
             found |= pool.submit(measure_proposer, folder, routes).result()
             for name in ("one", "ten"):
                 found |= pool.submit(measure_receiver, folder, name).result()
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -1,8 +1,7 @@
 """Many nodes on simulated time: links with delays and cuts; messages and processor time counted by role.
 
-Messages are delivered as objects.  They are also encoded and decoded, so that their size and the time that
-this takes are counted.  The nodes of one process share the objects by this; `deep_size` counts them for each
-node.
+Messages are delivered as objects.  They are also encoded and decoded, so that their size and the time of the
+coding are counted.  The nodes therefore share these objects; `deep_size` counts them in full for each node.
 """
 
 from __future__ import annotations
@@ -30,16 +29,21 @@
 MAX_DATAGRAM = 1200
 # Fields of an echo with the same value for many receivers: the roster, and the changes of the roster.
 SHARED_FIELDS = ("s", "e")
-# Nodes.  From this size on, a node without requests does not compute to whom it would send a load report.
+# Nodes.  In a fleet of at least this size, nodes without requests in flight skip computing the receivers of
+# load reports.
 LARGE_FLEET = 2000
+# Kinds of messages of which only one in `TIMED_ONE_IN` is timed.
 SMALL_KINDS, TIMED_ONE_IN = {"beat", "echo"}, 8
-ZONES, REGIONS, CORE = 34, 17, 15  # of the target
+ZONES, REGIONS, CORE = 34, 17, 15  # zones, regions and core members of the target
 
 
 @dataclass(slots=True)
 class Meter:
     """Messages and bytes that a node has sent and received, and the seconds of processor time that it has
-    used: `core` in the node's own code, `codec` to encode and decode its messages."""
+    used.
+
+    `core` is the time in the node's own code, `codec` the time to encode and decode its messages.
+    """
 
     out: int = 0
     out_bytes: int = 0
@@ -97,7 +101,7 @@
 
 @dataclass(slots=True)
 class Sizes:
-    """Sizes of messages.
+    """Computes the sizes of messages and the times to encode and decode them.
 
     A list that goes to many nodes is encoded once here, and counted each time.  Of the small messages with
     the same fields, one in `TIMED_ONE_IN` is timed; the others count with the mean of these times.
@@ -151,22 +155,24 @@
 
 
 def deep_size(root: object) -> int:
-    """Return the bytes of an object and of all that it references, as if it shared none of it with other
-    objects; functions, modules and classes are left out."""
+    """Return the bytes of an object and of all objects that it references.
+
+    Objects that it shares with other objects count in full; functions, modules and classes are left out.
+    """
     seen: set[int] = set()
     todo, total = [root], 0
     while todo:
-        thing = todo.pop()
-        if id(thing) in seen or isinstance(thing, type | types.ModuleType | types.FunctionType):
+        item = todo.pop()
+        if id(item) in seen or isinstance(item, type | types.ModuleType | types.FunctionType):
             continue
-        seen.add(id(thing))
-        total += sys.getsizeof(thing)
-        todo += gc.get_referents(thing)
+        seen.add(id(item))
+        total += sys.getsizeof(item)
+        todo += gc.get_referents(item)
     return total
 
 
 class World:
-    """A fleet of simulated nodes, spread over zones and regions by turns; the first `core` have a disk."""
+    """A fleet of simulated nodes, assigned to zones and regions in turn; the first `core` have a disk."""
 
     def __init__(
         self, nodes: int, services: int = 20, servers: int = 180, core: int = CORE, seed: int = 1,
@@ -180,9 +186,10 @@
         self.sizes = Sizes()
         self.last_encoded: tuple[Message, Size] | None = None  # the message that was sent last, and its size
         self.kinds: dict[tuple[str, str], Kind] = {}
-        # Whether nodes without requests compute to whom they would send load reports; not in large fleets.
+        # Whether nodes without requests in flight compute the receivers of load reports; not in large
+        # fleets.
         self.idle_reports = nodes < LARGE_FLEET
-        # By token, the proposals that ended: when, and whether they succeeded.
+        # By token of each proposal that ended: its time, and whether it succeeded.
         self.proposal_results: dict[int, tuple[float, bool]] = {}
         self.nodes: dict[str, SimulatedNode] = {}
         seeds = [self.address(n) for n in range(3)]
@@ -203,16 +210,16 @@
 
     # --- time ---------------------------------------------------------------------------------------------
 
-    def schedule(self, when: float, what: Callable[..., None], *given: Any) -> None:
+    def schedule(self, when: float, function: Callable[..., None], *arguments: Any) -> None:
         """Have a function called with the given arguments at a simulated time, in seconds."""
-        heapq.heappush(self.events, (when, next(self.event_numbers), what, given))
+        heapq.heappush(self.events, (when, next(self.event_numbers), function, arguments))
 
     def run(self, seconds: float) -> None:
         """Advance simulated time, and run all events that are due until then."""
         end, events = self.now + seconds, self.events
         while events and events[0][0] <= end:
-            self.now, _, what, given = heapq.heappop(events)
-            what(*given)
+            self.now, _, function, arguments = heapq.heappop(events)
+            function(*arguments)
         self.now = end
 
     # --- starts and ends of nodes -----------------------------------------------------------------------
@@ -240,10 +247,12 @@
 
     # --- calls and messages -----------------------------------------------------------------------------------
 
-    def call(self, node: SimulatedNode, kind: str, size: int, codec: float, what: Callable[[], Any]) -> None:
+    def call(
+        self, node: SimulatedNode, kind: str, size: int, codec: float, function: Callable[[], Any]
+    ) -> None:
         """Call into a node, add the processor time to its figures, and apply the effects of the call."""
         began = time.process_time()
-        effects = node.effects(self.now, what())
+        effects = node.effects(self.now, function())
         spent = max(0.0, time.process_time() - began - CLOCK_COST)
         meter = self.meters[node.ip]
         meter.core += spent
