--- a/bench/drawn.py
+++ b/bench/drawn.py
@@ -23,7 +23,10 @@
 
 from bench.plays import CLOSINGS, Entry, Play, day_text, play_day
 
-# How machines come back after a fault: words for the bench's field `how`.
+# The kinds of operations and faults below, and the words for a day's field `how`, are values that the users'
+# bench defines, not names of this project.  `FLEETBENCH kinds SITE` describes those that it plays on a site.
+
+# How machines come back after a fault.
 RETURNS = (
     "",
     "meet",
@@ -34,8 +37,8 @@
     "meet drain",
     "hard race",
 )
-TARGETS = ("", "turn", "leader", "reader", "seed")  # the machines that a fault hits: words for `how`
-# The servers that a fault hits, and how a cut link treats connections: words for `how`.
+TARGETS = ("", "turn", "leader", "reader", "seed")  # the machines that a fault hits
+# The servers that a fault hits, and how a cut link treats connections.
 SERVERS = ("", "across")
 CUTS = ("", "reset", "refuse")
 
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -47,7 +47,7 @@
     if reduce_day:
         day = shrink(day, lambda reduced: bool(play(reduced).breaches))
     print(day)
-    print("\n".join(play(day).breaches) or "no fault")
+    print("\n".join(play(day).breaches) or "no rule was broken")
 
 
 def main() -> int:
@@ -70,7 +70,9 @@
                 failed.append(result.seed)
                 print(f"seed {result.seed}: {result.breaches[0][:MAX_BREACH_LENGTH]}", flush=True)
     seconds = time.monotonic() - began
-    print(f"{len(seeds)} days of the control side in {seconds:.0f} s, {len(failed)} failed: {sorted(failed)}")
+    print(
+        f"{len(seeds)} days of the control plane in {seconds:.0f} s, {len(failed)} failed: {sorted(failed)}"
+    )
     return 1 if failed else 0
 
 
--- a/bench/knowledge.py
+++ b/bench/knowledge.py
@@ -1,10 +1,10 @@
-"""Measures the time until all nodes know of a server's leave or of a machine's failure, on simulated time.
+"""Measures the time until all nodes know of a server's departure or a machine's failure, on simulated time.
 
 A node knows of a machine's failure when it no longer names the machine to clients.
 
     PYTHONPATH=. python bench/knowledge.py [--seeds N] [--cutoff S]
 
-Each row of the first table names the faults that begin at the moment of the leave, and each row of the
+Each row of the first table names the faults that begin at the moment of the departure, and each row of the
 second one the machines that are stopped.  It holds the median, the 95th percentile and the worst over the
 seeds, in seconds until the last node knows.  A time of `MAX_WAIT` means that not all nodes knew by then.
 """
@@ -17,7 +17,7 @@
 from collections.abc import Callable, Sequence
 
 from tests.test_deadlines import named_to_clients
-from tests.test_list_duty import ListWorld
+from tests.test_list_reader_role import ListWorld
 
 MAX_WAIT = 20.0  # seconds after which the wait for all nodes ends
 STEP = 0.05  # seconds between two checks of an awaited condition
@@ -85,7 +85,7 @@
 
 
 def time_to_know(seed: int, cutoff: float, fault: Fault) -> float:
-    """Return the seconds from a leave, with a fault at the same moment, until every node knows of it."""
+    """Return the seconds from a departure, with a fault at the same moment, until every node knows of it."""
     world = ListWorld(CORE, OTHERS, seed, cutoff)
     world.run(8.0 + seed * 0.037)
     fault(world)
@@ -112,13 +112,14 @@
 def main() -> int:
     """Print both tables."""
     parser = argparse.ArgumentParser(
-        description="Time until all nodes know of a leave or a failure, on simulated time."
+        description="Time until all nodes know of a departure or a failure, on simulated time."
     )
     parser.add_argument("--seeds", type=int, default=40)
     parser.add_argument("--cutoff", type=float, default=3.0, help="drainCutoffMs, in seconds (3)")
     options = parser.parse_args()
     print(
-        f"{'leave known, with':32s} {'median':>6s} {'95%':>6s} {'worst':>6s}  seconds, {options.seeds} seeds"
+        f"{'departure known, with':32s} {'median':>6s} {'95%':>6s} {'worst':>6s}"
+        f"  seconds, {options.seeds} seeds"
     )
     for fault in FAULTS:
         times = [time_to_know(seed, options.cutoff, fault) for seed in range(options.seeds)]
--- a/bench/leaves.py
+++ b/bench/leaves.py
@@ -4,7 +4,7 @@
 
     PYTHONPATH=. python bench/leaves.py FLEETBENCH SITE... [--days N] [--seed N] [--length S] [--jobs N] [--keep DIR]
 
-Each row of the table holds the median and the longest time, in ms, from a server's leave to its last
+Each row of the table holds the median and the longest time, in ms, from a server's departure to its last
 request, and the rules that were broken.  The same seed gives the same days.  The exit code is 0 if every day
 was played and no rule was broken, otherwise 1.
 """
--- a/bench/own.py
+++ b/bench/own.py
@@ -36,7 +36,7 @@
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / task.day.name
         file.write_text(task.day.read_text() + CLOSINGS[task.closing])
-        reason = f"a day of one's own: {task.day.stem}, closing {task.closing}"
+        reason = f"a day of bench/days: {task.day.stem}, closing {task.closing}"
         seed_options = ["--seed", str(seed)] if seed is not None else []
         return play_day(bench, task.site, file, task.closing, reason, ["--no-cpu", *seed_options])
 
--- a/bench/scale/carry.py
+++ b/bench/scale/carry.py
@@ -161,6 +161,7 @@
                 ]
                 least_disturbed = min(rounds, key=lambda result: result["direct"]["p99_ms"])
                 p99_times = sorted(result["through"]["p99_ms"] for result in rounds)
+                # The key `pace F` holds the figures at the fraction F of the rate at full load.
                 found[f"pace {fraction:g}"] = {**least_disturbed, "p99_ms": [p99_times[0], p99_times[-1]]}
             found["memory"] = peak_memory(pid)
             found["descriptors"] = len(os.listdir(f"/proc/{pid}/fd"))
--- a/bench/scale/cli.py
+++ b/bench/scale/cli.py
@@ -73,17 +73,17 @@
     return f"rounds-{core}", rounds.measure(core)
 
 
-def route(number: int) -> tuple[str, Any]:
+def measure_words(number: int) -> tuple[str, Any]:
     """Measure a configuration of a number of routes; return the part's name and its figures."""
     return f"words-{number}", words.measure(number)
 
 
-def part(number: int) -> tuple[str, Any]:
+def measure_parts(number: int) -> tuple[str, Any]:
     """Measure the tables of one node for a number of servers; return the part's name and its figures."""
     return f"parts-{number}", parts.measure(number)
 
 
-def shape(nodes: int) -> tuple[str, Any]:
+def measure_sizes(nodes: int) -> tuple[str, Any]:
     """Measure a fleet with the proportions of the deployments; return the part's name and its figures."""
     return f"sizes-{nodes}", sizes.measure(nodes)
 
@@ -112,11 +112,11 @@
     if verb in ("all", "rounds"):
         found += [(core_rounds, (core,)) for core in reversed(CORES)]
     if verb in ("all", "words"):
-        found += [(route, (number,)) for number in reversed(ROUTES)]
+        found += [(measure_words, (number,)) for number in reversed(ROUTES)]
     if verb in ("all", "parts"):
-        found += [(part, (number,)) for number in reversed(SERVERS)]
+        found += [(measure_parts, (number,)) for number in reversed(SERVERS)]
     if verb == "sizes":
-        found += [(shape, (number,)) for number in sorted(fleet_sizes, reverse=True)]
+        found += [(measure_sizes, (number,)) for number in sorted(fleet_sizes, reverse=True)]
     return found
 
 
--- a/bench/scale/phases.py
+++ b/bench/scale/phases.py
@@ -119,9 +119,9 @@
         services, found = list(self.world.server_list), {}
         known: dict[tuple[str, ...], set[str | None]] = {}  # most nodes of a zone know the same neighbours
         for node in self.world.running_nodes():
-            duties = node.duties(self.world.now)
-            if duties:
-                found[node.ip] = "list" if "list" in duties else "counter"
+            held_roles = node.held_roles(self.world.now)
+            if held_roles:
+                found[node.ip] = "list" if "list" in held_roles else "counter"
             elif node.disk:
                 found[node.ip] = "core"
             else:
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -316,10 +316,10 @@
         """Return the number of nodes that this node knows to be ready."""
         return len(self.running().peers.ready_nodes())
 
-    def duties(self, now: float) -> set[str]:
-        """Return the roles that this node holds a lease of: `list` (list reader) and `counter`."""
-        duties = [duty for duty in range(TENANT_SHARDS + 1) if self.running().roles.held_until(duty) > now]
-        return {"list" if duty == LIST_READER else "counter" for duty in duties}
+    def held_roles(self, now: float) -> set[str]:
+        """Return the roles for which this node holds a lease: `list` (list reader) and `counter`."""
+        roles = [role for role in range(TENANT_SHARDS + 1) if self.running().roles.held_until(role) > now]
+        return {"list" if role == LIST_READER else "counter" for role in roles}
 
     def neighbours(self) -> tuple[str, ...]:
         """Return the addresses of the ready nodes of this node's zone, as it knows them."""
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -42,7 +42,9 @@
     """Messages and bytes that a node has sent and received, and the seconds of processor time that it has
     used.
 
-    `core` is the time in the node's own code, `codec` the time to encode and decode its messages.
+    `came` and `came_bytes` count the received messages and their bytes.  `core` is the processor time that
+    the node needs to handle calls and messages, `codec` the time to encode and decode its messages.  The
+    names are keys of the stored figures.
     """
 
     out: int = 0
--- a/hazelspring/cli/__main__.py
+++ b/hazelspring/cli/__main__.py
@@ -36,7 +36,8 @@
         action="append",
         dest="nodes",
         metavar="HOST:PORT",
-        help="a node's control address; may be repeated; the default is HAZELSPRING_NODES (commas)",
+        help="a node's control address; may be repeated; the default is the comma-separated list in "
+        "HAZELSPRING_NODES",
     )
     parser.add_argument(
         "--patience",
@@ -92,7 +93,7 @@
             f"  configuration {status['configuration']}  core {sum(members.values())}/{len(members)}"
             f"{' without ' + ','.join(unresponsive) if unresponsive else ''}"
             f"  nodes {len(status['doors'])}  closed {','.join(status['closedZones']) or 'none'}"
-            f"  servers {sum(status['servers'].values())}  fresh for {status['freshForS']} s"
+            f"  servers {sum(status['servers'].values())}  confirmation valid for {status['freshForS']} s"
         )
         if not status["ready"]:
             exit_status = ExitStatus.FAILED
--- a/hazelspring/daemon/readiness.py
+++ b/hazelspring/daemon/readiness.py
@@ -10,12 +10,12 @@
 import math
 
 NEVER = -math.inf  # the time of an event that has not happened
-STALE_FRACTION = 0.9  # fraction of the revocation time after which keyed requests are refused
+STALE_FRACTION = 0.9  # fraction of the revocation time after which requests with an access key are refused
 UNREADY_FRACTION = 0.5  # fraction of the revocation time after which clients are sent to other nodes
 
 
 def fresh_until(confirmed_at: float, revocation_time: float) -> float:
-    """Return the time until which keyed requests are served; all in seconds."""
+    """Return the time until which requests with an access key are served; all in seconds."""
     return confirmed_at + STALE_FRACTION * revocation_time
 
 
--- a/hazelspring/daemon/recovery_command.py
+++ b/hazelspring/daemon/recovery_command.py
@@ -59,11 +59,12 @@
     call.add_argument("--from", action="append", dest="files", metavar="FILE", default=[],
                       help="continue from this store file; may be repeated for format 1")  # fmt: skip
     call.add_argument("--take", choices=("accepted", "decided"), default="accepted",
-                      help="which state to use if the accepted one may not be decided")  # fmt: skip
+                      help="state to continue from: the last accepted one, even if it is not known to be "
+                           "decided, or the last decided one")  # fmt: skip
     call.add_argument("--size", type=int, default=0, help="nodes with a disk that the core is to have")
     call.add_argument("--old-core-is-stopped", action="store_true", dest="stopped",
-                      help="confirm that no majority of the old core is running, or will run, "
-                           "where this node cannot reach it")  # fmt: skip
+                      help="confirm that no majority of the old core's nodes is running or will be started "
+                           "again, not even out of this node's reach")  # fmt: skip
 
 
 class UsageError(HazelspringError):
--- a/hazelspring/daemon/settings.py
+++ b/hazelspring/daemon/settings.py
@@ -172,7 +172,7 @@
 
     @pre_load
     def nest_tables(self, lines: dict[str, str], **kwargs: Any) -> dict[str, Any]:
-        """Return dotted keys as nested tables.  Raises ValidationError if a key is a value and a table."""
+        """Return dotted keys as nested tables; raises ValidationError for a key with a value and subkeys."""
         root: dict[str, Any] = {}
         for key, value in lines.items():
             *names, last = key.split(".")
--- a/hazelspring/daemon/structured_log.py
+++ b/hazelspring/daemon/structured_log.py
@@ -21,7 +21,11 @@
 
 
 class StructuredLog:
-    """Writes messages; those above the limit per second are counted, and the next one has the count."""
+    """Writes messages, at most `MAX_LINES_PER_SECOND` in each second.
+
+    Further messages are not written but counted.  The next message that is written has their number as its
+    field `left_out`.
+    """
 
     def __init__(self) -> None:
         self.second = 0  # the current second of the monotonic clock
--- a/hazelspring/localfleet/fleet.py
+++ b/hazelspring/localfleet/fleet.py
@@ -96,7 +96,7 @@
         self.program = program
         self.extra_settings = settings or {}
         self.disks = set(range(core))  # numbers of the nodes that have a disk
-        self.lost_nodes: set[int] = set()  # permanently
+        self.lost_nodes: set[int] = set()  # permanently killed by `replace`
         # Ports: clients, readiness, control calls, look-ups, messages between nodes, the platform, servers
         ports = free_ports(7)
         self.front, self.ready, self.control, self.directory, self.port, self.platform_port, server_port = (
@@ -185,7 +185,7 @@
         shutil.rmtree(self.data_directory(node))
 
     def remaining_nodes(self) -> list[int]:
-        """Return the nodes that were not replaced."""
+        """Return the nodes that are not permanently lost; replacements of lost nodes are included."""
         return [node for node in range(len(self.ips)) if node not in self.lost_nodes]
 
     def replace(self, node: int) -> int:
--- a/tests/cluster_invariants.py
+++ b/tests/cluster_invariants.py
@@ -61,7 +61,7 @@
         # `late_copies`: the fraction of messages that arrive once more, up to 8 s later
         self.schedule, self.extra_delays, self.late_copies = schedule, dict[tuple[str, str], float](), 0.0
         self.clock_random = random.Random(schedule.seed + 1)
-        # times at which a caller got a newer version than all before, and these versions
+        # versions that were newer than all that callers had got before, each with the time when one got it
         self.acknowledged_versions: list[tuple[float, int]] = []
         self.put_digests: dict[int, bytes] = {}  # digests of the bodies that were put, by token
         # times since which a body is acknowledged, by its number and digest
--- a/tests/hostile_servers.py
+++ b/tests/hostile_servers.py
@@ -15,7 +15,7 @@
 IDLE_TIMEOUTS = (0.03, 0.2, 2.0, 9.0)  # seconds without a request after which a server ends a connection
 # Statuses with a Not-Executed header, except "named": a 421 that states its sender's instance instead.
 REFUSALS = ("503", "429", "421", "408", "named")
-ANSWER_DELAYS = (0.05, 0.3, 0.7, 1.1)  # seconds: some of them end after every deadline
+ANSWER_DELAYS = (0.05, 0.3, 0.7, 1.1)  # seconds; the longest ends after the deadline of every request
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
--- a/tests/ledger.py
+++ b/tests/ledger.py
@@ -7,7 +7,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-PROMISES = (400, 401, 404, 408, 413, 421, 429, 431, 503)  # statuses that state that the request has not run
+# HTTP statuses which state that the request has not run
+NOT_RUN_STATUSES = (400, 401, 404, 408, 413, 421, 429, 431, 503)
 
 
 @dataclass(slots=True)
@@ -103,7 +104,7 @@
         """
         ran, refused = (
             self.run_counts[request.id],
-            [status for status in request.answers if status in PROMISES],
+            [status for status in request.answers if status in NOT_RUN_STATUSES],
         )
         if request.kind != "read_only" and ran > request.times_sent:
             self.add_violation(
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -8,7 +8,7 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 rules="test_each_rule_reports_the_door_that_breaks_it_and_no_other_rule_does"
-portless="codec deadlines table_log behaviour_digests golden_control golden_edges soak list_duty unreachable_nodes control_processes control_model dissemination control acceptor processes loss_schedules scenarios disaster_recovery role_leases gateway known_red lab project wire replica_store_crash request_router recovery_command upstream_servers recovery_processes replica_store"
+portless="codec deadlines table_log behaviour_digests golden_control golden_edges soak list_reader_role unreachable_nodes control_processes control_model dissemination control acceptor processes loss_schedules scenarios disaster_recovery role_leases gateway known_red lab project wire replica_store_crash request_router recovery_command upstream_servers recovery_processes replica_store"
 alone="lab_play start upgrade"
 
 logs=$(mktemp -d)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -34,7 +34,7 @@
 from hazelspring.localfleet.stand_ins import StandIns
 
 from .callers import Clients, Operators, is_write, node_status, write_links
-from .ledger import PROMISES
+from .ledger import NOT_RUN_STATUSES
 from .soak_faults import (
     CONNECT_TIME,
     CUT,
@@ -159,7 +159,7 @@
                 partial(self.send_signal, n, signal.SIGSTOP),
                 partial(self.send_signal, n, signal.SIGCONT),
             ),
-            CUT: (partial(self.cut_off, n, failure.ways), partial(self.reconnect, n)),
+            CUT: (partial(self.cut_off, n, failure.direction), partial(self.reconnect, n)),
             HANG: (stop_answers, resume_answers),
             FAIL: (stop_answers, resume_answers),
             RESET: (reset, reset),
@@ -181,8 +181,8 @@
     def send_signal(self, n: int, number: signal.Signals) -> None:
         self.fleet.processes[n].send_signal(number)
 
-    def cut_off(self, n: int, ways: str) -> None:
-        self.cuts[n] = ways
+    def cut_off(self, n: int, direction: str) -> None:
+        self.cuts[n] = direction
         self.write_cuts()
 
     def reconnect(self, n: int) -> None:
@@ -199,7 +199,7 @@
 
     def write_cuts(self) -> None:
         """Write, for each node, the addresses from which it receives nothing under the present cuts."""
-        silent = {n for n, ways in self.cuts.items() if ways in ("both", "out")}
+        silent = {n for n, direction in self.cuts.items() if direction in ("both", "out")}
         for n in self.fleet.remaining_nodes():
             receives_nothing = self.cuts.get(n) in ("both", "in")
             dropped = [
@@ -280,7 +280,7 @@
             ran = sum(server.executions[id_] for server in self.fleet.servers)
             if is_write(id_) and ran > 1:
                 self.violations.append(f"TWICE: {id_} ran {ran} times")
-            if is_write(id_) and ran and status in PROMISES:
+            if is_write(id_) and ran and status in NOT_RUN_STATUSES:
                 self.violations.append(f"REFUSED: {id_} got {status} and ran")
             if status == 200 and not ran:
                 self.violations.append(f"MIXED: {id_} got 200 and never ran")
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -39,7 +39,7 @@
     node: int
     begins: float
     ends: float
-    ways: str = ""  # the direction of a cut: both, in or out
+    direction: str = ""  # of a cut: both, in or out
 
     def disconnects(self, node: int, core: int) -> bool:
         """Return whether it disconnects a node: the affected one, or any node if it affects a core member."""
@@ -48,7 +48,9 @@
     def reconnected_at(self, at: float) -> float:
         """Return when the nodes that it disconnects are connected again, as of a time.
 
-        While a member is off, it does not disconnect the others, until it is back.
+        A failure that ends a core member's process disconnects the other nodes twice, for `CONNECT_TIME`
+        each: when the process ends and when it is started again.  In between they count as connected.  Any
+        other failure disconnects nodes from its beginning until `CONNECT_TIME` after its end.
         """
         if at < self.begins:
             return 0.0
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -9,7 +9,7 @@
 import itertools
 from collections.abc import Callable
 
-from .test_list_duty import ListWorld
+from .test_list_reader_role import ListWorld
 from .world import World
 
 IN_TOUCH = 4.0  # seconds, `inTouchMs`
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -14,8 +14,9 @@
 ADMISSION = ROOT / "hazelspring" / "admission"
 POLICY = [ADMISSION / "gateway.py", *sorted((ADMISSION / "policy").glob("*.py"))]
 
-# Packages that only some of the others may import, whatever the table of docs/architecture.md says.  They import
-# themselves and what SHARED gives them.
+# Packages that only the packages in SHARED may import, also where the table of docs/architecture.md lets a
+# package import all below it.  Of the project's packages, a restricted one may import only itself and what
+# SHARED allows.
 RESTRICTED = {"admission", "gateway", "lab"}
 
 # Who may import the restricted packages, and what of them: a module or a package.
